--- /dev/null
+++ b/internal/rental/golden_test.go
@@ -0,0 +1,222 @@
+package rental_test
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/rental"
+	"badgerbay/internal/unit"
+)
+
+// golden reads the recorded messages: a name and the bytes in hexadecimal on each line.
+func golden(t *testing.T) map[string][]byte {
+	t.Helper()
+	file, err := os.Open("testdata/golden/messages.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	messages := map[string][]byte{}
+	lines := bufio.NewScanner(file)
+	for lines.Scan() {
+		name, text, ok := strings.Cut(lines.Text(), " ")
+		data, err := hex.DecodeString(text)
+		if !ok || err != nil {
+			t.Fatalf("line %q: %v", lines.Text(), err)
+		}
+		messages[name] = data
+	}
+	if err := lines.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return messages
+}
+
+// recorder is a cloud that answers one recorded message and keeps the request.
+type recorder struct {
+	answer  []byte
+	request string
+	body    []byte
+}
+
+// RoundTrip implements http.RoundTripper.
+func (r *recorder) RoundTrip(req *http.Request) (*http.Response, error) {
+	r.request = fmt.Sprintf("%s %s %s", req.Method, req.URL, req.Header.Get("Content-Type"))
+	r.body = nil
+	if req.Body != nil {
+		var err error
+		if r.body, err = io.ReadAll(req.Body); err != nil {
+			return nil, err
+		}
+	}
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(r.answer))}, nil
+}
+
+func goldenTypes() []*fleet.Type {
+	return []*fleet.Type{
+		{Name: "m16.xlarge", Capacity: checkpoint.Resources{CPUs: 16, GPUs: 2, MemoryGB: 128}, CacheGB: 200.5, FetchGBps: 0.25,
+			Price: 3.75, SpotPrice: 1.125, Boot: 45500 * time.Millisecond, Zones: []unit.Zone{"zone-a", "zone-b"}},
+		{Name: "m", Capacity: checkpoint.Resources{CPUs: 0.5, MemoryGB: 1}},
+	}
+}
+
+// TestGoldenCloudCalls sends each request to the cloud as it was recorded, and reads
+// the recorded answer to it.
+func TestGoldenCloudCalls(t *testing.T) {
+	messages := golden(t)
+	spot, onDemand := rental.Offer{Type: "m16.xlarge", Zone: "zone-b", Spot: true}, rental.Offer{Type: "m", Zone: "a"}
+	listed := []rental.Listed{
+		{ID: "host-000001", Type: "m", Zone: "a", Standing: rental.Starting, AgeS: 0.5},
+		{ID: "host-000002", Addr: "10.0.3.17:9000", Type: "m16.xlarge", Zone: "zone-b", Spot: true, Standing: rental.Running, AgeS: 3600},
+		{ID: "host-000003", Addr: "10.0.3.18:9000", Type: "m", Zone: "a", Standing: rental.Failed, AgeS: 61},
+	}
+	type page struct {
+		Machines []rental.Listed
+		More     bool
+	}
+	ctx := context.Background()
+	for _, c := range []struct {
+		name    string
+		request string
+		call    func(*rental.Cloud) (any, error)
+		want    any
+	}{
+		{"types", "GET http://10.2.0.2:8443/flavors application/msgpack",
+			func(c *rental.Cloud) (any, error) { return c.Flavors(ctx) }, goldenTypes()},
+		{"provision/spot", "POST http://10.2.0.2:8443/hosts application/msgpack",
+			func(c *rental.Cloud) (any, error) { return c.Hire(ctx, "n0-12-1", spot, 50) },
+			[]unit.MachineID{"host-000001", "host-000002"}},
+		{"provision/on-demand", "POST http://10.2.0.2:8443/hosts application/msgpack",
+			func(c *rental.Cloud) (any, error) { return c.Hire(ctx, "n0-12-2", onDemand, 1) }, []unit.MachineID{"host-000003"}},
+		{"deprovision", "POST http://10.2.0.2:8443/hosts/release application/msgpack",
+			func(c *rental.Cloud) (any, error) {
+				return nil, c.Release(ctx, []unit.MachineID{"host-000001", "host-000002"})
+			}, nil},
+		{"list/first", "GET http://10.2.0.2:8443/hosts?page=500 application/msgpack",
+			func(c *rental.Cloud) (any, error) {
+				machines, more, err := c.List(ctx, "")
+				return page{machines, more}, err
+			}, page{listed, true}},
+		{"list/last", "GET http://10.2.0.2:8443/hosts?page=500&since=host-000003 application/msgpack",
+			func(c *rental.Cloud) (any, error) {
+				machines, more, err := c.List(ctx, "host-000003")
+				return page{machines, more}, err
+			}, page{listed[:1], false}},
+		{"list/empty", "GET http://10.2.0.2:8443/hosts?page=500 application/msgpack",
+			func(c *rental.Cloud) (any, error) {
+				machines, more, err := c.List(ctx, "")
+				return page{machines, more}, err
+			}, page{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			answer, ok := messages[c.name+"/answer"]
+			if !ok {
+				t.Fatal("no recorded answer")
+			}
+			r := &recorder{answer: answer}
+			got, err := c.call(rental.NewCloud("10.2.0.2:8443", r))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(c.want, got); diff != "" {
+				t.Error(diff)
+			}
+			if r.request != c.request {
+				t.Errorf("request %q, want %q", r.request, c.request)
+			}
+			if want := messages[c.name+"/request"]; !bytes.Equal(r.body, want) {
+				t.Errorf("body %x, recorded %x", r.body, want)
+			}
+		})
+	}
+}
+
+// TestGoldenRefusals tells the cloud's refusals apart by the recorded answers.
+func TestGoldenRefusals(t *testing.T) {
+	messages := golden(t)
+	for _, c := range []struct {
+		name string
+		code int
+		want error
+	}{
+		{"refusal/no-capacity", http.StatusServiceUnavailable, rental.ErrNoCapacity},
+		{"refusal/trouble", http.StatusServiceUnavailable, rental.ErrBusy},
+	} {
+		answer, ok := messages[c.name]
+		if !ok {
+			t.Fatalf("%s is not recorded", c.name)
+		}
+		cloud := rental.NewCloud("10.2.0.2:8443", roundTrip(func(*http.Request) (*http.Response, error) {
+			return &http.Response{StatusCode: c.code, Body: io.NopCloser(bytes.NewReader(answer))}, nil
+		}))
+		if _, err := cloud.Hire(context.Background(), "n0-12-1", rental.Offer{Type: "m", Zone: "a"}, 1); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+		}
+	}
+}
+
+type roundTrip func(*http.Request) (*http.Response, error)
+
+// RoundTrip implements http.RoundTripper.
+func (f roundTrip) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
+
+// TestGoldenStoredTypes reads the recorded value in which machine types are kept, and
+// writes it as it was.
+func TestGoldenStoredTypes(t *testing.T) {
+	recorded := golden(t)["stored/types"]
+	types, err := rental.DecodeTypes(recorded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(goldenTypes(), types); diff != "" {
+		t.Error(diff)
+	}
+	again, err := msgpack.Marshal(rental.EncodeTypes(types))
+	if err != nil || !bytes.Equal(again, recorded) {
+		t.Errorf("written as %x, %v; recorded %x", again, err, recorded)
+	}
+}
+
+// TestGoldenOffers reads and writes the offers that round records hold.
+func TestGoldenOffers(t *testing.T) {
+	messages := golden(t)
+	for name, want := range map[string]rental.Offer{
+		"offer/spot":      {Type: "m16.xlarge", Zone: "zone-b", Spot: true},
+		"offer/on-demand": {Type: "m", Zone: "a"},
+	} {
+		checkCodec(t, name+"/msgpack", messages, want, msgpack.Marshal, msgpack.Unmarshal)
+		checkCodec(t, name+"/json", messages, want, json.Marshal, json.Unmarshal)
+	}
+}
+
+func checkCodec(t *testing.T, name string, messages map[string][]byte, want rental.Offer,
+	marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
+	t.Helper()
+	recorded, ok := messages[name]
+	if !ok {
+		t.Fatalf("%s is not recorded", name)
+	}
+	var got rental.Offer
+	if err := unmarshal(recorded, &got); err != nil || got != want {
+		t.Errorf("%s: read %+v, %v", name, got, err)
+	}
+	if again, err := marshal(want); err != nil || !bytes.Equal(again, recorded) {
+		t.Errorf("%s: written as %x, %v; recorded %x", name, again, err, recorded)
+	}
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,53 @@
+package rollout_test
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/rollout"
+)
+
+// TestGoldenAgreement reads the recorded values of the key under which the agreed
+// schema version is stored, and writes them as they were.
+func TestGoldenAgreement(t *testing.T) {
+	if rollout.Key != "form" {
+		t.Errorf("stored under %q", rollout.Key)
+	}
+	data, err := os.ReadFile("testdata/golden/agreement.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
+	versions := []rollout.Form{rollout.First, rollout.Parts, rollout.Staged, 99}
+	if len(lines) != len(versions) {
+		t.Fatalf("%d recorded values, want %d", len(lines), len(versions))
+	}
+	for i, want := range versions {
+		recorded, text, _ := strings.Cut(lines[i], " ")
+		value, err := hex.DecodeString(recorded)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var fromMsgpack, fromJSON rollout.Agreed
+		if err := msgpack.Unmarshal(value, &fromMsgpack); err != nil {
+			t.Fatal(err)
+		}
+		if err := json.Unmarshal([]byte(text), &fromJSON); err != nil {
+			t.Fatal(err)
+		}
+		if fromMsgpack.Form != want || fromJSON.Form != want {
+			t.Errorf("%s: read %d and %d, want %d", lines[i], fromMsgpack.Form, fromJSON.Form, want)
+		}
+		if again, err := msgpack.Marshal(fromMsgpack); err != nil || hex.EncodeToString(again) != recorded {
+			t.Errorf("%s: written as %x, %v", recorded, again, err)
+		}
+		if again, err := json.Marshal(fromJSON); err != nil || string(again) != text {
+			t.Errorf("%s: written as %s, %v", text, again, err)
+		}
+	}
+}
