--- /dev/null
+++ b/internal/feature/golden_test.go
@@ -0,0 +1,92 @@
+package feature_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"badgerbay/internal/config"
+	"badgerbay/internal/feature"
+)
+
+// goldenRows reads a table of so many columns.
+func goldenRows(t *testing.T, name string, columns int) [][]string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rows [][]string
+	for line := range strings.Lines(string(data)) {
+		fields := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
+		if len(fields) != columns {
+			t.Fatalf("%q has %d fields, want %d", line, len(fields), columns)
+		}
+		rows = append(rows, fields)
+	}
+	return rows
+}
+
+// decodeText decodes sections that are written in JSON.
+func decodeText(t *testing.T, text string) (feature.Set, error) {
+	t.Helper()
+	var sections map[string]any
+	if err := json.Unmarshal([]byte(text), &sections); err != nil {
+		t.Fatal(err)
+	}
+	return feature.Decode(sections)
+}
+
+// decoded renders what sections enable, or what is wrong with them.
+func decoded(t *testing.T, text string) string {
+	t.Helper()
+	set, err := decodeText(t, text)
+	if err != nil {
+		return err.Error()
+	}
+	standby := "off"
+	if w := set.WarmStandby; w != nil {
+		standby = fmt.Sprintf("heartbeat %v, takeover %v, poll %v, sync %v, replica %v MB", w.Heartbeat, w.Takeover, w.Poll, w.Sync, w.ReplicaMB)
+	}
+	return fmt.Sprintf("warm_standby %s; team_quotas %t", standby, set.TeamQuotas)
+}
+
+// checked renders what is said of sections under the parameters of a deployment.
+func checked(t *testing.T, sections, params string) string {
+	t.Helper()
+	set, err := decodeText(t, sections)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var p config.Params
+	if err := json.Unmarshal([]byte(params), &p); err != nil {
+		t.Fatal(err)
+	}
+	if err := set.Check(p); err != nil {
+		return err.Error()
+	}
+	return "good"
+}
+
+// TestGoldenSections: what sections enable, and what is said of bad ones.
+func TestGoldenSections(t *testing.T) {
+	for _, row := range goldenRows(t, "decoded.txt", 2) {
+		if got := decoded(t, row[0]); got != row[1] {
+			t.Errorf("%s: %q, want %q", row[0], got, row[1])
+		}
+	}
+	if got := strings.Join(feature.Names(), " "); got != "team_quotas warm_standby" {
+		t.Errorf("sections %s", got)
+	}
+}
+
+// TestGoldenChecks: what is said of sections that can't work in a deployment.
+func TestGoldenChecks(t *testing.T) {
+	for _, row := range goldenRows(t, "checked.txt", 3) {
+		if got := checked(t, row[0], row[1]); got != row[2] {
+			t.Errorf("%s with %s: %q, want %q", row[0], row[1], got, row[2])
+		}
+	}
+}
--- /dev/null
+++ b/internal/policy/golden_test.go
@@ -0,0 +1,90 @@
+package policy_test
+
+import (
+	"fmt"
+	"os"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"badgerbay/internal/policy"
+)
+
+func goldenLines(t *testing.T, name string) []string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+}
+
+// settingsOf lists the settings of a script by their Starlark names, and the features
+// that it enables.
+func settingsOf(t *testing.T, script string) []string {
+	t.Helper()
+	p, err := policy.Parse("site.star", script)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out []string
+	v := reflect.ValueOf(p).Elem()
+	for i := range v.NumField() {
+		if name, ok := v.Type().Field(i).Tag.Lookup("star"); ok {
+			out = append(out, fmt.Sprintf("%s = %v", name, v.Field(i).Interface()))
+		}
+	}
+	slices.Sort(out)
+	if w := p.Features.WarmStandby; w != nil {
+		out = append(out, fmt.Sprintf("warm_standby heartbeat %v, takeover %v", w.Heartbeat, w.Takeover))
+	}
+	return append(out, fmt.Sprintf("team_quotas %t", p.Features.TeamQuotas))
+}
+
+// siteScript sets every setting anew.
+func siteScript(t *testing.T) string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/site.star")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// parsed is what is said of a script.
+func parsed(script string) string {
+	if _, err := policy.Parse("site.star", script); err != nil {
+		return err.Error()
+	}
+	return "good"
+}
+
+// TestGoldenSettings: scripts are understood as earlier versions did.
+func TestGoldenSettings(t *testing.T) {
+	for name, script := range map[string]string{"default.txt": "", "site.txt": siteScript(t)} {
+		got, want := settingsOf(t, script), goldenLines(t, name)
+		if !slices.Equal(got, want) {
+			t.Errorf("%s: settings are\n%s\nwant\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
+		}
+	}
+}
+
+// TestGoldenErrorLines: what is said of bad scripts, each line with its setting.
+func TestGoldenErrorLines(t *testing.T) {
+	for _, line := range goldenLines(t, "errors.txt") {
+		quoted, want, ok := strings.Cut(line, "\t")
+		script, err := strconv.Unquote(quoted)
+		if !ok || err != nil {
+			t.Fatalf("%q is no script and line: %v", line, err)
+		}
+		got := parsed(script)
+		if got != want {
+			t.Errorf("%s: %q, want %q", quoted, got, want)
+		}
+		if got != "good" && !strings.HasPrefix(got, "policy.") {
+			t.Errorf("%s: %q names no field", quoted, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/quota/golden_test.go
@@ -0,0 +1,173 @@
+package quota_test
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/quota"
+	"badgerbay/internal/unit"
+)
+
+// goldenCase is a stored record or a message between nodes.
+type goldenCase struct {
+	value  any
+	decode func([]byte) (any, error)
+	// stored: it is a record, so its form in JSON counts against the limits of the
+	// state service too.
+	stored bool
+	// unordered: the value holds a map of several keys, whose order in MessagePack
+	// is random, so only what the bytes decode to is compared.
+	unordered bool
+}
+
+var (
+	goldenHolder = quota.HolderID{Node: "node-1", Stamp: 70_000}
+
+	goldenReservations = []quota.Reservation{
+		{Job: "wk-000412", Team: "red", Tasks: 3, Need: quota.Units{CPU: 500, GPU: 1000}},
+		{Job: "wk-000413", Team: "red", Tasks: 40_000, Need: quota.Units{CPU: 250}},
+	}
+	goldenTwoTeams = append(goldenReservations[:1:1],
+		quota.Reservation{Job: "wk-999999999999", Team: "blue", Tasks: 1, Need: quota.Units{CPU: 1}})
+)
+
+func goldenCases(t *testing.T) map[string]goldenCase {
+	t.Helper()
+	return map[string]goldenCase{
+		"team record": {value: &quota.TeamRecord{
+			Schema: 1, Limit: quota.Units{CPU: 64_000, GPU: quota.Unlimited}, Guarantee: quota.Units{CPU: 8_000},
+			Allotments: []quota.Allotment{
+				{Holder: quota.HolderID{Node: "node-0", Stamp: 7}, Units: quota.Units{CPU: 1500, GPU: 250}, Promise: 3},
+				{Holder: goldenHolder, Units: quota.Units{CPU: 40_000}, Promise: 1 << 40},
+			},
+		}, decode: decodeTeam, stored: true},
+		"team record without allotments": {value: &quota.TeamRecord{Schema: 1, Limit: quota.Units{CPU: 1, GPU: 1}}, decode: decodeTeam, stored: true},
+		"reservations":                   {value: newReserved(t, goldenReservations), decode: decodeReserved(goldenReservations), stored: true},
+		"reservations of two teams":      {value: newReserved(t, goldenTwoTeams), decode: decodeReserved(goldenTwoTeams), stored: true, unordered: true},
+		"no reservations":                {value: newReserved(t, nil), decode: decodeReserved(nil), stored: true},
+		"ask": {value: &quota.Ask{
+			Holder: goldenHolder,
+			Teams: []quota.TeamAsk{
+				{Team: "red", Promise: 9, Ceiling: quota.Units{CPU: 2000, GPU: 1}, Want: quota.Units{CPU: 3000, GPU: 2}},
+				{Team: "blue"},
+			},
+			Jobs: []unit.JobID{"wk-000412", "wk-000413"},
+		}, decode: decodeAs[quota.Ask]},
+		"ask for nothing": {value: &quota.Ask{Holder: goldenHolder}, decode: decodeAs[quota.Ask]},
+		"answer": {value: &quota.Answer{
+			Holder: goldenHolder, Epoch: 123_456,
+			Teams: []quota.TeamShare{{Team: "red", Promise: 9, Units: quota.Units{CPU: 2000, GPU: 1}, Recall: quota.Units{CPU: 500}}},
+			Jobs:  []quota.JobState{{Job: "wk-000412", Remaining: 2}, {Job: "wk-000413"}},
+		}, decode: decodeAs[quota.Answer]},
+		"answer that revokes": {value: &quota.Answer{Holder: goldenHolder, Epoch: 5, Revoked: true}, decode: decodeAs[quota.Answer]},
+	}
+}
+
+func newReserved(t *testing.T, all []quota.Reservation) *quota.Reserved {
+	t.Helper()
+	r, err := quota.NewReserved(goldenHolder.Stamp, all)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func decodeTeam(data []byte) (any, error) { return quota.DecodeTeam(data) }
+
+// decodeReserved returns a decoder that also checks what the reservations unpack to.
+func decodeReserved(want []quota.Reservation) func([]byte) (any, error) {
+	return func(data []byte) (any, error) {
+		r, all, err := quota.DecodeReserved(data)
+		if diff := cmp.Diff(want, all); err == nil && diff != "" {
+			return diff, nil
+		}
+		if err == nil && r.Units == nil {
+			r.Units = map[unit.Team]quota.Units{} // nothing reserved is left out
+		}
+		return r, err
+	}
+}
+
+func decodeAs[T any](data []byte) (any, error) {
+	v := new(T)
+	return v, msgpack.Unmarshal(data, v)
+}
+
+// readGolden reads the bytes of each case, in MessagePack, and its form in JSON; "-":
+// none.
+func readGolden(t *testing.T) map[string][2]string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/encoded.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := map[string][2]string{}
+	for line := range strings.Lines(string(data)) {
+		fields := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
+		if len(fields) != 3 {
+			t.Fatalf("%q has %d fields, want 3", line, len(fields))
+		}
+		out[fields[0]] = [2]string{fields[1], fields[2]}
+	}
+	return out
+}
+
+// TestGoldenEncodings: records and messages keep the bytes that earlier versions wrote.
+func TestGoldenEncodings(t *testing.T) {
+	golden, cases := readGolden(t), goldenCases(t)
+	if len(golden) != len(cases) {
+		t.Errorf("%d golden encodings of %d cases", len(golden), len(cases))
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			wantHex, wantJSON := golden[name][0], golden[name][1]
+			data, err := hex.DecodeString(wantHex)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decoded, err := c.decode(data)
+			if err != nil {
+				t.Fatalf("decoding: %v", err)
+			}
+			if diff := cmp.Diff(c.value, decoded); diff != "" {
+				t.Errorf("decoded value differs (-want +got):\n%s", diff)
+			}
+			for what, value := range map[string]any{"built": c.value, "decoded": decoded} {
+				encoded, err := msgpack.Marshal(value)
+				if got := hex.EncodeToString(encoded); err != nil || got != wantHex && !c.unordered {
+					t.Errorf("%s value encodes to %s, %v, want %s", what, got, err, wantHex)
+				}
+				if c.unordered && len(encoded) != len(data) {
+					t.Errorf("%s value encodes to %d bytes, want %d", what, len(encoded), len(data))
+				}
+				if !c.stored {
+					continue
+				}
+				text, err := json.Marshal(value)
+				if err != nil || string(text) != wantJSON {
+					t.Errorf("%s value in JSON is %s, %v, want %s", what, text, err, wantJSON)
+				}
+			}
+		})
+	}
+}
+
+// TestGoldenKeys: records stay where earlier versions look for them.
+func TestGoldenKeys(t *testing.T) {
+	for got, want := range map[string]string{
+		quota.KeyPrefix:               "quota/",
+		quota.TeamKey("red/blue %"):   "quota/team/red%2Fblue%20%25",
+		quota.HolderKey("node-1"):     "quota/holder/node-1",
+		quota.ReservedKey("node/1 ü"): "quota/reserved/node%2F1%20%C3%BC",
+	} {
+		if got != want {
+			t.Errorf("key %q, want %q", got, want)
+		}
+	}
+}
