--- /dev/null
+++ b/internal/round/plan_golden_test.go
@@ -0,0 +1,156 @@
+package round
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"badgerbay/internal/checkpoint"
+)
+
+// goldenPlans is how many seeds testdata/golden/plans.txt holds, one a line:
+// the seed, the hash of the plan's canonical form, and what the plan decides.
+const goldenPlans = 450
+
+// TestGoldenPlans makes a snapshot from each seed, plans it, and compares the
+// plan with the one that is on record. Each snapshot is planned twice, and made
+// and planned anew, to show that a plan depends on nothing but its snapshot.
+func TestGoldenPlans(t *testing.T) {
+	data, err := os.ReadFile("testdata/golden/plans.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+	if len(golden) != goldenPlans {
+		t.Fatalf("%d golden plans, want %d", len(golden), goldenPlans)
+	}
+	counts := map[string]int{}
+	for seed := range uint64(goldenPlans) {
+		s := newSnapshot(seed)
+		plan := Make(s.world)
+		text := canonicalPlan(plan)
+		if again := canonicalPlan(Make(s.world)); again != text {
+			t.Errorf("seed %d: the second plan of a snapshot differs:\n%s\nfirst:\n%s", seed, again, text)
+		}
+		if again := canonicalPlan(Make(newSnapshot(seed).world)); again != text {
+			t.Errorf("seed %d: the plan of the same snapshot, made anew, differs:\n%s\nfirst:\n%s", seed, again, text)
+		}
+		kinds := s.kindsOf(plan)
+		for _, kind := range kinds {
+			counts[kind]++
+		}
+		if line := goldenLine(seed, text, kinds); line != golden[seed] {
+			t.Errorf("seed %d: plan\n%s\nwant %s\n%s", seed, line, golden[seed], text)
+		}
+	}
+	for _, kind := range allKinds {
+		t.Logf("%4d of %d plans: %s", counts[kind], goldenPlans, kind)
+		if counts[kind] == 0 {
+			t.Errorf("no plan has %s", kind)
+		}
+	}
+}
+
+func goldenLine(seed uint64, text string, kinds []string) string {
+	sum := sha256.Sum256([]byte(text))
+	return fmt.Sprintf("%d %s %s", seed, hex.EncodeToString(sum[:12]), strings.Join(kinds, ","))
+}
+
+// allKinds are the decisions that the golden plans must cover.
+var allKinds = []string{"start", "preemption", "consolidation", "scale-out", "scale-out-for-guarantee", "guarantee-taken-back",
+	"gang-start", "gang-preempted", "gang-preempts", "gang-in-parts", "replacement", "spare-kept", "blocked", "short", "old-first"}
+
+// kindsOf names what a plan decides, in the order of allKinds.
+func (s *snapshotGenerator) kindsOf(plan *Plan) []string {
+	has := map[string]bool{
+		"start":         len(plan.Record.Starts) > 0,
+		"consolidation": len(plan.Vacate) > 0,
+		"scale-out":     len(plan.Record.Hires) > 0,
+		"scale-out-for-guarantee": len(plan.Record.Hires) > 0 && plan.HireFor == "" && len(s.world.Spares) == 0 &&
+			len(s.world.Typical) > 0,
+		"gang-in-parts": plan.Record.SizeOf() > s.world.ValueBytes,
+		"spare-kept":    len(plan.Keep) > 0,
+		"blocked":       len(plan.Blocked) > 0,
+		"short":         plan.Short > 0,
+	}
+	for _, stop := range plan.Stops {
+		winner, victim := s.jobs[stop.For], stop.Placement.Job
+		if winner == nil {
+			continue
+		}
+		has["preemption"] = true
+		has["guarantee-taken-back"] = has["guarantee-taken-back"] || victim.Spec.Priority >= winner.Spec.Priority
+		has["gang-preempted"] = has["gang-preempted"] || victim.Spec.Gang
+		has["gang-preempts"] = has["gang-preempts"] || winner.Spec.Gang
+	}
+	lowestBefore := checkpoint.Prod
+	for _, start := range plan.Record.Starts {
+		spec := &s.jobs[start.Job].Spec
+		has["replacement"] = has["replacement"] || start.Attempt != 0
+		has["gang-start"] = has["gang-start"] || spec.Gang && start.Attempt == 0
+		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < checkpoint.High
+		lowestBefore = min(lowestBefore, spec.Priority)
+	}
+	return slices.DeleteFunc(slices.Clone(allKinds), func(kind string) bool { return !has[kind] })
+}
+
+// canonicalPlan writes a plan out field by field.
+func canonicalPlan(plan *Plan) string {
+	var b strings.Builder
+	r := &plan.Record
+	fmt.Fprintf(&b, "record schema=%d no=%d epoch=%d low=%d\n", r.Schema, r.No, r.Epoch, r.Low)
+	for _, st := range r.Starts {
+		fmt.Fprintf(&b, "start %s %s session=%d attempt=%d tasks=", st.Job, st.Machine, st.Session, st.Attempt)
+		for _, span := range st.Tasks {
+			fmt.Fprintf(&b, "%d-%d,", span.First, span.Last)
+		}
+		b.WriteString("\n")
+	}
+	for _, h := range r.Hires {
+		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n", h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.HireFor)
+	}
+	for _, m := range r.Releases {
+		fmt.Fprintf(&b, "release %s\n", m)
+	}
+	for _, stop := range sortedGangStops(plan.Stops) {
+		p := stop.Placement
+		fmt.Fprintf(&b, "stop %s/%d %s attempt=%d for=%s\n", p.Job.ID, p.Task, p.Machine, p.Attempt, stop.For)
+	}
+	for _, m := range plan.Vacate {
+		fmt.Fprintf(&b, "vacate %s\n", m)
+	}
+	for _, m := range slices.Sorted(maps.Keys(plan.Keep)) {
+		fmt.Fprintf(&b, "keep %s %t\n", m, plan.Keep[m])
+	}
+	for _, team := range slices.Sorted(maps.Keys(plan.Blocked)) {
+		amount := plan.Blocked[team]
+		fmt.Fprintf(&b, "blocked %s cpus=%s gpus=%s memory=%s\n", team, number(amount.CPUs), number(amount.GPUs), number(amount.MemoryGB))
+	}
+	fmt.Fprintf(&b, "short=%d work=%d\n", plan.Short, plan.Work)
+	return b.String()
+}
+
+func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+
+// sortedGangStops returns the stops in their order, but the members of one gang,
+// which are stopped together in the order of a map, by their tasks.
+func sortedGangStops(stops []Stop) []Stop {
+	out := slices.Clone(stops)
+	for i := 0; i < len(out); {
+		k := i + 1
+		for k < len(out) && out[k].Placement.Job == out[i].Placement.Job && out[k].For == out[i].For {
+			k++
+		}
+		if out[i].Placement.Job.Spec.Gang {
+			slices.SortFunc(out[i:k], func(x, y Stop) int { return int(x.Placement.Task) - int(y.Placement.Task) })
+		}
+		i = k
+	}
+	return out
+}
--- /dev/null
+++ b/internal/round/plan_snapshot_test.go
@@ -0,0 +1,508 @@
+package round
+
+import (
+	"fmt"
+	"time"
+
+	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/config"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/policy"
+	"badgerbay/internal/rental"
+	"badgerbay/internal/unit"
+)
+
+// generator is SplitMix64. The golden plans depend on each of its numbers, so it
+// must not change with a library.
+type generator struct{ state uint64 }
+
+func (g *generator) next() uint64 {
+	g.state += 0x9e3779b97f4a7c15
+	z := g.state
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
+	z = (z ^ z>>27) * 0x94d049bb133111eb
+	return z ^ z>>31
+}
+
+// below returns a number from 0 to n-1.
+func (g *generator) below(n int) int { return int(g.next() % uint64(n)) }
+
+// between returns a number from low to high, both included.
+func (g *generator) between(low, high int) int { return low + g.below(high-low+1) }
+
+// percent is true in so many of a hundred cases.
+func (g *generator) percent(n int) bool { return g.below(100) < n }
+
+func pick[T any](g *generator, choices ...T) T { return choices[g.below(len(choices))] }
+
+// profile is what the snapshots of a group of seeds have much of.
+type profile int
+
+const (
+	mixed         profile = iota
+	crowded               // machines full of low work, high work queued
+	sparse                // a few replicas on each of many machines, nothing queued
+	gangsQueued           // gangs that wait, beside gangs that run
+	gangsLost             // gangs that lost tasks before they began
+	guaranteed            // teams with guarantees, others beyond theirs
+	growing               // few machines, much queued
+	neglectedWork         // old jobs of large tasks
+	large                 // records that hold little, gangs beyond one value
+	profiles
+)
+
+// snapshotNow is when the snapshots are taken; the fleet's leader began an hour
+// after the zero instant.
+const (
+	leaderBegan   = unit.Instant(time.Hour)
+	snapshotNow   = leaderBegan + unit.Instant(15*time.Minute)
+	snapshotWall  = 1_700_000_000_000 // ms
+	snapshotEpoch = unit.Epoch(10)
+)
+
+// snapshotGenerator draws what a plan is made from, from a seed. All CPUs are multiples
+// of a quarter, so that sums don't depend on the order of their terms.
+type snapshotGenerator struct {
+	generator
+	profile  profile
+	world    *World
+	jobs     map[unit.JobID]*checkpoint.Job
+	zones    []unit.Zone
+	types    []*fleet.Type
+	machines []*fleet.Machine
+	beats    map[unit.MachineID]unit.Tally
+}
+
+func newSnapshot(seed uint64) *snapshotGenerator {
+	s := &snapshotGenerator{generator: generator{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profiles)),
+		jobs: map[unit.JobID]*checkpoint.Job{}, beats: map[unit.MachineID]unit.Tally{}}
+	s.zones = []unit.Zone{"a", "b", "c"}[:s.between(1, 3)]
+	s.types = s.drawTypes()
+	f := fleet.New(fleet.Times{Report: 3 * time.Second, Lease: 27 * time.Second}, snapshotEpoch, leaderBegan,
+		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
+	f.SetTypes(s.types)
+	s.world = &World{Now: snapshotNow, WallMs: snapshotWall, No: unit.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
+		Fleet: f, Types: s.types, Zones: s.zones, Teams: s.drawTeams(), Expect: s.drawExpectations(),
+		MayVacate: s.percent(80), MayHire: s.percent(85), Policy: s.drawPolicy(),
+		ValueBytes: pick(&s.generator, 8192, 65536), Parts: 1, RoundParts: 1,
+		SpecSize: func(*checkpoint.Job) int { return 300 }, Replace: map[unit.JobID]unit.Attempt{}}
+	if s.profile == sparse {
+		s.world.MayVacate, s.world.Policy.SpareTasks = true, s.below(3)
+	}
+	if s.profile == large {
+		s.world.ValueBytes, s.world.Parts, s.world.RoundParts = 2048, 4, pick(&s.generator, 1, 4, 4)
+	}
+	s.drawAvailability()
+	s.drawMachines()
+	s.drawRunning()
+	s.drawQueued()
+	s.drawClasses()
+	s.drawHeld()
+	s.drawComing()
+	s.drawStates()
+	return s
+}
+
+func (s *snapshotGenerator) drawTypes() []*fleet.Type {
+	all := []*fleet.Type{
+		{Name: "m4", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20, FetchGBps: 1,
+			Price: 0.4, SpotPrice: 0.1, Boot: 20 * time.Second},
+		{Name: "c16", Capacity: checkpoint.Resources{CPUs: 16, MemoryGB: 32}, CacheGB: 60, FetchGBps: 0.5,
+			Price: 1.3, SpotPrice: 0.5, Boot: 30 * time.Second, Zones: s.zones},
+		{Name: "g8", Capacity: checkpoint.Resources{CPUs: 8, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.25,
+			Price: 4, SpotPrice: 1, Boot: 45 * time.Second, Zones: s.zones[:1]},
+		{Name: "x64", Capacity: checkpoint.Resources{CPUs: 64, MemoryGB: 256},
+			Price: 5, SpotPrice: 2.5, Boot: 60 * time.Second},
+	}
+	if s.profile == large {
+		return all[:s.between(1, 2)]
+	}
+	return all[:s.between(1, len(all))]
+}
+
+func (s *snapshotGenerator) drawTeams() map[unit.Team]config.Team {
+	teams := map[unit.Team]config.Team{}
+	for _, name := range []unit.Team{"red", "blue", "green"} {
+		var team config.Team
+		if s.profile == guaranteed || s.percent(25) {
+			team.CPUs, team.GPUs = float64(pick(&s.generator, 0, 8, 16, 32)), float64(pick(&s.generator, 0, 2, 4))
+		}
+		if s.percent(40) {
+			team.CPUsMax = team.CPUs + float64(pick(&s.generator, 8, 24, 64))
+		}
+		if s.percent(20) {
+			team.GPUsMax = team.GPUs + float64(pick(&s.generator, 2, 6))
+		}
+		if s.profile == guaranteed && s.percent(40) {
+			team.CPUs *= 8 // more than the machines hold
+		}
+		teams[name] = team
+	}
+	return teams
+}
+
+var classes = []unit.Class{"web", "batch", "train", "report"}
+
+func (s *snapshotGenerator) drawExpectations() map[unit.Class]Expect {
+	expect := map[unit.Class]Expect{}
+	for _, class := range classes {
+		var e Expect
+		if s.percent(40) {
+			e = e.Add("wait", time.Duration(pick(&s.generator, 5, 12, 40, 120))*time.Second)
+		}
+		for s.percent(35) {
+			e = e.Add("finished", time.Duration(pick(&s.generator, 60, 110, 250, 600))*time.Second)
+		}
+		if !e.None() {
+			expect[class] = e
+		}
+	}
+	return expect
+}
+
+func (s *snapshotGenerator) drawPolicy() *policy.Policy {
+	return &policy.Policy{PreemptAfter: time.Duration(pick(&s.generator, 0, 10, 60)) * time.Second,
+		SpareTasks: pick(&s.generator, 0, 2, 5), Guarantee: pick(&s.generator, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
+}
+
+// drawAvailability draws which offers the cloud has none of, and which teams have
+// work.
+func (s *snapshotGenerator) drawAvailability() {
+	out := map[rental.Offer]bool{}
+	for _, t := range s.types {
+		for _, z := range s.zones {
+			for _, spot := range []bool{true, false} {
+				out[rental.Offer{Type: t.Name, Zone: z, Spot: spot}] = s.percent(15)
+			}
+		}
+	}
+	s.world.Blocked = func(o rental.Offer) bool { return out[o] }
+	active := map[unit.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
+	s.world.Active = func(team unit.Team) bool { return active[team] }
+}
+
+func (s *snapshotGenerator) drawMachines() {
+	n := s.between(2, 24)
+	switch s.profile {
+	case growing:
+		n = s.between(0, 3)
+	case sparse:
+		n = s.between(4, 80)
+	case guaranteed:
+		n = s.between(1, 16)
+	case large:
+		n = s.between(60, 160)
+	}
+	for i := range n {
+		t := pick(&s.generator, s.types...)
+		r := &fleet.Report{Machine: unit.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
+			Zone: pick(&s.generator, t.ZonesIn(s.zones)...), Spot: s.percent(40)}
+		at := snapshotNow - unit.Instant(s.between(0, 3000))*unit.Instant(time.Millisecond)
+		if s.percent(4) {
+			at -= unit.Instant(10 * time.Second) // it has missed heartbeats
+		}
+		s.machines = append(s.machines, s.report(at, r))
+	}
+}
+
+// report has a machine report for the first time, or again.
+func (s *snapshotGenerator) report(at unit.Instant, r *fleet.Report) *fleet.Machine {
+	s.beats[r.Machine]++
+	r.Session, r.Tally, r.Token = 1, s.beats[r.Machine], snapshotEpoch
+	s.world.Fleet.Take(at, r, true)
+	return s.world.Fleet.Machine(r.Machine)
+}
+
+// reportAgain has a machine report what it holds, in a state.
+func (s *snapshotGenerator) reportAgain(m *fleet.Machine, state fleet.State, placements ...*checkpoint.Placement) {
+	r := &fleet.Report{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+	for _, p := range placements {
+		r.Entries = append(r.Entries, fleet.Entry{Task: p.ID(), Attempt: p.Attempt, State: state, Cause: fleet.CauseStopped})
+	}
+	s.report(m.LastBeat, r)
+}
+
+// drawSpec draws what a job asks for.
+func (s *snapshotGenerator) drawSpec() checkpoint.Spec {
+	g := &s.generator
+	spec := checkpoint.Spec{Class: pick(g, classes...), Team: pick(g, unit.Team("red"), "blue", "green"),
+		Priority: pick(g, checkpoint.BestEffort, checkpoint.Standard, checkpoint.Standard, checkpoint.High, checkpoint.Prod),
+		Tasks:    pick(g, 1, 2, 3, 5, 8, 20), CPUs: pick(g, 0.25, 0.5, 1, 1, 2, 4), MemoryGB: pick(g, 0.3, 1, 1.7, 4),
+		Image: pick(g, unit.Image("img-1"), "img-2", "img-3"), ImageGB: pick(g, 0.5, 2, 9), EstimateS: pick(g, 0.0, 20, 50, 120),
+		Spot: s.percent(60), OneZone: s.percent(15), Spread: s.percent(15)}
+	spec.Service = s.percent(25)
+	if s.percent(10) && len(s.types) > 2 { // the third type has GPUs
+		spec.GPUs = 1
+	}
+	if s.percent(15) {
+		spec.Zone = pick(g, s.zones...)
+	}
+	if s.percent(15) {
+		spec.Types = append(spec.Types, pick(g, s.types...).Name, s.types[0].Name)
+	}
+	if s.percent(35) {
+		spec.CheckpointS, spec.SaveS = pick(g, 10.0, 30), pick(g, 1.0, 3, 8)
+	}
+	if s.percent(25) {
+		spec.DeadlineS = pick(g, 60.0, 200, 900)
+	}
+	if !spec.Service && s.percent(20) {
+		spec = asGang(g, spec)
+	}
+	return spec
+}
+
+func asGang(g *generator, spec checkpoint.Spec) checkpoint.Spec {
+	spec.Gang, spec.Service, spec.Spread = true, false, false
+	spec.OneZone = g.percent(70)
+	spec.Tasks = g.between(2, 6)
+	return spec
+}
+
+// addJob adds a job that was submitted so many seconds ago.
+func (s *snapshotGenerator) addJob(spec checkpoint.Spec, agoS int) *checkpoint.Job {
+	id := unit.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
+	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, snapshotWall-int64(agoS)*1000), 1, leaderBegan)
+	j.QueuedAt = snapshotNow - unit.Instant(s.between(0, min(agoS, 800)))*unit.Instant(time.Second)
+	s.jobs[id] = j
+	return j
+}
+
+// drawRunning places tasks on the machines.
+func (s *snapshotGenerator) drawRunning() {
+	rounds := s.between(0, 10)
+	switch s.profile {
+	case crowded, guaranteed, gangsLost:
+		rounds = s.between(8, 16)
+	case sparse:
+		rounds = s.between(3, 40)
+	case large:
+		rounds = s.between(0, 3)
+	case growing:
+		rounds = 2
+	}
+	nothingWaits := (s.profile == sparse || s.profile == guaranteed) && s.percent(70)
+	for range rounds {
+		spec := s.drawSpec()
+		switch s.profile {
+		case crowded:
+			spec.Priority = pick(&s.generator, checkpoint.BestEffort, checkpoint.Standard)
+			spec.Tasks = s.between(3, 12)
+		case sparse:
+			spec.Service, spec.Gang = s.percent(85), false
+			spec.Tasks, spec.CPUs = s.between(1, 4), pick(&s.generator, 0.25, 0.5, 1)
+			spec.Priority = checkpoint.High
+			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.generator, unit.Image("img-1"), "img-1", "img-2")
+		case gangsLost:
+			if s.percent(60) {
+				spec = asGang(&s.generator, spec)
+			}
+		case guaranteed:
+			spec.Team = pick(&s.generator, unit.Team("red"), "red", "blue")
+			spec.Tasks = s.between(4, 16)
+		}
+		j := s.addJob(spec, s.between(20, 400))
+		s.placeSome(j)
+		if nothingWaits {
+			j.Queue = nil
+		}
+	}
+}
+
+// placeSome places tasks of a job where they fit; a gang comes whole or not at all.
+func (s *snapshotGenerator) placeSome(j *checkpoint.Job) {
+	attempt := unit.Attempt(s.between(1, 15))
+	chance := s.between(30, 100)
+	var placed []*checkpoint.Placement
+	for j.Queue.Len() > 0 {
+		m := s.roomFor(j)
+		if s.percent(1) {
+			// A record names it; it has not reported, and its zone is not known.
+			m = s.world.Fleet.Ensure(snapshotNow, "host-unheard")
+		}
+		if m == nil || !j.Spec.Gang && !s.percent(chance) {
+			break
+		}
+		p := &checkpoint.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
+			Token: snapshotEpoch, Since: snapshotNow - unit.Instant(s.between(0, 300))*unit.Instant(time.Second)}
+		s.world.Fleet.Place(p.Since, p)
+		placed = append(placed, p)
+	}
+	if j.Spec.Gang && j.Queue.Len() > 0 {
+		for _, p := range placed {
+			s.world.Fleet.Retract(snapshotNow, p)
+		}
+		return
+	}
+	if j.Spec.Gang && s.profile == gangsLost && len(placed) > 1 && s.percent(70) {
+		s.loseTask(j, placed)
+	}
+}
+
+// loseTask ends a task of a gang. Its machine may still know the exit, and the
+// task may be replaced or not.
+func (s *snapshotGenerator) loseTask(j *checkpoint.Job, placed []*checkpoint.Placement) {
+	lost := pick(&s.generator, placed...)
+	if s.percent(50) {
+		s.world.Fleet.Retract(snapshotNow, lost)
+	} else {
+		m := s.world.Fleet.Machine(lost.Machine)
+		s.reportAgain(m, "exited", lost)
+	}
+	if s.percent(80) {
+		s.world.Replace[j.ID] = lost.Attempt
+	}
+}
+
+// roomFor picks a machine that may run a task of the job.
+func (s *snapshotGenerator) roomFor(j *checkpoint.Job) *fleet.Machine {
+	if len(s.machines) == 0 {
+		return nil
+	}
+	first := s.below(len(s.machines))
+	for i := range s.machines {
+		m := s.machines[(first+i)%len(s.machines)]
+		if s.world.Fleet.Free(m).Fits(j.Spec.Need()) && j.Spec.Allows(m.Type, m.Zone, m.Spot) && j.ByZone[m.Zone] < j.Spec.ZoneCap() &&
+			(!j.Spec.OneZone || len(j.Live) == j.ByZone[m.Zone]) {
+			return m
+		}
+	}
+	return nil
+}
+
+// drawQueued adds jobs that wait.
+func (s *snapshotGenerator) drawQueued() {
+	n := s.between(1, 8)
+	switch s.profile {
+	case sparse:
+		n = s.between(0, 1)
+	case guaranteed:
+		n = max(0, s.between(-3, 3))
+	}
+	for range n {
+		spec, agoS := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
+		switch s.profile {
+		case crowded:
+			spec.Priority = pick(&s.generator, checkpoint.Standard, checkpoint.High, checkpoint.Prod)
+		case gangsQueued, large:
+			if s.percent(75) {
+				spec = asGang(&s.generator, spec)
+			}
+			if s.profile == large && spec.Gang {
+				spec.CPUs, spec.Tasks, spec.OneZone = pick(&s.generator, 2.0, 4), s.between(40, 120), s.percent(20)
+				spec.Types, spec.Zone, spec.GPUs = nil, "", 0
+			}
+		case guaranteed:
+			spec.Team = pick(&s.generator, unit.Team("blue"), "green")
+		case neglectedWork:
+			spec.Gang, spec.Service = false, s.percent(10)
+			spec.Priority = pick(&s.generator, checkpoint.BestEffort, checkpoint.Standard)
+			agoS = pick(&s.generator, 20, 130, 145, 175, 190, 600)
+		}
+		s.drawHistory(s.addJob(spec, agoS))
+	}
+}
+
+// drawHistory draws what has happened to a job that waits.
+func (s *snapshotGenerator) drawHistory(j *checkpoint.Job) {
+	if !j.Spec.Gang && j.Spec.Tasks > 2 && s.percent(25) {
+		j.Complete(snapshotNow, unit.TaskIndex(s.below(j.Spec.Tasks)))
+	}
+	if !j.Spec.Gang && s.percent(20) {
+		j.Ran.Add(unit.TaskIndex(s.below(j.Spec.Tasks)))
+	}
+	if s.percent(20) {
+		j.LastStart = snapshotNow - unit.Instant(s.between(1, 120))*unit.Instant(time.Second)
+	}
+	if len(s.machines) > 0 && s.percent(15) {
+		j.Avoid = map[unit.MachineID]unit.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + unit.Instant(pick(&s.generator, -1, 5))*unit.Instant(time.Second)}
+	}
+}
+
+// drawClasses draws which classes room is kept free for, and what they look like.
+func (s *snapshotGenerator) drawClasses() {
+	for _, class := range classes {
+		spec := s.drawSpec()
+		spec.Class, spec.Gang = class, false
+		if s.percent(60) || s.profile == guaranteed {
+			s.world.Typical = append(s.world.Typical, &spec)
+			if s.profile != guaranteed && s.percent(30) {
+				s.world.Spares = append(s.world.Spares, &spec)
+			}
+		}
+	}
+}
+
+// drawHeld draws what is kept of the teams' limits for reservations of others.
+func (s *snapshotGenerator) drawHeld() {
+	if !s.percent(30) {
+		return
+	}
+	s.world.Held = map[unit.Team]checkpoint.Resources{}
+	for _, team := range []unit.Team{"red", "blue", "green"} {
+		if s.percent(60) {
+			s.world.Held[team] = checkpoint.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
+		}
+	}
+	covered := s.between(0, 4)
+	s.world.Covers = func(j *checkpoint.Job) int { return min(covered, j.Spec.Tasks) }
+}
+
+func (s *snapshotGenerator) drawComing() {
+	for range s.between(0, 5) {
+		if s.percent(50) {
+			t := pick(&s.generator, s.types...)
+			s.world.Coming = append(s.world.Coming, Coming{Offer: rental.Offer{Type: t.Name, Zone: pick(&s.generator, t.ZonesIn(s.zones)...), Spot: s.percent(50)}})
+		}
+	}
+}
+
+// drawStates draws how far the placements have come and what has become of the
+// machines, and lists the jobs.
+func (s *snapshotGenerator) drawStates() {
+	for _, m := range s.machines {
+		s.drawPlacementStates(m)
+		switch {
+		case !s.percent(8):
+		case s.percent(25):
+			m.NoticeAt = snapshotNow + unit.Instant(20*time.Second)
+		case s.percent(33):
+			m.Drained = true
+		case s.percent(50):
+			m.Vacating = true
+		default:
+			m.Releasing = true
+		}
+	}
+	for i := range len(s.jobs) {
+		j := s.jobs[unit.JobID(fmt.Sprintf("wk-%06d", i+1))]
+		if len(j.Live) > 0 {
+			s.world.All = append(s.world.All, j)
+		}
+		if len(j.Queue) > 0 {
+			s.world.Jobs = append(s.world.Jobs, j)
+		}
+	}
+}
+
+func (s *snapshotGenerator) drawPlacementStates(m *fleet.Machine) {
+	var running []*checkpoint.Placement
+	live := m.Live()
+	for _, p := range live {
+		p.State = checkpoint.Fetching
+		if s.percent(85) {
+			running = append(running, p)
+		}
+	}
+	if len(running) > 0 {
+		s.reportAgain(m, "running", running...)
+	}
+	for _, p := range live {
+		if p.State == checkpoint.Running {
+			p.Ran = snapshotNow - unit.Instant(s.between(0, 400))*unit.Instant(time.Second)
+		}
+		if s.percent(6) {
+			s.world.Fleet.Halt(snapshotNow, p, 0)
+		}
+	}
+}
--- /dev/null
+++ b/internal/round/record_golden_test.go
@@ -0,0 +1,185 @@
+package round
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/config"
+	"badgerbay/internal/rental"
+	"badgerbay/internal/statestore"
+	"badgerbay/internal/unit"
+	"badgerbay/internal/wire"
+)
+
+// goldenRecord is a record whose stored form is in testdata/golden/records.txt:
+// for each value a line with its name, its MessagePack in hex and its JSON.
+type goldenRecord struct {
+	name   string
+	schema int
+	limit  int // bytes of a value
+	values int // that the record may take; 0: it is written as lists, as schema 1 did
+	record *Record
+}
+
+func goldenRecords() []goldenRecord {
+	span := func(first, last unit.TaskIndex) unit.Span { return unit.Span{First: first, Last: last} }
+	starts := wire.List[Start]{
+		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Ranges{span(0, 3), span(70_000, 70_001)}},
+		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: unit.Ranges{span(9, 9)}},
+		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: unit.Ranges{span(0, 0)}},
+	}
+	replaced := append(wire.List[Start](nil), starts...)
+	replaced[1].Attempt = 70_000
+	hires := wire.List[Hire]{{Name: HireName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
+		{Name: HireName(991, 4711, 1), Offer: rental.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
+	releases := wire.List[unit.MachineID]{"host-000007", "host-000008"}
+	var wide wire.List[Start]
+	for i := range unit.TaskIndex(60) {
+		wide = append(wide, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
+			Session: unit.Session(i%9 + 1), Tasks: unit.Ranges{span(i, i)}})
+	}
+	return []goldenRecord{
+		{"lists", 1, 0, 0, &Record{Schema: 1, No: 9, Epoch: 4, Low: 7, Starts: starts, Hires: hires, Releases: releases}},
+		{"empty", 2, 8192, 4, &Record{No: 70_000, Epoch: 4, Low: 70_000}},
+		{"packed", 2, 8192, 4, &Record{No: 4711, Epoch: 991, Low: 4700, Starts: starts, Hires: hires, Releases: releases}},
+		{"attempts", 3, 8192, 4, &Record{No: 80_000, Epoch: 991, Low: 4700, Starts: replaced, Hires: hires}},
+		{"parts", 3, 400, 4, &Record{No: 4711, Epoch: 991, Low: 4700, Starts: wide, Releases: releases}},
+	}
+}
+
+// stored returns the values of the record: the record itself, then its parts.
+func (g *goldenRecord) stored(t *testing.T, r *Record) []any {
+	t.Helper()
+	if g.values == 0 {
+		lists := *r
+		lists.Schema = g.schema
+		return []any{&lists}
+	}
+	head, rest, err := r.Split(g.limit, g.values, statestore.JSONSize)
+	if err != nil {
+		t.Fatal(err)
+	}
+	values := []any{head}
+	for _, part := range rest {
+		values = append(values, part)
+	}
+	return values
+}
+
+// lines returns the record in the form of the golden file, and its values.
+func (g *goldenRecord) lines(t *testing.T, r *Record) (lines []string, values [][]byte) {
+	t.Helper()
+	for n, value := range g.stored(t, r) {
+		packed, err := msgpack.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("%s.%d %s %s", g.name, n, hex.EncodeToString(packed), text))
+		values = append(values, packed)
+	}
+	return lines, values
+}
+
+// TestGoldenRecords: records of every schema are read from the bytes in which
+// they were stored, and written into the same bytes again.
+func TestGoldenRecords(t *testing.T) {
+	data, err := os.ReadFile("testdata/golden/records.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := string(data)
+	for _, g := range goldenRecords() {
+		lines, values := g.lines(t, g.record)
+		text := strings.Join(lines, "\n") + "\n"
+		want, rest, _ := cutLines(golden, len(lines))
+		if golden = rest; text != want {
+			t.Errorf("%s is written as\n%swant\n%s", g.name, text, want)
+			continue
+		}
+		if !strings.Contains(lines[0], fmt.Sprintf(`"v":%d,`, g.schema)) {
+			t.Errorf("%s: not of schema %d: %s", g.name, g.schema, lines[0])
+		}
+		read, err := Decode(values[0], func(n int) []byte { return values[n] })
+		if err != nil {
+			t.Errorf("%s: %v", g.name, err)
+			continue
+		}
+		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "Schema"), cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+			t.Errorf("%s is read as another record:\n%s", g.name, diff)
+		}
+		if again, _ := g.lines(t, read); strings.Join(again, "\n")+"\n" != text {
+			t.Errorf("%s is written as\n%s\nafter it was read, before as\n%s", g.name, strings.Join(again, "\n"), text)
+		}
+	}
+	if golden != "" {
+		t.Errorf("golden lines that nothing writes:\n%s", golden)
+	}
+}
+
+// cutLines cuts the first n lines off a text.
+func cutLines(text string, n int) (head, rest string, ok bool) {
+	end := 0
+	for range n {
+		i := strings.IndexByte(text[end:], '\n')
+		if i < 0 {
+			return text, "", false
+		}
+		end += i + 1
+	}
+	return text[:end], text[end:], true
+}
+
+// TestGoldenKeys: keys and names that other versions read.
+func TestGoldenKeys(t *testing.T) {
+	ring := NewRing(32)
+	for got, want := range map[string]string{
+		ring.Key(0):                  "round/0",
+		ring.Key(31):                 "round/31",
+		ring.Key(4711):               "round/7",
+		PartKey(ring.Key(4711), 1):   "part/round/7/1",
+		PartKey(ring.Key(31), 12):    "part/round/31/12",
+		HireName(991, 4711, 0):       "r-991-4711-0",
+		HireName(1<<63, 1<<62, 1234): "r-9223372036854775808-4611686018427387904-1234",
+	} {
+		if got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
+
+// TestGoldenGangBounds: the largest gangs that are accepted under some limits.
+func TestGoldenGangBounds(t *testing.T) {
+	for _, c := range []struct {
+		limits     config.State
+		perMachine int
+		want       int
+	}{
+		{config.State{ValueKB: 2, TxnOps: 4}, 1, 126},
+		{config.State{ValueKB: 2, TxnOps: 4}, 7, 525},
+		{config.State{ValueKB: 8, TxnOps: 1}, 1, 158},
+		{config.State{ValueKB: 8, TxnOps: 16}, 2, 1920},
+		{config.State{ValueKB: 0.5, TxnOps: 64}, 1, 555},
+		{config.State{ValueKB: 32, TxnOps: 64}, 4, 1723},
+	} {
+		spec := checkpoint.Spec{Tasks: 1, Gang: true}
+		for GangFits(&spec, c.perMachine, 300, c.limits) {
+			spec.Tasks++
+		}
+		if largest := spec.Tasks - 1; largest != c.want {
+			t.Errorf("%+v, %d to a machine: a gang of %d tasks is the largest, want %d", c.limits, c.perMachine, largest, c.want)
+		}
+	}
+}
