--- /dev/null
+++ b/internal/round/ring_test.go
@@ -0,0 +1,69 @@
+package round
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"badgerbay/internal/unit"
+)
+
+// TestRingReusesSettledSlots draws rounds, folds and takeovers: a record is
+// never overwritten before what it decided is settled, and a successor finds
+// every round that is not.
+func TestRingReusesSettledSlots(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const slots = 4
+		ring := NewRing(slots)
+		stored := map[string]Stored{}
+		open := map[unit.RoundNo]unit.JobID{}
+		version := unit.Version(0)
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			switch rapid.IntRange(0, 2).Draw(t, "step") {
+			case 0:
+				no, free := ring.Next()
+				if !free {
+					continue
+				}
+				if old, ok := stored[ring.Key(no)]; ok && open[old.Record.No] != "" {
+					t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.No)
+				}
+				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "job")))
+				r := &Record{No: no, Low: min(ring.Low(), no), Starts: []Start{{Job: job}}}
+				version++
+				ring.Put(r, version)
+				stored[ring.Key(no)] = Stored{ring.Key(no), r, version}
+				open[no] = job
+			case 1:
+				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "folded")))
+				no, _ := ring.Next()
+				ring.Folded(job, no-1)
+				for r, j := range open {
+					if j == job && r < no {
+						delete(open, r)
+					}
+				}
+			case 2:
+				var all []Stored
+				for _, s := range stored {
+					all = append(all, s)
+				}
+				next, _ := ring.Next()
+				again, found := Restore(slots, all)
+				if got, _ := again.Next(); got != next {
+					t.Fatalf("a successor goes on at round %d, not %d", got, next)
+				}
+				seen := map[unit.RoundNo]bool{}
+				for _, r := range found {
+					seen[r.No] = true
+				}
+				for r := range open {
+					if !seen[r] {
+						t.Fatalf("a successor does not find round %d", r)
+					}
+				}
+			}
+		}
+	})
+}
