--- /dev/null
+++ b/internal/mesh/golden_test.go
@@ -0,0 +1,213 @@
+package mesh
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/vmihailenco/msgpack/v5"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"badgerbay/internal/delegation"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/mesh/meshpb"
+	"badgerbay/internal/quota"
+	"badgerbay/internal/unit"
+	"badgerbay/internal/wire"
+)
+
+// golden reads the lines "name text" of a file in testdata/golden.
+func golden(t *testing.T, file string) map[string]string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/" + file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[string]string{}
+	for line := range strings.Lines(string(data)) {
+		name, text, ok := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		if !ok || lines[name] != "" {
+			t.Fatalf("%s: malformed or repeated line %q", file, line)
+		}
+		lines[name] = text
+	}
+	return lines
+}
+
+// goldenBatch has a value in every field that a node sends.
+func goldenBatch() *Batch {
+	notice := 12.5
+	return &Batch{
+		ID: "k3v9-17", Node: "n0", Delegation: true, Echo: "k3v9-16", QuietMs: 2500, Form: 3,
+		Reports: []Report{
+			{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, Tally: 88, Token: 41,
+				Tasks: []Tasks{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Ranges{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
+			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, Tally: 12, Token: 40, Notice: &notice,
+				Tasks: []Tasks{
+					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.CauseStopped, Stored: true, Indexes: unit.Ranges{{First: 2, Last: 2}}},
+					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.CauseDone, Indexes: unit.Ranges{{First: 300, Last: 70000}}}}},
+		},
+		Asks: []Ask{{Job: "wk-000398"}},
+		Quota: &quota.Ask{Holder: quota.HolderID{Node: "n0", Stamp: 515},
+			Teams: []quota.TeamAsk{{Team: "red", Promise: 4, Ceiling: quota.Units{CPU: 64000, GPU: 2000}, Want: quota.Units{CPU: 96500, GPU: 1}}},
+			Jobs:  []unit.JobID{"wk-000001", "wk-000002"}},
+	}
+}
+
+// goldenAnswers has a value in every field that a leader answers.
+func goldenAnswers() *Answers {
+	return &Answers{
+		ID: "k3v9-17",
+		Reports: []Answer{
+			{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []Orders{
+				{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Ranges{{First: 0, Last: 1}}},
+				{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Ranges{{First: 3, Last: 3}}},
+				{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Ranges{{First: 2, Last: 2}}}}},
+			{Machine: "host-000002", Code: 503, Epoch: 77}},
+		Asks:       []AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}, {Job: "wk-000399"}},
+		Delegation: &Delegation{Epoch: 77, LifeMs: 30000, QuietMs: 1500, Excluded: []unit.MachineID{"host-000007"}, Form: 3, Quotas: true},
+		Quota: &quota.Answer{Holder: quota.HolderID{Node: "n0", Stamp: 515}, Epoch: 77, Revoked: true,
+			Teams: []quota.TeamShare{{Team: "red", Promise: 5, Units: quota.Units{CPU: 32000, GPU: 1000}, Recall: quota.Units{CPU: 500}}},
+			Jobs:  []quota.JobState{{Job: "wk-000001", Remaining: 17}}},
+	}
+}
+
+// TestGoldenMessages: batches and their answers, plain, compressed into a value, and
+// in JSON, are written as they always were, and read back as they were written.
+func TestGoldenMessages(t *testing.T) {
+	want := golden(t, "messages.txt")
+	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(Answers{}, "Quota")}
+	encodeValue := func(v any) ([]byte, error) {
+		text, err := wire.Squeeze(v)
+		if err != nil {
+			return nil, err
+		}
+		return msgpack.Marshal(text)
+	}
+	tests := []struct {
+		name    string
+		message any
+		encode  func(any) ([]byte, error)
+		decode  func([]byte) (any, error)
+		options []cmp.Option
+	}{
+		{"batch", goldenBatch(), msgpack.Marshal, func(d []byte) (any, error) { return DecodeBatch(d) }, nil},
+		{"batch-empty", &Batch{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeBatch(d) }, nil},
+		{"batch-squeezed", goldenBatch(), encodeValue, func(d []byte) (any, error) { return ExpandBatch(d) }, nil},
+		{"batch-json", goldenBatch(), json.Marshal, func(d []byte) (any, error) { b := new(Batch); return b, json.Unmarshal(d, b) }, ignoreQuota},
+		{"answers", goldenAnswers(), msgpack.Marshal, func(d []byte) (any, error) { return DecodeAnswers(d) }, nil},
+		{"answers-empty", &Answers{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeAnswers(d) }, nil},
+		{"answers-squeezed", goldenAnswers(), encodeValue, func(d []byte) (any, error) { return ExpandAnswers(d) }, nil},
+		{"answers-json", goldenAnswers(), json.Marshal, func(d []byte) (any, error) { a := new(Answers); return a, json.Unmarshal(d, a) }, ignoreQuota},
+		{"delegation", PackDelegation(delegation.Status{Epoch: 9, Life: 7 * time.Second, IdleFor: 40 * time.Millisecond, Excluded: []unit.MachineID{"m1", "m2"}}),
+			msgpack.Marshal, func(d []byte) (any, error) { v := new(Delegation); return v, msgpack.Unmarshal(d, v) }, nil},
+	}
+	for _, tt := range tests {
+		data, err := hex.DecodeString(want[tt.name])
+		if err != nil || len(data) == 0 {
+			t.Fatalf("%s: no golden bytes: %v", tt.name, err)
+		}
+		if got, err := tt.encode(tt.message); err != nil || !bytes.Equal(got, data) {
+			t.Errorf("%s: encoded as %x, %v", tt.name, got, err)
+		}
+		got, err := tt.decode(data)
+		if err != nil {
+			t.Errorf("%s: %v", tt.name, err)
+		}
+		if diff := cmp.Diff(tt.message, got, append(tt.options, cmpopts.EquateComparable(unit.Span{}))...); diff != "" {
+			t.Errorf("%s: decoded otherwise: %s", tt.name, diff)
+		}
+	}
+	if len(want) != len(tests) {
+		t.Errorf("%d golden messages, %d are checked", len(want), len(tests))
+	}
+}
+
+// TestGoldenCalls: the gRPC messages are written as they always were, and read back
+// without unknown fields.
+func TestGoldenCalls(t *testing.T) {
+	want := golden(t, "calls.txt")
+	messages := []proto.Message{
+		&meshpb.AskRequest{Job: "wk-000412", Withdraw: true},
+		&meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_BUSY, Standing: "running", Done: 3, Running: 300},
+		&meshpb.NoticeRequest{Job: "wk-000412"}, &meshpb.NoticeReply{Taken: true},
+		&meshpb.AcceptRequest{Submission: []byte{0x81, 0xa1, 'a', 1}}, &meshpb.AcceptReply{Status: 201, Body: []byte{0x80}},
+		&meshpb.RelayRequest{Batch: []byte{0x81, 0xa1, 'b', 2}}, &meshpb.RelayReply{Answers: []byte{0x80}},
+		&meshpb.HealthRequest{}, &meshpb.HealthReply{StateReached: true, Leader: "n1"},
+	}
+	for _, m := range messages {
+		name := string(m.ProtoReflect().Descriptor().Name())
+		text, ok := want[name]
+		data, err := hex.DecodeString(text)
+		if !ok || err != nil {
+			t.Fatalf("%s: no golden bytes: %v", name, err)
+		}
+		if got, err := proto.Marshal(m); err != nil || !bytes.Equal(got, data) {
+			t.Errorf("%s: encoded as %x, %v", name, got, err)
+		}
+		got := m.ProtoReflect().New().Interface()
+		if err := proto.Unmarshal(data, got); err != nil || !proto.Equal(got, m) || len(got.ProtoReflect().GetUnknown()) > 0 {
+			t.Errorf("%s: decoded as %v, %v", name, got, err)
+		}
+	}
+	if len(want) != len(messages) {
+		t.Errorf("%d golden messages, %d are checked", len(want), len(messages))
+	}
+}
+
+// TestProtocolDescriptor: the package, the paths of the methods, and the names,
+// numbers and kinds of the fields stay as other versions know them.
+func TestProtocolDescriptor(t *testing.T) {
+	data, err := os.ReadFile("testdata/golden/descriptor.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := describe(meshpb.File_mesh_proto)
+	if diff := cmp.Diff(strings.Split(string(data), "\n"), strings.Split(got, "\n")); diff != "" {
+		t.Error(diff)
+	}
+	paths := []string{meshpb.Mesh_Ask_FullMethodName, meshpb.Mesh_Notice_FullMethodName, meshpb.Mesh_Accept_FullMethodName,
+		meshpb.Mesh_Relay_FullMethodName, meshpb.Mesh_Health_FullMethodName}
+	for _, path := range paths {
+		if !strings.Contains(got, "method "+path+" ") {
+			t.Errorf("%s is called, but not in the descriptor", path)
+		}
+	}
+}
+
+// describe lists what a protocol file promises to other versions.
+func describe(file protoreflect.FileDescriptor) string {
+	var out strings.Builder
+	for i := range file.Services().Len() {
+		service := file.Services().Get(i)
+		for k := range service.Methods().Len() {
+			m := service.Methods().Get(k)
+			fmt.Fprintf(&out, "method /%s/%s %s -> %s streams=%t,%t\n", service.FullName(), m.Name(), m.Input().FullName(), m.Output().FullName(),
+				m.IsStreamingClient(), m.IsStreamingServer())
+		}
+	}
+	for i := range file.Messages().Len() {
+		message := file.Messages().Get(i)
+		fmt.Fprintf(&out, "message %s\n", message.FullName())
+		for k := range message.Fields().Len() {
+			f := message.Fields().Get(k)
+			fmt.Fprintf(&out, "  %d %s %s %s\n", f.Number(), f.Name(), f.Cardinality(), f.Kind())
+		}
+	}
+	for i := range file.Enums().Len() {
+		enum := file.Enums().Get(i)
+		fmt.Fprintf(&out, "enum %s\n", enum.FullName())
+		for k := range enum.Values().Len() {
+			fmt.Fprintf(&out, "  %d %s\n", enum.Values().Get(k).Number(), enum.Values().Get(k).Name())
+		}
+	}
+	return out.String()
+}
--- /dev/null
+++ b/internal/relay/golden_test.go
@@ -0,0 +1,106 @@
+package relay
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/mesh"
+	"badgerbay/internal/unit"
+)
+
+// TestGoldenBatch: the values that nodes and leader exchange through the state
+// service stay as other versions write and read them.
+func TestGoldenBatch(t *testing.T) {
+	now := unit.Instant(time.Hour)
+	reports := []*fleet.Report{
+		{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, Tally: 88, Token: 41, Entries: []fleet.Entry{
+			{Task: unit.TaskID{Job: "wk-000412", Index: 0}, Attempt: 7, State: "running"},
+			{Task: unit.TaskID{Job: "wk-000412", Index: 1}, Attempt: 7, State: "running"},
+			{Task: unit.TaskID{Job: "wk-000412", Index: 4}, Attempt: 7, State: "fetching"}}},
+		{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m", Zone: "a", Spot: true, Session: 3, Tally: 12, Token: 40,
+			Noticed: true, Notice: 12500 * time.Millisecond, Entries: []fleet.Entry{
+				{Task: unit.TaskID{Job: "wk-000412", Index: 2}, Attempt: 6, State: "exited", Cause: fleet.CauseStopped, Stored: true}}},
+	}
+	queue := []Item{NewReport(reports[0], now.Add(time.Second)), NewReport(reports[1], now.Add(time.Second)), NewCancellation("wk-000398", now.Add(time.Second))}
+	header := Header{ID: "k3v9-17", Node: "n0", Echo: "k3v9-16", IdleFor: 2500 * time.Millisecond}
+	batch, err := NewBatch(now, header, queue, Limit(8192))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenValue(t, "batch.txt"); string(batch.Value) != want {
+		t.Errorf("batch %s, want %s", batch.Value, want)
+	}
+	got, err := mesh.ExpandBatch(encoded(t, goldenValue(t, "batch.txt")))
+	if err != nil || got.ID != header.ID || got.Node != header.Node || got.Echo != header.Echo || got.QuietMs != 2500 || got.Form != 3 {
+		t.Fatalf("batch read as %+v, %v", got, err)
+	}
+	if diff := cmp.Diff([]mesh.Ask{{Job: "wk-000398"}}, []mesh.Ask(got.Asks)); diff != "" {
+		t.Error(diff)
+	}
+	for i, r := range reports {
+		report, err := got.Reports[i].Unpack()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(r, report); diff != "" {
+			t.Error(diff)
+		}
+	}
+}
+
+// TestGoldenAnswers: likewise for what the leader answers.
+func TestGoldenAnswers(t *testing.T) {
+	answers := func() *mesh.Answers {
+		return &mesh.Answers{ID: "k3v9-17",
+			Reports: []mesh.Answer{
+				{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []mesh.Orders{
+					{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Ranges{{First: 0, Last: 1}}},
+					{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Ranges{{First: 3, Last: 3}}},
+					{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Ranges{{First: 2, Last: 2}}}}},
+				{Machine: "host-000002", Code: 503, Epoch: 77}},
+			Asks: []mesh.AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}},
+		}
+	}
+	value, err := SqueezeAnswers(answers(), Limit(8192))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := goldenValue(t, "answers.txt")
+	if string(value) != want {
+		t.Errorf("answers %s, want %s", value, want)
+	}
+	got, err := mesh.ExpandAnswers(encoded(t, want))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(answers(), got, cmpopts.EquateComparable(unit.Span{})); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// goldenValue reads a value as it was stored.
+func goldenValue(t *testing.T, file string) string {
+	t.Helper()
+	data, err := os.ReadFile("testdata/golden/" + file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.TrimSuffix(string(data), "\n")
+}
+
+// encoded is a value as the state service returns it.
+func encoded(t *testing.T, value string) []byte {
+	t.Helper()
+	data, err := msgpack.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
--- /dev/null
+++ b/internal/userapi/golden_test.go
@@ -0,0 +1,87 @@
+package userapi
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/unit"
+)
+
+// golden reads the lines "name hex" of a file in testdata/golden.
+func golden(t *testing.T, file string) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile("testdata/golden/" + file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		name, digits, ok := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		data, err := hex.DecodeString(digits)
+		if !ok || err != nil || lines[name] != nil {
+			t.Fatalf("%s: malformed or repeated line %q: %v", file, line, err)
+		}
+		lines[name] = data
+	}
+	return lines
+}
+
+// TestGoldenSubmissions: submissions mean what they always meant, field by field.
+func TestGoldenSubmissions(t *testing.T) {
+	bodies := golden(t, "submissions.txt")
+	want := map[string]Submission{
+		"array-all-fields": {ID: "wk-000412", Spec: checkpoint.Spec{Class: "train", Team: "red", Priority: checkpoint.High,
+			Tasks: 16, CPUs: 2, GPUs: 0.5, MemoryGB: 4.25, Types: []unit.MachineType{"m", "m2"}, Zone: "a", OneZone: true, Spot: true,
+			Image: "img-07", ImageGB: 6.2, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}},
+		"service": {ID: "wk-123456789012", Spec: checkpoint.Spec{Class: "web", Team: "blue", Service: true, Priority: checkpoint.Prod,
+			Tasks: 3, CPUs: 1, MemoryGB: 2, Spread: true, Image: "img-01", ImageGB: 1}},
+		"gang-null-options": {ID: "wk-000413", Spec: checkpoint.Spec{Class: "mpi", Team: "red", Gang: true, Priority: checkpoint.Standard,
+			Tasks: 8, CPUs: 4, GPUs: 1, MemoryGB: 16, Image: "img-02", ImageGB: 2.5, EstimateS: 600, CheckpointS: 60, SaveS: 5}},
+		"array-options-left-out": {ID: "wk-000414", Spec: checkpoint.Spec{Class: "etl", Team: "red", Priority: checkpoint.BestEffort,
+			Tasks: 100_000, CPUs: 0.5, MemoryGB: 0.5, Image: "img-03", ImageGB: 0, EstimateS: 1}},
+	}
+	for name, body := range bodies {
+		got, err := DecodeSubmission(body)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if diff := cmp.Diff(want[name], *got); diff != "" {
+			t.Errorf("%s: %s", name, diff)
+		}
+	}
+	if len(bodies) != len(want) {
+		t.Errorf("%d golden submissions, %d are known", len(bodies), len(want))
+	}
+}
+
+// TestGoldenAnswers: the bodies of answers are written as they always were.
+func TestGoldenAnswers(t *testing.T) {
+	bodies := golden(t, "answers.txt")
+	statuses := map[string]Status{
+		"queued":    {Standing: Queued},
+		"running":   {Standing: Running, Done: 3, Running: 300},
+		"done":      {Standing: Done, Done: 100_000},
+		"cancelled": {Standing: Cancelled, Done: 5},
+	}
+	for name, status := range statuses {
+		got, err := EncodeStatus("wk-000412", status)
+		if err != nil || !bytes.Equal(got, bodies[name]) {
+			t.Errorf("%s: encoded as %x, %v", name, got, err)
+		}
+		var read map[string]any
+		if err := msgpack.Unmarshal(bodies[name], &read); err != nil || len(read) != 4 || read["id"] != "wk-000412" || read["standing"] != name {
+			t.Errorf("%s: read as %v, %v", name, read, err)
+		}
+	}
+	if len(bodies) != len(statuses) {
+		t.Errorf("%d golden answers, %d are known", len(bodies), len(statuses))
+	}
+}
