--- /dev/null
+++ b/internal/checkpoint/golden_test.go
@@ -0,0 +1,230 @@
+package checkpoint
+
+import (
+	_ "embed"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/parts"
+	"badgerbay/internal/unit"
+)
+
+//go:embed testdata/golden/records.json
+var goldenRecords []byte
+
+// goldenRecord is a job's record as it is stored: its value and those of its parts.
+type goldenRecord struct {
+	MsgPack string   `json:"msgpack"` // hex
+	JSON    string   `json:"json"`    // the form in which its size is counted
+	Parts   []string `json:"parts,omitempty"`
+	// First is the number before that of the first part.
+	First int `json:"first,omitempty"`
+}
+
+func (g goldenRecord) data(t *testing.T) []byte {
+	t.Helper()
+	return unhex(t, g.MsgPack)
+}
+
+func (g goldenRecord) part(t *testing.T) func(int) []byte {
+	return func(n int) []byte { return unhex(t, g.Parts[n-g.First-1]) }
+}
+
+func unhex(t *testing.T, s string) []byte {
+	t.Helper()
+	data, err := hex.DecodeString(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+func fullSpec() Spec {
+	return Spec{Class: "mutabakat", Team: "kontrolor-03", Service: true, Gang: true, Priority: Prod, Tasks: 2000, CPUs: 2, GPUs: 0.5,
+		MemoryGB: 7.25, Types: []unit.MachineType{"orta", "buyuk"}, Zone: "ankara", OneZone: true, Spread: true, Spot: true,
+		Image: "mutabakat-07", ImageGB: 1.5, EstimateS: 33.5, CheckpointS: 20, SaveS: 6, DeadlineS: 95}
+}
+
+func underWay() *Record {
+	r := NewRecord(fullSpec(), 1764642000123)
+	r.Epoch, r.Round, r.Next = 982, 4500, Reconcile
+	r.Done = unit.Ranges{{First: 0, Last: 3}, {First: 200, Last: 299}}
+	for i := range unit.TaskIndex(30) {
+		r.Live = append(r.Live, Group{Machine: unit.MachineID(fmt.Sprintf("host-%06d", 7919*i%1000)), Session: unit.Session(1 + i),
+			Attempt: unit.Attempt(4000 + 37*i), Tasks: unit.Ranges{{First: 300 + 40*i, Last: 300 + 41*i}}})
+	}
+	return r
+}
+
+func cancelled() *Record {
+	r := NewRecord(Spec{Class: "c", Team: "t", Tasks: 1, CPUs: 1, Image: "i"}, 7)
+	r.Phase, r.Next = Cancelled, None
+	return r
+}
+
+const (
+	goldenLimit  = 560 // bytes of a value of a record with parts
+	goldenValues = 4
+)
+
+func encodeRecord(t *testing.T, r *Record, rest []*parts.Part) goldenRecord {
+	t.Helper()
+	out := goldenRecord{MsgPack: hex.EncodeToString(stored(t, r))}
+	text, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out.JSON = string(text)
+	for _, p := range rest {
+		out.Parts = append(out.Parts, hex.EncodeToString(stored(t, p)))
+	}
+	if r.Overflow != nil {
+		out.First = r.Overflow.First
+	}
+	return out
+}
+
+// plainRecords are those whose stored form is the same byte by byte.
+func plainRecords(t *testing.T) map[string]goldenRecord {
+	out := map[string]goldenRecord{}
+	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": underWay(), "cancelled": cancelled()} {
+		plain, err := r.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		out[name] = encodeRecord(t, plain, nil)
+	}
+	return out
+}
+
+// compressedRecords are those with compressed parts.
+func compressedRecords(t *testing.T) map[string]goldenRecord {
+	inParts, parts, err := underWay().Split(goldenLimit, goldenValues, jsonLen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	staged, stagedParts, err := underWay().Stage(goldenLimit, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, againParts, err := underWay().Stage(goldenLimit, bankSize)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return map[string]goldenRecord{"in parts": encodeRecord(t, inParts, parts), "staged": encodeRecord(t, staged, stagedParts),
+		"staged in the first bank": encodeRecord(t, again, againParts)}
+}
+
+func checkRead(t *testing.T, name string, g goldenRecord, want *Record) {
+	t.Helper()
+	got, err := DecodeWhole(g.data(t), g.part(t))
+	if err != nil {
+		t.Errorf("%s: %v", name, err)
+		return
+	}
+	ignore := cmpopts.IgnoreFields(Record{}, "Schema", "FirstPart")
+	if diff := cmp.Diff(want, got, ignore, cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+		t.Errorf("%s read otherwise: %s", name, diff)
+	}
+	if got.FirstPart != g.First {
+		t.Errorf("%s: parts after number %d, want %d", name, got.FirstPart, g.First)
+	}
+}
+
+// checkSchema reads the version of the schema as any version of the program does.
+func checkSchema(t *testing.T, name string, g goldenRecord, want int) {
+	t.Helper()
+	var head struct {
+		Schema int `msgpack:"v"`
+	}
+	if err := msgpack.Unmarshal(g.data(t), &head); err != nil || head.Schema != want {
+		t.Errorf("%s: schema %d, %v, want %d", name, head.Schema, err, want)
+	}
+}
+
+// checkRewritten passes the stored values through the types of this version.
+func checkRewritten(t *testing.T, name string, g goldenRecord) {
+	t.Helper()
+	var r Record
+	if err := msgpack.Unmarshal(g.data(t), &r); err != nil {
+		t.Fatal(err)
+	}
+	var rest []*parts.Part
+	for _, text := range g.Parts {
+		p := new(parts.Part)
+		if err := msgpack.Unmarshal(unhex(t, text), p); err != nil {
+			t.Fatal(err)
+		}
+		rest = append(rest, p)
+	}
+	if diff := cmp.Diff(g, encodeRecord(t, &r, rest)); diff != "" {
+		t.Errorf("%s rewritten otherwise: %s", name, diff)
+	}
+}
+
+// TestGoldenRecords: records of every schema are read, and are written so that the
+// versions that know the schema read them.
+func TestGoldenRecords(t *testing.T) {
+	var golden map[string]goldenRecord
+	if err := json.Unmarshal(goldenRecords, &golden); err != nil {
+		t.Fatal(err)
+	}
+	wanted := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelled(), "under way": underWay(),
+		"schema 1": underWay(), "in parts": underWay(), "staged": underWay(), "staged in the first bank": underWay()}
+	if len(golden) != len(wanted) {
+		t.Fatalf("%d golden records, want %d", len(golden), len(wanted))
+	}
+	schemas := map[string]int{"accepted": 2, "cancelled": 2, "under way": 2, "schema 1": 1, "in parts": 3, "staged": 4, "staged in the first bank": 4}
+	for name, want := range wanted {
+		checkSchema(t, name, golden[name], schemas[name])
+		checkRead(t, name, golden[name], want)
+		checkRewritten(t, name, golden[name])
+	}
+	for name, written := range plainRecords(t) {
+		if diff := cmp.Diff(golden[name], written); diff != "" {
+			t.Errorf("%s written otherwise: %s", name, diff)
+		}
+	}
+	// What a compressor writes may change with its library: it is read back.
+	for name, written := range compressedRecords(t) {
+		checkSchema(t, name+", written", written, schemas[name])
+		checkRead(t, name+", written", written, wanted[name])
+		if written.First != golden[name].First {
+			t.Errorf("%s: parts after number %d, want %d", name, written.First, golden[name].First)
+		}
+	}
+}
+
+// TestGoldenKeys: nodes of several versions find one another's records.
+func TestGoldenKeys(t *testing.T) {
+	got := []string{Key("wk-000412"), PartKey("wk-000412", 1), PartKey("wk-000412", 129), KeyPrefix, parts.Prefix}
+	want := []string{"job/wk-000412", "part/wk-000412/1", "part/wk-000412/129", "job/", "part/"}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestGoldenRoom: how many tasks may be under way follows from these figures, and so
+// does what is scheduled.
+func TestGoldenRoom(t *testing.T) {
+	r := underWay()
+	j := NewJob("wk-000412", r, 1, 0)
+	for _, g := range r.Live {
+		g.Tasks.Each(func(i unit.TaskIndex) bool {
+			j.Start(&Placement{Job: j, Task: i, Machine: g.Machine, Session: g.Session, Attempt: g.Attempt}, "ankara")
+			return true
+		})
+	}
+	room := j.Room(8<<10, 1, 420)
+	got := []int{int(room), int(j.Room(2<<10, 4, 420)), j.Fit(room, "host-000007", 10_000), j.Alone(room),
+		int(j.Cost("host-000007", 9)), Capacity(8<<10, 4, 420), r.Running(), len(j.Queue), j.Queue.Len()}
+	if diff := cmp.Diff([]int{2022, 1878, 332, 37, 81, 31900, 465, 31, 1431}, got); diff != "" {
+		t.Error(diff)
+	}
+}
--- /dev/null
+++ b/internal/leadership/golden_test.go
@@ -0,0 +1,76 @@
+package leadership
+
+import (
+	_ "embed"
+	"encoding/hex"
+	"encoding/json"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+//go:embed testdata/golden/values.json
+var goldenValues []byte
+
+// goldenValue is a value of the state service: as it is stored, and in the form in
+// which its size is counted.
+type goldenValue struct {
+	Key     string `json:"key"`
+	MsgPack string `json:"msgpack"` // hex
+	JSON    string `json:"json"`
+}
+
+func encodeValue(t *testing.T, key string, v any) goldenValue {
+	t.Helper()
+	data, err := msgpack.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return goldenValue{Key: key, MsgPack: hex.EncodeToString(data), JSON: string(text)}
+}
+
+var (
+	goldenHolder    = Holder{Node: "n1", Nonce: "0123456789abcdef"}
+	goldenHeartbeat = Heartbeat{Node: "n1", Nonce: "0123456789abcdef", LifeMs: 2600}
+)
+
+func writtenValues(t *testing.T) map[string]goldenValue {
+	t.Helper()
+	return map[string]goldenValue{
+		"leader":        encodeValue(t, Key, goldenHolder),
+		"leader, empty": encodeValue(t, Key, Holder{}),
+		"heartbeat":     encodeValue(t, HeartbeatKey, goldenHeartbeat),
+		"longest-lived": encodeValue(t, HeartbeatKey, Heartbeat{Node: "n1", Nonce: "x", LifeMs: 1 << 40}),
+	}
+}
+
+// TestGoldenValues: nodes of several versions read one another's keys.
+func TestGoldenValues(t *testing.T) {
+	var golden map[string]goldenValue
+	if err := json.Unmarshal(goldenValues, &golden); err != nil {
+		t.Fatal(err)
+	}
+	written := writtenValues(t)
+	if diff := cmp.Diff(golden, written); diff != "" {
+		t.Errorf("written otherwise: %s", diff)
+	}
+	var readHolder Holder
+	var readHeartbeat Heartbeat
+	for name, into := range map[string]any{"leader": &readHolder, "heartbeat": &readHeartbeat} {
+		data, err := hex.DecodeString(golden[name].MsgPack)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := msgpack.Unmarshal(data, into); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if readHolder != goldenHolder || readHeartbeat != goldenHeartbeat {
+		t.Errorf("read otherwise: %+v, %+v", readHolder, readHeartbeat)
+	}
+}
--- /dev/null
+++ b/internal/parts/golden_test.go
@@ -0,0 +1,93 @@
+package parts
+
+import (
+	_ "embed"
+	"encoding/hex"
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/wire"
+)
+
+//go:embed testdata/golden/parts.json
+var goldenParts []byte
+
+// goldenText is a text as it is stored: what its record keeps, and its parts.
+type goldenText struct {
+	Head     string   `json:"head"`
+	Sum      uint32   `json:"sum"`
+	Keys     []string `json:"keys"`
+	MsgPack  []string `json:"msgpack"` // hex, of each part
+	JSON     []string `json:"json"`    // the form in which sizes are counted
+	Capacity int      `json:"capacity"`
+}
+
+const (
+	goldenRoom   = 10
+	goldenLimit  = 104 // bytes
+	goldenSchema = 3
+)
+
+func storedTexts() map[string]wire.Packed {
+	return map[string]wire.Packed{
+		"empty":     "",
+		"head only": "0123456789",
+		"one part":  "0123456789A",
+		"two parts": wire.Packed(strings.Repeat("0123456789ABCDEF", 5)),
+	}
+}
+
+func encodeText(t *testing.T, text wire.Packed) goldenText {
+	t.Helper()
+	head, rest, err := Split(text, goldenRoom, goldenLimit, Most, goldenSchema)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := goldenText{Head: string(head), Sum: Sum(text), Capacity: Capacity(goldenLimit, len(rest))}
+	for i, part := range rest {
+		data, err := msgpack.Marshal(part)
+		if err != nil {
+			t.Fatal(err)
+		}
+		inJSON, err := json.Marshal(part)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.Keys = append(out.Keys, Key("wk-000412", i+1))
+		out.MsgPack = append(out.MsgPack, hex.EncodeToString(data))
+		out.JSON = append(out.JSON, string(inJSON))
+	}
+	return out
+}
+
+// TestGoldenParts: what this version splits is what versions before and after join.
+func TestGoldenParts(t *testing.T) {
+	var golden map[string]goldenText
+	if err := json.Unmarshal(goldenParts, &golden); err != nil {
+		t.Fatal(err)
+	}
+	texts := storedTexts()
+	if len(golden) != len(texts) {
+		t.Fatalf("%d golden texts, want %d", len(golden), len(texts))
+	}
+	for name, text := range texts {
+		want := golden[name]
+		if diff := cmp.Diff(want, encodeText(t, text)); diff != "" {
+			t.Errorf("%s: written otherwise: %s", name, diff)
+		}
+		got, err := Join(wire.Packed(want.Head), len(want.MsgPack), want.Sum, func(k int) []byte {
+			data, err := hex.DecodeString(want.MsgPack[k-1])
+			if err != nil {
+				t.Fatal(err)
+			}
+			return data
+		})
+		if err != nil || got != text {
+			t.Errorf("%s: read as %q, %v", name, got, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/statestore/golden_test.go
@@ -0,0 +1,196 @@
+package statestore_test
+
+import (
+	"bytes"
+	"context"
+	_ "embed"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/statestore"
+	"badgerbay/internal/unit"
+)
+
+//go:embed testdata/golden/exchanges.json
+var goldenExchanges []byte
+
+// goldenExchange is a request to the state service, and an answer of it.
+type goldenExchange struct {
+	Requests []string `json:"requests"` // method, path with query, media type, body in hex
+	Answers  []string `json:"answers"`  // status, body in hex
+	Result   string   `json:"result"`   // what the client makes of the answers
+}
+
+// scripted is a server that answers as it was recorded, and keeps the requests.
+type scripted struct {
+	t        *testing.T
+	answers  []string
+	requests []string
+}
+
+// RoundTrip implements http.RoundTripper.
+func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+	var body []byte
+	if r.Body != nil {
+		var err error
+		if body, err = io.ReadAll(r.Body); err != nil {
+			s.t.Error(err)
+		}
+	}
+	s.requests = append(s.requests, fmt.Sprintf("%s http://%s%s %s %x", r.Method, r.URL.Host, r.URL.RequestURI(), r.Header.Get("Content-Type"), body))
+	if len(s.answers) < len(s.requests) {
+		s.t.Errorf("unexpected request: %s", s.requests[len(s.requests)-1])
+		return nil, errors.New("no answer recorded")
+	}
+	var status int
+	var data []byte
+	if _, err := fmt.Sscanf(s.answers[len(s.requests)-1]+" ", "%d %x", &status, &data); err != nil && status == 0 {
+		s.t.Errorf("answer %q: %v", s.answers[len(s.requests)-1], err)
+	}
+	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(data))}, nil
+}
+
+type goldenRecord struct {
+	Node  string  `msgpack:"node" json:"node"`
+	Count int64   `msgpack:"count" json:"count"`
+	Share float64 `msgpack:"share,omitempty" json:"share,omitempty"`
+}
+
+func describe(v any, err error) string {
+	var conflict *statestore.ConflictError
+	if errors.As(err, &conflict) {
+		return fmt.Sprintf("conflict %q", conflict.Failed)
+	}
+	for name, sentinel := range map[string]error{
+		"unavailable": statestore.ErrUnavailable, "throttled": statestore.ErrThrottled, "uncertain": statestore.ErrUncertain,
+		"no lease": statestore.ErrNoLease, "malformed": statestore.ErrMalformed, "compacted": statestore.ErrCompacted,
+	} {
+		if errors.Is(err, sentinel) {
+			return name
+		}
+	}
+	if err != nil {
+		return "unexpected: " + err.Error()
+	}
+	return fmt.Sprint(v)
+}
+
+func describeItem(it statestore.Item) string {
+	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.Stamp)
+}
+
+// calls are the client's requests, each with what became of it.
+func calls() map[string]func(context.Context, *statestore.Client) string {
+	get := func(ctx context.Context, c *statestore.Client) string {
+		item, err := c.Get(ctx, "job/wk-000412")
+		return describe(describeItem(item), err)
+	}
+	list := func(ctx context.Context, c *statestore.Client) string {
+		items, revision, err := c.List(ctx, "job/")
+		text := fmt.Sprint("revision ", revision)
+		for _, it := range items {
+			text += " " + describeItem(it)
+		}
+		return describe(text, err)
+	}
+	commit := func(txn statestore.Txn) func(context.Context, *statestore.Client) string {
+		return func(ctx context.Context, c *statestore.Client) string {
+			return describe(c.Commit(ctx, txn))
+		}
+	}
+	full := statestore.Txn{
+		Guards: []statestore.Guard{{Key: "leader", Stamp: 982}, {Key: "job/wk-000412", Stamp: 0}},
+		Writes: []statestore.Write{
+			{Set: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
+			{Set: "leader", Value: goldenRecord{Node: "n2"}, Tenure: 17},
+			{Remove: "part/wk-000412/1"},
+		},
+	}
+	grant := func(ctx context.Context, c *statestore.Client) string {
+		return describe(c.Grant(ctx, 6*time.Second))
+	}
+	extend := func(ctx context.Context, c *statestore.Client) string { return describe("extended", c.Extend(ctx, 17)) }
+	revoke := func(ctx context.Context, c *statestore.Client) string { return describe("revoked", c.Revoke(ctx, 17)) }
+	watch := func(ctx context.Context, c *statestore.Client) string {
+		changes, revision, err := c.Watch(ctx, "job/", 1201, 1500*time.Millisecond)
+		text := fmt.Sprint("revision ", revision)
+		for _, ch := range changes {
+			text += fmt.Sprintf(" set %q remove %q %x@%d", ch.Set, ch.Remove, []byte(ch.Value), ch.Stamp)
+		}
+		return describe(text, err)
+	}
+	return map[string]func(context.Context, *statestore.Client) string{
+		"get": get, "get absent": get, "get throttled": get,
+		"list": list, "list in pages": list, "list unavailable": list,
+		"commit": commit(full), "commit guards only": commit(statestore.Txn{Guards: full.Guards}),
+		"commit refused":   commit(statestore.Txn{Guards: full.Guards[:1], Writes: full.Writes[2:]}),
+		"commit malformed": commit(statestore.Txn{Writes: full.Writes[:1]}),
+		"commit lost":      commit(statestore.Txn{}),
+		"commit ended":     commit(statestore.Txn{Writes: full.Writes[1:2]}),
+		"grant":            grant, "extend": extend, "extend ended": extend, "revoke": revoke,
+		"watch": watch, "watch compacted": watch,
+	}
+}
+
+// TestGoldenExchanges: requests are sent to the byte as they always were, and answers
+// are understood.
+func TestGoldenExchanges(t *testing.T) {
+	var golden map[string]goldenExchange
+	if err := json.Unmarshal(goldenExchanges, &golden); err != nil {
+		t.Fatal(err)
+	}
+	all := calls()
+	if len(golden) != len(all) {
+		t.Fatalf("%d golden exchanges, want %d", len(golden), len(all))
+	}
+	for name, call := range all {
+		want := golden[name]
+		server := &scripted{t: t, answers: want.Answers}
+		result := call(context.Background(), statestore.NewClient("10.2.0.1:2379", server))
+		if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
+			t.Errorf("%s: %s", name, diff)
+		}
+	}
+}
+
+// TestGoldenSizes: sizes as the state service counts them. A limit that is reckoned
+// otherwise lets records grow that are refused.
+func TestGoldenSizes(t *testing.T) {
+	type nested struct {
+		Records []goldenRecord     `json:"records"`
+		Shares  map[string]float64 `json:"shares"`
+		Hidden  float64            `json:"-"`
+		Next    *nested            `json:"next,omitempty"`
+	}
+	for _, s := range []struct {
+		name  string
+		value any
+		want  int
+	}{
+		{"null", nil, 4},
+		{"text", "host-000007", 13},
+		{"text to escape", "a<b>\u00fc\n", 20},
+		{"whole number", 70_000, 5},
+		{"decimal", 0.1, 3},
+		{"whole decimal", 4.0, 3},
+		{"large decimal", 1e21, 7},
+		{"record", goldenRecord{Node: "n1", Count: 7}, 25},
+		{"record with a share", goldenRecord{Node: "n1", Count: 7, Share: 0.5}, 35},
+		{"nested", nested{Records: []goldenRecord{{Share: 2}}, Shares: map[string]float64{"a": 1, "b": 1.5}, Next: &nested{}}, 116},
+		{"unchecked revision", unit.Version(1 << 40), 13},
+		{"raw", msgpack.RawMessage{1, 2, 3}, 6},
+		{"not to be encoded", func() {}, 1 << 30},
+	} {
+		if n := statestore.JSONSize(s.value); n != s.want {
+			t.Errorf("%s: %d bytes, want %d", s.name, n, s.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/unit/golden_test.go
@@ -0,0 +1,88 @@
+package unit
+
+import (
+	"bytes"
+	_ "embed"
+	"encoding/hex"
+	"encoding/json"
+	"math"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+//go:embed testdata/golden/sets.json
+var goldenSets []byte
+
+// goldenSet holds both stored forms of a set, and what is reckoned for the packed one.
+type goldenSet struct {
+	List   string `json:"list"`   // hex
+	Packed string `json:"packed"` // hex
+	Size   int    `json:"size"`   // bytes
+}
+
+func storedSets() map[string]Ranges {
+	return map[string]Ranges{
+		"empty":         {},
+		"one":           {{First: 0, Last: 0}},
+		"full 2000":     Full(2000),
+		"two spans":     {{First: 0, Last: 3}, {First: 5, Last: 5}},
+		"wide gaps":     {{First: 127, Last: 255}, {First: 300, Last: 70_000}, {First: 1 << 20, Last: 1<<20 + 1<<17}},
+		"largest index": {{First: math.MaxUint32, Last: math.MaxUint32}},
+	}
+}
+
+func encodeSet(t *testing.T, r Ranges) goldenSet {
+	t.Helper()
+	list, err := msgpack.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var packed bytes.Buffer
+	if err := r.Pack(msgpack.NewEncoder(&packed)); err != nil {
+		t.Fatal(err)
+	}
+	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: r.PackedSize()}
+}
+
+func unhex(t *testing.T, s string) []byte {
+	t.Helper()
+	data, err := hex.DecodeString(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// TestGoldenSets: sets are stored in two forms, and versions before and after read
+// what this one writes.
+func TestGoldenSets(t *testing.T) {
+	var golden map[string]goldenSet
+	if err := json.Unmarshal(goldenSets, &golden); err != nil {
+		t.Fatal(err)
+	}
+	sets := storedSets()
+	if len(golden) != len(sets) {
+		t.Fatalf("%d golden sets, want %d", len(golden), len(sets))
+	}
+	for name, set := range sets {
+		want := golden[name]
+		if diff := cmp.Diff(want, encodeSet(t, set)); diff != "" {
+			t.Errorf("%s: written otherwise: %s", name, diff)
+		}
+		var list, packed Ranges
+		if err := msgpack.Unmarshal(unhex(t, want.List), &list); err != nil {
+			t.Errorf("%s: list: %v", name, err)
+		}
+		if err := packed.Unpack(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
+			t.Errorf("%s: packed: %v", name, err)
+		}
+		for form, read := range map[string]Ranges{"list": list, "packed": packed} {
+			if diff := cmp.Diff(set, read, cmp.AllowUnexported(Span{}), cmpopts.EquateEmpty()); diff != "" {
+				t.Errorf("%s: %s read otherwise: %s", name, form, diff)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,115 @@
+package wire
+
+import (
+	"context"
+	_ "embed"
+	"encoding/hex"
+	"encoding/json"
+	"io"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+//go:embed testdata/golden/texts.json
+var goldenTexts []byte
+
+// goldenForms are the encodings that others read.
+type goldenForms struct {
+	Packed            string `json:"packed"`
+	Squeezed          string `json:"squeezed"` // hex of the MessagePack value
+	SqueezedForRecord string `json:"squeezed_for_record"`
+	Request           string `json:"request"` // method, address, media type, body in hex
+	PackedLen         []int  `json:"packed_len"`
+}
+
+type goldenBody struct {
+	Name  string       `msgpack:"n"`
+	Count int          `msgpack:"c"`
+	List  List[string] `msgpack:"l"`
+}
+
+func bodyForGolden() goldenBody {
+	return goldenBody{Name: "host-000007", Count: 70_000, List: List[string]{"a", "b", "a", "b", "a", "b"}}
+}
+
+func encodeBody(e *msgpack.Encoder) error { return e.Encode(bodyForGolden()) }
+
+func encodeForms(t *testing.T) goldenForms {
+	t.Helper()
+	packed, err := Pack(encodeBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	squeezed, err := Squeeze(bodyForGolden())
+	if err != nil {
+		t.Fatal(err)
+	}
+	value, err := msgpack.Marshal(squeezed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	forRecord, err := SqueezeWith(encodeBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	req, err := NewRequest(context.Background(), "POST", "http://10.2.0.1:2379/multi", bodyForGolden())
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(req.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return goldenForms{Packed: string(packed), Squeezed: hex.EncodeToString(value), SqueezedForRecord: string(forRecord),
+		Request:   req.Method + " " + req.URL.String() + " " + req.Header.Get("Content-Type") + " " + hex.EncodeToString(body),
+		PackedLen: []int{PackedLen(0), PackedLen(1), PackedLen(2), PackedLen(3), PackedLen(1000)}}
+}
+
+// readForms decodes each form and returns the body that it holds.
+func readForms(t *testing.T, f goldenForms) map[string]goldenBody {
+	t.Helper()
+	var packed, squeezed, forRecord goldenBody
+	if err := Packed(f.Packed).Unpack(func(d *msgpack.Decoder) error { return d.Decode(&packed) }); err != nil {
+		t.Error(err)
+	}
+	value, err := hex.DecodeString(f.Squeezed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := Expand(value, 1<<10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := msgpack.Unmarshal(data, &squeezed); err != nil {
+		t.Error(err)
+	}
+	read := func(d *msgpack.Decoder) error { return d.Decode(&forRecord) }
+	if err := Packed(f.SqueezedForRecord).ExpandWith(1<<10, read); err != nil {
+		t.Error(err)
+	}
+	return map[string]goldenBody{"packed": packed, "squeezed": squeezed, "squeezed for a record": forRecord}
+}
+
+// TestGoldenForms: what is packed is the same byte by byte. Compressed forms are read
+// back only: what a compressor writes may change with its library, and need not be
+// the same.
+func TestGoldenForms(t *testing.T) {
+	var golden goldenForms
+	if err := json.Unmarshal(goldenTexts, &golden); err != nil {
+		t.Fatal(err)
+	}
+	written := encodeForms(t)
+	for what, forms := range map[string]goldenForms{"golden": golden, "written": written} {
+		for form, body := range readForms(t, forms) {
+			if diff := cmp.Diff(bodyForGolden(), body); diff != "" {
+				t.Errorf("%s, %s: %s", what, form, diff)
+			}
+		}
+	}
+	written.Squeezed, written.SqueezedForRecord = golden.Squeezed, golden.SqueezedForRecord
+	if diff := cmp.Diff(golden, written); diff != "" {
+		t.Errorf("written otherwise: %s", diff)
+	}
+}
