--- a/internal/unit/unit.go
+++ b/internal/unit/ident.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"strconv"
 	"strings"
-	"time"
 )
 
 // JobID names a job. Users choose it; see ParseJobID for its form.
@@ -63,38 +62,6 @@
 // Tenure is the id of a lease at the state service.
 type Tenure uint64
 
-// Instant is a reading of this process's steady clock. It means nothing to
-// any other process and is never stored.
-type Instant time.Duration
-
-// Add returns the instant d later.
-func (t Instant) Add(d time.Duration) Instant { return t + Instant(d) }
-
-// Sub returns the time from u to t.
-func (t Instant) Sub(u Instant) time.Duration { return time.Duration(t - u) }
-
-// Before tells whether t comes before u.
-func (t Instant) Before(u Instant) bool { return t < u }
-
-// Clock reads the steady clock and the time of day.
-type Clock interface {
-	Now() Instant
-	Wall() time.Time
-}
-
-// SystemClock is the Clock of a running process.
-type SystemClock struct{ start time.Time }
-
-// NewSystemClock returns a clock whose instants count from an hour before
-// now, so that a zero Instant always lies in the past.
-func NewSystemClock() *SystemClock { return &SystemClock{start: time.Now().Add(-time.Hour)} }
-
-// Now implements Clock.
-func (c *SystemClock) Now() Instant { return Instant(time.Since(c.start)) }
-
-// Wall implements Clock.
-func (c *SystemClock) Wall() time.Time { return time.Now() }
-
 const jobPrefix = "wk-"
 
 // ParseJobID checks the form of a job id: "wk-" and 6 to 12 digits.
@@ -136,16 +103,3 @@
 	}
 	return s != ""
 }
-
-// Seconds turns a number of seconds, as settings and messages carry them,
-// into a duration. Numbers out of range are clamped.
-func Seconds(s float64) time.Duration {
-	const most = 1 << 31
-	if !(s > 0) {
-		return 0
-	}
-	if s > most {
-		s = most
-	}
-	return time.Duration(s * float64(time.Second))
-}
