--- a/internal/controller/cancelgap_test.go
+++ b/internal/controller/cancelgap_test.go
@@ -175,10 +175,7 @@
 func TestOwnGrantEndsInTime(t *testing.T) {
 	life := delegation.Life(simSettings().Params.Workers)
 	for _, resigns := range []bool{false, true} {
-		b := newNodeRig(t)
-		c := b.n.core
-		b.lead(t)
-		begun := b.clock.now
+		c, begun := newLeadingCore(t)
 		entitled := c.lead.EntitledUntil()
 		now := begun.Add(time.Second)
 		if resigns {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -65,6 +65,15 @@
 // Leader is the node that was last seen to lead, or "".
 func (c *Core) Leader() string { return c.lead.Leader() }
 
+// Epoch is the epoch in which this node leads, 0 if it does not.
+func (c *Core) Epoch() unit.Epoch { return c.lead.Epoch() }
+
+// Standby is how this node stands to the leader.
+func (c *Core) Standby() leadership.StandbyView { return c.lead.Standby() }
+
+// DelegateIdleSince is since when this node has kept no worker by a grant.
+func (c *Core) DelegateIdleSince() unit.Instant { return c.keeper.IdleSince() }
+
 // Types are the machine types, or nil while they are not known.
 func (c *Core) Types() []*fleet.Type { return c.types }
 
--- /dev/null
+++ b/internal/controller/core_test.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/config"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/handover"
+	"badgerbay/internal/leadership"
+	"badgerbay/internal/policy"
+	"badgerbay/internal/round"
+	"badgerbay/internal/statestore"
+	"badgerbay/internal/unit"
+)
+
+// stoppedClock always shows the same time.
+type stoppedClock unit.Instant
+
+func (c stoppedClock) Now() unit.Instant { return unit.Instant(c) }
+func (stoppedClock) Wall() time.Time     { return time.UnixMilli(1_700_000_000_000) }
+
+// newLeadingCore returns a core that leads with epoch 77 and has read everything, and
+// the time at which it does.
+func newLeadingCore(t *testing.T) (*Core, unit.Instant) {
+	t.Helper()
+	set := simSettings()
+	set.Peers = []config.Peer{{Label: "n1", PeerAddr: "127.0.0.1:1"}}
+	pol, err := policy.Default()
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := unit.Instant(time.Hour)
+	c := NewCore(set, pol, stoppedClock(now), statestore.NewBudget(2, 80, 25), rand.New(rand.NewPCG(1, 2)),
+		slog.New(slog.NewTextHandler(io.Discard, nil)), NewMetrics())
+	c.types = []*fleet.Type{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
+	c.Step(now, Lead{leadership.KeyRead{OK: true}})
+	c.Step(now, Lead{leadership.Granted{OK: true, Tenure: 1, Sent: now}})
+	c.Step(now, Lead{leadership.Acquired{Outcome: leadership.OK, Epoch: 77}})
+	c.Step(now, Loaded{Epoch: 77, OK: true})
+	return c, now
+}
+
+// TestNewLeaderLetsWorkersCome: a leader does not count the workers that miss it
+// before they have had a report interval to come. In a partition of two zones it
+// took those of its own side for missing, and handed back at once.
+func TestNewLeaderLetsWorkersCome(t *testing.T) {
+	g := newGrown(t, 12)
+	tm := g.core.term
+	interval := g.core.set.Params.Workers.ReportInterval()
+	tm.acquired, g.core.woke = g.now, 0
+	hear := func() {
+		for _, m := range tm.fleet.Machines() {
+			tm.reach.Note(g.now, m.ID, "n1")
+		}
+	}
+	for g.now.Sub(tm.acquired) < interval+interval/4 {
+		hear()
+		if tm.handOverIfMissed(g.now) {
+			t.Fatalf("handed over after %v", g.now.Sub(tm.acquired))
+		}
+		g.now = g.now.Add(200 * time.Millisecond)
+	}
+	begun := g.now
+	for !tm.handOverIfMissed(g.now) && g.now.Sub(begun) < time.Minute {
+		hear()
+		g.now = g.now.Add(200 * time.Millisecond)
+	}
+	if d := g.now.Sub(begun); d < handover.Delay-time.Second || d > handover.Delay+time.Second {
+		t.Errorf("handed over %v after that, want about %v", d, handover.Delay)
+	}
+}
+
+// TestAnswersOfAnEarlierTerm: a node that leads again must not take the answer
+// to a write of its last term for that of the round under way.
+func TestAnswersOfAnEarlierTerm(t *testing.T) {
+	c, now := newLeadingCore(t)
+	c.term.flight = &flight{record: &round.Record{No: 1}}
+	c.Step(now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.OK, Version: 60})
+	if c.term.flight == nil {
+		t.Error("the round under way was taken for stored")
+	}
+	c.Step(now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.Gone})
+	if c.term == nil {
+		t.Error("deposed by the answer to a write of an earlier term")
+	}
+}
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -9,7 +9,6 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/leadership"
 	"badgerbay/internal/mesh"
 	"badgerbay/internal/quota"
 	"badgerbay/internal/statestore"
@@ -87,11 +86,6 @@
 	}
 }
 
-// holderValue is the value of a holder key.
-type holderValue struct {
-	Node string `msgpack:"n" json:"n"`
-}
-
 // register sets the holder key anew, under the stamp that it has.
 func (a *holderActor) register(ctx context.Context, e quota.Register) quota.Registered {
 	key := quota.HolderKey(e.Node)
@@ -102,10 +96,7 @@
 	if a.n.note(err) != nil {
 		return quota.Registered{}
 	}
-	stamp, err := a.n.store.Commit(ctx, statestore.Txn{
-		Guards: []statestore.Guard{{Key: key, Stamp: item.Stamp}},
-		Writes: []statestore.Write{{Set: key, Value: holderValue{e.Node}}},
-	})
+	stamp, err := a.n.store.Commit(ctx, e.Txn(item.Stamp))
 	if a.n.note(err) != nil {
 		return quota.Registered{}
 	}
@@ -118,7 +109,7 @@
 	if !a.n.budget.TakeWrites(a.n.clock.Now(), statestore.UseSubmit, 1) {
 		return quota.Stored{Outcome: quota.StoreRefused}
 	}
-	txn := statestore.Txn{Guards: e.Guards, Writes: []statestore.Write{{Set: e.Key, Value: e.Reserved}}}
+	txn := e.Txn()
 	for unsure := false; ; {
 		stamp, err := a.n.store.Commit(ctx, txn)
 		var conflict *statestore.ConflictError
@@ -153,21 +144,7 @@
 			break
 		}
 	}
-	return quota.Stored{Outcome: storeOutcome(e, conflict)}
-}
-
-// storeOutcome tells by the guards that failed what a conflict means.
-func storeOutcome(e quota.Store, conflict *statestore.ConflictError) quota.StoreOutcome {
-	out := quota.StoreRefused
-	for _, key := range conflict.Failed {
-		switch key {
-		case e.Guards[0].Key:
-			return quota.StoreFenced
-		case leadership.Key:
-			out = quota.StoreOtherLeader
-		}
-	}
-	return out
+	return quota.Stored{Outcome: e.OutcomeOf(conflict)}
 }
 
 // ask asks the leader; nil: it did not answer.
--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -140,18 +140,6 @@
 	}
 }
 
-// TestQueuesHoldAllConnections: a request of each connection that may be open fits
-// into the queue of the core, and into that of the relay.
-func TestQueuesHoldAllConnections(t *testing.T) {
-	for _, most := range []int{32, 800, 6000} {
-		set := simSettings()
-		set.Params.MachineLimits.MaxSockets = most
-		if n := mostQueued(set); n < most || n < leastQueued {
-			t.Errorf("%d requests may wait, with %d sockets", n, most)
-		}
-	}
-}
-
 // BenchmarkTakeover shows what reading the records of a large day costs, and what
 // all machines reporting for the first time after it does.
 func BenchmarkTakeover(b *testing.B) {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -85,28 +85,44 @@
 	holder          *holderActor  // nil: there are no team quotas
 }
 
+// dependencies are what a node reaches the outside with.
+type dependencies struct {
+	clock  unit.Clock
+	state  http.RoundTripper // to the state service
+	cloud  http.RoundTripper
+	worker http.RoundTripper // for direct commands
+}
+
 // NewNode composes a node from its settings.
 func NewNode(set *config.Settings, pol *policy.Policy, log *slog.Logger) (*Node, error) {
+	return newNode(set, pol, log, dependencies{
+		clock:  unit.NewSystemClock(),
+		state:  transport(16),
+		cloud:  transport(4),
+		worker: workerTransport(sockets(set, idleShare)),
+	})
+}
+
+func newNode(set *config.Settings, pol *policy.Policy, log *slog.Logger, deps dependencies) (*Node, error) {
 	peers, err := mesh.Dial(set.Peers)
 	if err != nil {
 		return nil, err
 	}
 	p := set.Params
-	clock := unit.NewSystemClock()
-	n := &Node{set: set, pol: pol, log: log, met: NewMetrics(), teams: p.TeamsByName(), clock: clock, peers: peers,
+	n := &Node{set: set, pol: pol, log: log, met: NewMetrics(), teams: p.TeamsByName(), clock: deps.clock, peers: peers,
 		budget: statestore.NewBudget(len(set.Peers)+1, p.State.RPS, p.State.Tight().WriteRPS),
-		store:  statestore.NewClient(set.External.State, transport(16)),
-		cloud:  rental.NewCloud(set.External.Cloud, transport(4)),
-		worker: &http.Client{Transport: workerTransport(sockets(set, idleShare)), Timeout: doTimeout},
+		store:  statestore.NewClient(set.External.State, deps.state),
+		cloud:  rental.NewCloud(set.External.Cloud, deps.cloud),
+		worker: &http.Client{Transport: deps.worker, Timeout: doTimeout},
 		doing:  make(chan struct{}, sockets(set, doShare)),
 		stop:   make(chan error, 1),
 		inbox:  make(chan Input, mostQueued(set)), relayOut: make(chan relay.Item, mostQueued(set))}
 	n.health.hint.Store("")
 	n.pace = userapi.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	n.core = NewCore(set, pol, clock, n.budget, rng, log, n.met)
+	n.core = NewCore(set, pol, deps.clock, n.budget, rng, log, n.met)
 	n.view.Store(&view{})
-	n.keeperIdleSince.Store(int64(n.core.keeper.IdleSince()))
+	n.keeperIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	if w := pol.Features.WarmStandby; w != nil {
 		n.standby = newStandbyActor(n, w)
 	}
@@ -239,9 +255,9 @@
 
 func (n *Node) step(ctx context.Context, in Input) {
 	effects := n.core.Step(n.clock.Now(), in)
-	n.keeperIdleSince.Store(int64(n.core.keeper.IdleSince()))
+	n.keeperIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	old := n.view.Load()
-	if v := (view{leader: n.core.Leader(), types: n.core.Types(), epoch: n.core.lead.Epoch(), standby: n.core.lead.Standby()}); !v.equal(old) {
+	if v := (view{leader: n.core.Leader(), types: n.core.Types(), epoch: n.core.Epoch(), standby: n.core.Standby()}); !v.equal(old) {
 		n.view.Store(&v)
 	}
 	for _, e := range effects {
--- a/internal/controller/quota_sim_test.go
+++ b/internal/controller/quota_sim_test.go
@@ -59,8 +59,7 @@
 	if err != nil || s.stateless(n) {
 		return quota.Registered{}
 	}
-	stamp, err := s.tryCommit(statestore.Txn{Guards: []statestore.Guard{{Key: key, Stamp: item.Stamp}},
-		Writes: []statestore.Write{{Set: key, Value: holderValue{e.Node}}}})
+	stamp, err := s.tryCommit(e.Txn(item.Stamp))
 	if err != nil {
 		return quota.Registered{}
 	}
@@ -76,7 +75,7 @@
 		s.after(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
 		return
 	}
-	stamp, err := s.tryCommit(statestore.Txn{Guards: e.Guards, Writes: []statestore.Write{{Set: e.Key, Value: e.Reserved}}})
+	stamp, err := s.tryCommit(e.Txn())
 	conflict, refused := err.(*statestore.ConflictError)
 	switch {
 	case err == nil:
@@ -86,7 +85,7 @@
 			answer(quota.Stored{Outcome: quota.StoreOK, Stamp: item.Stamp})
 			return
 		}
-		answer(quota.Stored{Outcome: storeOutcome(e, conflict)})
+		answer(quota.Stored{Outcome: e.OutcomeOf(conflict)})
 	default:
 		s.after(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -9,11 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/handover"
 	"badgerbay/internal/leadership"
 	"badgerbay/internal/mesh"
 	"badgerbay/internal/relay"
-	"badgerbay/internal/round"
 	"badgerbay/internal/statestore"
 	"badgerbay/internal/unit"
 	"badgerbay/internal/wire"
@@ -66,56 +64,6 @@
 	}
 }
 
-// TestNewLeaderLetsWorkersCome: a leader does not count the workers that miss it
-// before they have had a report interval to come. In a partition of two zones it
-// took those of its own side for missing, and handed back at once.
-func TestNewLeaderLetsWorkersCome(t *testing.T) {
-	g := newGrown(t, 12)
-	tm := g.core.term
-	interval := g.core.set.Params.Workers.ReportInterval()
-	tm.acquired, g.core.woke = g.now, 0
-	hear := func() {
-		for _, m := range tm.fleet.Machines() {
-			tm.reach.Note(g.now, m.ID, "n1")
-		}
-	}
-	for g.now.Sub(tm.acquired) < interval+interval/4 {
-		hear()
-		if tm.handOverIfMissed(g.now) {
-			t.Fatalf("handed over after %v", g.now.Sub(tm.acquired))
-		}
-		g.now = g.now.Add(200 * time.Millisecond)
-	}
-	begun := g.now
-	for !tm.handOverIfMissed(g.now) && g.now.Sub(begun) < time.Minute {
-		hear()
-		g.now = g.now.Add(200 * time.Millisecond)
-	}
-	if d := g.now.Sub(begun); d < handover.Delay-time.Second || d > handover.Delay+time.Second {
-		t.Errorf("handed over %v after that, want about %v", d, handover.Delay)
-	}
-}
-
-// TestAnswersOfAnEarlierTerm: a node that leads again must not take the answer
-// to a write of its last term for that of the round under way.
-func TestAnswersOfAnEarlierTerm(t *testing.T) {
-	b := newNodeRig(t)
-	c := b.n.core
-	c.Step(b.clock.now, Lead{leadership.KeyRead{OK: true}})
-	c.Step(b.clock.now, Lead{leadership.Granted{OK: true, Tenure: 1, Sent: b.clock.now}})
-	c.Step(b.clock.now, Lead{leadership.Acquired{Outcome: leadership.OK, Epoch: 77}})
-	c.Step(b.clock.now, Loaded{Epoch: 77, OK: true})
-	c.term.flight = &flight{record: &round.Record{No: 1}}
-	c.Step(b.clock.now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.OK, Version: 60})
-	if c.term.flight == nil {
-		t.Error("the round under way was taken for stored")
-	}
-	c.Step(b.clock.now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.Gone})
-	if c.term == nil {
-		t.Error("deposed by the answer to a write of an earlier term")
-	}
-}
-
 // TestRelayedNodesAttest: what a node says of its grant through the state
 // service counts from when the answers left that it has seen, never from when
 // it arrives; without a known answer it counts for nothing.
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -22,7 +22,6 @@
 	"badgerbay/internal/leadership"
 	"badgerbay/internal/mesh"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/rental"
 	"badgerbay/internal/statestore"
 	"badgerbay/internal/unit"
 )
@@ -33,6 +32,15 @@
 func (c *handClock) Now() unit.Instant { return c.now }
 func (c *handClock) Wall() time.Time   { return time.UnixMilli(1_700_000_000_000) }
 
+func testSettings() *config.Settings {
+	return &config.Settings{Label: "n0", Params: config.Params{Nodes: 3, Zones: []unit.Zone{"a", "b"},
+		Teams:      []config.Team{{Name: "red", CPUs: 16, CPUsMax: 40}, {Name: "blue", CPUs: 16, CPUsMax: 24}},
+		Objectives: []config.Objective{{Kind: "wait", Class: "svc", WithinS: 5}},
+		Workers:    config.Workers{ReportS: 3, LeaseS: 27, CancelS: 50, GangWaitS: 20, GangPeerS: 8},
+		State:      config.State{RPS: 80, WriteRPS: 25, ValueKB: 8, TxnOps: 8},
+		Cloud:      config.Cloud{RPS: 5, ListLagS: 1}}}
+}
+
 // nodeRig is a node without a network: its state service is a stand-in, and its
 // actor runs on what the handlers send it, without ticks.
 type nodeRig struct {
@@ -44,22 +52,22 @@
 
 func newNodeRig(t *testing.T) *nodeRig {
 	t.Helper()
-	set := simSettings()
+	set := testSettings()
 	set.Peers = []config.Peer{{Label: "n1", PeerAddr: "127.0.0.1:1"}}
 	pol, err := policy.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := NewNode(set, pol, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	b := &nodeRig{srv: &fake.StateServer{State: fake.NewState()}, clock: &handClock{now: unit.Instant(time.Hour)}}
+	b.n, err = newNode(set, pol, slog.New(slog.NewTextHandler(io.Discard, nil)),
+		dependencies{clock: b.clock, state: b.srv, cloud: cloudDown{}, worker: cloudDown{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &nodeRig{n: n, srv: &fake.StateServer{State: fake.NewState()}, clock: &handClock{now: unit.Instant(time.Hour)}}
-	n.clock, n.core.clock = b.clock, b.clock
-	n.store = statestore.NewClient("10.2.0.1:1", b.srv)
-	n.core.types = []*fleet.Type{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
-	n.view.Store(&view{types: n.core.types})
-	b.http = n.routes()
+	types := []*fleet.Type{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
+	b.n.core.Step(b.clock.now, FlavorsDone{Types: types})
+	b.n.view.Store(&view{types: types})
+	b.http = b.n.routes()
 	return b
 }
 
@@ -73,7 +81,7 @@
 	c.Step(b.clock.now, Lead{leadership.Granted{OK: true, Tenure: 1, Sent: b.clock.now}})
 	c.Step(b.clock.now, Lead{leadership.Acquired{Outcome: leadership.OK, Epoch: 77}})
 	c.Step(b.clock.now, Loaded{Epoch: 77, OK: true})
-	b.n.view.Store(&view{leader: "n0", types: c.types, epoch: 77})
+	b.n.view.Store(&view{leader: "n0", types: c.Types(), epoch: 77})
 	go func() {
 		for {
 			select {
@@ -221,7 +229,7 @@
 // up to the moment the answer leaves, so that their leases really run out.
 func TestReportsOnlyWhileEntitled(t *testing.T) {
 	b := newNodeRig(t)
-	b.n.core.lead.Step(b.clock.now, leadership.KeyRead{OK: true, Holder: leadership.Holder{Node: "n1"}, Stamp: 5})
+	b.n.core.Step(b.clock.now, Lead{leadership.KeyRead{OK: true, Holder: leadership.Holder{Node: "n1"}, Stamp: 5}})
 	ticket := make(chan ReplyReport, 1)
 	r := &fleet.Report{Machine: "host-000001", Session: 1, Tally: 1}
 	b.n.step(context.Background(), Reported{Ticket: ticket, Report: r})
@@ -292,10 +300,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	types := b.n.core.types
+	types := b.n.core.Types()
 	b.n.view.Store(&view{leader: "n0", types: types, epoch: unit.Epoch(epoch)})
 	b.n.keepFlavors(context.Background(), types)
-	b.n.cloud = rental.NewCloud("10.2.0.2:1", cloudDown{})
 	b.n.view.Store(&view{})
 	b.n.flavors(context.Background())
 	in, ok := (<-b.n.inbox).(FlavorsDone)
@@ -303,3 +310,15 @@
 		t.Errorf("machine types %+v", in.Types)
 	}
 }
+
+// TestQueuesHoldAllConnections: a request of each connection that may be open fits
+// into the queue of the core, and into that of the relay.
+func TestQueuesHoldAllConnections(t *testing.T) {
+	for _, most := range []int{32, 800, 6000} {
+		set := testSettings()
+		set.Params.MachineLimits.MaxSockets = most
+		if n := mostQueued(set); n < most || n < leastQueued {
+			t.Errorf("%d requests may wait, with %d sockets", n, most)
+		}
+	}
+}
--- a/internal/controller/sim_nodes_test.go
+++ b/internal/controller/sim_nodes_test.go
@@ -44,7 +44,7 @@
 		n.holder = quota.NewHolder(n.name, s.set.Params.State.ValueBytes())
 	}
 	if w := s.pol.Features.WarmStandby; w != nil && !s.before[n.index] {
-		n.follower = standby.NewFollower(standby.Times{Sync: w.Sync}, int(w.ReplicaMB*mebibyte))
+		n.follower = standby.NewFollower(standby.Times{Sync: w.Sync}, w.ReplicaBytes())
 	}
 	var tick func()
 	tick = func() {
@@ -70,7 +70,7 @@
 	}
 	s.follow(n, standby.Led{On: n.core.lead.Epoch() != 0})
 	s.follow(n, standby.Tick{})
-	if at := n.clock(s.now); at.Sub(n.machines.At) > listEvery && n.core.lead.Epoch() == 0 && !s.severed(n.zone, "") {
+	if at := n.clock(s.now); at.Sub(n.machines.At) > standby.MachineListInterval && n.core.lead.Epoch() == 0 && !s.severed(n.zone, "") {
 		if list, err := s.cloud.List(s.now); err == nil {
 			n.machines = KnownMachines{At: at, List: list}
 		}
@@ -328,7 +328,7 @@
 	switch e := e.(type) {
 	case leadership.ReadKey:
 		items, _, err := s.state.List(leadership.Key)
-		in, unread := decodeLeaderKeys(items)
+		in, unread := leadership.DecodeKeys(items)
 		in.OK = err == nil && unread == nil
 		in.Heartbeat.LifeMs -= s.understated.Milliseconds()
 		s.reply(n, life, Lead{in})
@@ -340,22 +340,22 @@
 		if !s.sent(func() { err = s.state.Extend(s.now, e.Tenure) }) {
 			err = statestore.ErrUncertain
 		}
-		s.reply(n, life, Lead{leadership.Renewed{Tenure: e.Tenure, Outcome: outcomeOf(err), Sent: sent}})
+		s.reply(n, life, Lead{leadership.Renewed{Tenure: e.Tenure, Outcome: leadership.OutcomeOf(err), Sent: sent}})
 	case leadership.Acquire:
-		v, err := s.tryCommit(acquireTxn(e))
-		s.reply(n, life, Lead{leadership.Acquired{Outcome: outcomeOf(err), Epoch: unit.Epoch(v)}})
+		v, err := s.tryCommit(e.Txn())
+		s.reply(n, life, Lead{leadership.Acquired{Outcome: leadership.OutcomeOf(err), Epoch: unit.Epoch(v)}})
 	case leadership.SetToken:
-		v, err := s.tryCommit(tokenTxn(e))
+		v, err := s.tryCommit(e.Txn())
 		if err == nil {
 			s.reply(n, life, Lead{leadership.TokenSet{Prev: e.Prev, Outcome: leadership.OK, Epoch: unit.Epoch(v)}})
 			return
 		}
 		s.after(150*time.Millisecond, func() { s.readBackToken(n, life, e) })
 	case leadership.Beat:
-		_, err := s.tryCommit(heartbeatTxn(e))
-		s.reply(n, life, Lead{leadership.Beaten{Epoch: e.Epoch, Outcome: heartbeatOutcome(err), Sent: sent}})
+		_, err := s.tryCommit(e.Txn())
+		s.reply(n, life, Lead{leadership.Beaten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(err), Sent: sent}})
 	case leadership.HandOver:
-		if _, err := s.tryCommit(holderTxn(e.Prev, e.Holder, e.Tenure)); err != nil {
+		if _, err := s.tryCommit(e.Txn()); err != nil {
 			s.state.Revoke(e.Tenure)
 		}
 	case leadership.Release:
@@ -430,8 +430,9 @@
 		return
 	}
 	v, err := s.tryCommit(c.Txn)
-	done := Committed{Kind: c.Kind, Epoch: c.Epoch, Outcome: outcomeOf(err), Version: v}
-	done.TooLarge = errors.Is(err, statestore.ErrMalformed) && beyond(c.Txn, s.set.Params.State.Tight())
+	done := Committed{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(err), Version: v}
+	limits := s.set.Params.State.Tight()
+	done.TooLarge = errors.Is(err, statestore.ErrMalformed) && c.Txn.Exceeds(limits.ValueBytes(), limits.TxnOps)
 	var conflict *statestore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
@@ -442,12 +443,12 @@
 			}
 		}
 		if done.Outcome != leadership.Gone && unsure {
-			item, err := s.state.Get(settledBy(c.Txn))
+			item, err := s.state.Get(c.Txn.OutcomeKey())
 			if err != nil {
 				again(true)
 				return
 			}
-			if carriedOut(c.Txn, item) {
+			if c.Txn.WasApplied(item) {
 				done.Outcome, done.Version, done.Failed = leadership.OK, item.Stamp, nil
 			}
 		}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -37,28 +37,22 @@
 // errNoBudget: the node's share of the requests to the state service is used up.
 var errNoBudget = errors.New("no share of the requests is left")
 
-const (
-	mebibyte = 1 << 20
-	// standbyTick is how often the actor looks whether something is due.
-	standbyTick = 100 * time.Millisecond
-)
+// standbyTick is how often the actor looks whether something is due.
+const standbyTick = 100 * time.Millisecond
 
 func newStandbyActor(n *Node, w *feature.WarmStandby) *standbyActor {
-	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Times{Sync: w.Sync}, int(w.ReplicaMB*mebibyte))}
+	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Times{Sync: w.Sync}, w.ReplicaBytes())}
 	a.publish()
 	a.machines.Store(&KnownMachines{})
 	return a
 }
 
-// listEvery is the pause between two lists of the machines that a standby reads.
-const listEvery = 15 * time.Second
-
 // listMachines reads the machine list again and again while this node does not lead,
 // within what the leader leaves of the cloud's call rate.
 func (a *standbyActor) listMachines(ctx context.Context) {
 	cloud := a.n.set.Params.Cloud
 	calls := statestore.NewBucket(cloud.RPS*(1-cloudCallRate)/float64(max(1, len(a.n.set.Peers))), 1)
-	for a.n.pause(ctx, listEvery) {
+	for a.n.pause(ctx, standby.MachineListInterval) {
 		if a.n.view.Load().epoch != 0 {
 			continue
 		}
--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -42,6 +42,9 @@
 	ReplicaMB float64       // what the replica may hold
 }
 
+// ReplicaBytes is ReplicaMB in bytes.
+func (w *WarmStandby) ReplicaBytes() int { return int(w.ReplicaMB * (1 << 20)) }
+
 // Defaults of the warm standby, for what a section leaves out.
 const (
 	defaultHeartbeat = 800 * time.Millisecond
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -8,6 +8,10 @@
 	"badgerbay/internal/unit"
 )
 
+// MachineListInterval is the pause between two lists of the machines that a standby
+// reads.
+const MachineListInterval = 15 * time.Second
+
 // State of a follower.
 type State int
 
