--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -44,7 +44,7 @@
 
 func (n *Node) list(ctx context.Context, since unit.MachineID) {
 	machines, more, err := n.cloud.List(ctx, since)
-	n.post(ctx, ListDone{rental.Page{OK: err == nil, Machines: machines, More: more}})
+	n.post(ctx, ListDone{Page: rental.Page{OK: err == nil, Machines: machines, More: more}})
 }
 
 func (n *Node) flavors(ctx context.Context) {
--- a/internal/controller/leaderkey.go
+++ b/internal/controller/leaderkey.go
@@ -10,18 +10,18 @@
 func (n *Node) doLead(ctx context.Context, e leadership.Effect) {
 	switch e := e.(type) {
 	case leadership.ReadKey:
-		n.post(ctx, Lead{n.readLeaderKeys(ctx)})
+		n.post(ctx, Lead{In: n.readLeaderKeys(ctx)})
 	case leadership.GrantLease:
 		sent := n.clock.Now()
 		tenure, err := n.store.Grant(ctx, e.Life)
-		n.post(ctx, Lead{leadership.Granted{OK: n.note(err) == nil, Tenure: tenure, Sent: sent}})
+		n.post(ctx, Lead{In: leadership.Granted{OK: n.note(err) == nil, Tenure: tenure, Sent: sent}})
 	case leadership.Renew:
 		sent := n.clock.Now()
 		err := n.note(n.store.Extend(ctx, e.Tenure))
-		n.post(ctx, Lead{leadership.Renewed{Tenure: e.Tenure, Outcome: leadership.OutcomeOf(err), Sent: sent}})
+		n.post(ctx, Lead{In: leadership.Renewed{Tenure: e.Tenure, Outcome: leadership.OutcomeOf(err), Sent: sent}})
 	case leadership.Acquire:
 		v, err := n.store.Commit(ctx, e.Txn())
-		n.post(ctx, Lead{leadership.Acquired{Outcome: leadership.OutcomeOf(n.note(err)), Epoch: unit.Epoch(v)}})
+		n.post(ctx, Lead{In: leadership.Acquired{Outcome: leadership.OutcomeOf(n.note(err)), Epoch: unit.Epoch(v)}})
 	case leadership.SetToken:
 		n.setToken(ctx, e)
 	case leadership.HandOver:
@@ -33,7 +33,7 @@
 	case leadership.Beat:
 		sent := n.clock.Now()
 		_, err := n.store.Commit(ctx, e.Txn())
-		n.post(ctx, Lead{leadership.Beaten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(n.note(err)), Sent: sent}})
+		n.post(ctx, Lead{In: leadership.Beaten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(n.note(err)), Sent: sent}})
 	case leadership.Release:
 		n.note(n.store.Revoke(ctx, e.Tenure))
 	}
@@ -86,14 +86,14 @@
 			}
 			continue
 		case h != e.Holder:
-			n.post(ctx, Lead{leadership.Deposed{}})
+			n.post(ctx, Lead{In: leadership.Deposed{}})
 			return
 		case stamp > e.Prev:
 			out, v = leadership.OK, unit.Version(stamp)
 		default:
-			n.post(ctx, Lead{leadership.TokenSet{Prev: e.Prev, Outcome: leadership.Refused}})
+			n.post(ctx, Lead{In: leadership.TokenSet{Prev: e.Prev, Outcome: leadership.Refused}})
 			return
 		}
 	}
-	n.post(ctx, Lead{leadership.TokenSet{Prev: e.Prev, Outcome: leadership.OK, Epoch: unit.Epoch(v)}})
+	n.post(ctx, Lead{In: leadership.TokenSet{Prev: e.Prev, Outcome: leadership.OK, Epoch: unit.Epoch(v)}})
 }
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -77,9 +77,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	c := b.n.core
-	c.Step(b.clock.now, Lead{leadership.KeyRead{OK: true}})
-	c.Step(b.clock.now, Lead{leadership.Granted{OK: true, Tenure: 1, Sent: b.clock.now}})
-	c.Step(b.clock.now, Lead{leadership.Acquired{Outcome: leadership.OK, Epoch: 77}})
+	c.Step(b.clock.now, Lead{In: leadership.KeyRead{OK: true}})
+	c.Step(b.clock.now, Lead{In: leadership.Granted{OK: true, Tenure: 1, Sent: b.clock.now}})
+	c.Step(b.clock.now, Lead{In: leadership.Acquired{Outcome: leadership.OK, Epoch: 77}})
 	c.Step(b.clock.now, Loaded{Epoch: 77, OK: true})
 	b.n.view.Store(&view{leader: "n0", types: c.Types(), epoch: 77})
 	go func() {
@@ -229,7 +229,7 @@
 // up to the moment the answer leaves, so that their leases really run out.
 func TestReportsOnlyWhileEntitled(t *testing.T) {
 	b := newNodeRig(t)
-	b.n.core.Step(b.clock.now, Lead{leadership.KeyRead{OK: true, Holder: leadership.Holder{Node: "n1"}, Stamp: 5}})
+	b.n.core.Step(b.clock.now, Lead{In: leadership.KeyRead{OK: true, Holder: leadership.Holder{Node: "n1"}, Stamp: 5}})
 	ticket := make(chan ReplyReport, 1)
 	r := &fleet.Report{Machine: "host-000001", Session: 1, Tally: 1}
 	b.n.step(context.Background(), Reported{Ticket: ticket, Report: r})
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -155,7 +155,7 @@
 	}
 	a.ready = ready
 	a.n.log.Info("standby", "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
-	a.n.post(ctx, Lead{leadership.ReplicaState{Ready: ready}})
+	a.n.post(ctx, Lead{In: leadership.ReplicaState{Ready: ready}})
 }
 
 // standbyAnswer is what the node tells operators of itself as a standby.
