--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -10,244 +10,244 @@
 	"badgerbay/internal/unit"
 )
 
-// Key is the key that names the leader.
-const Key = "leader"
+// LeaderKey is the key that names the leader.
+const LeaderKey = "leader"
 
-// Holder is the value of Key. The nonce names one attempt of one process, so
+// LeaderRecord is the value of Key. The nonce names one attempt of one process, so
 // that a restarted process can't take its predecessor's epoch for its own.
-type Holder struct {
+type LeaderRecord struct {
 	Node  string `msgpack:"node" json:"node"`
 	Nonce string `msgpack:"nonce" json:"nonce"`
 }
 
 const (
-	retryRenew = 700 * time.Millisecond
-	// margin is what entitlement gives up at the end of the lease for timers
+	renewRetryDelay = 700 * time.Millisecond
+	// leaseMargin is what entitlement gives up at the end of the lease for timers
 	// that fire late; drift is what two steady clocks may differ by.
-	margin = 300 * time.Millisecond
-	drift  = 0.0005
+	leaseMargin   = 300 * time.Millisecond
+	maxClockDrift = 0.0005
 )
 
-type phase int
+type role int
 
 const (
-	following phase = iota
-	granting
-	acquiring // the key was set, the answer is out or lost
-	leading
+	roleFollower role = iota
+	roleRequestingLease
+	roleAcquiring // the key was set, the answer is out or lost
+	roleLeader
 )
 
-// Machine is the state machine of leadership on one node.
-type Machine struct {
-	node  string
-	times Times
-	rng   *rand.Rand
-
-	phase    phase
-	seen     Holder // the last holder read
-	stamp    unit.Epoch
-	nextPoll unit.Instant
-	busy     bool // a read, grant, acquire or reseal is under way
-
-	tenure     unit.Tenure
-	mine       Holder
-	epoch      unit.Epoch
-	leaseUntil unit.Instant // entitlement ends, by the lease
-	renewing   bool
-	nextTry    unit.Instant
-	raising    bool
-	standAfter unit.Instant // does not stand for election before
+// Elector is the state machine of leadership on one node.
+type Elector struct {
+	node   string
+	timing Timing
+	rng    *rand.Rand
+
+	role           role
+	observed       LeaderRecord // the last holder read
+	observedEpoch  unit.Epoch
+	nextPoll       unit.Instant
+	requestPending bool // a read, grant, acquire or reseal is under way
+
+	leaseID        unit.LeaseID
+	ownRecord      LeaderRecord
+	epoch          unit.Epoch
+	leaseDeadline  unit.Instant // entitlement ends, by the lease
+	renewPending   bool
+	nextRenew      unit.Instant
+	advancePending bool
+	cooldownUntil  unit.Instant // does not stand for election before
 
 	// Only with heartbeats.
-	nodes        []string     // all of them, sorted
-	silence      silence      // of the leader, seen by a standby
-	replicaReady bool         // this node could take over without reading all records
-	takingOver   bool         // the acquisition under way replaces a silent leader
-	acquireSent  unit.Instant // when the acquisition left
-	raiseSent    unit.Instant // when the last raise of the token left
-	beatUntil    unit.Instant // entitlement ends, by the heartbeats
-	nextBeat     unit.Instant
-	beating      int // heartbeats under way
-	hindrance    Hindrance
+	nodes              []string        // all of them, sorted
+	detector           failureDetector // of the leader, seen by a standby
+	replicaReady       bool            // this node could take over without reading all records
+	failingOver        bool            // the acquisition under way replaces a silent leader
+	acquireSentAt      unit.Instant    // when the acquisition left
+	advanceSentAt      unit.Instant    // when the last raise of the token left
+	heartbeatDeadline  unit.Instant    // entitlement ends, by the heartbeats
+	nextHeartbeat      unit.Instant
+	heartbeatsInFlight int // heartbeats under way
+	blockReason        BlockReason
 }
 
 // New returns a machine for the node. Every process must give it a random
 // source of its own.
-func New(node string, times Times, rng *rand.Rand) *Machine {
-	return &Machine{node: node, times: times, rng: rng}
+func New(node string, times Timing, rng *rand.Rand) *Elector {
+	return &Elector{node: node, timing: times, rng: rng}
 }
 
-// Leads tells whether this node holds the key, entitled or not.
-func (m *Machine) Leads() bool { return m.phase == leading }
+// IsLeader tells whether this node holds the key, entitled or not.
+func (m *Elector) IsLeader() bool { return m.role == roleLeader }
 
 // Epoch is the epoch of this node, if it leads.
-func (m *Machine) Epoch() unit.Epoch { return m.epoch }
+func (m *Elector) Epoch() unit.Epoch { return m.epoch }
 
-// Entitled tells whether this node may act as leader at now: it leads and its
+// LeaseValid tells whether this node may act as leader at now: it leads and its
 // lease surely still runs.
-func (m *Machine) Entitled(now unit.Instant) bool {
-	return m.phase == leading && now.Before(m.until())
+func (m *Elector) LeaseValid(now unit.Instant) bool {
+	return m.role == roleLeader && now.Before(m.leaseValidBefore())
 }
 
-// until is when entitlement ends: with the lease, or with the last heartbeat that
+// leaseValidBefore is when entitlement ends: with the lease, or with the last heartbeat that
 // was stored.
-func (m *Machine) until() unit.Instant {
-	if !m.times.Heartbeat.enabled() {
-		return m.leaseUntil
+func (m *Elector) leaseValidBefore() unit.Instant {
+	if !m.timing.Heartbeat.enabled() {
+		return m.leaseDeadline
 	}
-	return min(m.leaseUntil, m.beatUntil)
+	return min(m.leaseDeadline, m.heartbeatDeadline)
 }
 
-// EntitledUntil is when entitlement ends unless it is renewed.
-func (m *Machine) EntitledUntil() unit.Instant {
-	if m.phase != leading {
+// LeaseValidUntil is when entitlement ends unless it is renewed.
+func (m *Elector) LeaseValidUntil() unit.Instant {
+	if m.role != roleLeader {
 		return 0
 	}
-	return m.until()
+	return m.leaseValidBefore()
 }
 
-// LastEntitled is when the last entitlement of this node ends, or has ended; 0
+// LastLeaseDeadline is when the last entitlement of this node ends, or has ended; 0
 // if it never had one.
-func (m *Machine) LastEntitled() unit.Instant { return m.until() }
+func (m *Elector) LastLeaseDeadline() unit.Instant { return m.leaseValidBefore() }
 
-// Leader is the node that was last seen to hold the key, or "".
-func (m *Machine) Leader() string {
-	if m.phase == leading {
+// LeaderNode is the node that was last seen to hold the key, or "".
+func (m *Elector) LeaderNode() string {
+	if m.role == roleLeader {
 		return m.node
 	}
-	return m.seen.Node
+	return m.observed.Node
 }
 
-// Raising tells whether a raise of the token is under way. Writes of the
+// AdvancingEpoch tells whether a raise of the token is under way. Writes of the
 // leader wait for it, since their guard would fail.
-func (m *Machine) Raising() bool { return m.raising }
+func (m *Elector) AdvancingEpoch() bool { return m.advancePending }
 
 // Step takes one input at now and returns what to do.
-func (m *Machine) Step(now unit.Instant, in Input) []Effect {
+func (m *Elector) Step(now unit.Instant, in Input) []Effect {
 	switch in := in.(type) {
 	case Tick:
-		return m.tick(now)
-	case KeyRead:
-		return m.keyRead(now, in)
-	case Granted:
-		return m.granted(now, in)
-	case Acquired:
-		return m.acquired(now, in)
-	case Renewed:
-		return m.renewed(now, in)
-	case TokenSet:
-		return m.tokenSet(in)
-	case Deposed:
-		m.depose(now)
-	case RaiseToken:
-		return m.raise(now)
+		return m.onTick(now)
+	case LeaderKeysRead:
+		return m.onLeaderKeysRead(now, in)
+	case LeaseGranted:
+		return m.onLeaseGranted(now, in)
+	case LeaderKeyAcquired:
+		return m.onAcquired(now, in)
+	case LeaseRenewed:
+		return m.onLeaseRenewed(now, in)
+	case LeaderKeyRewritten:
+		return m.onLeaderKeyRewritten(in)
+	case LeadershipLost:
+		m.stepDown(now)
+	case AdvanceEpoch:
+		return m.advanceEpoch(now)
 	case Resign:
-		return m.resign(now, in)
-	case Beaten:
-		return m.beaten(now, in)
+		return m.onResign(now, in)
+	case HeartbeatWritten:
+		return m.onHeartbeatWritten(now, in)
 	case ReplicaState:
 		m.replicaReady = in.Ready
 	}
 	return nil
 }
 
-func (m *Machine) entitlement(sent unit.Instant) unit.Instant {
-	life := time.Duration(float64(m.times.Life) * (1 - 2*drift))
-	return sent.Add(life - margin)
+func (m *Elector) leaseDeadlineFrom(sent unit.Instant) unit.Instant {
+	life := time.Duration(float64(m.timing.LeaseTTL) * (1 - 2*maxClockDrift))
+	return sent.Add(life - leaseMargin)
 }
 
-func (m *Machine) tick(now unit.Instant) []Effect {
-	if m.phase == leading {
-		return m.tickLeading(now)
+func (m *Elector) onTick(now unit.Instant) []Effect {
+	if m.role == roleLeader {
+		return m.onLeaderTick(now)
 	}
-	if m.busy || now.Before(m.nextPoll) {
+	if m.requestPending || now.Before(m.nextPoll) {
 		return nil
 	}
-	m.busy = true
-	return []Effect{ReadKey{}}
+	m.requestPending = true
+	return []Effect{ReadLeaderKeys{}}
 }
 
-func (m *Machine) tickLeading(now unit.Instant) []Effect {
-	effects := m.beatIfDue(now)
-	if m.renewing || now.Before(m.nextTry) {
+func (m *Elector) onLeaderTick(now unit.Instant) []Effect {
+	effects := m.heartbeatIfDue(now)
+	if m.renewPending || now.Before(m.nextRenew) {
 		return effects
 	}
-	m.renewing = true
-	return append(effects, Renew{Tenure: m.tenure})
+	m.renewPending = true
+	return append(effects, RenewLease{LeaseID: m.leaseID})
 }
 
-// pollAgain sets the time of the next look, jittered so that nodes that
+// schedulePoll sets the time of the next look, jittered so that nodes that
 // started together do not stay together.
-func (m *Machine) pollAgain(now unit.Instant) {
+func (m *Elector) schedulePoll(now unit.Instant) {
 	jitter := 0.7 + 0.6*m.rng.Float64()
-	poll := m.times.Poll
-	if m.times.Heartbeat.enabled() {
-		poll = min(poll, m.times.Heartbeat.Poll)
+	poll := m.timing.PollInterval
+	if m.timing.Heartbeat.enabled() {
+		poll = min(poll, m.timing.Heartbeat.PollInterval)
 	}
 	m.nextPoll = now.Add(time.Duration(float64(poll) * jitter))
 }
 
-func (m *Machine) keyRead(now unit.Instant, in KeyRead) []Effect {
-	m.busy = false
-	m.pollAgain(now)
-	if m.phase == leading {
+func (m *Elector) onLeaderKeysRead(now unit.Instant, in LeaderKeysRead) []Effect {
+	m.requestPending = false
+	m.schedulePoll(now)
+	if m.role == roleLeader {
 		return nil
 	}
 	if !in.OK {
-		m.hindrance = StateUnread
+		m.blockReason = LeaderKeysUnreadable
 		return nil
 	}
-	m.seen, m.stamp = in.Holder, in.Stamp
-	m.silence.observe(now, in)
-	if m.phase == acquiring && in.Stamp != 0 && in.Holder == m.mine {
+	m.observed, m.observedEpoch = in.Leader, in.Epoch
+	m.detector.observe(now, in)
+	if m.role == roleAcquiring && in.Epoch != 0 && in.Leader == m.ownRecord {
 		// The answer to the acquisition was lost, but it was executed.
-		m.lead(now, in.Stamp)
+		m.becomeLeader(now, in.Epoch)
 		return nil
 	}
-	m.takingOver = false
-	if !m.mayStand(now) {
-		if !m.leaderSilent(now) {
-			m.noteHindrance(now)
+	m.failingOver = false
+	if !m.canCampaign(now) {
+		if !m.leaderFailed(now) {
+			m.updateBlockReason(now)
 			return nil
 		}
-		m.takingOver = true
+		m.failingOver = true
 	}
-	m.phase, m.busy = granting, true
-	return []Effect{GrantLease{Life: m.times.Life}}
+	m.role, m.requestPending = roleRequestingLease, true
+	return []Effect{GrantLease{TTL: m.timing.LeaseTTL}}
 }
 
-// mayStand tells whether the key is free for this node: it is absent, or it
+// canCampaign tells whether the key is free for this node: it is absent, or it
 // names this same node. Then an earlier process of it set the key, which is
 // surely dead, or a leader that handed over to it; the guard on the stamp keeps
 // the change from hitting anybody else's key.
-func (m *Machine) mayStand(now unit.Instant) bool {
+func (m *Elector) canCampaign(now unit.Instant) bool {
 	// A key handed over to this node is taken even while it rests from one
 	// that it gave up: else it stays without a leader.
-	return m.stamp == 0 && !now.Before(m.standAfter) || m.stamp != 0 && m.seen.Node == m.node
+	return m.observedEpoch == 0 && !now.Before(m.cooldownUntil) || m.observedEpoch != 0 && m.observed.Node == m.node
 }
 
-func (m *Machine) granted(now unit.Instant, in Granted) []Effect {
-	m.busy = false
-	if m.phase != granting {
+func (m *Elector) onLeaseGranted(now unit.Instant, in LeaseGranted) []Effect {
+	m.requestPending = false
+	if m.role != roleRequestingLease {
 		return nil
 	}
 	if !in.OK {
-		m.phase = following
+		m.role = roleFollower
 		return nil
 	}
-	m.tenure = in.Tenure
-	m.leaseUntil = m.entitlement(in.Sent)
-	m.mine = Holder{Node: m.node, Nonce: m.nonce()}
-	m.phase, m.busy = acquiring, true
-	m.acquireSent = now
-	acquire := Acquire{Prev: m.stamp, Holder: m.mine, Tenure: m.tenure, Heartbeat: m.heartbeat()}
-	if m.takingOver {
-		acquire.Silent = m.silence.stamp
+	m.leaseID = in.LeaseID
+	m.leaseDeadline = m.leaseDeadlineFrom(in.SentAt)
+	m.ownRecord = LeaderRecord{Node: m.node, Nonce: m.newNonce()}
+	m.role, m.requestPending = roleAcquiring, true
+	m.acquireSentAt = now
+	acquire := AcquireLeaderKey{PrevEpoch: m.observedEpoch, Leader: m.ownRecord, LeaseID: m.leaseID, Heartbeat: m.newHeartbeat()}
+	if m.failingOver {
+		acquire.ExpectedHeartbeatRevision = m.detector.heartbeatRevision
 	}
 	return []Effect{acquire}
 }
 
-func (m *Machine) nonce() string {
+func (m *Elector) newNonce() string {
 	const digits = "0123456789abcdefghijklmnopqrstuvwxyz"
 	var b [16]byte
 	for i := range b {
@@ -256,102 +256,102 @@
 	return string(b[:])
 }
 
-func (m *Machine) acquired(now unit.Instant, in Acquired) []Effect {
-	m.busy = false
-	if m.phase != acquiring {
+func (m *Elector) onAcquired(now unit.Instant, in LeaderKeyAcquired) []Effect {
+	m.requestPending = false
+	if m.role != roleAcquiring {
 		return nil
 	}
 	switch in.Outcome {
-	case OK:
-		m.lead(now, in.Epoch)
-	case Unknown:
+	case OutcomeOK:
+		m.becomeLeader(now, in.Epoch)
+	case OutcomeUnknown:
 		// Read the key back at once: its value names this attempt if it was
 		// executed. Should it be executed later still, a later look finds it.
 		m.nextPoll = now
 	default:
-		m.phase = following
-		if m.takingOver {
-			m.hindrance = TakeoverConflict
+		m.role = roleFollower
+		if m.failingOver {
+			m.blockReason = FailoverConflict
 		}
-		m.pollAgain(now)
-		return []Effect{Release{Tenure: m.tenure}}
+		m.schedulePoll(now)
+		return []Effect{RevokeLease{LeaseID: m.leaseID}}
 	}
 	return nil
 }
 
-func (m *Machine) lead(now unit.Instant, epoch unit.Epoch) {
-	m.phase, m.epoch = leading, epoch
-	m.seen, m.stamp = m.mine, epoch
-	m.renewing, m.raising = false, false
-	m.nextTry = now
-	m.beatUntil = m.heartbeatEntitlement(m.acquireSent)
-	m.nextBeat = m.acquireSent.Add(m.times.Heartbeat.Interval)
-	m.beating, m.hindrance = 0, NoHindrance
+func (m *Elector) becomeLeader(now unit.Instant, epoch unit.Epoch) {
+	m.role, m.epoch = roleLeader, epoch
+	m.observed, m.observedEpoch = m.ownRecord, epoch
+	m.renewPending, m.advancePending = false, false
+	m.nextRenew = now
+	m.heartbeatDeadline = m.heartbeatDeadlineFrom(m.acquireSentAt)
+	m.nextHeartbeat = m.acquireSentAt.Add(m.timing.Heartbeat.Interval)
+	m.heartbeatsInFlight, m.blockReason = 0, NotBlocked
 }
 
-func (m *Machine) renewed(now unit.Instant, in Renewed) []Effect {
-	if m.phase != leading || in.Tenure != m.tenure {
+func (m *Elector) onLeaseRenewed(now unit.Instant, in LeaseRenewed) []Effect {
+	if m.role != roleLeader || in.LeaseID != m.leaseID {
 		return nil // of an earlier term, whose lease was another
 	}
-	m.renewing = false
+	m.renewPending = false
 	switch in.Outcome {
-	case OK:
+	case OutcomeOK:
 		// Also right after the deadline: the key was bound to the lease all
 		// along, so nobody else can have set it in between.
-		m.leaseUntil = max(m.leaseUntil, m.entitlement(in.Sent))
-		m.nextTry = in.Sent.Add(m.times.Renew)
-	case Gone:
-		m.depose(now)
+		m.leaseDeadline = max(m.leaseDeadline, m.leaseDeadlineFrom(in.SentAt))
+		m.nextRenew = in.SentAt.Add(m.timing.RenewInterval)
+	case OutcomeGone:
+		m.stepDown(now)
 	default:
-		m.nextTry = now.Add(retryRenew)
+		m.nextRenew = now.Add(renewRetryDelay)
 	}
 	return nil
 }
 
-func (m *Machine) depose(now unit.Instant) {
-	if m.phase != leading {
+func (m *Elector) stepDown(now unit.Instant) {
+	if m.role != roleLeader {
 		return
 	}
-	m.phase, m.epoch, m.raising, m.busy = following, 0, false, false
-	m.seen, m.stamp = Holder{}, 0
-	m.silence = silence{}
+	m.role, m.epoch, m.advancePending, m.requestPending = roleFollower, 0, false, false
+	m.observed, m.observedEpoch = LeaderRecord{}, 0
+	m.detector = failureDetector{}
 	m.nextPoll = now
 }
 
-func (m *Machine) raise(now unit.Instant) []Effect {
-	if !m.Entitled(now) || m.raising {
+func (m *Elector) advanceEpoch(now unit.Instant) []Effect {
+	if !m.LeaseValid(now) || m.advancePending {
 		return nil
 	}
-	m.raising, m.raiseSent = true, now
-	return []Effect{SetToken{Prev: m.epoch, Holder: m.mine, Tenure: m.tenure, Heartbeat: m.heartbeat()}}
+	m.advancePending, m.advanceSentAt = true, now
+	return []Effect{RewriteLeaderKey{PrevEpoch: m.epoch, Leader: m.ownRecord, LeaseID: m.leaseID, Heartbeat: m.newHeartbeat()}}
 }
 
-func (m *Machine) tokenSet(in TokenSet) []Effect {
-	if m.phase != leading || in.Prev != m.epoch {
+func (m *Elector) onLeaderKeyRewritten(in LeaderKeyRewritten) []Effect {
+	if m.role != roleLeader || in.PrevEpoch != m.epoch {
 		return nil
 	}
 	switch in.Outcome {
-	case OK:
-		m.raising, m.epoch, m.stamp = false, in.Epoch, in.Epoch
-		m.beatUntil = max(m.beatUntil, m.heartbeatEntitlement(m.raiseSent))
-	case Refused:
-		m.raising = false
+	case OutcomeOK:
+		m.advancePending, m.epoch, m.observedEpoch = false, in.Epoch, in.Epoch
+		m.heartbeatDeadline = max(m.heartbeatDeadline, m.heartbeatDeadlineFrom(m.advanceSentAt))
+	case OutcomeRefused:
+		m.advancePending = false
 	}
 	// Unknown and Gone: the caller reads the key back and reports
 	// TokenSet or Deposed; until then the writes wait.
 	return nil
 }
 
-func (m *Machine) resign(now unit.Instant, in Resign) []Effect {
-	if m.phase != leading {
+func (m *Elector) onResign(now unit.Instant, in Resign) []Effect {
+	if m.role != roleLeader {
 		return nil
 	}
 	epoch := m.epoch
-	m.depose(now)
-	m.standAfter = now.Add(in.Cooldown)
-	m.pollAgain(now)
-	if in.Heir != "" {
-		return []Effect{HandOver{Prev: epoch, Holder: Holder{Node: in.Heir, Nonce: m.nonce()}, Tenure: m.tenure}}
+	m.stepDown(now)
+	m.cooldownUntil = now.Add(in.Cooldown)
+	m.schedulePoll(now)
+	if in.Transferee != "" {
+		return []Effect{TransferLeadership{PrevEpoch: epoch, Transferee: LeaderRecord{Node: in.Transferee, Nonce: m.newNonce()}, LeaseID: m.leaseID}}
 	}
-	return []Effect{Release{Tenure: m.tenure}}
+	return []Effect{RevokeLease{LeaseID: m.leaseID}}
 }
--- a/internal/leadership/messages.go
+++ b/internal/leadership/messages.go
@@ -7,139 +7,139 @@
 )
 
 // Input is what the machine takes: one of the types below.
-type Input interface{ leadership() }
+type Input interface{ isInput() }
 
 // Inputs. Sent is when the request left, by the steady clock.
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// KeyRead is what a look at the key found. Stamp 0: no leader.
-	KeyRead struct {
+	// LeaderKeysRead is what a look at the key found. Stamp 0: no leader.
+	LeaderKeysRead struct {
 		OK     bool
-		Holder Holder
-		Stamp  unit.Epoch
+		Leader LeaderRecord
+		Epoch  unit.Epoch
 		// Heartbeat is what HeartbeatKey holds. HeartbeatStamp 0: nothing, or it
 		// was not read.
-		Heartbeat      Heartbeat
-		HeartbeatStamp unit.Version
+		Heartbeat         HeartbeatRecord
+		HeartbeatRevision unit.Revision
 	}
-	// Granted answers GrantLease.
-	Granted struct {
-		OK     bool
-		Tenure unit.Tenure
-		Sent   unit.Instant
+	// LeaseGranted answers GrantLease.
+	LeaseGranted struct {
+		OK      bool
+		LeaseID unit.LeaseID
+		SentAt  unit.Instant
 	}
-	// Acquired answers Acquire.
-	Acquired struct {
+	// LeaderKeyAcquired answers Acquire.
+	LeaderKeyAcquired struct {
 		Outcome Outcome
 		Epoch   unit.Epoch
 	}
-	// Renewed answers Renew.
-	Renewed struct {
-		Tenure  unit.Tenure
+	// LeaseRenewed answers Renew.
+	LeaseRenewed struct {
+		LeaseID unit.LeaseID
 		Outcome Outcome
-		Sent    unit.Instant
+		SentAt  unit.Instant
 	}
-	// TokenSet answers SetToken.
-	TokenSet struct {
-		Prev    unit.Epoch // of SetToken
-		Outcome Outcome
-		Epoch   unit.Epoch
+	// LeaderKeyRewritten answers SetToken.
+	LeaderKeyRewritten struct {
+		PrevEpoch unit.Epoch // of SetToken
+		Outcome   Outcome
+		Epoch     unit.Epoch
 	}
-	// Deposed says that a guard on the key has failed.
-	Deposed struct{}
-	// RaiseToken asks for a higher epoch of the same leader.
-	RaiseToken struct{}
-	// Beaten answers Beat. Gone: Key is no longer what it was under that epoch.
-	Beaten struct {
+	// LeadershipLost says that a guard on the key has failed.
+	LeadershipLost struct{}
+	// AdvanceEpoch asks for a higher epoch of the same leader.
+	AdvanceEpoch struct{}
+	// HeartbeatWritten answers Beat. Gone: Key is no longer what it was under that epoch.
+	HeartbeatWritten struct {
 		Epoch   unit.Epoch
 		Outcome Outcome
-		Sent    unit.Instant
+		SentAt  unit.Instant
 	}
 	// ReplicaState says whether this node has a complete replica of the records.
 	ReplicaState struct{ Ready bool }
 	// Resign asks to give leadership up, to the node Heir if one is named.
 	Resign struct {
-		Cooldown time.Duration
-		Heir     string
+		Cooldown   time.Duration
+		Transferee string
 	}
 )
 
-func (Tick) leadership()         {}
-func (KeyRead) leadership()      {}
-func (Granted) leadership()      {}
-func (Acquired) leadership()     {}
-func (Renewed) leadership()      {}
-func (TokenSet) leadership()     {}
-func (Deposed) leadership()      {}
-func (RaiseToken) leadership()   {}
-func (Resign) leadership()       {}
-func (Beaten) leadership()       {}
-func (ReplicaState) leadership() {}
+func (Tick) isInput()               {}
+func (LeaderKeysRead) isInput()     {}
+func (LeaseGranted) isInput()       {}
+func (LeaderKeyAcquired) isInput()  {}
+func (LeaseRenewed) isInput()       {}
+func (LeaderKeyRewritten) isInput() {}
+func (LeadershipLost) isInput()     {}
+func (AdvanceEpoch) isInput()       {}
+func (Resign) isInput()             {}
+func (HeartbeatWritten) isInput()   {}
+func (ReplicaState) isInput()       {}
 
 // Outcome of a request to the state service.
 type Outcome int
 
 // Outcomes. Unknown: it may have been executed or may still be.
 const (
-	OK Outcome = iota
-	Refused
-	Unknown
-	Gone
+	OutcomeOK Outcome = iota
+	OutcomeRefused
+	OutcomeUnknown
+	OutcomeGone
 )
 
 // Effect is what the machine asks for: one of the types below.
-type Effect interface{ effect() }
+type Effect interface{ isEffect() }
 
 // Effects.
 type (
-	// ReadKey looks at the key.
-	ReadKey struct{}
+	// ReadLeaderKeys looks at the key.
+	ReadLeaderKeys struct{}
 	// GrantLease asks for a lease.
-	GrantLease struct{ Life time.Duration }
-	// Acquire sets the key if it still has the stamp Prev, and the first heartbeat
+	GrantLease struct{ TTL time.Duration }
+	// AcquireLeaderKey sets the key if it still has the stamp Prev, and the first heartbeat
 	// with it if there is one.
-	Acquire struct {
-		Prev      unit.Epoch
-		Holder    Holder
-		Tenure    unit.Tenure
-		Heartbeat *Heartbeat
-		// Silent guards a takeover from a leader that still holds the key: the
+	AcquireLeaderKey struct {
+		PrevEpoch unit.Epoch
+		Leader    LeaderRecord
+		LeaseID   unit.LeaseID
+		Heartbeat *HeartbeatRecord
+		// ExpectedHeartbeatRevision guards a takeover from a leader that still holds the key: the
 		// stamp of its last heartbeat. 0: the key is free, or of this node.
-		Silent unit.Version
+		ExpectedHeartbeatRevision unit.Revision
 	}
-	// Renew extends the lease.
-	Renew struct{ Tenure unit.Tenure }
-	// SetToken sets the key again, guarded by its own stamp; a heartbeat goes with
+	// RenewLease extends the lease.
+	RenewLease struct{ LeaseID unit.LeaseID }
+	// RewriteLeaderKey sets the key again, guarded by its own stamp; a heartbeat goes with
 	// it if there is one.
-	SetToken struct {
-		Prev      unit.Epoch
-		Holder    Holder
-		Tenure    unit.Tenure
-		Heartbeat *Heartbeat
+	RewriteLeaderKey struct {
+		PrevEpoch unit.Epoch
+		Leader    LeaderRecord
+		LeaseID   unit.LeaseID
+		Heartbeat *HeartbeatRecord
 	}
-	// Beat writes a heartbeat if the key still has the stamp Epoch.
-	Beat struct {
+	// WriteHeartbeat writes a heartbeat if the key still has the stamp Epoch.
+	WriteHeartbeat struct {
 		Epoch     unit.Epoch
-		Heartbeat Heartbeat
+		Heartbeat HeartbeatRecord
 	}
-	// HandOver sets the key to another node's name, guarded by its own stamp
+	// TransferLeadership sets the key to another node's name, guarded by its own stamp
 	// and bound to the same lease. That node takes it for a key of its own and
 	// acquires it at once; should it not, the key ends with the lease.
-	HandOver struct {
-		Prev   unit.Epoch
-		Holder Holder
-		Tenure unit.Tenure
+	TransferLeadership struct {
+		PrevEpoch  unit.Epoch
+		Transferee LeaderRecord
+		LeaseID    unit.LeaseID
 	}
-	// Release ends the lease.
-	Release struct{ Tenure unit.Tenure }
+	// RevokeLease ends the lease.
+	RevokeLease struct{ LeaseID unit.LeaseID }
 )
 
-func (ReadKey) effect()    {}
-func (GrantLease) effect() {}
-func (Acquire) effect()    {}
-func (Renew) effect()      {}
-func (SetToken) effect()   {}
-func (HandOver) effect()   {}
-func (Release) effect()    {}
-func (Beat) effect()       {}
+func (ReadLeaderKeys) isEffect()     {}
+func (GrantLease) isEffect()         {}
+func (AcquireLeaderKey) isEffect()   {}
+func (RenewLease) isEffect()         {}
+func (RewriteLeaderKey) isEffect()   {}
+func (TransferLeadership) isEffect() {}
+func (RevokeLease) isEffect()        {}
+func (WriteHeartbeat) isEffect()     {}
--- a/internal/leadership/standby.go
+++ b/internal/leadership/standby.go
@@ -6,73 +6,73 @@
 	"badgerbay/internal/unit"
 )
 
-// Hindrance is why a node could not take over when it last looked.
-type Hindrance int
+// BlockReason is why a node could not take over when it last looked.
+type BlockReason int
 
 // Hindrances.
 const (
-	NoHindrance Hindrance = iota
-	// LeaderBeats: the leader's entitlement may still run.
-	LeaderBeats
-	// NoHeartbeats: the leader writes none that count, so only its lease does.
-	NoHeartbeats
-	// OthersFirst: the leader is silent, and others are given the time to go first.
-	OthersFirst
-	// TakeoverConflict: the leader was heard again, or another node was quicker.
-	TakeoverConflict
+	NotBlocked BlockReason = iota
+	// LeaderAlive: the leader's entitlement may still run.
+	LeaderAlive
+	// LeaderWithoutHeartbeats: the leader writes none that count, so only its lease does.
+	LeaderWithoutHeartbeats
+	// OtherStandbyFirst: the leader is silent, and others are given the time to go first.
+	OtherStandbyFirst
+	// FailoverConflict: the leader was heard again, or another node was quicker.
+	FailoverConflict
 	// HeartbeatsDisabled: this node was started without heartbeats.
 	HeartbeatsDisabled
-	// StateUnread: the keys could not be read.
-	StateUnread
+	// LeaderKeysUnreadable: the keys could not be read.
+	LeaderKeysUnreadable
 )
 
 // String names the hindrance for logs and operators.
-func (h Hindrance) String() string {
+func (h BlockReason) String() string {
 	switch h {
-	case NoHindrance:
+	case NotBlocked:
 		return ""
-	case LeaderBeats:
+	case LeaderAlive:
 		return "leader alive"
-	case NoHeartbeats:
+	case LeaderWithoutHeartbeats:
 		return "leader writes no heartbeats, only its lease counts"
-	case OthersFirst:
+	case OtherStandbyFirst:
 		return "leader silent, another standby goes first"
-	case TakeoverConflict:
+	case FailoverConflict:
 		return "leader was heard again, or another standby took over"
 	case HeartbeatsDisabled:
 		return "heartbeats are not enabled on this node"
-	case StateUnread:
+	case LeaderKeysUnreadable:
 		return "the leader's keys can't be read"
 	}
 	return "unknown"
 }
 
-// noteHindrance notes why the leader that was just read is not replaced.
-func (m *Machine) noteHindrance(now unit.Instant) {
+// updateBlockReason notes why the leader that was just read is not replaced.
+func (m *Elector) updateBlockReason(now unit.Instant) {
 	switch {
-	case m.stamp == 0:
-		m.hindrance = NoHindrance
-	case !m.times.Heartbeat.enabled():
-		m.hindrance = HeartbeatsDisabled
-	case m.silence.stamp == 0:
-		m.hindrance = NoHeartbeats
-	case m.silence.over(now):
-		m.hindrance = OthersFirst
+	case m.observedEpoch == 0:
+		m.blockReason = NotBlocked
+	case !m.timing.Heartbeat.enabled():
+		m.blockReason = HeartbeatsDisabled
+	case m.detector.heartbeatRevision == 0:
+		m.blockReason = LeaderWithoutHeartbeats
+	case m.detector.expired(now):
+		m.blockReason = OtherStandbyFirst
 	default:
-		m.hindrance = LeaderBeats
+		m.blockReason = LeaderAlive
 	}
 }
 
-// StandbyView is what an operator may know of this node as a standby.
-type StandbyView struct {
-	Hindrance Hindrance
+// StandbyStatus is what an operator may know of this node as a standby.
+type StandbyStatus struct {
+	BlockReason BlockReason
 	// SilentSince is when this node first saw the leader's present heartbeat; 0 if
 	// it does not watch one.
 	SilentSince unit.Instant
 }
 
-// SilentAt is how long the leader has been silent at now, as far as this node knows.
-func (v StandbyView) SilentAt(now unit.Instant) time.Duration {
+// SilentFor is how long the leader has been silent at now, as far as this node knows.
+func (v StandbyStatus) SilentFor(now unit.Instant) time.Duration {
 	if v.SilentSince == 0 {
 		return 0
 	}
@@ -80,9 +80,9 @@
 }
 
 // Standby tells how this node stands to the leader.
-func (m *Machine) Standby() StandbyView {
-	if m.phase == leading {
-		return StandbyView{}
+func (m *Elector) Standby() StandbyStatus {
+	if m.role == roleLeader {
+		return StandbyStatus{}
 	}
-	return StandbyView{Hindrance: m.hindrance, SilentSince: m.silence.firstSeen}
+	return StandbyStatus{BlockReason: m.blockReason, SilentSince: m.detector.firstSeen}
 }
--- a/internal/leadership/times.go
+++ b/internal/leadership/times.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Times are the settings of the lease.
-type Times struct {
-	Life  time.Duration // of the lease
-	Renew time.Duration // between renewals
-	Poll  time.Duration // between looks at the key by a node that does not lead
+// Timing are the settings of the lease.
+type Timing struct {
+	LeaseTTL      time.Duration // of the lease
+	RenewInterval time.Duration // between renewals
+	PollInterval  time.Duration // between looks at the key by a node that does not lead
 	// Heartbeat lets a standby take over before the lease ends.
-	Heartbeat HeartbeatTimes
+	Heartbeat HeartbeatTiming
 }
 
 const (
-	// leastLife is the shortest life of a lease that a state service which now
+	// minLeaseTTL is the shortest life of a lease that a state service which now
 	// and then takes some hundred milliseconds lets a leader keep.
-	leastLife = 2 * time.Second
-	// renewals and polls are how often, at least, a lease is renewed and the key
+	minLeaseTTL = 2 * time.Second
+	// renewalsPerTTL and polls are how often, at least, a lease is renewed and the key
 	// looked at within its life.
-	renewals = 4
-	polls    = 12
+	renewalsPerTTL = 4
+	pollsPerTTL    = 12
 )
 
-// Within shortens the times so that a successor leads about most after the last
+// ShortenedTo shortens the times so that a successor leads about most after the last
 // renewal, if that can be.
-func (t Times) Within(most time.Duration) Times {
-	t.Life = min(t.Life, max(leastLife, most))
-	t.Renew = min(t.Renew, t.Life/renewals)
-	t.Poll = min(t.Poll, t.Life/polls)
+func (t Timing) ShortenedTo(most time.Duration) Timing {
+	t.LeaseTTL = min(t.LeaseTTL, max(minLeaseTTL, most))
+	t.RenewInterval = min(t.RenewInterval, t.LeaseTTL/renewalsPerTTL)
+	t.PollInterval = min(t.PollInterval, t.LeaseTTL/pollsPerTTL)
 	return t
 }
--- a/internal/leadership/txn.go
+++ b/internal/leadership/txn.go
@@ -13,72 +13,74 @@
 // Txn sets the leader key, with the first heartbeat if there is one. If the key is
 // taken from a silent leader, its heartbeat must still be the one that was seen to be
 // silent.
-func (e Acquire) Txn() statestore.Txn {
-	txn := withHeartbeat(leaderKeyTxn(e.Prev, e.Holder, e.Tenure), e.Heartbeat)
-	if e.Silent != 0 {
-		txn.Guards = append(txn.Guards, statestore.Guard{Key: HeartbeatKey, Stamp: e.Silent})
+func (e AcquireLeaderKey) Txn() statestore.Txn {
+	txn := withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
+	if e.ExpectedHeartbeatRevision != 0 {
+		txn.Conditions = append(txn.Conditions, statestore.Condition{Key: HeartbeatKey, ModRevision: e.ExpectedHeartbeatRevision})
 	}
 	return txn
 }
 
 // Txn sets the leader key again, so that its stamp, the epoch, rises.
-func (e SetToken) Txn() statestore.Txn {
-	return withHeartbeat(leaderKeyTxn(e.Prev, e.Holder, e.Tenure), e.Heartbeat)
+func (e RewriteLeaderKey) Txn() statestore.Txn {
+	return withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
 }
 
 // Txn sets the leader key to the name of the node that is to lead next.
-func (e HandOver) Txn() statestore.Txn { return leaderKeyTxn(e.Prev, e.Holder, e.Tenure) }
+func (e TransferLeadership) Txn() statestore.Txn {
+	return leaderKeyTxn(e.PrevEpoch, e.Transferee, e.LeaseID)
+}
 
 // Txn writes a heartbeat, guarded by the leader key.
-func (e Beat) Txn() statestore.Txn {
-	guard := statestore.Guard{Key: Key, Stamp: unit.Version(e.Epoch)}
-	return withHeartbeat(statestore.Txn{Guards: []statestore.Guard{guard}}, &e.Heartbeat)
+func (e WriteHeartbeat) Txn() statestore.Txn {
+	guard := statestore.Condition{Key: LeaderKey, ModRevision: unit.Revision(e.Epoch)}
+	return withHeartbeat(statestore.Txn{Conditions: []statestore.Condition{guard}}, &e.Heartbeat)
 }
 
-func leaderKeyTxn(prev unit.Epoch, holder Holder, lease unit.Tenure) statestore.Txn {
+func leaderKeyTxn(prev unit.Epoch, holder LeaderRecord, lease unit.LeaseID) statestore.Txn {
 	return statestore.Txn{
-		Guards: []statestore.Guard{{Key: Key, Stamp: unit.Version(prev)}},
-		Writes: []statestore.Write{{Set: Key, Value: holder, Tenure: lease}},
+		Conditions: []statestore.Condition{{Key: LeaderKey, ModRevision: unit.Revision(prev)}},
+		Operations: []statestore.Operation{{SetKey: LeaderKey, Value: holder, LeaseID: lease}},
 	}
 }
 
-func withHeartbeat(t statestore.Txn, heartbeat *Heartbeat) statestore.Txn {
+func withHeartbeat(t statestore.Txn, heartbeat *HeartbeatRecord) statestore.Txn {
 	if heartbeat != nil {
-		t.Writes = append(t.Writes, statestore.Write{Set: HeartbeatKey, Value: *heartbeat})
+		t.Operations = append(t.Operations, statestore.Operation{SetKey: HeartbeatKey, Value: *heartbeat})
 	}
 	return t
 }
 
 // DecodeHolder reads the value of Key. A key that does not exist has no holder.
-func DecodeHolder(item statestore.Item) (Holder, error) {
-	if item.Stamp == 0 {
-		return Holder{}, nil
+func DecodeHolder(item statestore.KeyValue) (LeaderRecord, error) {
+	if item.ModRevision == 0 {
+		return LeaderRecord{}, nil
 	}
-	var h Holder
+	var h LeaderRecord
 	if err := msgpack.Unmarshal(item.Value, &h); err != nil {
-		return Holder{}, fmt.Errorf("leader key: %w", err)
+		return LeaderRecord{}, fmt.Errorf("leader key: %w", err)
 	}
 	return h, nil
 }
 
 // DecodeKeys reads the values of Key and HeartbeatKey among the items. A heartbeat
 // that can't be read is taken for none: then only the lease counts.
-func DecodeKeys(items []statestore.Item) (KeyRead, error) {
-	in := KeyRead{OK: true}
+func DecodeKeys(items []statestore.KeyValue) (LeaderKeysRead, error) {
+	in := LeaderKeysRead{OK: true}
 	for _, item := range items {
 		switch item.Key {
-		case Key:
+		case LeaderKey:
 			holder, err := DecodeHolder(item)
 			if err != nil {
-				return KeyRead{}, err
+				return LeaderKeysRead{}, err
 			}
-			in.Holder, in.Stamp = holder, unit.Epoch(item.Stamp)
+			in.Leader, in.Epoch = holder, unit.Epoch(item.ModRevision)
 		case HeartbeatKey:
 			if err := msgpack.Unmarshal(item.Value, &in.Heartbeat); err != nil {
-				in.Heartbeat = Heartbeat{}
+				in.Heartbeat = HeartbeatRecord{}
 				continue
 			}
-			in.HeartbeatStamp = item.Stamp
+			in.HeartbeatRevision = item.ModRevision
 		}
 	}
 	return in, nil
@@ -88,13 +90,13 @@
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
-		return OK
-	case errors.Is(err, statestore.ErrNoLease):
-		return Gone
-	case errors.Is(err, statestore.ErrUncertain):
-		return Unknown
+		return OutcomeOK
+	case errors.Is(err, statestore.ErrLeaseNotFound):
+		return OutcomeGone
+	case errors.Is(err, statestore.ErrOutcomeUnknown):
+		return OutcomeUnknown
 	}
-	return Refused
+	return OutcomeRefused
 }
 
 // HeartbeatOutcomeOf sorts an error of Beat's transaction. Its only guard is the leader
@@ -102,7 +104,7 @@
 func HeartbeatOutcomeOf(err error) Outcome {
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
-		return Gone
+		return OutcomeGone
 	}
 	return OutcomeOf(err)
 }
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -49,11 +49,11 @@
 		ID: "k3v9-17", Node: "n0", Delegation: true, Echo: "k3v9-16", QuietMs: 2500, Form: 3,
 		Reports: []Report{
 			{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, Tally: 88, Token: 41,
-				Tasks: []Tasks{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Ranges{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
+				Tasks: []Tasks{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
 			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, Tally: 12, Token: 40, Notice: &notice,
 				Tasks: []Tasks{
-					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.CauseStopped, Stored: true, Indexes: unit.Ranges{{First: 2, Last: 2}}},
-					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.CauseDone, Indexes: unit.Ranges{{First: 300, Last: 70000}}}}},
+					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.CauseStopped, Stored: true, Indexes: unit.Set{{First: 2, Last: 2}}},
+					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.CauseDone, Indexes: unit.Set{{First: 300, Last: 70000}}}}},
 		},
 		Asks: []Ask{{Job: "wk-000398"}},
 		Quota: &quota.Ask{Holder: quota.HolderID{Node: "n0", Stamp: 515},
@@ -68,9 +68,9 @@
 		ID: "k3v9-17",
 		Reports: []Answer{
 			{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []Orders{
-				{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Ranges{{First: 0, Last: 1}}},
-				{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Ranges{{First: 3, Last: 3}}},
-				{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Ranges{{First: 2, Last: 2}}}}},
+				{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
+				{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
+				{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
 			{Machine: "host-000002", Code: 503, Epoch: 77}},
 		Asks:       []AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}, {Job: "wk-000399"}},
 		Delegation: &Delegation{Epoch: 77, LifeMs: 30000, QuietMs: 1500, Excluded: []unit.MachineID{"host-000007"}, Form: 3, Quotas: true},
@@ -86,7 +86,7 @@
 	want := golden(t, "messages.txt")
 	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(Answers{}, "Quota")}
 	encodeValue := func(v any) ([]byte, error) {
-		text, err := wire.Squeeze(v)
+		text, err := wire.CompressMessage(v)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -25,10 +25,10 @@
 // Batch is what a node hands to the leader: workers' reports, and what users
 // ask. It is kept small, since it travels in one value.
 type Batch struct {
-	ID      string            `msgpack:"id" json:"id"`
-	Node    string            `msgpack:"n" json:"n"` // that hands it over
-	Reports wire.List[Report] `msgpack:"r,omitempty" json:"r,omitempty"`
-	Asks    wire.List[Ask]    `msgpack:"a,omitempty" json:"a,omitempty"`
+	ID      string                   `msgpack:"id" json:"id"`
+	Node    string                   `msgpack:"n" json:"n"` // that hands it over
+	Reports wire.BoundedList[Report] `msgpack:"r,omitempty" json:"r,omitempty"`
+	Asks    wire.BoundedList[Ask]    `msgpack:"a,omitempty" json:"a,omitempty"`
 	// Delegation asks for a grant, and for what the node has done by its own.
 	Delegation bool `msgpack:"v,omitempty" json:"v,omitempty"`
 	// Echo names the last answers that the node has had through the state
@@ -48,16 +48,16 @@
 
 // Report is a worker's report with its tasks in groups.
 type Report struct {
-	Machine unit.MachineID   `msgpack:"m" json:"m"`
-	Addr    string           `msgpack:"a" json:"a"`
-	Type    unit.MachineType `msgpack:"t" json:"t"`
-	Zone    unit.Zone        `msgpack:"z" json:"z"`
-	Spot    bool             `msgpack:"s,omitempty" json:"s,omitempty"`
-	Session unit.Session     `msgpack:"h" json:"h"`
-	Tally   unit.Tally       `msgpack:"y" json:"y"`
-	Token   unit.Epoch       `msgpack:"e" json:"e"`
-	Notice  *float64         `msgpack:"n,omitempty" json:"n,omitempty"`
-	Tasks   wire.List[Tasks] `msgpack:"g,omitempty" json:"g,omitempty"`
+	Machine unit.MachineID          `msgpack:"m" json:"m"`
+	Addr    string                  `msgpack:"a" json:"a"`
+	Type    unit.MachineType        `msgpack:"t" json:"t"`
+	Zone    unit.Zone               `msgpack:"z" json:"z"`
+	Spot    bool                    `msgpack:"s,omitempty" json:"s,omitempty"`
+	Session unit.Session            `msgpack:"h" json:"h"`
+	Tally   unit.HeartbeatSeq       `msgpack:"y" json:"y"`
+	Token   unit.Epoch              `msgpack:"e" json:"e"`
+	Notice  *float64                `msgpack:"n,omitempty" json:"n,omitempty"`
+	Tasks   wire.BoundedList[Tasks] `msgpack:"g,omitempty" json:"g,omitempty"`
 }
 
 // Tasks are tasks of one job and attempt in one state.
@@ -67,25 +67,25 @@
 	State   fleet.State  `msgpack:"s" json:"s"`
 	Cause   fleet.Cause  `msgpack:"c,omitempty" json:"c,omitempty"`
 	Stored  bool         `msgpack:"d,omitempty" json:"d,omitempty"`
-	Indexes unit.Ranges  `msgpack:"i" json:"i"`
+	Indexes unit.Set     `msgpack:"i" json:"i"`
 }
 
 // Answers is what the leader hands back for a batch.
 type Answers struct {
-	ID         string              `msgpack:"id" json:"id"`
-	Reports    wire.List[Answer]   `msgpack:"r,omitempty" json:"r,omitempty"`
-	Asks       wire.List[AskState] `msgpack:"a,omitempty" json:"a,omitempty"`
-	Delegation *Delegation         `msgpack:"v,omitempty" json:"v,omitempty"`
-	Quota      *quota.Answer       `msgpack:"qa,omitempty" json:"-"`
+	ID         string                     `msgpack:"id" json:"id"`
+	Reports    wire.BoundedList[Answer]   `msgpack:"r,omitempty" json:"r,omitempty"`
+	Asks       wire.BoundedList[AskState] `msgpack:"a,omitempty" json:"a,omitempty"`
+	Delegation *Delegation                `msgpack:"v,omitempty" json:"v,omitempty"`
+	Quota      *quota.Answer              `msgpack:"qa,omitempty" json:"-"`
 }
 
 // Delegation is what a node says of grants; see package delegation.
 type Delegation struct {
-	Epoch    unit.Epoch                `msgpack:"e" json:"e"`
-	LifeMs   int64                     `msgpack:"l" json:"l"`
-	QuietMs  int64                     `msgpack:"q" json:"q"`
-	Excluded wire.List[unit.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
-	Form     rollout.Form              `msgpack:"f,omitempty" json:"f,omitempty"`
+	Epoch    unit.Epoch                       `msgpack:"e" json:"e"`
+	LifeMs   int64                            `msgpack:"l" json:"l"`
+	QuietMs  int64                            `msgpack:"q" json:"q"`
+	Excluded wire.BoundedList[unit.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
+	Form     rollout.Form                     `msgpack:"f,omitempty" json:"f,omitempty"`
 	// Quotas: as leader the node keeps to what was allotted of teams' limits.
 	Quotas bool `msgpack:"k,omitempty" json:"k,omitempty"`
 }
@@ -107,10 +107,10 @@
 
 // Answer answers one report.
 type Answer struct {
-	Machine unit.MachineID    `msgpack:"m" json:"m"`
-	Code    int               `msgpack:"c" json:"c"`
-	Epoch   unit.Epoch        `msgpack:"e" json:"e"`
-	Orders  wire.List[Orders] `msgpack:"o,omitempty" json:"o,omitempty"`
+	Machine unit.MachineID           `msgpack:"m" json:"m"`
+	Code    int                      `msgpack:"c" json:"c"`
+	Epoch   unit.Epoch               `msgpack:"e" json:"e"`
+	Orders  wire.BoundedList[Orders] `msgpack:"o,omitempty" json:"o,omitempty"`
 }
 
 // Orders are the same order for tasks of one job and attempt.
@@ -119,7 +119,7 @@
 	Job     unit.JobID   `msgpack:"j" json:"j"`
 	Attempt unit.Attempt `msgpack:"a" json:"a"`
 	LeaveS  float64      `msgpack:"l,omitempty" json:"l,omitempty"`
-	Indexes unit.Ranges  `msgpack:"i" json:"i"`
+	Indexes unit.Set     `msgpack:"i" json:"i"`
 }
 
 // AskState answers an ask.
@@ -231,7 +231,7 @@
 
 // ExpandBatch reads a batch that was squeezed into a value.
 func ExpandBatch(value []byte) (*Batch, error) {
-	data, err := wire.Expand(value, maxExpanded)
+	data, err := wire.DecompressMessage(value, maxExpanded)
 	if err != nil {
 		return nil, fmt.Errorf("relayed batch: %w", err)
 	}
@@ -240,7 +240,7 @@
 
 // ExpandAnswers reads answers that were squeezed into a value.
 func ExpandAnswers(value []byte) (*Answers, error) {
-	data, err := wire.Expand(value, maxExpanded)
+	data, err := wire.DecompressMessage(value, maxExpanded)
 	if err != nil {
 		return nil, fmt.Errorf("relayed answers: %w", err)
 	}
--- a/internal/mesh/relay_test.go
+++ b/internal/mesh/relay_test.go
@@ -80,7 +80,7 @@
 // FuzzExpand: what stands in the keys of the relay is bounded however little
 // of it there is, and never believed.
 func FuzzExpand(f *testing.F) {
-	batch, err := wire.Squeeze(Batch{ID: "x", Reports: []Report{Pack(&fleet.Report{Machine: "host-1", Session: 1})}})
+	batch, err := wire.CompressMessage(Batch{ID: "x", Reports: []Report{Pack(&fleet.Report{Machine: "host-1", Session: 1})}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	bomb, err := wire.Squeeze(strings.Repeat("x", 2*maxExpanded))
+	bomb, err := wire.CompressMessage(strings.Repeat("x", 2*maxExpanded))
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/mesh/versions_test.go
+++ b/internal/mesh/versions_test.go
@@ -75,7 +75,7 @@
 // unchanged checks that a value is squeezed into the text that it was read from.
 func unchanged(t *testing.T, name string, v any) {
 	t.Helper()
-	text, err := wire.Squeeze(v)
+	text, err := wire.CompressMessage(v)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/parts/golden_test.go
+++ b/internal/parts/golden_test.go
@@ -43,11 +43,11 @@
 
 func encodeText(t *testing.T, text wire.Packed) goldenText {
 	t.Helper()
-	head, rest, err := Split(text, goldenRoom, goldenLimit, Most, goldenSchema)
+	head, rest, err := Split(text, goldenRoom, goldenLimit, MaxChunks, goldenSchema)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := goldenText{Head: string(head), Sum: Sum(text), Capacity: Capacity(goldenLimit, len(rest))}
+	out := goldenText{Head: string(head), Sum: Checksum(text), Capacity: Capacity(goldenLimit, len(rest))}
 	for i, part := range rest {
 		data, err := msgpack.Marshal(part)
 		if err != nil {
--- a/internal/parts/parts.go
+++ b/internal/parts/parts.go
@@ -15,14 +15,14 @@
 	"badgerbay/internal/wire"
 )
 
-// Prefix begins the keys of all parts.
-const Prefix = "part/"
+// KeyPrefix begins the keys of all parts.
+const KeyPrefix = "part/"
 
-// Most bounds the parts that one record may claim.
-const Most = 256
+// MaxChunks bounds the parts that one record may claim.
+const MaxChunks = 256
 
-// overhead bounds, in JSON, what a part holds beside its piece of the text.
-const overhead = 64
+// overheadBytes bounds, in JSON, what a part holds beside its piece of the text.
+const overheadBytes = 64
 
 var (
 	// ErrTooLarge says that a record does not fit into the parts allowed.
@@ -31,34 +31,34 @@
 	ErrTorn = errors.New("record whose parts are missing or torn")
 )
 
-// Part is the value of one part.
-type Part struct {
-	Schema int         `msgpack:"v" json:"v"`
-	Sum    uint32      `msgpack:"s" json:"s"`
-	Packed wire.Packed `msgpack:"pk" json:"pk"`
+// Value is the value of one part.
+type Value struct {
+	SchemaVersion int         `msgpack:"v" json:"v"`
+	Checksum      uint32      `msgpack:"s" json:"s"`
+	Data          wire.Packed `msgpack:"pk" json:"pk"`
 }
 
 // Key is the key of part n of the record named owner.
-func Key(owner string, n int) string { return Prefix + owner + "/" + strconv.Itoa(n) }
+func Key(owner string, n int) string { return KeyPrefix + owner + "/" + strconv.Itoa(n) }
 
-// Sum is what a record and its parts name.
-func Sum(text wire.Packed) uint32 { return crc32.ChecksumIEEE([]byte(text)) }
+// Checksum is what a record and its parts name.
+func Checksum(text wire.Packed) uint32 { return crc32.ChecksumIEEE([]byte(text)) }
 
 // Split cuts text into a head of at most room bytes and at most so many parts,
 // whose values take at most limit bytes in JSON.
-func Split(text wire.Packed, room, limit, most, schema int) (wire.Packed, []*Part, error) {
-	size := limit - overhead
+func Split(text wire.Packed, room, limit, most, schema int) (wire.Packed, []*Value, error) {
+	size := limit - overheadBytes
 	if room < 0 || size <= 0 {
 		return "", nil, fmt.Errorf("%w: its head alone leaves no room", ErrTooLarge)
 	}
-	sum := Sum(text)
+	sum := Checksum(text)
 	head := min(len(text), room)
-	var rest []*Part
+	var rest []*Value
 	for begin := head; begin < len(text); begin += size {
 		end := min(len(text), begin+size)
-		rest = append(rest, &Part{Schema: schema, Sum: sum, Packed: text[begin:end]})
+		rest = append(rest, &Value{SchemaVersion: schema, Checksum: sum, Data: text[begin:end]})
 	}
-	if len(rest) > min(most, Most) {
+	if len(rest) > min(most, MaxChunks) {
 		return "", nil, fmt.Errorf("%w: %d parts", ErrTooLarge, len(rest))
 	}
 	return text[:head], rest, nil
@@ -67,18 +67,18 @@
 // Join puts the head and n parts together. part returns the value of part k,
 // counted from 1, or nil; it may itself be nil where there are none.
 func Join(head wire.Packed, n int, sum uint32, part func(k int) []byte) (wire.Packed, error) {
-	if n < 0 || n > Most || n > 0 && part == nil {
+	if n < 0 || n > MaxChunks || n > 0 && part == nil {
 		return "", fmt.Errorf("%w: %d parts", ErrTorn, n)
 	}
 	text := head
 	for k := 1; k <= n; k++ {
-		p := new(Part)
-		if err := msgpack.Unmarshal(part(k), p); err != nil || p.Sum != sum {
+		p := new(Value)
+		if err := msgpack.Unmarshal(part(k), p); err != nil || p.Checksum != sum {
 			return "", fmt.Errorf("%w: part %d", ErrTorn, k)
 		}
-		text += p.Packed
+		text += p.Data
 	}
-	if Sum(text) != sum {
+	if Checksum(text) != sum {
 		return "", ErrTorn
 	}
 	return text, nil
@@ -86,4 +86,4 @@
 
 // Capacity is how much text the parts of a record hold where values take limit
 // bytes and n parts may be written.
-func Capacity(limit, n int) int { return max(0, n) * max(0, limit-overhead) }
+func Capacity(limit, n int) int { return max(0, n) * max(0, limit-overheadBytes) }
--- a/internal/quota/check.go
+++ b/internal/quota/check.go
@@ -11,13 +11,13 @@
 // CheckStored checks the records as they are stored at one revision: that no team's
 // allotments exceed its limit, and that no holder whose key is there has reserved more
 // than it was allotted.
-func CheckStored(items []statestore.Item, teams map[unit.Team]config.Team) error {
-	holders := map[string]unit.Version{}
+func CheckStored(items []statestore.KeyValue, teams map[unit.Team]config.Team) error {
+	holders := map[string]unit.Revision{}
 	records := map[unit.Team]*TeamRecord{}
 	reserved := map[string]*Reserved{}
 	for _, item := range items {
 		if node, ok := nameOf(item.Key, holderPrefix); ok {
-			holders[node] = item.Stamp
+			holders[node] = item.ModRevision
 		}
 		if team, ok := nameOf(item.Key, teamPrefix); ok {
 			r, err := DecodeTeam(item.Value)
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -38,11 +38,11 @@
 		Gang  bool // is admitted whole or not at all
 	}
 	// Registered answers Register. Stamp 0: it failed.
-	Registered struct{ Stamp unit.Version }
+	Registered struct{ Stamp unit.Revision }
 	// Stored answers Store.
 	Stored struct {
 		Outcome StoreOutcome
-		Stamp   unit.Version // of the reservations
+		Stamp   unit.Revision // of the reservations
 	}
 	// Answered answers SendAsk; nil: nothing came.
 	Answered struct{ Answer *Answer }
@@ -81,7 +81,7 @@
 	Store struct {
 		Key      string
 		Reserved *Reserved
-		Guards   []statestore.Guard
+		Guards   []statestore.Condition
 	}
 	// SendAsk asks the leader.
 	SendAsk struct{ Ask Ask }
@@ -121,7 +121,7 @@
 type Holder struct {
 	node    string
 	maxJobs int
-	stamp   unit.Version // of the holder key; 0: not a holder
+	stamp   unit.Revision // of the holder key; 0: not a holder
 	teams   map[unit.Team]*share
 	holds   map[unit.JobID]*hold
 
@@ -136,8 +136,8 @@
 	storing       bool
 	dirty         bool // the stored reservations differ
 	nextStore     unit.Instant
-	reservedStamp unit.Version // of the stored reservations
-	refused       int          // submissions that could not be admitted here
+	reservedStamp unit.Revision // of the stored reservations
+	refused       int           // submissions that could not be admitted here
 	admitted      int
 }
 
@@ -263,7 +263,7 @@
 		h.lose(now)
 		return nil
 	}
-	guards := []statestore.Guard{{Key: HolderKey(h.node), Stamp: h.stamp}, {Key: ReservedKey(h.node), Stamp: h.reservedStamp}}
+	guards := []statestore.Condition{{Key: HolderKey(h.node), ModRevision: h.stamp}, {Key: ReservedKey(h.node), ModRevision: h.reservedStamp}}
 	lowering := false
 	for _, r := range h.holds {
 		lowering = lowering || r.tasks < r.stored
@@ -423,7 +423,7 @@
 
 // HolderStatus is what an operator may know of a holder.
 type HolderStatus struct {
-	Stamp             unit.Version
+	Stamp             unit.Revision
 	Jobs              int
 	Admitted, Refused int
 	Teams             map[unit.Team]ShareStatus
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -27,24 +27,24 @@
 	silentAfter = 5 * time.Second
 )
 
-func leaderGuard(epoch unit.Epoch) statestore.Guard {
-	return statestore.Guard{Key: leadership.Key, Stamp: unit.Version(epoch)}
+func leaderGuard(epoch unit.Epoch) statestore.Condition {
+	return statestore.Condition{Key: leadership.LeaderKey, ModRevision: unit.Revision(epoch)}
 }
 
 // account is what the leader knows of a team.
 type account struct {
 	limit, guarantee Units
 	record           TeamRecord
-	version          unit.Version // of the stored record; 0: there is none
-	blocked          Units        // what found no room in what is not allotted
+	version          unit.Revision // of the stored record; 0: there is none
+	blocked          Units         // what found no room in what is not allotted
 	blockedAt        unit.Instant
 	damaged          bool // the stored record can't be read
 }
 
 // reservations are those of one node, as they were last read.
 type reservations struct {
-	holder  unit.Version
-	version unit.Version
+	holder  unit.Revision
+	version unit.Revision
 	jobs    []Reservation
 }
 
@@ -78,7 +78,7 @@
 	first    unit.Epoch // of the term
 	epoch    unit.Epoch
 	teams    map[unit.Team]*account
-	holders  map[string]unit.Version // holder keys
+	holders  map[string]unit.Revision // holder keys
 	reserved map[string]reservations
 	cover    map[unit.JobID]Reservation // what reservations cover
 	capped   map[unit.JobID]int         // what was told to holders in this term
@@ -97,7 +97,7 @@
 // NewLedger returns the ledger of a term that began in the epoch. With allots it gives
 // holders what they ask for.
 func NewLedger(teams map[unit.Team]config.Team, allots bool, epoch unit.Epoch) (*Ledger, error) {
-	l := &Ledger{allots: allots, first: epoch, epoch: epoch, teams: map[unit.Team]*account{}, holders: map[string]unit.Version{}, reserved: map[string]reservations{},
+	l := &Ledger{allots: allots, first: epoch, epoch: epoch, teams: map[unit.Team]*account{}, holders: map[string]unit.Revision{}, reserved: map[string]reservations{},
 		cover: map[unit.JobID]Reservation{}, capped: map[unit.JobID]int{}, heard: map[string]unit.Instant{}, pending: map[string]pendingAsk{}}
 	for name, t := range teams {
 		limit, err := LimitOf(t)
@@ -147,7 +147,7 @@
 
 // Take takes in all records, as they were read in the epoch. An error is of a record
 // that a later version has written: this one must not decide.
-func (l *Ledger) Take(now unit.Instant, epoch unit.Epoch, items []statestore.Item, ok bool) error {
+func (l *Ledger) Take(now unit.Instant, epoch unit.Epoch, items []statestore.KeyValue, ok bool) error {
 	if epoch < l.first {
 		return nil // of an earlier term: holders may have changed them since
 	}
@@ -155,7 +155,7 @@
 	if !ok || l.flight != nil {
 		return nil // what is being changed is read again
 	}
-	holders, reserved := map[string]unit.Version{}, map[string]reservations{}
+	holders, reserved := map[string]unit.Revision{}, map[string]reservations{}
 	for _, item := range items {
 		if err := l.takeItem(now, item, holders, reserved); err != nil {
 			return err
@@ -171,9 +171,9 @@
 	return nil
 }
 
-func (l *Ledger) takeItem(now unit.Instant, item statestore.Item, holders map[string]unit.Version, reserved map[string]reservations) error {
+func (l *Ledger) takeItem(now unit.Instant, item statestore.KeyValue, holders map[string]unit.Revision, reserved map[string]reservations) error {
 	if node, ok := nameOf(item.Key, holderPrefix); ok {
-		holders[node] = item.Stamp
+		holders[node] = item.ModRevision
 		if _, known := l.heard[node]; !known {
 			l.heard[node] = now
 		}
@@ -184,9 +184,9 @@
 			return fmt.Errorf("%s: %w", item.Key, err)
 		}
 		if err == nil {
-			reserved[node] = reservations{record.Holder, item.Stamp, jobs}
+			reserved[node] = reservations{record.Holder, item.ModRevision, jobs}
 		} else {
-			reserved[node] = reservations{version: item.Stamp} // covers nothing
+			reserved[node] = reservations{version: item.ModRevision} // covers nothing
 		}
 	}
 	if team, ok := nameOf(item.Key, teamPrefix); ok {
@@ -195,21 +195,21 @@
 	return nil
 }
 
-func (l *Ledger) takeTeam(team unit.Team, item statestore.Item) error {
+func (l *Ledger) takeTeam(team unit.Team, item statestore.KeyValue) error {
 	a := l.teams[team]
 	if a == nil {
 		// Of a team that the settings do not name any more. It can submit nothing.
 		a = &account{}
 		l.teams[team] = a
 	}
-	if item.Stamp < a.version {
+	if item.ModRevision < a.version {
 		return nil // it was read before the last change of it
 	}
 	record, err := DecodeTeam(item.Value)
 	if errors.Is(err, ErrSchema) {
 		return fmt.Errorf("%s: %w", item.Key, err)
 	}
-	a.version, a.damaged = item.Stamp, err != nil
+	a.version, a.damaged = item.ModRevision, err != nil
 	if err == nil {
 		a.record = *record
 	} else {
@@ -468,9 +468,9 @@
 }
 
 // remove adds the removal of a key to a transaction.
-func remove(txn *statestore.Txn, key string, stamp unit.Version) {
-	txn.Guards = append(txn.Guards, statestore.Guard{Key: key, Stamp: stamp})
-	txn.Writes = append(txn.Writes, statestore.Write{Remove: key})
+func remove(txn *statestore.Txn, key string, stamp unit.Revision) {
+	txn.Conditions = append(txn.Conditions, statestore.Condition{Key: key, ModRevision: stamp})
+	txn.Operations = append(txn.Operations, statestore.Operation{DeleteKey: key})
 }
 
 // replaceDamaged replaces a team's record that can't be read by one without
@@ -518,20 +518,20 @@
 // txn stores a change, under the epoch and the versions of the records. Its first
 // write and its second guard are of the same record.
 func (l *Ledger) txn(c *change) *statestore.Txn {
-	txn := &statestore.Txn{Guards: []statestore.Guard{leaderGuard(l.epoch)}}
+	txn := &statestore.Txn{Conditions: []statestore.Condition{leaderGuard(l.epoch)}}
 	for _, team := range slices.Sorted(maps.Keys(c.teams)) {
 		a, record := l.teams[team], c.teams[team]
 		record.Schema, record.Limit, record.Guarantee = schema, a.limit, a.guarantee
 		c.teams[team] = record
-		txn.Guards = append(txn.Guards, statestore.Guard{Key: TeamKey(team), Stamp: a.version})
-		txn.Writes = append(txn.Writes, statestore.Write{Set: TeamKey(team), Value: &record})
+		txn.Conditions = append(txn.Conditions, statestore.Condition{Key: TeamKey(team), ModRevision: a.version})
+		txn.Operations = append(txn.Operations, statestore.Operation{SetKey: TeamKey(team), Value: &record})
 	}
 	return txn
 }
 
 // Committed takes in what became of the change under way, and answers whose asks it
 // was for. A change that was not stored is made anew once the records were read again.
-func (l *Ledger) Committed(now unit.Instant, stored bool, version unit.Version, use Use) []Reply {
+func (l *Ledger) Committed(now unit.Instant, stored bool, version unit.Revision, use Use) []Reply {
 	c := l.flight
 	l.flight = nil
 	if c == nil {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -8,11 +8,11 @@
 // Ask is what a holder tells the leader once a second, as long as it holds or wants
 // anything.
 type Ask struct {
-	Holder HolderID           `msgpack:"h"`
-	Teams  wire.List[TeamAsk] `msgpack:"t,omitempty"`
+	Holder HolderID                  `msgpack:"h"`
+	Teams  wire.BoundedList[TeamAsk] `msgpack:"t,omitempty"`
 	// Jobs are some of those that it has reservations for: it asks how many of
 	// their tasks may still be under way.
-	Jobs wire.List[unit.JobID] `msgpack:"j,omitempty"`
+	Jobs wire.BoundedList[unit.JobID] `msgpack:"j,omitempty"`
 }
 
 // TeamAsk is what a holder has, and wants, of a team's limit.
@@ -26,10 +26,10 @@
 
 // Answer is what the leader answers. What it says is stored.
 type Answer struct {
-	Holder HolderID             `msgpack:"h"`
-	Epoch  unit.Epoch           `msgpack:"e"`
-	Teams  wire.List[TeamShare] `msgpack:"t,omitempty"`
-	Jobs   wire.List[JobState]  `msgpack:"j,omitempty"`
+	Holder HolderID                    `msgpack:"h"`
+	Epoch  unit.Epoch                  `msgpack:"e"`
+	Teams  wire.BoundedList[TeamShare] `msgpack:"t,omitempty"`
+	Jobs   wire.BoundedList[JobState]  `msgpack:"j,omitempty"`
 	// Revoked: the holder key is gone, and with it all that it held.
 	Revoked bool `msgpack:"r,omitempty"`
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -57,7 +57,7 @@
 
 // elect lets a new leader begin.
 func (g *group) elect() {
-	epoch, _ := g.commit(statestore.Txn{Writes: []statestore.Write{{Set: leadership.Key, Value: "leader"}}})
+	epoch, _ := g.commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: leadership.LeaderKey, Value: "leader"}}})
 	ledger, err := NewLedger(g.teams, true, unit.Epoch(epoch))
 	if err != nil {
 		panic(err)
@@ -66,7 +66,7 @@
 }
 
 // commit carries out a transaction and checks what is stored then.
-func (g *group) commit(t statestore.Txn) (unit.Version, error) {
+func (g *group) commit(t statestore.Txn) (unit.Revision, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v, err := g.state.Commit(t)
@@ -77,18 +77,18 @@
 	return v, err
 }
 
-func (g *group) list() []statestore.Item {
+func (g *group) list() []statestore.KeyValue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	items, _, _ := g.state.List(KeyPrefix)
 	return items
 }
 
-func (g *group) stamp(key string) unit.Version {
+func (g *group) stamp(key string) unit.Revision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	item, _ := g.state.Get(key)
-	return item.Stamp
+	return item.ModRevision
 }
 
 // take gives a holder an input and carries out what it asks for, but for asks, which
@@ -98,15 +98,15 @@
 		switch e := e.(type) {
 		case Register:
 			key := HolderKey(e.Node)
-			v, _ := g.commit(statestore.Txn{Guards: []statestore.Guard{{Key: key, Stamp: g.stamp(key)}}, Writes: []statestore.Write{{Set: key, Value: e.Node}}})
+			v, _ := g.commit(statestore.Txn{Conditions: []statestore.Condition{{Key: key, ModRevision: g.stamp(key)}}, Operations: []statestore.Operation{{SetKey: key, Value: e.Node}}})
 			asks = append(asks, g.take(m, now, Registered{Stamp: v})...)
 		case Store:
-			v, err := g.commit(statestore.Txn{Guards: e.Guards, Writes: []statestore.Write{{Set: e.Key, Value: e.Reserved}}})
+			v, err := g.commit(statestore.Txn{Conditions: e.Guards, Operations: []statestore.Operation{{SetKey: e.Key, Value: e.Reserved}}})
 			out := Stored{Stamp: v}
 			if conflict := (*statestore.ConflictError)(nil); errors.As(err, &conflict) {
 				out.Outcome = StoreRefused
-				for _, key := range conflict.Failed {
-					if key == leadership.Key && out.Outcome != StoreFenced {
+				for _, key := range conflict.FailedKeys {
+					if key == leadership.LeaderKey && out.Outcome != StoreFenced {
 						out.Outcome = StoreOtherLeader
 					}
 					if key == e.Guards[0].Key {
@@ -510,7 +510,7 @@
 	g.take(m, g.now, Submitted{Job: "wk-000001", Team: "red", Tasks: 1, Need: Units{CPU: 1000}})
 	g.take(m, g.now, Tick{})
 	stamp := m.holder.stamp
-	g.state.Commit(statestore.Txn{Writes: []statestore.Write{{Set: TeamKey("red"), Value: "damaged"}}})
+	g.state.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: TeamKey("red"), Value: "damaged"}}})
 	for range 4 {
 		g.now = g.now.Add(time.Second)
 		g.lead(g.now, func(Reply) {})
@@ -528,7 +528,7 @@
 	if m.holder.stamp == stamp {
 		t.Error("the holder was not told")
 	}
-	g.state.Commit(statestore.Txn{Writes: []statestore.Write{{Set: TeamKey("red"), Value: TeamRecord{Schema: 2}}}})
+	g.state.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: TeamKey("red"), Value: TeamRecord{Schema: 2}}}})
 	if err := g.ledger.Take(g.now, g.ledger.epoch, g.list(), true); !errors.Is(err, ErrSchema) {
 		t.Errorf("a later schema: %v", err)
 	}
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -45,8 +45,8 @@
 
 // HolderID names one incarnation of a holder.
 type HolderID struct {
-	Node  string       `msgpack:"n" json:"n"`
-	Stamp unit.Version `msgpack:"s" json:"s"` // of its holder key
+	Node  string        `msgpack:"n" json:"n"`
+	Stamp unit.Revision `msgpack:"s" json:"s"` // of its holder key
 }
 
 // Allotment is what a holder may reserve of a team's limit.
@@ -61,10 +61,10 @@
 // TeamRecord is the value of a team's key. The sum of the allotments is at most the
 // limit at any time; what is left is the leader's own.
 type TeamRecord struct {
-	Schema     int                  `msgpack:"v" json:"v"`
-	Limit      Units                `msgpack:"l" json:"l"`
-	Guarantee  Units                `msgpack:"g" json:"g"`
-	Allotments wire.List[Allotment] `msgpack:"a,omitempty" json:"a,omitempty"`
+	Schema     int                         `msgpack:"v" json:"v"`
+	Limit      Units                       `msgpack:"l" json:"l"`
+	Guarantee  Units                       `msgpack:"g" json:"g"`
+	Allotments wire.BoundedList[Allotment] `msgpack:"a,omitempty" json:"a,omitempty"`
 }
 
 // Allotted is the sum of the allotments.
@@ -101,7 +101,7 @@
 // clone copies the record, so that a change of the copy leaves it as it is.
 func (r *TeamRecord) clone() TeamRecord {
 	out := *r
-	out.Allotments = append(wire.List[Allotment](nil), r.Allotments...)
+	out.Allotments = append(wire.BoundedList[Allotment](nil), r.Allotments...)
 	return out
 }
 
@@ -135,15 +135,15 @@
 
 // Reserved is the value of a node's reservations.
 type Reserved struct {
-	Schema int          `msgpack:"v" json:"v"`
-	Holder unit.Version `msgpack:"h" json:"h"` // stamp of its holder key
+	Schema int           `msgpack:"v" json:"v"`
+	Holder unit.Revision `msgpack:"h" json:"h"` // stamp of its holder key
 	// Units are the sums by team, for those who do not read the jobs.
 	Units  map[unit.Team]Units `msgpack:"u,omitempty" json:"u,omitempty"`
 	Packed wire.Packed         `msgpack:"pk,omitempty" json:"pk,omitempty"`
 }
 
 // NewReserved packs reservations.
-func NewReserved(holder unit.Version, all []Reservation) (*Reserved, error) {
+func NewReserved(holder unit.Revision, all []Reservation) (*Reserved, error) {
 	out := &Reserved{Schema: schema, Holder: holder, Units: map[unit.Team]Units{}}
 	for _, r := range all {
 		out.Units[r.Team] = out.Units[r.Team].Plus(r.Need.Times(r.Tasks))
@@ -172,17 +172,17 @@
 }
 
 func (r *Reservation) unpack(d *msgpack.Decoder) error {
-	job, err := wire.Text(d)
+	job, err := wire.DecodeString(d)
 	if err != nil {
 		return err
 	}
-	team, err := wire.Text(d)
+	team, err := wire.DecodeString(d)
 	if err != nil {
 		return err
 	}
 	var numbers [3]uint64
 	for i := range numbers {
-		if numbers[i], err = wire.Count(d); err != nil {
+		if numbers[i], err = wire.DecodeCount(d); err != nil {
 			return err
 		}
 	}
@@ -200,7 +200,7 @@
 	var all []Reservation
 	if r.Packed != "" {
 		err := r.Packed.Unpack(func(d *msgpack.Decoder) error {
-			n, err := wire.ArrayLen(d)
+			n, err := wire.DecodeArrayLen(d)
 			for ; n > 0 && err == nil; n-- {
 				var one Reservation
 				if err = one.unpack(d); err == nil {
--- a/internal/quota/txn.go
+++ b/internal/quota/txn.go
@@ -14,27 +14,27 @@
 }
 
 // Txn sets the holder key anew, under the stamp that it has.
-func (e Register) Txn(stamp unit.Version) statestore.Txn {
+func (e Register) Txn(stamp unit.Revision) statestore.Txn {
 	key := HolderKey(e.Node)
 	return statestore.Txn{
-		Guards: []statestore.Guard{{Key: key, Stamp: stamp}},
-		Writes: []statestore.Write{{Set: key, Value: HolderRecord(e)}},
+		Conditions: []statestore.Condition{{Key: key, ModRevision: stamp}},
+		Operations: []statestore.Operation{{SetKey: key, Value: HolderRecord(e)}},
 	}
 }
 
 // Txn writes the reservations. Its guards name the versions it changes, so it is
 // applied at most once.
 func (e Store) Txn() statestore.Txn {
-	return statestore.Txn{Guards: e.Guards, Writes: []statestore.Write{{Set: e.Key, Value: e.Reserved}}}
+	return statestore.Txn{Conditions: e.Guards, Operations: []statestore.Operation{{SetKey: e.Key, Value: e.Reserved}}}
 }
 
 // OutcomeOf tells from the guards that failed what a conflict means.
 func (e Store) OutcomeOf(conflict *statestore.ConflictError) StoreOutcome {
 	holderKey := e.Guards[0].Key
 	switch {
-	case slices.Contains(conflict.Failed, holderKey):
+	case slices.Contains(conflict.FailedKeys, holderKey):
 		return StoreFenced
-	case slices.Contains(conflict.Failed, leadership.Key):
+	case slices.Contains(conflict.FailedKeys, leadership.LeaderKey):
 		return StoreOtherLeader
 	}
 	return StoreRefused
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -64,7 +64,7 @@
 	waiting := slices.DeleteFunc(slices.Clone(queue), func(i Item) bool { return !now.Before(i.Until) })
 	slices.SortStableFunc(waiting, func(a, b Item) int { return cmp.Compare(a.rank(), b.rank()) })
 	for count := len(waiting); count > 0; {
-		value, err := wire.Squeeze(message(h, waiting[:count]))
+		value, err := wire.CompressMessage(message(h, waiting[:count]))
 		switch {
 		case err != nil:
 			return Batch{}, fmt.Errorf("encoding a batch: %w", err)
@@ -116,10 +116,10 @@
 // SqueezeAnswers compresses the answers to a batch into a value of limit bytes. What
 // does not fit is left out, and answered by the next batch.
 func SqueezeAnswers(a *mesh.Answers, limit int) (wire.Packed, error) {
-	value, err := wire.Squeeze(a)
+	value, err := wire.CompressMessage(a)
 	for err == nil && len(a.Reports) > 0 && len(value) > limit {
 		a.Reports = a.Reports[:len(a.Reports)/2]
-		value, err = wire.Squeeze(a)
+		value, err = wire.CompressMessage(a)
 	}
 	if err != nil {
 		return "", fmt.Errorf("encoding answers: %w", err)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -61,9 +61,9 @@
 		return &mesh.Answers{ID: "k3v9-17",
 			Reports: []mesh.Answer{
 				{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []mesh.Orders{
-					{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Ranges{{First: 0, Last: 1}}},
-					{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Ranges{{First: 3, Last: 3}}},
-					{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Ranges{{First: 2, Last: 2}}}}},
+					{Verb: fleet.Halt, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
+					{Verb: fleet.Launch, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
+					{Verb: fleet.Reap, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
 				{Machine: "host-000002", Code: 503, Epoch: 77}},
 			Asks: []mesh.AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}},
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -86,7 +86,7 @@
 	var queue []Item
 	for i := range workers {
 		r := &fleet.Report{Machine: unit.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
-			Type: "m", Zone: "a", Session: 1, Tally: unit.Tally(i)}
+			Type: "m", Zone: "a", Session: 1, Tally: unit.HeartbeatSeq(i)}
 		r.Entries = []fleet.Entry{{Task: unit.TaskID{Job: "wk-000001", Index: unit.TaskIndex(i)}, Attempt: unit.Attempt(i), State: "running"}}
 		queue = append(queue, NewReport(r, now.Add(time.Hour)))
 	}
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -67,16 +67,16 @@
 }
 
 type wireFlavor struct {
-	Label        string               `msgpack:"label"`
-	CPUs         float64              `msgpack:"cpus"`
-	Accelerators float64              `msgpack:"accelerators"`
-	MemoryGB     float64              `msgpack:"memoryGb"`
-	LocalGB      float64              `msgpack:"localGb"`
-	FetchGBps    float64              `msgpack:"fetchGbPerS"`
-	Hourly       float64              `msgpack:"hourly"`
-	MarketPrice  float64              `msgpack:"marketPrice"`
-	ReadyS       float64              `msgpack:"readyS"`
-	Halls        wire.List[unit.Zone] `msgpack:"halls"`
+	Label        string                      `msgpack:"label"`
+	CPUs         float64                     `msgpack:"cpus"`
+	Accelerators float64                     `msgpack:"accelerators"`
+	MemoryGB     float64                     `msgpack:"memoryGb"`
+	LocalGB      float64                     `msgpack:"localGb"`
+	FetchGBps    float64                     `msgpack:"fetchGbPerS"`
+	Hourly       float64                     `msgpack:"hourly"`
+	MarketPrice  float64                     `msgpack:"marketPrice"`
+	ReadyS       float64                     `msgpack:"readyS"`
+	Halls        wire.BoundedList[unit.Zone] `msgpack:"halls"`
 }
 
 type wireHire struct {
@@ -88,17 +88,17 @@
 }
 
 type wireNames struct {
-	Shambas wire.List[unit.MachineID] `msgpack:"shambas"`
+	Shambas wire.BoundedList[unit.MachineID] `msgpack:"shambas"`
 }
 
 type wireCloud struct {
-	Frames wire.List[wireFlavor] `msgpack:"frames"`
-	Error  string                `msgpack:"error"`
+	Frames wire.BoundedList[wireFlavor] `msgpack:"frames"`
+	Error  string                       `msgpack:"error"`
 }
 
 type wireList struct {
-	Shambas wire.List[Listed] `msgpack:"shambas"`
-	More    bool              `msgpack:"more"`
+	Shambas wire.BoundedList[Listed] `msgpack:"shambas"`
+	More    bool                     `msgpack:"more"`
 }
 
 // Cloud speaks to the cloud.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	status, data, err := wire.Exchange(c.http, req, maxAnswer)
+	status, data, err := wire.Do(c.http, req, maxAnswer)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUncertain, err)
 	}
@@ -175,7 +175,7 @@
 
 // DecodeTypes reads what EncodeTypes makes.
 func DecodeTypes(data []byte) ([]*fleet.Type, error) {
-	var w wire.List[wireFlavor]
+	var w wire.BoundedList[wireFlavor]
 	if err := msgpack.Unmarshal(data, &w); err != nil {
 		return nil, fmt.Errorf("decoding machine types: %w", err)
 	}
--- a/internal/round/bound.go
+++ b/internal/round/bound.go
@@ -21,11 +21,11 @@
 	}
 	machines := (s.Tasks + perMachine - 1) / perMachine
 	j := &checkpoint.Job{Spec: *s}
-	checkpointRoom := j.Room(limits.ValueBytes(), limits.TxnValues(), specSize)
-	if checkpoint.Room(machines)*j.Cost(nameForBound, 0)+j.Cost("", s.Tasks) > checkpointRoom {
+	checkpointRoom := j.SpareBytes(limits.ValueBytes(), limits.TxnValues(), specSize)
+	if checkpoint.SpareBytes(machines)*j.GroupBytes(nameForBound, 0)+j.GroupBytes("", s.Tasks) > checkpointRoom {
 		return false
 	}
-	widest := unit.Ranges{{First: unit.TaskIndex(s.Tasks), Last: unit.TaskIndex(s.Tasks)}}
+	widest := unit.Set{{First: unit.TaskIndex(s.Tasks), Last: unit.TaskIndex(s.Tasks)}}
 	start := Start{Machine: nameForBound, Session: math.MaxInt32, Tasks: widest}
 	// One value is left to what else the round starts: with it a gang might wait
 	// for ever, if higher work came in each round.
--- a/internal/round/consolidate.go
+++ b/internal/round/consolidate.go
@@ -122,7 +122,7 @@
 // giveBack undoes what fitOne has set aside for the machine at hand.
 func (v *vacation) giveBack() {
 	for _, t := range v.taken {
-		v.free[t.b] = v.free[t.b].Plus(t.need)
+		v.free[t.b] = v.free[t.b].Add(t.need)
 	}
 }
 
@@ -138,7 +138,7 @@
 
 func (p *planner) movable(live []*checkpoint.Placement) bool {
 	for _, v := range live {
-		if v.State != checkpoint.Running || v.Halting || p.w.Now.Sub(v.Ran).Seconds() < settled {
+		if v.State != checkpoint.PlacementRunning || v.Stopping || p.w.Now.Sub(v.RunningSince).Seconds() < settled {
 			return false
 		}
 	}
@@ -150,19 +150,19 @@
 func (v *vacation) roomLeft(spec *checkpoint.Spec) bool {
 	var free, all checkpoint.Resources
 	for b, room := range v.free {
-		if spec.Allows(b.typ.Name, b.zone, b.spot) {
-			free = free.Plus(room)
-			all = all.Plus(b.typ.Capacity)
+		if spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+			free = free.Add(room)
+			all = all.Add(b.typ.Capacity)
 		}
 	}
-	if !free.Fits(all.Scaled(headroom)) {
+	if !free.Fits(all.Scale(headroom)) {
 		return false
 	}
 	for _, s := range v.p.w.Spares {
 		left := 0
 		for b, room := range v.free {
-			if s.Allows(b.typ.Name, b.zone, b.spot) {
-				left += room.Plus(v.p.below(s, b)).Holds(s.Need())
+			if s.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+				left += room.Add(v.p.below(s, b)).MaxCopies(s.TaskResources())
 			}
 		}
 		if left < v.p.w.Policy.SpareTasks {
@@ -180,10 +180,10 @@
 	}
 	for _, b := range v.p.bins {
 		room, ok := v.free[b]
-		if ok && room.Fits(j.Spec.Need()) && v.p.allowed(j, b) && b.m.HasImage(j.Spec.Image) &&
+		if ok && room.Fits(j.Spec.TaskResources()) && v.p.allowed(j, b) && b.m.HasImage(j.Spec.Image) &&
 			(b.zone == leaves || v.p.zoneRoom(j, b.zone) > 0) {
-			v.free[b] = room.Minus(j.Spec.Need())
-			v.taken = append(v.taken, reservation{b, j.Spec.Need()})
+			v.free[b] = room.Sub(j.Spec.TaskResources())
+			v.taken = append(v.taken, reservation{b, j.Spec.TaskResources()})
 			return true
 		}
 	}
--- a/internal/round/gang.go
+++ b/internal/round/gang.go
@@ -28,7 +28,7 @@
 	if p.full {
 		return 0
 	}
-	if len(j.Live) > 0 {
+	if len(j.Placements) > 0 {
 		p.replaceInGang(j)
 		return 0
 	}
@@ -37,7 +37,7 @@
 	if may := p.quota(j); may < n {
 		// It holds no machine, but what is left of its team's limit: else tasks
 		// of its team that come one by one would take each bit as it comes free.
-		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Plus(j.Spec.Need().Times(may))
+		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(may))
 		return 0
 	}
 	if found := p.fitGang(j, p.ranked(j)); found != nil {
@@ -93,7 +93,7 @@
 // for all together.
 func (p *planner) gangZones(j *checkpoint.Job) []unit.Zone {
 	switch {
-	case !j.Spec.OneZone:
+	case !j.Spec.ZoneAffinity:
 		return []unit.Zone{""}
 	case j.Spec.Zone != "":
 		return []unit.Zone{j.Spec.Zone}
@@ -110,15 +110,15 @@
 	if found := p.fitGangZone(j, bins); found != nil {
 		return found
 	}
-	need := j.Spec.Need()
+	need := j.Spec.TaskResources()
 	roomiest := slices.Clone(bins)
-	slices.SortStableFunc(roomiest, func(x, y *bin) int { return cmp.Compare(y.free.Holds(need), x.free.Holds(need)) })
+	slices.SortStableFunc(roomiest, func(x, y *bin) int { return cmp.Compare(y.free.MaxCopies(need), x.free.MaxCopies(need)) })
 	return p.fitGangZone(j, roomiest)
 }
 
 func (p *planner) fitGangZone(j *checkpoint.Job, bins []*bin) []gangPart {
 	zones := []unit.Zone{""}
-	if j.Spec.OneZone {
+	if j.Spec.ZoneAffinity {
 		zones = nil
 		for _, b := range bins {
 			if !slices.Contains(zones, b.zone) {
@@ -143,8 +143,8 @@
 		if zone != "" && b.zone != zone {
 			continue
 		}
-		n := min(len(tasks), b.free.Holds(j.Spec.Need()), p.zoneRoom(j, b.zone)-used[b.zone])
-		n = j.Fit(room, b.m.ID, n)
+		n := min(len(tasks), b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone)-used[b.zone])
+		n = j.FittingTasks(room, b.m.ID, n)
 		if n <= 0 {
 			continue
 		}
@@ -155,7 +155,7 @@
 		}
 		found = append(found, gangPart{b, tasks[:n]})
 		used[b.zone] += n
-		room -= j.Cost(b.m.ID, n)
+		room -= j.GroupBytes(b.m.ID, n)
 		if tasks = tasks[n:]; len(tasks) == 0 {
 			return found
 		}
@@ -226,7 +226,7 @@
 func (p *planner) gangRoom(j *checkpoint.Job, zone unit.Zone) int {
 	in := map[unit.Zone]int{}
 	p.eachGangBin(j, zone, func(b *bin) {
-		in[b.zone] = min(p.zoneRoom(j, b.zone), in[b.zone]+b.free.Holds(j.Spec.Need()))
+		in[b.zone] = min(p.zoneRoom(j, b.zone), in[b.zone]+b.free.MaxCopies(j.Spec.TaskResources()))
 	})
 	sum := 0
 	for _, n := range in {
@@ -238,7 +238,7 @@
 // gangCapacity is how many tasks of a gang a zone would hold if it were empty.
 func (p *planner) gangCapacity(j *checkpoint.Job, zone unit.Zone) int {
 	sum := 0
-	p.eachGangBin(j, zone, func(b *bin) { sum += b.typ.Capacity.Holds(j.Spec.Need()) })
+	p.eachGangBin(j, zone, func(b *bin) { sum += b.typ.Capacity.MaxCopies(j.Spec.TaskResources()) })
 	return sum
 }
 
@@ -246,7 +246,7 @@
 func (p *planner) canRent(j *checkpoint.Job, zone unit.Zone) bool {
 	can := false
 	p.eachOffer(j, func(o rental.Offer, t *fleet.Type) {
-		can = can || (zone == "" || o.Zone == zone) && !p.w.Blocked(o) && t.Capacity.Fits(j.Spec.Need()) && p.worth(j, t, o.Spot)
+		can = can || (zone == "" || o.Zone == zone) && !p.w.Blocked(o) && t.Capacity.Fits(j.Spec.TaskResources()) && p.worth(j, t, o.Spot)
 	})
 	return can
 }
@@ -255,9 +255,9 @@
 // it. It starts nothing.
 func (p *planner) keepForGang(j *checkpoint.Job, zone unit.Zone, n int) {
 	p.eachGangBin(j, zone, func(b *bin) {
-		if k := min(n, b.free.Holds(j.Spec.Need())); k > 0 {
+		if k := min(n, b.free.MaxCopies(j.Spec.TaskResources())); k > 0 {
 			n -= k
-			b.free = b.free.Minus(j.Spec.Need().Times(k))
+			b.free = b.free.Sub(j.Spec.TaskResources().Multiply(k))
 		}
 	})
 }
--- a/internal/round/gang_test.go
+++ b/internal/round/gang_test.go
@@ -14,8 +14,8 @@
 )
 
 func gangSpec(n int, cpus float64) checkpoint.Spec {
-	s := task("red", checkpoint.Standard, n, cpus)
-	s.Gang, s.OneZone = true, true
+	s := task("red", checkpoint.PriorityStandard, n, cpus)
+	s.Gang, s.ZoneAffinity = true, true
 	return s
 }
 
@@ -44,8 +44,8 @@
 	s.w.MayHire = false
 	s.job("wk-000001", gangSpec(4, 2))
 	s.w.Blocked = func(rental.Offer) bool { return true } // and no zone can be given more
-	later := s.job("wk-000002", task("blue", checkpoint.Standard, 2, 2))
-	later.Accepted = 1
+	later := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 2, 2))
+	later.AcceptedAtMs = 1
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
 			t.Errorf("a part of a gang starts: %+v", st)
@@ -61,8 +61,8 @@
 func TestGangHoldsItsZone(t *testing.T) {
 	s := gangScene(t, "a", "b", "b")
 	s.job("wk-000001", gangSpec(6, 2)) // three machines
-	later := s.job("wk-000002", task("blue", checkpoint.Standard, 6, 2))
-	later.Accepted = 1
+	later := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 6, 2))
+	later.AcceptedAtMs = 1
 	plan := s.plan()
 	for _, st := range plan.Record.Starts {
 		if st.Machine != "host-1" || st.Job != later.ID {
@@ -80,7 +80,7 @@
 	s := gangScene(t, "a", "a")
 	s.job("wk-000001", gangSpec(4, 2))
 	second := s.job("wk-000002", gangSpec(4, 2))
-	second.Accepted = 1
+	second.AcceptedAtMs = 1
 	n := 0
 	for _, st := range s.plan().Record.Starts {
 		if st.Job != "wk-000001" {
@@ -98,11 +98,11 @@
 func TestGangWithinItsLimit(t *testing.T) {
 	s := gangScene(t, "a", "a", "a")
 	s.w.Teams["red"] = config.Team{CPUsMax: 10}
-	old := s.job("wk-000001", task("red", checkpoint.Standard, 1, 4))
-	s.place(old, 0, "host-3").Halting = true
+	old := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4))
+	s.place(old, 0, "host-3").Stopping = true
 	s.job("wk-000002", gangSpec(4, 2))
-	later := s.job("wk-000003", task("blue", checkpoint.Standard, 4, 2))
-	later.Accepted = 1
+	later := s.job("wk-000003", task("blue", checkpoint.PriorityStandard, 4, 2))
+	later.AcceptedAtMs = 1
 	n := 0
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000002" {
@@ -120,10 +120,10 @@
 func TestGangHoldsItsLimit(t *testing.T) {
 	s := gangScene(t, "a", "a", "a")
 	s.w.Teams["red"] = config.Team{CPUsMax: 10}
-	s.place(s.job("wk-000001", task("red", checkpoint.Standard, 1, 4)), 0, "host-3")
+	s.place(s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4)), 0, "host-3")
 	s.job("wk-000002", gangSpec(4, 2))
-	later := s.job("wk-000003", task("red", checkpoint.Standard, 3, 2))
-	later.Accepted = 1
+	later := s.job("wk-000003", task("red", checkpoint.PriorityStandard, 3, 2))
+	later.AcceptedAtMs = 1
 	if starts := s.plan().Record.Starts; len(starts) > 0 {
 		t.Errorf("starts %+v of what the gang waits for", starts)
 	}
@@ -132,19 +132,19 @@
 // TestGangIsStoppedWholeOrNot: a gang that is in the way of higher work is stopped
 // with all its tasks, on whatever machine, and none of equal priority is.
 func TestGangIsStoppedWholeOrNot(t *testing.T) {
-	for _, priority := range []checkpoint.Priority{checkpoint.BestEffort, checkpoint.Prod} {
+	for _, priority := range []checkpoint.Priority{checkpoint.PriorityBestEffort, checkpoint.PriorityProd} {
 		s := gangScene(t, "a", "a")
 		low := gangSpec(2, 4)
 		low.Priority = priority
 		j := s.job("wk-000001", low)
 		s.place(j, 0, "host-1")
 		s.place(j, 1, "host-2")
-		s.job("wk-000002", task("blue", checkpoint.Prod, 1, 2))
+		s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 2))
 		stopped := map[unit.TaskIndex]bool{}
 		for _, stop := range s.plan().Stops {
 			stopped[stop.Placement.Task] = true
 		}
-		if want := 2 * int(checkpoint.Prod-priority) / int(checkpoint.Prod); len(stopped) != want {
+		if want := 2 * int(checkpoint.PriorityProd-priority) / int(checkpoint.PriorityProd); len(stopped) != want {
 			t.Errorf("priority %d: %d tasks of a gang of two are stopped, want %d", priority, len(stopped), want)
 		}
 	}
@@ -160,12 +160,12 @@
 	}{{"one free machine and two tasks stopped", 4, 2}, {"more than the zone holds", 7, 0}} {
 		s := gangScene(t, "a", "a", "a", "b")
 		s.w.MayHire = false
-		low := s.job("wk-000001", task("blue", checkpoint.BestEffort, 5, 2))
+		low := s.job("wk-000001", task("blue", checkpoint.PriorityBestEffort, 5, 2))
 		for i, m := range []unit.MachineID{"host-1", "host-1", "host-2", "host-2", "host-4"} {
 			s.place(low, unit.TaskIndex(i), m)
 		}
 		high := gangSpec(c.tasks, 2)
-		high.Priority = checkpoint.High
+		high.Priority = checkpoint.PriorityHigh
 		s.job("wk-000002", high)
 		plan := s.plan()
 		if len(plan.Stops) != c.stops || len(plan.Record.Starts) > 0 {
@@ -175,7 +175,7 @@
 			if stop.Placement.Machine == "host-4" {
 				t.Errorf("%s: stopped in another zone", c.what)
 			}
-			stop.Placement.Halting = true
+			stop.Placement.Stopping = true
 		}
 		if again := s.plan().Stops; len(again) > 0 {
 			t.Errorf("%s: %d more are stopped while the first end", c.what, len(again))
@@ -190,7 +190,7 @@
 	s.w.Teams["blue"] = config.Team{CPUsMax: 40}
 	for i := range 2 {
 		low := gangSpec(4, 2)
-		low.Team, low.Priority = "blue", checkpoint.BestEffort
+		low.Team, low.Priority = "blue", checkpoint.PriorityBestEffort
 		j := s.job(unit.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
 		for k := range unit.TaskIndex(4) {
 			// Each lies on two machines, next to no other.
@@ -198,7 +198,7 @@
 		}
 	}
 	high := gangSpec(3, 2)
-	high.Priority = checkpoint.High
+	high.Priority = checkpoint.PriorityHigh
 	s.job("wk-000009", high)
 	stopped := map[unit.JobID]int{}
 	for _, stop := range s.plan().Stops {
@@ -241,7 +241,7 @@
 		s := gangScene(t, "a", "a", "a", "b")
 		j := s.job("wk-000001", gangSpec(3, 4))
 		for i, m := range []unit.MachineID{"host-1", "host-2"} {
-			s.place(j, unit.TaskIndex(i), m).State = checkpoint.Fetching
+			s.place(j, unit.TaskIndex(i), m).State = checkpoint.PlacementFetching
 		}
 		s.w.Fleet.Retract(s.w.Now, s.place(j, 2, "host-3")) // and its exit is reaped
 		if may {
@@ -254,7 +254,7 @@
 			}
 			continue
 		}
-		if len(starts) != 1 || starts[0].Machine != "host-3" || starts[0].AttemptIn(5) != 1 || !starts[0].Tasks.Has(2) {
+		if len(starts) != 1 || starts[0].Machine != "host-3" || starts[0].AttemptIn(5) != 1 || !starts[0].Tasks.Contains(2) {
 			t.Errorf("starts %+v", starts)
 		}
 		exit := s.place(j, 2, "host-3")
@@ -338,7 +338,7 @@
 			s.machine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 		}
 		gang := s.job("wk-000001", spec)
-		first := task("blue", checkpoint.Prod, others, 3)
+		first := task("blue", checkpoint.PriorityProd, others, 3)
 		first.Service = true
 		s.job("wk-000002", first)
 		plan := s.plan()
@@ -362,18 +362,18 @@
 func TestGangIsTheLastToMakeWay(t *testing.T) {
 	s := gangScene(t, "a", "a")
 	saves := gangSpec(2, 2)
-	saves.CheckpointS, saves.SaveS = 20, 3
+	saves.CheckpointIntervalSeconds, saves.CheckpointSeconds = 20, 3
 	j := s.job("wk-000001", saves)
 	s.place(j, 0, "host-1")
 	s.place(j, 1, "host-1")
-	array := s.job("wk-000002", task("blue", checkpoint.Standard, 2, 2))
+	array := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 2, 2))
 	s.place(array, 0, "host-2")
 	s.place(array, 1, "host-2")
 	s.w.Now = s.w.Now.Add(40 * time.Second)
 	for m, held := range map[unit.MachineID]*checkpoint.Job{"host-1": j, "host-2": array} {
 		s.machineReports(m, held)
 	}
-	s.job("wk-000003", task("blue", checkpoint.Prod, 1, 2))
+	s.job("wk-000003", task("blue", checkpoint.PriorityProd, 1, 2))
 	stops := s.plan().Stops
 	if len(stops) != 1 || stops[0].Placement.Job != array {
 		t.Errorf("stopped: %+v, want a task of the array", stops)
--- a/internal/round/headroom.go
+++ b/internal/round/headroom.go
@@ -17,21 +17,21 @@
 			if missing <= 0 {
 				break
 			}
-			if !s.Allows(b.typ.Name, b.zone, b.spot) {
+			if !s.AllowsMachine(b.typ.Name, b.zone, b.spot) {
 				continue
 			}
-			if n := b.free.Plus(p.below(s, b)).Holds(s.Need()); n > 0 {
+			if n := b.free.Add(p.below(s, b)).MaxCopies(s.TaskResources()); n > 0 {
 				missing -= n
 				p.plan.Keep[b.m.ID] = true
 			}
 		}
 		for _, b := range p.come {
-			if s.Allows(b.typ.Name, b.zone, b.spot) {
-				missing -= b.free.Holds(s.Need())
+			if s.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+				missing -= b.free.MaxCopies(s.TaskResources())
 			}
 		}
 		if missing > 0 {
-			p.missing = append(p.missing, shortage{job: &checkpoint.Job{Spec: *s, Accepted: p.w.WallMs}, n: missing})
+			p.missing = append(p.missing, shortage{job: &checkpoint.Job{Spec: *s, AcceptedAtMs: p.w.WallMs}, n: missing})
 		}
 	}
 }
@@ -56,9 +56,9 @@
 	}
 	saving := p.w.Expect[s.Class].Start.Seconds() / savingPart
 	for _, v := range b.running() {
-		soon := v.Job.Spec.CheckpointS == 0 || v.Job.Spec.SaveS <= saving
+		soon := v.Job.Spec.CheckpointIntervalSeconds == 0 || v.Job.Spec.CheckpointSeconds <= saving
 		if v.Job.Spec.Priority < s.Priority && soon && !v.Job.Spec.Gang {
-			sum = sum.Plus(v.Job.Spec.Need())
+			sum = sum.Add(v.Job.Spec.TaskResources())
 		}
 	}
 	return sum
@@ -98,7 +98,7 @@
 			spec = *s
 		}
 	}
-	spec.Priority = checkpoint.Prod // whatever it costs
+	spec.Priority = checkpoint.PriorityProd // whatever it costs
 	n := int(math.Ceil((wanted - have) / spec.CPUs))
-	p.rent([]shortage{{job: &checkpoint.Job{Spec: spec, Accepted: p.w.WallMs}, n: n}})
+	p.rent([]shortage{{job: &checkpoint.Job{Spec: spec, AcceptedAtMs: p.w.WallMs}, n: n}})
 }
--- a/internal/round/machines.go
+++ b/internal/round/machines.go
@@ -34,9 +34,9 @@
 
 // promise keeps room for one task: what is being made first, then what is free.
 func (b *bin) promise(need checkpoint.Resources) {
-	rest := b.later.Minus(need)
+	rest := b.later.Sub(need)
 	b.later = rest.Max(checkpoint.Resources{})
-	b.free = b.free.Plus(rest.Minus(b.later)).Max(checkpoint.Resources{})
+	b.free = b.free.Add(rest.Sub(b.later)).Max(checkpoint.Resources{})
 }
 
 func (p *planner) makeBins() {
@@ -58,7 +58,7 @@
 
 // allowed tells whether the bin may take the job's tasks.
 func (p *planner) allowed(j *checkpoint.Job, b *bin) bool {
-	if !j.Spec.Allows(b.typ.Name, b.zone, b.spot) {
+	if !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
 		return false
 	}
 	if b.m == nil {
@@ -69,7 +69,7 @@
 
 // avoids tells whether the job has just failed on the bin's machine.
 func (p *planner) avoids(j *checkpoint.Job, b *bin) bool {
-	until, bad := j.Avoid[b.m.ID]
+	until, bad := j.AvoidUntil[b.m.ID]
 	return bad && !until.Before(p.w.Now)
 }
 
@@ -84,7 +84,7 @@
 // ranked returns the bins for the job, best first: those that hold the image,
 // then spot machines for tasks that may use them, then the most free room.
 func (p *planner) ranked(j *checkpoint.Job) []*bin {
-	need, shape := j.Spec.Need(), shapeOf(&j.Spec)
+	need, shape := j.Spec.TaskResources(), shapeOf(&j.Spec)
 	if p.nowhere[shape] {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	var found []candidate
 	fits := false
 	for _, b := range p.bins {
-		if !b.free.Fits(need) || !j.Spec.Allows(b.typ.Name, b.zone, b.spot) {
+		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
 			continue
 		}
 		fits = true
@@ -154,10 +154,10 @@
 
 func shapeOf(s *checkpoint.Spec) shape {
 	types := ""
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		types += string(t) + " "
 	}
-	return shape{need: s.Need(), zone: s.Zone, spot: s.Spot, types: types}
+	return shape{need: s.TaskResources(), zone: s.Zone, spot: s.Spot, types: types}
 }
 
 // replicas counts the service tasks on the bin's machine, or about to be there.
--- a/internal/round/order.go
+++ b/internal/round/order.go
@@ -22,7 +22,7 @@
 // rank orders turns by priority, the highest first.
 func (t turn) rank() int {
 	if t.first {
-		return 2*int(checkpoint.High) - 1
+		return 2*int(checkpoint.PriorityHigh) - 1
 	}
 	return 2 * int(t.job.Spec.Priority)
 }
@@ -43,7 +43,7 @@
 
 // isOld tells whether the job may have been neglected.
 func (p *planner) isOld(j *checkpoint.Job) bool {
-	return j.Spec.Priority < checkpoint.High && !j.Spec.Gang && !j.Spec.Service &&
+	return j.Spec.Priority < checkpoint.PriorityHigh && !j.Spec.Gang && !j.Spec.Service &&
 		p.waited(j) >= neglected
 }
 
@@ -52,11 +52,11 @@
 func (p *planner) forNeglected() checkpoint.Resources {
 	var room checkpoint.Resources
 	for _, b := range p.bins {
-		room = room.Plus(b.typ.Capacity.Scaled(neglectedPart))
+		room = room.Add(b.typ.Capacity.Scale(neglectedPart))
 	}
 	for _, j := range p.w.All {
 		if p.isOld(j) {
-			room = room.Minus(j.Spec.Need().Times(len(j.Live)))
+			room = room.Sub(j.Spec.TaskResources().Multiply(len(j.Placements)))
 		}
 	}
 	return room
@@ -72,7 +72,7 @@
 			continue
 		}
 		p.queue = append(p.queue, turn{job: j})
-		if p.isOld(j) && len(j.Fresh(1)) > 0 {
+		if p.isOld(j) && len(j.UnstartedTasks(1)) > 0 {
 			p.queue = append(p.queue, turn{job: j, first: true})
 		}
 		if p.withinGuarantee(j) {
@@ -86,8 +86,8 @@
 			return x.rank() > y.rank()
 		case x.guaranteed != y.guaranteed:
 			return x.guaranteed
-		case x.job.Accepted != y.job.Accepted:
-			return x.job.Accepted < y.job.Accepted
+		case x.job.AcceptedAtMs != y.job.AcceptedAtMs:
+			return x.job.AcceptedAtMs < y.job.AcceptedAtMs
 		}
 		return x.job.ID < y.job.ID
 	})
@@ -107,7 +107,7 @@
 // its guarantee.
 func (p *planner) withinGuarantee(j *checkpoint.Job) bool {
 	t := p.w.Teams[j.Spec.Team]
-	after := p.usage[j.Spec.Team].Plus(j.Spec.Need())
+	after := p.usage[j.Spec.Team].Add(j.Spec.TaskResources())
 	return t.CPUs > 0 && after.CPUs <= t.CPUs+1e-6 && (after.GPUs == 0 || after.GPUs <= t.GPUs+1e-6)
 }
 
@@ -118,7 +118,7 @@
 	used := p.usage[j.Spec.Team]
 	n := p.withinLimit(j, used)
 	if held, ok := p.held[j.Spec.Team]; ok {
-		n = min(n, p.covered(j)+p.withinLimit(j, used.Plus(held)))
+		n = min(n, p.covered(j)+p.withinLimit(j, used.Add(held)))
 	}
 	return n
 }
@@ -127,7 +127,7 @@
 func (p *planner) covered(j *checkpoint.Job) int {
 	n, known := p.slots[j]
 	if !known && p.w.Covers != nil {
-		n = max(0, p.w.Covers(j)-len(j.Live))
+		n = max(0, p.w.Covers(j)-len(j.Placements))
 		p.slots[j] = n
 	}
 	return n
@@ -142,7 +142,7 @@
 	}
 	n = min(n, p.covered(j))
 	p.slots[j] -= n
-	p.held[j.Spec.Team] = held.Minus(j.Spec.Need().Times(n)).Max(checkpoint.Resources{})
+	p.held[j.Spec.Team] = held.Sub(j.Spec.TaskResources().Multiply(n)).Max(checkpoint.Resources{})
 }
 
 // noteBlocked notes what of n tasks of the job finds no room because it is held.
@@ -152,7 +152,7 @@
 	}
 	p.blocked[j] = true
 	if n = min(n, p.withinLimit(j, p.usage[j.Spec.Team])) - p.quota(j); n > 0 {
-		p.plan.Blocked[j.Spec.Team] = p.plan.Blocked[j.Spec.Team].Plus(j.Spec.Need().Times(n))
+		p.plan.Blocked[j.Spec.Team] = p.plan.Blocked[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(n))
 	}
 }
 
@@ -176,7 +176,7 @@
 func (p *planner) reserve(j *checkpoint.Job, n int) {
 	var held []*bin
 	for _, b := range p.bins {
-		if p.allowed(j, b) && p.mayUse(j, b) && b.typ.Capacity.Fits(j.Spec.Need()) && p.zoneRoom(j, b.zone) > 0 {
+		if p.allowed(j, b) && p.mayUse(j, b) && b.typ.Capacity.Fits(j.Spec.TaskResources()) && p.zoneRoom(j, b.zone) > 0 {
 			held = append(held, b)
 		}
 	}
@@ -187,22 +187,22 @@
 		if n <= 0 || i == most {
 			return
 		}
-		n -= max(1, b.typ.Capacity.Holds(j.Spec.Need())/reservedPart)
+		n -= max(1, b.typ.Capacity.MaxCopies(j.Spec.TaskResources())/reservedPart)
 		b.free = checkpoint.Resources{}
 	}
 }
 
 // firstTasks is how many tasks an old job may start before others.
 func (p *planner) firstTasks(j *checkpoint.Job) int {
-	n := p.spareForOld.Holds(j.Spec.Need())
+	n := p.spareForOld.MaxCopies(j.Spec.TaskResources())
 	if p.waited(j) >= overdue {
 		n = math.MaxInt32
 	}
-	if len(j.Live) == 0 {
+	if len(j.Placements) == 0 {
 		n = max(n, 1)
 	}
-	n = len(j.Fresh(min(max(0, n), j.Queue.Len())))
-	p.spareForOld = p.spareForOld.Minus(j.Spec.Need().Times(n))
+	n = len(j.UnstartedTasks(min(max(0, n), j.Queue.Len())))
+	p.spareForOld = p.spareForOld.Sub(j.Spec.TaskResources().Multiply(n))
 	return n
 }
 
@@ -212,10 +212,10 @@
 	var out []unit.TaskIndex
 	claimed := p.claimed[j]
 	if fresh {
-		out = j.Fresh(n)
+		out = j.UnstartedTasks(n)
 	} else {
 		j.Queue.Each(func(i unit.TaskIndex) bool {
-			if !claimed.Has(i) {
+			if !claimed.Contains(i) {
 				out = append(out, i)
 			}
 			return len(out) < n
--- a/internal/round/place.go
+++ b/internal/round/place.go
@@ -7,17 +7,19 @@
 	"badgerbay/internal/unit"
 )
 
-func (p *planner) zoneCount(j *checkpoint.Job, z unit.Zone) int { return j.ByZone[z] + p.added[j][z] }
+func (p *planner) zoneCount(j *checkpoint.Job, z unit.Zone) int {
+	return j.PlacementsByZone[z] + p.added[j][z]
+}
 
 // zoneRoom tells how many more tasks of the job may be in the zone, given
 // where its other tasks are or are about to be.
 func (p *planner) zoneRoom(j *checkpoint.Job, z unit.Zone) int {
 	// A machine whose zone is not known yet may be in any.
-	if j.ByZone[""] > 0 && (j.Spec.OneZone || j.Spec.Spread) {
+	if j.PlacementsByZone[""] > 0 && (j.Spec.ZoneAffinity || j.Spec.ZoneSpread) {
 		return 0
 	}
-	if j.Spec.OneZone {
-		for other, n := range j.ByZone {
+	if j.Spec.ZoneAffinity {
+		for other, n := range j.PlacementsByZone {
 			if n > 0 && other != z {
 				return 0
 			}
@@ -28,10 +30,10 @@
 			}
 		}
 	}
-	if !j.Spec.Spread {
+	if !j.Spec.ZoneSpread {
 		return math.MaxInt32
 	}
-	return max(0, j.Spec.ZoneCap()-p.zoneCount(j, z))
+	return max(0, j.Spec.MaxTasksPerZone()-p.zoneCount(j, z))
 }
 
 // placeJob starts as many of the job's tasks as fit, and returns how many that
@@ -67,16 +69,16 @@
 		if len(tasks) == 0 || p.full {
 			break
 		}
-		n := min(len(tasks), b.free.Holds(j.Spec.Need()), p.zoneRoom(j, b.zone))
+		n := min(len(tasks), b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
 		if p.onlyOne(j, b) {
 			n = min(n, 1-min(1, p.began[j]))
 		}
-		if n = j.Fit(p.room(j), b.m.ID, n); n > 0 {
+		if n = j.FittingTasks(p.room(j), b.m.ID, n); n > 0 {
 			n = p.start(j, b, tasks[:n])
 			tasks = tasks[n:]
 		}
 	}
-	n := min(len(tasks), j.Alone(p.room(j)))
+	n := min(len(tasks), j.FittingSingleTasks(p.room(j)))
 	if n == 0 || p.full {
 		return 0
 	}
@@ -90,7 +92,7 @@
 // fetch its image.
 func (p *planner) rush(j *checkpoint.Job, b *bin) bool {
 	within := p.w.Expect[j.Spec.Class].Start.Seconds()
-	return within > 0 && j.Spec.Priority >= checkpoint.High && b.typ.FetchGBps > 0 && j.Spec.ImageGB/b.typ.FetchGBps > within
+	return within > 0 && j.Spec.Priority >= checkpoint.PriorityHigh && b.typ.FetchGBps > 0 && j.Spec.ImageGB/b.typ.FetchGBps > within
 }
 
 // start adds a group to the record, as far as the record has room, and
@@ -112,7 +114,7 @@
 	p.plan.Record.Starts = append(p.plan.Record.Starts, st)
 	b.started = true
 	p.began[j] += n
-	p.rooms[j] -= j.Cost(b.m.ID, n)
+	p.rooms[j] -= j.GroupBytes(b.m.ID, n)
 	p.take(j, b, n)
 }
 
@@ -125,17 +127,17 @@
 }
 
 // room is what the job's record still holds, with what this plan has started.
-func (p *planner) room(j *checkpoint.Job) checkpoint.Room {
+func (p *planner) room(j *checkpoint.Job) checkpoint.SpareBytes {
 	r, ok := p.rooms[j]
 	if !ok {
-		r = j.Room(p.w.ValueBytes, p.w.Parts, p.w.SpecSize(j))
+		r = j.SpareBytes(p.w.ValueBytes, p.w.Parts, p.w.SpecSize(j))
 		p.rooms[j] = r
 	}
 	return r
 }
 
 func (p *planner) take(j *checkpoint.Job, b *bin, n int) {
-	b.free = b.free.Minus(j.Spec.Need().Times(n))
+	b.free = b.free.Sub(j.Spec.TaskResources().Multiply(n))
 	if j.Spec.Service {
 		p.placed[b] += n
 	}
@@ -144,7 +146,7 @@
 
 // count counts n tasks of the job as being on the bin's machine.
 func (p *planner) count(j *checkpoint.Job, b *bin, n int) {
-	p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Plus(j.Spec.Need().Times(n))
+	p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(n))
 	p.cover(j, n)
 	if p.added[j] == nil {
 		p.added[j] = map[unit.Zone]int{}
@@ -161,17 +163,17 @@
 	if guaranteed || p.mayPreempt(j) {
 		n -= p.makeRoom(j, n, false)
 	}
-	need := j.Spec.Need()
+	need := j.Spec.TaskResources()
 	for _, b := range p.come {
 		if n == 0 {
 			break
 		}
 		// Work that can wait does not count on dear machines: they were rented
 		// for what can't.
-		if !b.free.Fits(need) || !j.Spec.Allows(b.typ.Name, b.zone, b.spot) || !p.guards && !p.worth(j, b.typ, b.spot) {
+		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) || !p.guards && !p.worth(j, b.typ, b.spot) {
 			continue
 		}
-		k := min(n, b.free.Holds(j.Spec.Need()), p.zoneRoom(j, b.zone))
+		k := min(n, b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
 		if p.needsOnlyBegin(j) && !p.isCheap(j, b.typ, b.spot) {
 			k = min(k, 1-min(1, p.promised[j]))
 		}
--- a/internal/round/plan.go
+++ b/internal/round/plan.go
@@ -21,10 +21,10 @@
 	giving map[unit.Team]checkpoint.Resources
 	queue  []turn
 	// claimed are the tasks of a job that this plan has dealt with.
-	claimed map[*checkpoint.Job]unit.Ranges
+	claimed map[*checkpoint.Job]unit.Set
 	added   map[*checkpoint.Job]map[unit.Zone]int // tasks given a place in this plan
 	taken   map[*checkpoint.Placement]bool
-	rooms   map[*checkpoint.Job]checkpoint.Room
+	rooms   map[*checkpoint.Job]checkpoint.SpareBytes
 	full    bool
 	first   bool           // the turn at hand is one of old work
 	nowhere map[shape]bool // what fits no machine
@@ -41,9 +41,9 @@
 	surplus float64           // CPUs beyond what the guarantees want as machines
 	inZone  map[unit.Zone]int // machines, coming ones too
 
-	work   [checkpoint.Prod + 1]checkpoint.Resources // of arrays by priority, see workOf
-	ahead  map[*checkpoint.Job]checkpoint.Resources  // see queueWork
-	usable map[shape]checkpoint.Resources            // see usableBy
+	work   [checkpoint.PriorityProd + 1]checkpoint.Resources // of arrays by priority, see workOf
+	ahead  map[*checkpoint.Job]checkpoint.Resources          // see queueWork
+	usable map[shape]checkpoint.Resources                    // see usableBy
 	// spareForOld is what old jobs may still start before others.
 	spareForOld checkpoint.Resources
 
@@ -62,8 +62,8 @@
 // Make plans a round. It changes nothing it is given.
 func Make(w *World) *Plan {
 	p := &planner{w: w, plan: &Plan{Blocked: map[unit.Team]checkpoint.Resources{}}, held: maps.Clone(w.Held), slots: map[*checkpoint.Job]int{}, blocked: map[*checkpoint.Job]bool{}, usage: map[unit.Team]checkpoint.Resources{}, giving: map[unit.Team]checkpoint.Resources{},
-		placed: map[*bin]int{}, claimed: map[*checkpoint.Job]unit.Ranges{}, starts: map[*checkpoint.Job]float64{}, least: map[*checkpoint.Job]float64{},
-		added: map[*checkpoint.Job]map[unit.Zone]int{}, taken: map[*checkpoint.Placement]bool{}, rooms: map[*checkpoint.Job]checkpoint.Room{},
+		placed: map[*bin]int{}, claimed: map[*checkpoint.Job]unit.Set{}, starts: map[*checkpoint.Job]float64{}, least: map[*checkpoint.Job]float64{},
+		added: map[*checkpoint.Job]map[unit.Zone]int{}, taken: map[*checkpoint.Placement]bool{}, rooms: map[*checkpoint.Job]checkpoint.SpareBytes{},
 		demand: map[unit.Class]int{}, nowhere: map[shape]bool{}, inZone: map[unit.Zone]int{},
 		elders: map[*checkpoint.Job]*checkpoint.Placement{}, ahead: map[*checkpoint.Job]checkpoint.Resources{}, usable: map[shape]checkpoint.Resources{}, began: map[*checkpoint.Job]int{}, promised: map[*checkpoint.Job]int{}, gangZone: map[*checkpoint.Job]unit.Zone{}}
 	p.plan.Record = Record{Schema: schemaPlain, No: w.No, Epoch: w.Epoch}
@@ -80,7 +80,7 @@
 	spared := false
 	for _, t := range p.queue {
 		p.queueWork(t.job)
-		if !spared && t.job.Spec.Priority < checkpoint.High {
+		if !spared && t.job.Spec.Priority < checkpoint.PriorityHigh {
 			// Before work that would yield to it takes the room.
 			spared = true
 			p.countSpare()
@@ -106,10 +106,10 @@
 
 func (p *planner) countUsage() {
 	for _, j := range p.w.All {
-		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Plus(j.Spec.Need().Times(len(j.Live)))
-		for _, v := range j.Live {
-			if v.Halting {
-				p.giving[j.Spec.Team] = p.giving[j.Spec.Team].Plus(j.Spec.Need())
+		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(len(j.Placements)))
+		for _, v := range j.Placements {
+			if v.Stopping {
+				p.giving[j.Spec.Team] = p.giving[j.Spec.Team].Add(j.Spec.TaskResources())
 			}
 		}
 	}
--- a/internal/round/plan_golden_test.go
+++ b/internal/round/plan_golden_test.go
@@ -89,12 +89,12 @@
 		has["gang-preempted"] = has["gang-preempted"] || victim.Spec.Gang
 		has["gang-preempts"] = has["gang-preempts"] || winner.Spec.Gang
 	}
-	lowestBefore := checkpoint.Prod
+	lowestBefore := checkpoint.PriorityProd
 	for _, start := range plan.Record.Starts {
 		spec := &s.jobs[start.Job].Spec
 		has["replacement"] = has["replacement"] || start.Attempt != 0
 		has["gang-start"] = has["gang-start"] || spec.Gang && start.Attempt == 0
-		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < checkpoint.High
+		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < checkpoint.PriorityHigh
 		lowestBefore = min(lowestBefore, spec.Priority)
 	}
 	return slices.DeleteFunc(slices.Clone(allKinds), func(kind string) bool { return !has[kind] })
--- a/internal/round/plan_snapshot_test.go
+++ b/internal/round/plan_snapshot_test.go
@@ -70,12 +70,12 @@
 	zones    []unit.Zone
 	types    []*fleet.Type
 	machines []*fleet.Machine
-	beats    map[unit.MachineID]unit.Tally
+	beats    map[unit.MachineID]unit.HeartbeatSeq
 }
 
 func newSnapshot(seed uint64) *snapshotGenerator {
 	s := &snapshotGenerator{generator: generator{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profiles)),
-		jobs: map[unit.JobID]*checkpoint.Job{}, beats: map[unit.MachineID]unit.Tally{}}
+		jobs: map[unit.JobID]*checkpoint.Job{}, beats: map[unit.MachineID]unit.HeartbeatSeq{}}
 	s.zones = []unit.Zone{"a", "b", "c"}[:s.between(1, 3)]
 	s.types = s.drawTypes()
 	f := fleet.New(fleet.Times{Report: 3 * time.Second, Lease: 27 * time.Second}, snapshotEpoch, leaderBegan,
@@ -226,10 +226,10 @@
 func (s *snapshotGenerator) drawSpec() checkpoint.Spec {
 	g := &s.generator
 	spec := checkpoint.Spec{Class: pick(g, classes...), Team: pick(g, unit.Team("red"), "blue", "green"),
-		Priority: pick(g, checkpoint.BestEffort, checkpoint.Standard, checkpoint.Standard, checkpoint.High, checkpoint.Prod),
+		Priority: pick(g, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard, checkpoint.PriorityStandard, checkpoint.PriorityHigh, checkpoint.PriorityProd),
 		Tasks:    pick(g, 1, 2, 3, 5, 8, 20), CPUs: pick(g, 0.25, 0.5, 1, 1, 2, 4), MemoryGB: pick(g, 0.3, 1, 1.7, 4),
-		Image: pick(g, unit.Image("img-1"), "img-2", "img-3"), ImageGB: pick(g, 0.5, 2, 9), EstimateS: pick(g, 0.0, 20, 50, 120),
-		Spot: s.percent(60), OneZone: s.percent(15), Spread: s.percent(15)}
+		Image: pick(g, unit.Image("img-1"), "img-2", "img-3"), ImageGB: pick(g, 0.5, 2, 9), EstimatedRunSeconds: pick(g, 0.0, 20, 50, 120),
+		Spot: s.percent(60), ZoneAffinity: s.percent(15), ZoneSpread: s.percent(15)}
 	spec.Service = s.percent(25)
 	if s.percent(10) && len(s.types) > 2 { // the third type has GPUs
 		spec.GPUs = 1
@@ -238,13 +238,13 @@
 		spec.Zone = pick(g, s.zones...)
 	}
 	if s.percent(15) {
-		spec.Types = append(spec.Types, pick(g, s.types...).Name, s.types[0].Name)
+		spec.MachineTypes = append(spec.MachineTypes, pick(g, s.types...).Name, s.types[0].Name)
 	}
 	if s.percent(35) {
-		spec.CheckpointS, spec.SaveS = pick(g, 10.0, 30), pick(g, 1.0, 3, 8)
+		spec.CheckpointIntervalSeconds, spec.CheckpointSeconds = pick(g, 10.0, 30), pick(g, 1.0, 3, 8)
 	}
 	if s.percent(25) {
-		spec.DeadlineS = pick(g, 60.0, 200, 900)
+		spec.DeadlineSeconds = pick(g, 60.0, 200, 900)
 	}
 	if !spec.Service && s.percent(20) {
 		spec = asGang(g, spec)
@@ -253,8 +253,8 @@
 }
 
 func asGang(g *generator, spec checkpoint.Spec) checkpoint.Spec {
-	spec.Gang, spec.Service, spec.Spread = true, false, false
-	spec.OneZone = g.percent(70)
+	spec.Gang, spec.Service, spec.ZoneSpread = true, false, false
+	spec.ZoneAffinity = g.percent(70)
 	spec.Tasks = g.between(2, 6)
 	return spec
 }
@@ -263,7 +263,7 @@
 func (s *snapshotGenerator) addJob(spec checkpoint.Spec, agoS int) *checkpoint.Job {
 	id := unit.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
 	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, snapshotWall-int64(agoS)*1000), 1, leaderBegan)
-	j.QueuedAt = snapshotNow - unit.Instant(s.between(0, min(agoS, 800)))*unit.Instant(time.Second)
+	j.QueuedSince = snapshotNow - unit.Instant(s.between(0, min(agoS, 800)))*unit.Instant(time.Second)
 	s.jobs[id] = j
 	return j
 }
@@ -286,12 +286,12 @@
 		spec := s.drawSpec()
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, checkpoint.BestEffort, checkpoint.Standard)
+			spec.Priority = pick(&s.generator, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard)
 			spec.Tasks = s.between(3, 12)
 		case sparse:
 			spec.Service, spec.Gang = s.percent(85), false
 			spec.Tasks, spec.CPUs = s.between(1, 4), pick(&s.generator, 0.25, 0.5, 1)
-			spec.Priority = checkpoint.High
+			spec.Priority = checkpoint.PriorityHigh
 			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.generator, unit.Image("img-1"), "img-1", "img-2")
 		case gangsLost:
 			if s.percent(60) {
@@ -324,8 +324,8 @@
 			break
 		}
 		p := &checkpoint.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
-			Token: snapshotEpoch, Since: snapshotNow - unit.Instant(s.between(0, 300))*unit.Instant(time.Second)}
-		s.world.Fleet.Place(p.Since, p)
+			FencingToken: snapshotEpoch, PlacedAt: snapshotNow - unit.Instant(s.between(0, 300))*unit.Instant(time.Second)}
+		s.world.Fleet.Place(p.PlacedAt, p)
 		placed = append(placed, p)
 	}
 	if j.Spec.Gang && j.Queue.Len() > 0 {
@@ -362,8 +362,8 @@
 	first := s.below(len(s.machines))
 	for i := range s.machines {
 		m := s.machines[(first+i)%len(s.machines)]
-		if s.world.Fleet.Free(m).Fits(j.Spec.Need()) && j.Spec.Allows(m.Type, m.Zone, m.Spot) && j.ByZone[m.Zone] < j.Spec.ZoneCap() &&
-			(!j.Spec.OneZone || len(j.Live) == j.ByZone[m.Zone]) {
+		if s.world.Fleet.Free(m).Fits(j.Spec.TaskResources()) && j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < j.Spec.MaxTasksPerZone() &&
+			(!j.Spec.ZoneAffinity || len(j.Placements) == j.PlacementsByZone[m.Zone]) {
 			return m
 		}
 	}
@@ -383,20 +383,20 @@
 		spec, agoS := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, checkpoint.Standard, checkpoint.High, checkpoint.Prod)
+			spec.Priority = pick(&s.generator, checkpoint.PriorityStandard, checkpoint.PriorityHigh, checkpoint.PriorityProd)
 		case gangsQueued, large:
 			if s.percent(75) {
 				spec = asGang(&s.generator, spec)
 			}
 			if s.profile == large && spec.Gang {
-				spec.CPUs, spec.Tasks, spec.OneZone = pick(&s.generator, 2.0, 4), s.between(40, 120), s.percent(20)
-				spec.Types, spec.Zone, spec.GPUs = nil, "", 0
+				spec.CPUs, spec.Tasks, spec.ZoneAffinity = pick(&s.generator, 2.0, 4), s.between(40, 120), s.percent(20)
+				spec.MachineTypes, spec.Zone, spec.GPUs = nil, "", 0
 			}
 		case guaranteed:
 			spec.Team = pick(&s.generator, unit.Team("blue"), "green")
 		case neglectedWork:
 			spec.Gang, spec.Service = false, s.percent(10)
-			spec.Priority = pick(&s.generator, checkpoint.BestEffort, checkpoint.Standard)
+			spec.Priority = pick(&s.generator, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard)
 			agoS = pick(&s.generator, 20, 130, 145, 175, 190, 600)
 		}
 		s.drawHistory(s.addJob(spec, agoS))
@@ -406,16 +406,16 @@
 // drawHistory draws what has happened to a job that waits.
 func (s *snapshotGenerator) drawHistory(j *checkpoint.Job) {
 	if !j.Spec.Gang && j.Spec.Tasks > 2 && s.percent(25) {
-		j.Complete(snapshotNow, unit.TaskIndex(s.below(j.Spec.Tasks)))
+		j.CompleteTask(snapshotNow, unit.TaskIndex(s.below(j.Spec.Tasks)))
 	}
 	if !j.Spec.Gang && s.percent(20) {
-		j.Ran.Add(unit.TaskIndex(s.below(j.Spec.Tasks)))
+		j.StartedTasks.Add(unit.TaskIndex(s.below(j.Spec.Tasks)))
 	}
 	if s.percent(20) {
-		j.LastStart = snapshotNow - unit.Instant(s.between(1, 120))*unit.Instant(time.Second)
+		j.LastPlacedAt = snapshotNow - unit.Instant(s.between(1, 120))*unit.Instant(time.Second)
 	}
 	if len(s.machines) > 0 && s.percent(15) {
-		j.Avoid = map[unit.MachineID]unit.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + unit.Instant(pick(&s.generator, -1, 5))*unit.Instant(time.Second)}
+		j.AvoidUntil = map[unit.MachineID]unit.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + unit.Instant(pick(&s.generator, -1, 5))*unit.Instant(time.Second)}
 	}
 }
 
@@ -476,7 +476,7 @@
 	}
 	for i := range len(s.jobs) {
 		j := s.jobs[unit.JobID(fmt.Sprintf("wk-%06d", i+1))]
-		if len(j.Live) > 0 {
+		if len(j.Placements) > 0 {
 			s.world.All = append(s.world.All, j)
 		}
 		if len(j.Queue) > 0 {
@@ -489,7 +489,7 @@
 	var running []*checkpoint.Placement
 	live := m.Live()
 	for _, p := range live {
-		p.State = checkpoint.Fetching
+		p.State = checkpoint.PlacementFetching
 		if s.percent(85) {
 			running = append(running, p)
 		}
@@ -498,8 +498,8 @@
 		s.reportAgain(m, "running", running...)
 	}
 	for _, p := range live {
-		if p.State == checkpoint.Running {
-			p.Ran = snapshotNow - unit.Instant(s.between(0, 400))*unit.Instant(time.Second)
+		if p.State == checkpoint.PlacementRunning {
+			p.RunningSince = snapshotNow - unit.Instant(s.between(0, 400))*unit.Instant(time.Second)
 		}
 		if s.percent(6) {
 			s.world.Fleet.Halt(snapshotNow, p, 0)
--- a/internal/round/plan_test.go
+++ b/internal/round/plan_test.go
@@ -61,7 +61,7 @@
 }
 
 func (s *scene) place(j *checkpoint.Job, i unit.TaskIndex, m unit.MachineID) *checkpoint.Placement {
-	p := &checkpoint.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, Token: 10, State: checkpoint.Running, Ran: start}
+	p := &checkpoint.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: checkpoint.PlacementRunning, RunningSince: start}
 	s.w.Fleet.Place(s.w.Now, p)
 	return p
 }
@@ -72,7 +72,7 @@
 		if len(j.Queue) > 0 {
 			s.w.Jobs = append(s.w.Jobs, j)
 		}
-		if len(j.Live) > 0 {
+		if len(j.Placements) > 0 {
 			s.w.All = append(s.w.All, j)
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 func task(team unit.Team, prio checkpoint.Priority, n int, cpus float64) checkpoint.Spec {
-	return checkpoint.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30}
+	return checkpoint.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
 }
 
 // TestStopKeepsQuota guards against a quota once broken: a task that is told
@@ -91,12 +91,12 @@
 	s.machine("host-1", "a", false)
 	s.machine("host-2", "b", false)
 	s.machine("host-3", "b", false)
-	low := s.job("wk-000001", task("red", checkpoint.BestEffort, 2, 4))
+	low := s.job("wk-000001", task("red", checkpoint.PriorityBestEffort, 2, 4))
 	s.place(low, 0, "host-1")
 	s.place(low, 1, "host-2") // red is at its limit of 8
-	blue := s.job("wk-000002", task("blue", checkpoint.Prod, 1, 4))
+	blue := s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 4))
 	blue.Spec.Zone = "a"
-	s.job("wk-000003", task("red", checkpoint.Standard, 1, 4))
+	s.job("wk-000003", task("red", checkpoint.PriorityStandard, 1, 4))
 	plan := s.plan()
 	if len(plan.Stops) == 0 {
 		t.Fatal("no room was made for the prod job")
@@ -112,12 +112,12 @@
 	s := newScene(t)
 	s.machine("host-1", "a", false)
 	s.machine("host-2", "a", false)
-	old := s.job("wk-000001", task("red", checkpoint.Standard, 1, 1))
+	old := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 1))
 	p := s.place(old, 0, "host-2")
-	p.State = checkpoint.Fetching
+	p.State = checkpoint.PlacementFetching
 	s.w.Fleet.Take(s.w.Now, &fleet.Report{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, Tally: 2,
 		Entries: []fleet.Entry{{Task: p.ID(), Attempt: 1, State: "running"}}}, true)
-	s.job("wk-000002", task("blue", checkpoint.Standard, 1, 1))
+	s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 1, 1))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Machine != "host-2" {
 		t.Errorf("starts %+v, want one on the machine that holds the image", plan.Record.Starts)
@@ -127,8 +127,8 @@
 func TestHigherPriorityFirst(t *testing.T) {
 	s := newScene(t)
 	s.machine("host-1", "a", false)
-	s.job("wk-000001", task("red", checkpoint.Standard, 1, 4))
-	s.job("wk-000002", task("blue", checkpoint.Prod, 1, 4))
+	s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4))
+	s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 4))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != "wk-000002" {
 		t.Errorf("starts %+v, want the prod job", plan.Record.Starts)
@@ -140,15 +140,15 @@
 func TestNoPreemptionAmongEquals(t *testing.T) {
 	s := newScene(t)
 	s.machine("host-1", "a", false)
-	low := s.job("wk-000001", task("red", checkpoint.Standard, 1, 4)) // within red's guarantee
+	low := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4)) // within red's guarantee
 	s.place(low, 0, "host-1")
-	s.job("wk-000002", task("blue", checkpoint.Standard, 1, 4))
+	s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 1, 4))
 	if plan := s.plan(); len(plan.Stops) != 0 {
 		t.Errorf("stopped %v", plan.Stops[0].Placement.ID())
 	}
 	// Beyond its guarantee, red must give back what blue is guaranteed.
 	s.machine("host-2", "a", false)
-	more := s.job("wk-000003", task("red", checkpoint.Standard, 1, 4))
+	more := s.job("wk-000003", task("red", checkpoint.PriorityStandard, 1, 4))
 	s.place(more, 0, "host-2")
 	if plan := s.plan(); len(plan.Stops) != 1 {
 		t.Errorf("%d stops, want 1 to give blue its guarantee", len(plan.Stops))
@@ -158,7 +158,7 @@
 func TestGangWholeOrNotAtAll(t *testing.T) {
 	s := newScene(t)
 	s.machine("host-1", "a", false)
-	spec := task("blue", checkpoint.Standard, 2, 4)
+	spec := task("blue", checkpoint.PriorityStandard, 2, 4)
 	spec.Gang = true
 	s.job("wk-000001", spec)
 	if plan := s.plan(); len(plan.Record.Starts) != 0 || len(plan.Record.Hires) != 1 {
@@ -182,11 +182,11 @@
 			spec := task(rapid.SampledFrom([]unit.Team{"red", "blue"}).Draw(t, "team"),
 				checkpoint.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"), rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
-			spec.Spread, spec.OneZone, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "one"), rapid.Bool().Draw(t, "spot")
+			spec.ZoneSpread, spec.ZoneAffinity, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "one"), rapid.Bool().Draw(t, "spot")
 			j := s.job(unit.JobID(fmt.Sprintf("wk-%06d", i)), spec)
 			for _, m := range s.w.Fleet.Machines() {
-				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.w.Fleet.Free(m).Fits(spec.Need()) &&
-					spec.Allows(m.Type, m.Zone, m.Spot) && j.ByZone[m.Zone] < spec.ZoneCap() && (!spec.OneZone || len(j.Live) == 0) &&
+				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.w.Fleet.Free(m).Fits(spec.TaskResources()) &&
+					spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() && (!spec.ZoneAffinity || len(j.Placements) == 0) &&
 					s.used(spec.Team)+spec.CPUs <= s.w.Teams[spec.Team].CPUsMax {
 					s.place(j, j.Queue[0].First, m.ID)
 				}
@@ -200,7 +200,7 @@
 	sum := 0.0
 	for _, j := range s.jobs {
 		if j.Spec.Team == team {
-			sum += j.Spec.CPUs * float64(len(j.Live))
+			sum += j.Spec.CPUs * float64(len(j.Placements))
 		}
 	}
 	return sum
@@ -212,11 +212,11 @@
 	}
 	for _, st := range plan.Record.Starts {
 		j, m := s.jobs[st.Job], s.w.Fleet.Machine(st.Machine)
-		if !j.Spec.Allows(m.Type, m.Zone, m.Spot) {
+		if !j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%v may not run on %s", st, m.ID)
 		}
 		st.Tasks.Each(func(i unit.TaskIndex) bool {
-			if !j.Queue.Has(i) {
+			if !j.Queue.Contains(i) {
 				t.Fatalf("task %d of %s is not queued", i, j.ID)
 			}
 			s.place(j, i, m.ID)
@@ -235,15 +235,15 @@
 	}
 	for _, j := range s.jobs {
 		zones := 0
-		for _, n := range j.ByZone {
+		for _, n := range j.PlacementsByZone {
 			if n > 0 {
 				zones++
 			}
-			if j.Spec.Spread && n > j.Spec.ZoneCap() {
+			if j.Spec.ZoneSpread && n > j.Spec.MaxTasksPerZone() {
 				t.Fatalf("%s has %d in one zone", j.ID, n)
 			}
 		}
-		if j.Spec.OneZone && zones > 1 {
+		if j.Spec.ZoneAffinity && zones > 1 {
 			t.Fatalf("%s is in %d zones", j.ID, zones)
 		}
 	}
@@ -259,12 +259,12 @@
 	for i := range 4 {
 		s.machine(unit.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
 	}
-	small := s.job("wk-000001", task("red", checkpoint.Standard, 12, 2))
+	small := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 12, 2))
 	for i := range 4 { // half of each machine is taken
 		s.place(small, unit.TaskIndex(i), unit.MachineID(fmt.Sprintf("host-%d", i)))
 	}
-	small.Accepted = 300_000
-	s.job("wk-000002", task("blue", checkpoint.BestEffort, 1, 4))
+	small.AcceptedAtMs = 300_000
+	s.job("wk-000002", task("blue", checkpoint.PriorityBestEffort, 1, 4))
 	s.w.WallMs = 320_000
 	left := 4
 	for _, st := range s.plan().Record.Starts {
--- a/internal/round/preempt.go
+++ b/internal/round/preempt.go
@@ -9,10 +9,10 @@
 )
 
 func (p *planner) mayPreempt(j *checkpoint.Job) bool {
-	if j.Spec.Priority >= checkpoint.High || p.slack(j) < 2*urgentBelow {
+	if j.Spec.Priority >= checkpoint.PriorityHigh || p.slack(j) < 2*urgentBelow {
 		return true
 	}
-	return p.w.Now.Sub(j.QueuedAt) >= p.w.Policy.PreemptAfter
+	return p.w.Now.Sub(j.QueuedSince) >= p.w.Policy.PreemptAfter
 }
 
 // spot is where room for one task can be made, and what that costs.
@@ -74,7 +74,7 @@
 // yields tells whether the bin can hold a task of the job at all after stops.
 func (b *bin) yields(j *checkpoint.Job, borrowed bool) bool {
 	l := b.m.Load()
-	return borrowed || l.Halting > 0 || l.Below(j.Spec.Priority) > 0 || b.free.Plus(b.later).Fits(j.Spec.Need())
+	return borrowed || l.Halting > 0 || l.Below(j.Spec.Priority) > 0 || b.free.Add(b.later).Fits(j.Spec.TaskResources())
 }
 
 // mayTakeBack tells whether work of any priority may be stopped for the job:
@@ -84,7 +84,7 @@
 		return false
 	}
 	for name, t := range p.w.Teams {
-		if name != j.Spec.Team && p.usage[name].Minus(p.giving[name]).CPUs > t.CPUs {
+		if name != j.Spec.Team && p.usage[name].Sub(p.giving[name]).CPUs > t.CPUs {
 			return true
 		}
 	}
@@ -104,18 +104,18 @@
 func (p *planner) stop(j *checkpoint.Job, s spot) bool {
 	wide := false
 	for _, v := range s.stops {
-		if !v.Job.Spec.Gang || v.Halting {
+		if !v.Job.Spec.Gang || v.Stopping {
 			p.stopOne(j, v)
 			continue
 		}
-		for _, member := range v.Job.Live {
+		for _, member := range v.Job.Placements {
 			if !p.taken[member] {
 				p.stopOne(j, member)
 				wide = true
 			}
 		}
 	}
-	s.b.promise(j.Spec.Need())
+	s.b.promise(j.Spec.TaskResources())
 	p.count(j, s.b, 1)
 	return wide
 }
@@ -124,11 +124,11 @@
 func (p *planner) stopOne(j *checkpoint.Job, v *checkpoint.Placement) {
 	p.taken[v] = true
 	if b := p.binOf(v.Machine); b != nil {
-		b.later = b.later.Plus(v.Job.Spec.Need())
+		b.later = b.later.Add(v.Job.Spec.TaskResources())
 	}
-	if !v.Halting {
+	if !v.Stopping {
 		p.plan.Stops = append(p.plan.Stops, Stop{v, j.ID})
-		p.giving[v.Job.Spec.Team] = p.giving[v.Job.Spec.Team].Plus(v.Job.Spec.Need())
+		p.giving[v.Job.Spec.Team] = p.giving[v.Job.Spec.Team].Add(v.Job.Spec.TaskResources())
 	}
 }
 
@@ -155,11 +155,11 @@
 // victims returns what must stop on the bin's machine to fit one task of the
 // job, and what it costs in CPU seconds of lost work.
 func (p *planner) victims(j *checkpoint.Job, b *bin) ([]*checkpoint.Placement, float64, bool) {
-	need := j.Spec.Need()
+	need := j.Spec.TaskResources()
 	if !b.typ.Capacity.Fits(need) {
 		return nil, 0, false
 	}
-	free, cost := b.free.Plus(b.later), 0.0
+	free, cost := b.free.Add(b.later), 0.0
 	var out []*checkpoint.Placement
 	var lastGang *checkpoint.Job
 	for _, v := range p.candidates(j, b) {
@@ -167,11 +167,11 @@
 			break
 		}
 		out = append(out, v)
-		free = free.Plus(v.Job.Spec.Need())
-		if v.Job != lastGang || v.Halting {
+		free = free.Add(v.Job.Spec.TaskResources())
+		if v.Job != lastGang || v.Stopping {
 			cost += p.lost(v)
 		}
-		if v.Job.Spec.Gang && !v.Halting {
+		if v.Job.Spec.Gang && !v.Stopping {
 			lastGang = v.Job // it is lost whole, and counted once
 		}
 	}
@@ -184,14 +184,14 @@
 	var out []*checkpoint.Placement
 	p.plan.Work += b.m.Load().Tasks
 	for _, v := range b.running() {
-		if !p.taken[v] && (v.Halting || p.mayStop(j, v)) {
+		if !p.taken[v] && (v.Stopping || p.mayStop(j, v)) {
 			out = append(out, v)
 		}
 	}
 	sort.SliceStable(out, func(a, c int) bool {
 		x, y := out[a], out[c]
-		if x.Halting != y.Halting {
-			return x.Halting
+		if x.Stopping != y.Stopping {
+			return x.Stopping
 		}
 		if x.Job.Spec.Priority != y.Job.Spec.Priority {
 			return x.Job.Spec.Priority < y.Job.Spec.Priority
@@ -207,13 +207,13 @@
 // together is how many tasks end if the placement is stopped: a gang ends whole.
 func together(v *checkpoint.Placement) int {
 	if v.Job.Spec.Gang {
-		return len(v.Job.Live)
+		return len(v.Job.Placements)
 	}
 	return 1
 }
 
 func (p *planner) mayStop(j *checkpoint.Job, v *checkpoint.Placement) bool {
-	if j.Spec.Priority < checkpoint.High && p.mustRun(v) {
+	if j.Spec.Priority < checkpoint.PriorityHigh && p.mustRun(v) {
 		return false
 	}
 	if v.Job.Spec.Priority < j.Spec.Priority {
@@ -226,7 +226,7 @@
 	}
 	t := p.w.Teams[v.Job.Spec.Team]
 	// Stopping it must leave its team no less than its guarantee.
-	left := p.usage[v.Job.Spec.Team].Minus(p.giving[v.Job.Spec.Team]).Minus(v.Job.Spec.Need().Times(together(v)))
+	left := p.usage[v.Job.Spec.Team].Sub(p.giving[v.Job.Spec.Team]).Sub(v.Job.Spec.TaskResources().Multiply(together(v)))
 	return left.CPUs >= t.CPUs-1e-6
 }
 
@@ -238,7 +238,7 @@
 	if !p.isOld(j) {
 		return false
 	}
-	fresh := !j.Ran.Has(v.Task) && (v.State != checkpoint.Running || p.w.Now.Sub(v.Ran) < checkpoint.Counts)
+	fresh := !j.StartedTasks.Contains(v.Task) && (v.State != checkpoint.PlacementRunning || p.w.Now.Sub(v.RunningSince) < checkpoint.MinCountedRunTime)
 	return fresh || len(j.Done) == 0 && p.eldest(j) == v
 }
 
@@ -248,7 +248,7 @@
 		return v
 	}
 	var out *checkpoint.Placement
-	for _, v := range j.Live {
+	for _, v := range j.Placements {
 		if out == nil || elder(v, out) {
 			out = v
 		}
@@ -260,10 +260,10 @@
 // elder tells whether one placement of a job has run longer than another.
 func elder(v, w *checkpoint.Placement) bool {
 	switch {
-	case (v.Ran == 0) != (w.Ran == 0):
-		return v.Ran != 0
-	case v.Ran != w.Ran:
-		return v.Ran < w.Ran
+	case (v.RunningSince == 0) != (w.RunningSince == 0):
+		return v.RunningSince != 0
+	case v.RunningSince != w.RunningSince:
+		return v.RunningSince < w.RunningSince
 	}
 	return v.Task < w.Task
 }
@@ -271,7 +271,7 @@
 // lost is the work, in CPU seconds, that stopping a placement throws away, with
 // that of its whole gang.
 func (p *planner) lost(v *checkpoint.Placement) float64 {
-	if v.Halting {
+	if v.Stopping {
 		return 0
 	}
 	s := &v.Job.Spec
@@ -291,22 +291,22 @@
 func (p *planner) lostByEach(v *checkpoint.Placement) float64 {
 	s := &v.Job.Spec
 	switch {
-	case v.State != checkpoint.Running:
+	case v.State != checkpoint.PlacementRunning:
 		return 0.5
-	case s.CheckpointS > 0 && s.Gang && !p.hears(v.Job):
+	case s.CheckpointIntervalSeconds > 0 && s.Gang && !p.hears(v.Job):
 		// Not all of its tasks can be told in time, so it can't save: what it did
 		// since its last checkpoint is lost.
-		return 1 + min(s.CheckpointS, p.w.Now.Sub(v.Ran).Seconds())
-	case s.CheckpointS > 0:
-		return 1 + s.SaveS
+		return 1 + min(s.CheckpointIntervalSeconds, p.w.Now.Sub(v.RunningSince).Seconds())
+	case s.CheckpointIntervalSeconds > 0:
+		return 1 + s.CheckpointSeconds
 	}
-	return 1 + p.w.Now.Sub(v.Ran).Seconds()
+	return 1 + p.w.Now.Sub(v.RunningSince).Seconds()
 }
 
 // hears tells whether all machines of a gang report, so that its tasks can be told
 // to stop at about the same time.
 func (p *planner) hears(j *checkpoint.Job) bool {
-	for _, v := range j.Live {
+	for _, v := range j.Placements {
 		m := p.w.Fleet.Machine(v.Machine)
 		if m == nil || !m.Up || p.w.Fleet.Overdue(p.w.Now, m) {
 			return false
--- a/internal/round/record.go
+++ b/internal/round/record.go
@@ -34,7 +34,7 @@
 	Job     unit.JobID     `msgpack:"j" json:"j"`
 	Machine unit.MachineID `msgpack:"m" json:"m"`
 	Session unit.Session   `msgpack:"s" json:"s"`
-	Tasks   unit.Ranges    `msgpack:"t" json:"t"`
+	Tasks   unit.Set       `msgpack:"t" json:"t"`
 	// Attempt is that of a gang which waits for these tasks; 0: the number of the
 	// round.
 	Attempt unit.Attempt `msgpack:"-" json:"-"`
@@ -58,15 +58,15 @@
 // Record is the value of round/SLOT: effects that are pending until folded.
 // Every round below Low has been settled.
 type Record struct {
-	Schema   int                       `msgpack:"v" json:"v"`
-	No       unit.RoundNo              `msgpack:"no" json:"no"`
-	Epoch    unit.Epoch                `msgpack:"e" json:"e"`
-	Low      unit.RoundNo              `msgpack:"lo" json:"lo"`
-	Starts   wire.List[Start]          `msgpack:"st,omitempty" json:"-"`
-	Packed   wire.Packed               `msgpack:"pk,omitempty" json:"pk,omitempty"`
-	Hires    wire.List[Hire]           `msgpack:"hi,omitempty" json:"hi,omitempty"`
-	Releases wire.List[unit.MachineID] `msgpack:"re,omitempty" json:"re,omitempty"`
-	Overflow *Overflow                 `msgpack:"ov,omitempty" json:"ov,omitempty"`
+	Schema   int                              `msgpack:"v" json:"v"`
+	No       unit.RoundNo                     `msgpack:"no" json:"no"`
+	Epoch    unit.Epoch                       `msgpack:"e" json:"e"`
+	Low      unit.RoundNo                     `msgpack:"lo" json:"lo"`
+	Starts   wire.BoundedList[Start]          `msgpack:"st,omitempty" json:"-"`
+	Packed   wire.Packed                      `msgpack:"pk,omitempty" json:"pk,omitempty"`
+	Hires    wire.BoundedList[Hire]           `msgpack:"hi,omitempty" json:"hi,omitempty"`
+	Releases wire.BoundedList[unit.MachineID] `msgpack:"re,omitempty" json:"re,omitempty"`
+	Overflow *Overflow                        `msgpack:"ov,omitempty" json:"ov,omitempty"`
 }
 
 // Overflow is what a record says of its parts.
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		return text.ExpandWith(maxExpanded, func(d *msgpack.Decoder) error { return r.unpack(d, true) })
+		return text.DecompressRecord(maxExpanded, func(d *msgpack.Decoder) error { return r.unpack(d, true) })
 	}
 	if r.Packed == "" {
 		return nil
@@ -140,18 +140,18 @@
 // Split returns the record as it is stored where a value holds limit bytes in
 // JSON and at most values may be written, the record's own included. size measures
 // a value. With one value only, the record is one that the version before reads.
-func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*parts.Part, error) {
+func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*parts.Value, error) {
 	plain, err := r.Encode()
 	if err != nil || values <= 1 || r.plain() && size(plain) <= limit {
 		return plain, nil, err
 	}
-	text, err := wire.SqueezeWith(func(e *msgpack.Encoder) error { return r.pack(e, true) })
+	text, err := wire.CompressRecord(func(e *msgpack.Encoder) error { return r.pack(e, true) })
 	if err != nil {
 		return nil, nil, err
 	}
 	out := *plain
 	out.Schema, out.Packed = schemaParts, text[:1] // for its name to be counted
-	out.Overflow = &Overflow{Parts: parts.Most, Sum: parts.Sum(text)}
+	out.Overflow = &Overflow{Parts: parts.MaxChunks, Sum: parts.Checksum(text)}
 	head, rest, err := parts.Split(text, limit-size(&out), limit, values-1, schemaParts)
 	if err != nil {
 		return nil, nil, fmt.Errorf("round record: %w", err)
@@ -174,7 +174,7 @@
 		}
 		last = s.Job
 		err := errors.Join(e.EncodeString(string(job)), e.EncodeString(string(s.Machine)),
-			e.EncodeUint(uint64(s.Session)), s.Tasks.Pack(e))
+			e.EncodeUint(uint64(s.Session)), s.Tasks.EncodeDelta(e))
 		if attempts {
 			err = errors.Join(err, e.EncodeUint(uint64(s.Attempt)))
 		}
@@ -186,7 +186,7 @@
 }
 
 func (r *Record) unpack(d *msgpack.Decoder, attempts bool) error {
-	n, err := wire.ArrayLen(d)
+	n, err := wire.DecodeArrayLen(d)
 	last := unit.JobID("")
 	for ; n > 0 && err == nil; n-- {
 		var s Start
@@ -199,15 +199,15 @@
 }
 
 func (s *Start) unpack(d *msgpack.Decoder, last unit.JobID, attempts bool) error {
-	job, err := wire.Text(d)
+	job, err := wire.DecodeString(d)
 	if err != nil {
 		return err
 	}
-	machine, err := wire.Text(d)
+	machine, err := wire.DecodeString(d)
 	if err != nil {
 		return err
 	}
-	session, err := wire.Count(d)
+	session, err := wire.DecodeCount(d)
 	if err != nil {
 		return err
 	}
@@ -215,10 +215,10 @@
 	if job == "" {
 		s.Job = last
 	}
-	if err := s.Tasks.Unpack(d); err != nil || !attempts {
+	if err := s.Tasks.DecodeDelta(d); err != nil || !attempts {
 		return err
 	}
-	attempt, err := wire.Count(d)
+	attempt, err := wire.DecodeCount(d)
 	s.Attempt = unit.Attempt(attempt)
 	return err
 }
@@ -248,7 +248,7 @@
 
 // nextSize bounds the JSON size of a start that follows one of its job.
 func (s *Start) nextSize() int {
-	n := startHead + len(s.Machine) + s.Tasks.PackedSize()
+	n := startHead + len(s.Machine) + s.Tasks.DeltaSizeBound()
 	if s.Attempt != 0 {
 		n += attemptSize
 	}
--- a/internal/round/record_golden_test.go
+++ b/internal/round/record_golden_test.go
@@ -32,20 +32,20 @@
 
 func goldenRecords() []goldenRecord {
 	span := func(first, last unit.TaskIndex) unit.Span { return unit.Span{First: first, Last: last} }
-	starts := wire.List[Start]{
-		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Ranges{span(0, 3), span(70_000, 70_001)}},
-		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: unit.Ranges{span(9, 9)}},
-		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: unit.Ranges{span(0, 0)}},
+	starts := wire.BoundedList[Start]{
+		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Set{span(0, 3), span(70_000, 70_001)}},
+		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: unit.Set{span(9, 9)}},
+		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: unit.Set{span(0, 0)}},
 	}
-	replaced := append(wire.List[Start](nil), starts...)
+	replaced := append(wire.BoundedList[Start](nil), starts...)
 	replaced[1].Attempt = 70_000
-	hires := wire.List[Hire]{{Name: HireName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
+	hires := wire.BoundedList[Hire]{{Name: HireName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
 		{Name: HireName(991, 4711, 1), Offer: rental.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
-	releases := wire.List[unit.MachineID]{"host-000007", "host-000008"}
-	var wide wire.List[Start]
+	releases := wire.BoundedList[unit.MachineID]{"host-000007", "host-000008"}
+	var wide wire.BoundedList[Start]
 	for i := range unit.TaskIndex(60) {
 		wide = append(wide, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
-			Session: unit.Session(i%9 + 1), Tasks: unit.Ranges{span(i, i)}})
+			Session: unit.Session(i%9 + 1), Tasks: unit.Set{span(i, i)}})
 	}
 	return []goldenRecord{
 		{"lists", 1, 0, 0, &Record{Schema: 1, No: 9, Epoch: 4, Low: 7, Starts: starts, Hires: hires, Releases: releases}},
--- a/internal/round/record_test.go
+++ b/internal/round/record_test.go
@@ -18,11 +18,11 @@
 )
 
 func sample() *Record {
-	return &Record{Schema: schemaPlain, No: 9, Epoch: 4, Low: 7, Starts: wire.List[Start]{
-		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Ranges{{First: 0, Last: 3}, {First: 70_000, Last: 70_001}}},
-		{Job: "wk-000001", Machine: "host-000002", Session: 1, Tasks: unit.Ranges{{First: 9, Last: 9}}},
-		{Job: "wk-000002", Machine: "host-000002", Session: 1, Tasks: unit.Ranges{{First: 0, Last: 0}}}},
-		Releases: wire.List[unit.MachineID]{"host-000007"}}
+	return &Record{Schema: schemaPlain, No: 9, Epoch: 4, Low: 7, Starts: wire.BoundedList[Start]{
+		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Set{{First: 0, Last: 3}, {First: 70_000, Last: 70_001}}},
+		{Job: "wk-000001", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 9, Last: 9}}},
+		{Job: "wk-000002", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 0, Last: 0}}}},
+		Releases: wire.BoundedList[unit.MachineID]{"host-000007"}}
 }
 
 // TestRecordSurvivesTheStore: what a successor reads is what was decided, from
@@ -99,7 +99,7 @@
 	r := &Record{Schema: schemaPlain, No: 4711, Epoch: 991, Low: 4700}
 	for i := range n {
 		r.Starts = append(r.Starts, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
-			Session: unit.Session(i%9 + 1), Tasks: unit.Ranges{{First: unit.TaskIndex(i), Last: unit.TaskIndex(i)}}})
+			Session: unit.Session(i%9 + 1), Tasks: unit.Set{{First: unit.TaskIndex(i), Last: unit.TaskIndex(i)}}})
 	}
 	return r
 }
@@ -138,7 +138,7 @@
 		t.Error(diff)
 	}
 	torn := *rest[0]
-	torn.Sum++
+	torn.Checksum++
 	for what, part := range map[string]func(int) []byte{
 		"missing":         func(int) []byte { return nil },
 		"of another time": func(int) []byte { return stored(torn) },
--- a/internal/round/rent.go
+++ b/internal/round/rent.go
@@ -58,14 +58,14 @@
 			n = min(n, 1-min(1, p.promised[s.job]))
 		}
 		for ; n > 0; n-- {
-			if !free.Fits(s.job.Spec.Need()) {
+			if !free.Fits(s.job.Spec.TaskResources()) {
 				if count == rental.MaxHire {
 					return count
 				}
 				count++
 				free = t.Capacity
 			}
-			free = free.Minus(s.job.Spec.Need())
+			free = free.Sub(s.job.Spec.TaskResources())
 		}
 	}
 	return count
@@ -96,7 +96,7 @@
 	for _, t := range p.w.Types {
 		for _, z := range t.ZonesIn(p.w.Zones) {
 			for _, spot := range []bool{true, false} {
-				if j.Spec.Allows(t.Name, z, spot) {
+				if j.Spec.AllowsMachine(t.Name, z, spot) {
 					f(rental.Offer{Type: t.Name, Zone: z, Spot: spot}, t)
 				}
 			}
@@ -105,11 +105,11 @@
 }
 
 func (p *planner) cost(j *checkpoint.Job, t *fleet.Type, z unit.Zone, spot bool) float64 {
-	per := t.Capacity.Holds(j.Spec.Need())
+	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
 	if per == 0 {
 		return math.Inf(1)
 	}
-	run := j.Spec.EstimateS
+	run := j.Spec.EstimatedRunSeconds
 	if j.Spec.Service || run <= 0 {
 		run = serviceHorizon
 	}
--- a/internal/round/ring.go
+++ b/internal/round/ring.go
@@ -10,7 +10,7 @@
 )
 
 type slot struct {
-	version  unit.Version
+	version  unit.Revision
 	no       unit.RoundNo
 	jobs     map[unit.JobID]bool
 	hires    map[string]bool
@@ -48,7 +48,7 @@
 func (g *Ring) Fresh() bool { return g.next == 1 }
 
 // Version is the version of the slot that round no goes to.
-func (g *Ring) Version(no unit.RoundNo) unit.Version { return g.slotOf(no).version }
+func (g *Ring) Version(no unit.RoundNo) unit.Revision { return g.slotOf(no).version }
 
 // Low is the lowest round that is not settled.
 func (g *Ring) Low() unit.RoundNo {
@@ -73,7 +73,7 @@
 }
 
 // Put takes in a record that is stored with the version.
-func (g *Ring) Put(r *Record, v unit.Version) {
+func (g *Ring) Put(r *Record, v unit.Revision) {
 	s := slot{version: v, no: r.No, jobs: map[unit.JobID]bool{}, hires: map[string]bool{}, releases: map[unit.MachineID]bool{}}
 	for _, st := range r.Starts {
 		s.jobs[st.Job] = true
@@ -91,7 +91,7 @@
 // Skip takes in that the record under a key can't be read. Its slot may be used
 // again under that version, and its number, whatever it was, is passed over: a
 // number names attempts, and must not come twice.
-func (g *Ring) Skip(key string, v unit.Version) {
+func (g *Ring) Skip(key string, v unit.Revision) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, KeyPrefix))
 	if err != nil || n < 0 || n >= len(g.slots) {
 		return
@@ -104,7 +104,7 @@
 type Stored struct {
 	Key     string
 	Record  *Record
-	Version unit.Version
+	Version unit.Revision
 }
 
 // Restore makes a ring from what a successor reads: records in the order of
--- a/internal/round/ring_test.go
+++ b/internal/round/ring_test.go
@@ -18,7 +18,7 @@
 		ring := NewRing(slots)
 		stored := map[string]Stored{}
 		open := map[unit.RoundNo]unit.JobID{}
-		version := unit.Version(0)
+		version := unit.Revision(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
--- a/internal/round/urgency.go
+++ b/internal/round/urgency.go
@@ -10,13 +10,13 @@
 )
 
 // waited is how long the job has been there, in seconds.
-func (p *planner) waited(j *checkpoint.Job) float64 { return float64(p.w.WallMs-j.Accepted) / 1000 }
+func (p *planner) waited(j *checkpoint.Job) float64 { return float64(p.w.WallMs-j.AcceptedAtMs) / 1000 }
 
 func (p *planner) timeLeft(j *checkpoint.Job) (float64, bool) {
-	if j.Spec.DeadlineS <= 0 {
+	if j.Spec.DeadlineSeconds <= 0 {
 		return 0, false
 	}
-	return j.Spec.DeadlineS - p.waited(j), true
+	return j.Spec.DeadlineSeconds - p.waited(j), true
 }
 
 const (
@@ -43,7 +43,7 @@
 // slack tells how many seconds the job can still wait for its tasks to
 // start and meet what is expected of it.
 func (p *planner) slack(j *checkpoint.Job) float64 {
-	if j.Spec.Service || j.Spec.Priority >= checkpoint.High {
+	if j.Spec.Service || j.Spec.Priority >= checkpoint.PriorityHigh {
 		return 0
 	}
 	waited := p.waited(j)
@@ -53,14 +53,14 @@
 		left = min(left, e.Start.Seconds()-waited)
 	}
 	if finish, ok := p.reachable(j); ok {
-		left = min(left, finish.Seconds()-waited-runs*j.Spec.EstimateS)
+		left = min(left, finish.Seconds()-waited-runs*j.Spec.EstimatedRunSeconds)
 	}
-	if j.Spec.DeadlineS > 0 {
-		left = min(left, j.Spec.DeadlineS-waited-runs*j.Spec.EstimateS)
+	if j.Spec.DeadlineSeconds > 0 {
+		left = min(left, j.Spec.DeadlineSeconds-waited-runs*j.Spec.EstimatedRunSeconds)
 	}
 	switch {
 	case !math.IsInf(left, 1):
-	case j.Begun():
+	case j.HasStarted():
 		// Nobody waits for the rest of it.
 		return defaultSlack
 	default:
@@ -77,7 +77,7 @@
 		return 0, false
 	}
 	for _, t := range targets {
-		if p.waited(j)+optimisticRun*j.Spec.EstimateS <= t.Seconds() {
+		if p.waited(j)+optimisticRun*j.Spec.EstimatedRunSeconds <= t.Seconds() {
 			return t, true
 		}
 	}
@@ -86,28 +86,28 @@
 
 // runTime is how long a task of the job is expected to run, in seconds.
 func runTime(j *checkpoint.Job) float64 {
-	if j.Spec.EstimateS <= 0 {
+	if j.Spec.EstimatedRunSeconds <= 0 {
 		return serviceHorizon
 	}
-	return runs * j.Spec.EstimateS
+	return runs * j.Spec.EstimatedRunSeconds
 }
 
 // workOf is what n tasks of the job hold, times the seconds that they run.
 func workOf(j *checkpoint.Job, n int) checkpoint.Resources {
-	return j.Spec.Need().Scaled(float64(n) * runTime(j))
+	return j.Spec.TaskResources().Scale(float64(n) * runTime(j))
 }
 
 // countWork sums up what is left of the arrays that run: half of it, on average.
 func (p *planner) countWork() {
 	for _, j := range p.w.All {
 		if !j.Spec.Service {
-			p.addWork(j.Spec.Priority, workOf(j, len(j.Live)).Scaled(0.5))
+			p.addWork(j.Spec.Priority, workOf(j, len(j.Placements)).Scale(0.5))
 		}
 	}
 }
 
 func (p *planner) addWork(prio checkpoint.Priority, work checkpoint.Resources) {
-	p.work[prio] = p.work[prio].Plus(work)
+	p.work[prio] = p.work[prio].Add(work)
 }
 
 // queueWork notes what goes before the end of the job: what runs of its
@@ -119,7 +119,7 @@
 	p.addWork(j.Spec.Priority, workOf(j, j.Queue.Len()))
 	var sum checkpoint.Resources
 	for _, w := range p.work[j.Spec.Priority:] {
-		sum = sum.Plus(w)
+		sum = sum.Add(w)
 	}
 	p.ahead[j] = sum
 }
@@ -142,13 +142,13 @@
 		return sum
 	}
 	for _, b := range p.bins {
-		if j.Spec.Allows(b.typ.Name, b.zone, b.spot) {
-			sum = sum.Plus(b.typ.Capacity.Minus(b.m.Load().ByServices))
+		if j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+			sum = sum.Add(b.typ.Capacity.Sub(b.m.Load().ByServices))
 		}
 	}
 	for _, b := range p.come {
-		if j.Spec.Allows(b.typ.Name, b.zone, b.spot) {
-			sum = sum.Plus(b.typ.Capacity)
+		if j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+			sum = sum.Add(b.typ.Capacity)
 		}
 	}
 	p.usable[shapeOf(&j.Spec)] = sum
@@ -165,13 +165,13 @@
 	if slack-p.soonest(j) >= urgentBelow {
 		return false
 	}
-	if j.Spec.Priority < checkpoint.High && !p.withinGuarantee(j) && p.drain(j) <= slack {
+	if j.Spec.Priority < checkpoint.PriorityHigh && !p.withinGuarantee(j) && p.drain(j) <= slack {
 		return false
 	}
 	start := startTime(j, t)
 	// What would be late on a new machine anyway is not helped by a dear one.
 	left, has := p.timeLeft(j)
-	return !has || j.Spec.Priority >= checkpoint.High || left >= start+optimisticRun*j.Spec.EstimateS
+	return !has || j.Spec.Priority >= checkpoint.PriorityHigh || left >= start+optimisticRun*j.Spec.EstimatedRunSeconds
 }
 
 // isCheap tells whether a task of the job costs about the least on the kind.
@@ -183,13 +183,13 @@
 // begins some time: one task on a dear machine does for that. Old jobs of the
 // lowest priority had hundreds of dear machines rented for all their tasks.
 func (p *planner) needsOnlyBegin(j *checkpoint.Job) bool {
-	return j.Spec.Priority < checkpoint.High && p.unexpecting(j) && !j.Begun()
+	return j.Spec.Priority < checkpoint.PriorityHigh && p.unexpecting(j) && !j.HasStarted()
 }
 
 // unexpecting tells whether nothing is expected of the job's class: it has no
 // deadline and no objective.
 func (p *planner) unexpecting(j *checkpoint.Job) bool {
-	return !j.Spec.Service && j.Spec.DeadlineS <= 0 && p.w.Expect[j.Spec.Class].None()
+	return !j.Spec.Service && j.Spec.DeadlineSeconds <= 0 && p.w.Expect[j.Spec.Class].None()
 }
 
 // startTime is how long, in seconds, a new machine takes to run the job.
@@ -209,7 +209,7 @@
 	}
 	best := math.Inf(1)
 	p.eachOffer(j, func(o rental.Offer, t *fleet.Type) {
-		if !p.w.Blocked(o) && t.Capacity.Fits(j.Spec.Need()) {
+		if !p.w.Blocked(o) && t.Capacity.Fits(j.Spec.TaskResources()) {
 			best = min(best, startTime(j, t))
 		}
 	})
@@ -220,7 +220,7 @@
 // isStalled tells whether nothing of the job has been placed for long, though
 // tasks of it wait.
 func (p *planner) isStalled(j *checkpoint.Job) bool {
-	return p.w.Now.Sub(max(j.QueuedAt, j.LastStart)).Seconds() >= stalled
+	return p.w.Now.Sub(max(j.QueuedSince, j.LastPlacedAt)).Seconds() >= stalled
 }
 
 // mayUse tells whether the job may start on a machine that is up. Work that
@@ -229,7 +229,7 @@
 // where no cheap machine is to be had, the rest of jobs that had begun waited
 // beside idle machines for good.
 func (p *planner) mayUse(j *checkpoint.Job, b *bin) bool {
-	if p.isStalled(j) || j.Spec.Service || j.Spec.Priority >= checkpoint.High || p.guards {
+	if p.isStalled(j) || j.Spec.Service || j.Spec.Priority >= checkpoint.PriorityHigh || p.guards {
 		return true
 	}
 	if p.slack(j) < ampleSlack && (p.first || !p.unexpecting(j)) {
@@ -245,7 +245,7 @@
 }
 
 func taskPrice(j *checkpoint.Job, t *fleet.Type, spot bool) float64 {
-	per := t.Capacity.Holds(j.Spec.Need())
+	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
 	if per == 0 {
 		return math.Inf(1)
 	}
--- a/internal/round/urgency_test.go
+++ b/internal/round/urgency_test.go
@@ -26,8 +26,8 @@
 }
 
 func gpuArray(tasks int, estimate float64) checkpoint.Spec {
-	return checkpoint.Spec{Class: "arr", Team: "red", Priority: checkpoint.BestEffort, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 1,
-		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true}
+	return checkpoint.Spec{Class: "arr", Team: "red", Priority: checkpoint.PriorityBestEffort, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 1,
+		Image: "i", ImageGB: 1, EstimatedRunSeconds: estimate, Spot: true}
 }
 
 // TestScarceGPUsDecide: 40 tasks that want a GPU each take four machines with two
@@ -77,14 +77,14 @@
 		s := gpuScene(t, 3)
 		s.w.Expect = map[unit.Class]Expect{"svc": Expect{}.Add("wait", 12*time.Second)}
 		replica := gpuArray(2, 0)
-		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, checkpoint.Prod
+		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, checkpoint.PriorityProd
 		s.w.Spares = []*checkpoint.Spec{&replica}
 		array := gpuArray(6, 100)
-		array.CheckpointS, array.SaveS = 10, saves
+		array.CheckpointIntervalSeconds, array.CheckpointSeconds = 10, saves
 		j := s.job("wk-000001", array)
 		for i := range 6 {
 			p := s.place(j, unit.TaskIndex(i), unit.MachineID("host-"+string(rune('a'+i/2))))
-			p.Ran = s.w.Now
+			p.RunningSince = s.w.Now
 		}
 		j.Queue = nil
 		if plan := s.plan(); (len(plan.Record.Hires) > 0) != hires {
--- a/internal/round/waits_test.go
+++ b/internal/round/waits_test.go
@@ -19,11 +19,11 @@
 }
 
 func begun(s *scene, id unit.JobID, idle time.Duration) *checkpoint.Job {
-	spec := task("red", checkpoint.Standard, 6, 1)
+	spec := task("red", checkpoint.PriorityStandard, 6, 1)
 	spec.Spot = true
 	j := s.job(id, spec)
-	j.Complete(s.w.Now, 0) // some of it has run already
-	j.QueuedAt = s.w.Now.Add(-idle)
+	j.CompleteTask(s.w.Now, 0) // some of it has run already
+	j.QueuedSince = s.w.Now.Add(-idle)
 	return j
 }
 
@@ -50,7 +50,7 @@
 	s.w.Policy.PreemptAfter = 5 * time.Second
 	begun(s, "wk-000001", 30*time.Second) // may preempt, and goes first
 	later := begun(s, "wk-000002", 70*time.Second)
-	later.Accepted = 1
+	later.AcceptedAtMs = 1
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != later.ID {
 		t.Errorf("starts %+v, want the stalled job's", plan.Record.Starts)
--- a/internal/standby/catchup.go
+++ b/internal/standby/catchup.go
@@ -13,13 +13,13 @@
 
 // WatchFunc reads the changes of a prefix since a revision, without waiting, and the
 // revision up to which they are complete.
-type WatchFunc func(prefix string, since unit.Version) ([]statestore.Change, unit.Version, error)
+type WatchFunc func(prefix string, since unit.Revision) ([]statestore.WatchEvent, unit.Revision, error)
 
 // CatchUp brings a replica up to the moment at which this node acquired its epoch,
 // and returns what it then holds. No earlier leader can have written anything after
 // that. Jobs that were stored later are found by watching from the revision it
 // returns.
-func CatchUp(r *Replica, epoch unit.Epoch, watch WatchFunc) (takeover.Stored, unit.Version, error) {
+func CatchUp(r *Replica, epoch unit.Epoch, watch WatchFunc) (takeover.Stored, unit.Revision, error) {
 	if !r.Complete() {
 		return takeover.Stored{}, 0, ErrUnread
 	}
@@ -28,13 +28,13 @@
 		if err != nil {
 			return takeover.Stored{}, 0, err
 		}
-		if revision < unit.Version(epoch) {
+		if revision < unit.Revision(epoch) {
 			return takeover.Stored{}, 0, fmt.Errorf("%w: %s is complete up to %d, before the epoch %d", ErrOutOfOrder, prefix, revision, epoch)
 		}
 		if r, err = r.Apply(prefix, log, revision); err != nil {
 			return takeover.Stored{}, 0, err
 		}
 	}
-	stored := takeover.Stored{Jobs: r.Items(checkpoint.KeyPrefix), Rounds: r.Items(round.KeyPrefix), Parts: r.Items(parts.Prefix)}
+	stored := takeover.Stored{Jobs: r.Items(checkpoint.KeyPrefix), Rounds: r.Items(round.KeyPrefix), Parts: r.Items(parts.KeyPrefix)}
 	return stored, r.Revision(checkpoint.KeyPrefix), nil
 }
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -57,15 +57,15 @@
 	Listed struct {
 		Prefix   string
 		Err      error
-		Items    []statestore.Item
-		Revision unit.Version
+		Items    []statestore.KeyValue
+		Revision unit.Revision
 	}
 	// Changed answers Watch.
 	Changed struct {
 		Prefix   string
 		Err      error
-		Log      []statestore.Change
-		Revision unit.Version
+		Log      []statestore.WatchEvent
+		Revision unit.Revision
 	}
 	// Led says whether this node leads.
 	Led struct{ On bool }
@@ -86,7 +86,7 @@
 	// Watch reads the changes of the prefix since a revision, without waiting.
 	Watch struct {
 		Prefix string
-		Since  unit.Version
+		Since  unit.Revision
 	}
 )
 
@@ -246,8 +246,8 @@
 	// replica, and Lag how long ago that look began.
 	Behind   int
 	Lag      time.Duration
-	Revision unit.Version // up to which all of it is complete; 0: it is not
-	Rereads  int          // times that it had to be read anew
+	Revision unit.Revision // up to which all of it is complete; 0: it is not
+	Rereads  int           // times that it had to be read anew
 }
 
 // Status tells how the replica is at now. It says that it is ready only while it is.
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -18,7 +18,7 @@
 )
 
 // Prefixes are those of the keys that hold a leader's decisions.
-var Prefixes = []string{checkpoint.KeyPrefix, round.KeyPrefix, parts.Prefix}
+var Prefixes = []string{checkpoint.KeyPrefix, round.KeyPrefix, parts.KeyPrefix}
 
 // Errors of changes that can't be applied. The keys must be read anew.
 var (
@@ -32,15 +32,15 @@
 // each prefix. It is immutable: a change makes a new one, which shares with the old
 // what did not change, so that anybody may keep a replica at no cost.
 type Replica struct {
-	items     *iradix.Tree[statestore.Item]
-	revisions map[string]unit.Version // of each prefix; absent: never read
+	items     *iradix.Tree[statestore.KeyValue]
+	revisions map[string]unit.Revision // of each prefix; absent: never read
 	bytes     int
 	most      int // bytes that it may hold
 }
 
 // NewReplica returns an empty replica that may hold so many bytes.
 func NewReplica(mostBytes int) *Replica {
-	return &Replica{items: iradix.New[statestore.Item](), revisions: map[string]unit.Version{}, most: mostBytes}
+	return &Replica{items: iradix.New[statestore.KeyValue](), revisions: map[string]unit.Revision{}, most: mostBytes}
 }
 
 // Len counts the records.
@@ -51,27 +51,27 @@
 
 // Revision is the revision up to which all changes of a prefix are in the replica; 0
 // if it was never read.
-func (r *Replica) Revision(prefix string) unit.Version { return r.revisions[prefix] }
+func (r *Replica) Revision(prefix string) unit.Revision { return r.revisions[prefix] }
 
 // Complete tells whether every prefix has been read.
 func (r *Replica) Complete() bool { return len(r.revisions) == len(Prefixes) }
 
 // Items returns the records with the prefix in the order of their keys.
-func (r *Replica) Items(prefix string) []statestore.Item {
-	var out []statestore.Item
-	r.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item statestore.Item) bool {
+func (r *Replica) Items(prefix string) []statestore.KeyValue {
+	var out []statestore.KeyValue
+	r.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item statestore.KeyValue) bool {
 		out = append(out, item)
 		return false
 	})
 	return out
 }
 
-func sizeOf(item statestore.Item) int { return len(item.Key) + len(item.Value) }
+func sizeOf(item statestore.KeyValue) int { return len(item.Key) + len(item.Value) }
 
 // Load replaces what the replica holds of a prefix by what was read at a revision. A
 // record that changed while the pages were read may be newer than the revision; its
 // change is then seen again, and is applied only if it is newer still.
-func (r *Replica) Load(prefix string, items []statestore.Item, revision unit.Version) (*Replica, error) {
+func (r *Replica) Load(prefix string, items []statestore.KeyValue, revision unit.Revision) (*Replica, error) {
 	txn := r.items.Txn()
 	bytes := r.bytes
 	for _, item := range r.Items(prefix) {
@@ -90,7 +90,7 @@
 
 // Apply applies the changes of a prefix since the replica's revision of it, up to
 // another: all of them, or none.
-func (r *Replica) Apply(prefix string, log []statestore.Change, revision unit.Version) (*Replica, error) {
+func (r *Replica) Apply(prefix string, log []statestore.WatchEvent, revision unit.Revision) (*Replica, error) {
 	since, read := r.revisions[prefix]
 	if !read {
 		return r, ErrUnread
@@ -104,10 +104,10 @@
 	txn := r.items.Txn()
 	bytes, last := r.bytes, since
 	for _, c := range log {
-		if c.Stamp < last || c.Stamp <= since || c.Stamp > revision {
-			return r, fmt.Errorf("%w: %d after %d, in changes from %d to %d", ErrOutOfOrder, c.Stamp, last, since, revision)
+		if c.ModRevision < last || c.ModRevision <= since || c.ModRevision > revision {
+			return r, fmt.Errorf("%w: %d after %d, in changes from %d to %d", ErrOutOfOrder, c.ModRevision, last, since, revision)
 		}
-		last = c.Stamp
+		last = c.ModRevision
 		grown, err := applyChange(txn, prefix, c)
 		if err != nil {
 			return r, err
@@ -118,33 +118,33 @@
 }
 
 // applyChange applies one change, and tells by how much the replica grows.
-func applyChange(txn *iradix.Txn[statestore.Item], prefix string, c statestore.Change) (int, error) {
-	key := c.Set + c.Remove
-	if !strings.HasPrefix(key, prefix) || c.Set != "" && c.Remove != "" {
+func applyChange(txn *iradix.Txn[statestore.KeyValue], prefix string, c statestore.WatchEvent) (int, error) {
+	key := c.SetKey + c.DeleteKey
+	if !strings.HasPrefix(key, prefix) || c.SetKey != "" && c.DeleteKey != "" {
 		return 0, fmt.Errorf("%w: %.100q", ErrForeignKey, key)
 	}
 	old, known := txn.Get([]byte(key))
-	if known && old.Stamp >= c.Stamp {
+	if known && old.ModRevision >= c.ModRevision {
 		return 0, nil // it was read after the change
 	}
 	grown := 0
 	if known {
 		grown = -sizeOf(old)
 	}
-	if c.Remove != "" {
+	if c.DeleteKey != "" {
 		txn.Delete([]byte(key))
 		return grown, nil
 	}
-	item := statestore.Item{Key: key, Value: c.Value, Stamp: c.Stamp}
+	item := statestore.KeyValue{Key: key, Value: c.Value, ModRevision: c.ModRevision}
 	txn.Insert([]byte(key), item)
 	return grown + sizeOf(item), nil
 }
 
-func (r *Replica) next(txn *iradix.Txn[statestore.Item], prefix string, revision unit.Version, bytes int) (*Replica, error) {
+func (r *Replica) next(txn *iradix.Txn[statestore.KeyValue], prefix string, revision unit.Revision, bytes int) (*Replica, error) {
 	if bytes > r.most {
 		return r, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, bytes, r.most)
 	}
-	out := &Replica{items: txn.Commit(), revisions: make(map[string]unit.Version, len(Prefixes)), bytes: bytes, most: r.most}
+	out := &Replica{items: txn.Commit(), revisions: make(map[string]unit.Revision, len(Prefixes)), bytes: bytes, most: r.most}
 	for p, v := range r.revisions {
 		out.revisions[p] = v
 	}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -26,7 +26,7 @@
 // put stores a value under a key, without a guard.
 func put(t *testing.T, state *fake.State, key string, value any) {
 	t.Helper()
-	if _, err := state.Commit(statestore.Txn{Writes: []statestore.Write{{Set: key, Value: value}}}); err != nil {
+	if _, err := state.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: key, Value: value}}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -79,12 +79,12 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := newRig(mostBytes)
 	var kept *Replica
-	var before []statestore.Item
+	var before []statestore.KeyValue
 	for i := range 300 {
 		for range rng.IntN(4) {
 			key := Prefixes[rng.IntN(len(Prefixes))] + fmt.Sprint(rng.IntN(20))
 			if rng.IntN(5) == 0 {
-				if _, err := r.state.Commit(statestore.Txn{Writes: []statestore.Write{{Remove: key}}}); err != nil {
+				if _, err := r.state.Commit(statestore.Txn{Operations: []statestore.Operation{{DeleteKey: key}}}); err != nil {
 					t.Fatal(err)
 				}
 				continue
@@ -177,16 +177,16 @@
 // TestChangesThatCannotBe are refused whole: nothing of them is applied, and the keys
 // are read anew.
 func TestChangesThatCannotBe(t *testing.T) {
-	set := func(key string, stamp unit.Version) statestore.Change {
-		return statestore.Change{Set: key, Stamp: stamp}
+	set := func(key string, stamp unit.Revision) statestore.WatchEvent {
+		return statestore.WatchEvent{SetKey: key, ModRevision: stamp}
 	}
 	for what, in := range map[string]Changed{
-		"out of order":          {Log: []statestore.Change{set("job/1", 12), set("job/2", 11)}, Revision: 12},
-		"known already":         {Log: []statestore.Change{set("job/1", 2), set("job/2", 12)}, Revision: 12},
-		"beyond their revision": {Log: []statestore.Change{set("job/1", 13)}, Revision: 12},
-		"of another key":        {Log: []statestore.Change{set("job/1", 11), set("leader", 12)}, Revision: 12},
-		"set and removed":       {Log: []statestore.Change{{Set: "job/1", Remove: "job/1", Stamp: 11}}, Revision: 12},
-		"neither":               {Log: []statestore.Change{{Stamp: 11}}, Revision: 12},
+		"out of order":          {Log: []statestore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
+		"known already":         {Log: []statestore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
+		"beyond their revision": {Log: []statestore.WatchEvent{set("job/1", 13)}, Revision: 12},
+		"of another key":        {Log: []statestore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
+		"set and removed":       {Log: []statestore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
+		"neither":               {Log: []statestore.WatchEvent{{ModRevision: 11}}, Revision: 12},
 		"of an earlier state":   {Revision: 3},
 	} {
 		r := newRig(mostBytes)
@@ -268,9 +268,9 @@
 	for _, records := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			value := make([]byte, 600)
-			var items []statestore.Item
+			var items []statestore.KeyValue
 			for i := range records {
-				items = append(items, statestore.Item{Key: fmt.Sprintf("job/wk-%06d", i), Value: value, Stamp: 1})
+				items = append(items, statestore.KeyValue{Key: fmt.Sprintf("job/wk-%06d", i), Value: value, ModRevision: 1})
 			}
 			replica, err := NewReplica(64<<20).Load("job/", items, 1)
 			if err != nil {
@@ -278,10 +278,10 @@
 			}
 			b.ReportAllocs()
 			for n := range b.N {
-				var log []statestore.Change
-				revision := unit.Version(n + 2)
+				var log []statestore.WatchEvent
+				revision := unit.Revision(n + 2)
 				for i := range 30 {
-					log = append(log, statestore.Change{Set: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, Stamp: revision})
+					log = append(log, statestore.WatchEvent{SetKey: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, ModRevision: revision})
 				}
 				if replica, err = replica.Apply("job/", log, revision); err != nil {
 					b.Fatal(err)
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -24,53 +24,53 @@
 // Errors of the state service. ErrUncertain means that the request may have
 // been executed, or may still be; the others mean that it was not.
 var (
-	ErrUnavailable = errors.New("state service unavailable")
-	ErrThrottled   = errors.New("state service throttled us")
-	ErrUncertain   = errors.New("state service did not answer")
-	ErrNoLease     = errors.New("no such lease")
-	ErrMalformed   = errors.New("state service refused the request")
-	ErrCompacted   = errors.New("changes since that revision are no longer kept")
+	ErrUnavailable    = errors.New("state service unavailable")
+	ErrThrottled      = errors.New("state service throttled us")
+	ErrOutcomeUnknown = errors.New("state service did not answer")
+	ErrLeaseNotFound  = errors.New("no such lease")
+	ErrRejected       = errors.New("state service refused the request")
+	ErrCompacted      = errors.New("changes since that revision are no longer kept")
 )
 
 // ConflictError tells which guards of a transaction failed.
-type ConflictError struct{ Failed []string }
+type ConflictError struct{ FailedKeys []string }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", e.Failed) }
+func (e *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", e.FailedKeys) }
 
-// Item is one key with its value. The value is still encoded.
-type Item struct {
-	Key   string             `msgpack:"key"`
-	Value msgpack.RawMessage `msgpack:"value"`
-	Stamp unit.Version       `msgpack:"stamp"`
+// KeyValue is one key with its value. The value is still encoded.
+type KeyValue struct {
+	Key         string             `msgpack:"key"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision unit.Revision      `msgpack:"stamp"`
 }
 
-// Guard is a condition: the key has this version (0: it does not exist).
-type Guard struct {
-	Key   string       `msgpack:"key" json:"key"`
-	Stamp unit.Version `msgpack:"stamp" json:"stamp"`
+// Condition is a condition: the key has this version (0: it does not exist).
+type Condition struct {
+	Key         string        `msgpack:"key" json:"key"`
+	ModRevision unit.Revision `msgpack:"stamp" json:"stamp"`
 }
 
-// Write sets or removes a key.
-type Write struct {
-	Set    string      `msgpack:"set,omitempty" json:"set,omitempty"`
-	Value  any         `msgpack:"value,omitempty" json:"value,omitempty"`
-	Tenure unit.Tenure `msgpack:"tenure,omitempty" json:"tenure,omitempty"`
-	Remove string      `msgpack:"remove,omitempty" json:"remove,omitempty"`
+// Operation sets or removes a key.
+type Operation struct {
+	SetKey    string       `msgpack:"set,omitempty" json:"set,omitempty"`
+	Value     any          `msgpack:"value,omitempty" json:"value,omitempty"`
+	LeaseID   unit.LeaseID `msgpack:"tenure,omitempty" json:"tenure,omitempty"`
+	DeleteKey string       `msgpack:"remove,omitempty" json:"remove,omitempty"`
 }
 
 // Txn is an atomic change.
 type Txn struct {
-	Guards []Guard `msgpack:"guards" json:"guards"`
-	Writes []Write `msgpack:"writes,omitempty" json:"writes,omitempty"`
+	Conditions []Condition `msgpack:"guards" json:"guards"`
+	Operations []Operation `msgpack:"writes,omitempty" json:"writes,omitempty"`
 }
 
-// Change is one entry of a watch.
-type Change struct {
-	Set    string             `msgpack:"set"`
-	Remove string             `msgpack:"remove"`
-	Value  msgpack.RawMessage `msgpack:"value"`
-	Stamp  unit.Version       `msgpack:"stamp"`
+// WatchEvent is one entry of a watch.
+type WatchEvent struct {
+	SetKey      string             `msgpack:"set"`
+	DeleteKey   string             `msgpack:"remove"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision unit.Revision      `msgpack:"stamp"`
 }
 
 // JSONSize is the size of a value in the form in which limits are counted.
@@ -79,14 +79,14 @@
 	if err != nil {
 		return 1 << 30
 	}
-	return len(data) + len(".0")*wholeFloats(reflect.ValueOf(v))
+	return len(data) + len(".0")*countWholeFloats(reflect.ValueOf(v))
 }
 
-// wholeFloats counts the decimal numbers in v that are whole, those that are left
+// countWholeFloats counts the decimal numbers in v that are whole, those that are left
 // out of the JSON too: the size is never too small. The service writes
 // them as 4.0, where Go's JSON has 4: a record that fitted by a few bytes was
 // refused again and again.
-func wholeFloats(v reflect.Value) int {
+func countWholeFloats(v reflect.Value) int {
 	n := 0
 	switch v.Kind() {
 	case reflect.Float32, reflect.Float64:
@@ -95,29 +95,29 @@
 		}
 	case reflect.Pointer, reflect.Interface:
 		if !v.IsNil() {
-			n = wholeFloats(v.Elem())
+			n = countWholeFloats(v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			n += wholeFloats(v.Field(i))
+			n += countWholeFloats(v.Field(i))
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			n += wholeFloats(v.Index(i))
+			n += countWholeFloats(v.Index(i))
 		}
 	case reflect.Map:
 		for entries := v.MapRange(); entries.Next(); {
-			n += wholeFloats(entries.Value())
+			n += countWholeFloats(entries.Value())
 		}
 	}
 	return n
 }
 
 const (
-	// maxAnswer bounds what is read of one answer. Watches have no limit of
+	// maxResponseBytes bounds what is read of one answer. Watches have no limit of
 	// their own at the service.
-	maxAnswer = 8 << 20
-	listPage  = 500
+	maxResponseBytes = 8 << 20
+	listPageSize     = 500
 	// RequestTimeout is how long a request waits for its answer.
 	RequestTimeout = 1500 * time.Millisecond
 )
@@ -133,39 +133,39 @@
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: rt}}
 }
 
-type reply struct {
-	JournalNo unit.Version       `msgpack:"journalNo"`
-	Key       string             `msgpack:"key"`
-	Value     msgpack.RawMessage `msgpack:"value"`
-	Stamp     unit.Version       `msgpack:"stamp"`
-	Pairs     wire.List[Item]    `msgpack:"pairs"`
-	More      bool               `msgpack:"more"`
-	Failed    wire.List[string]  `msgpack:"failed"`
-	Tenure    unit.Tenure        `msgpack:"tenure"`
-	Log       wire.List[Change]  `msgpack:"log"`
-	Error     string             `msgpack:"error"`
+type response struct {
+	Revision    unit.Revision                `msgpack:"journalNo"`
+	Key         string                       `msgpack:"key"`
+	Value       msgpack.RawMessage           `msgpack:"value"`
+	ModRevision unit.Revision                `msgpack:"stamp"`
+	Pairs       wire.BoundedList[KeyValue]   `msgpack:"pairs"`
+	More        bool                         `msgpack:"more"`
+	FailedKeys  wire.BoundedList[string]     `msgpack:"failed"`
+	LeaseID     unit.LeaseID                 `msgpack:"tenure"`
+	Events      wire.BoundedList[WatchEvent] `msgpack:"log"`
+	Error       string                       `msgpack:"error"`
 }
 
 // call sends one request and sorts the answer. A status it returns without an
 // error is 200, 404 or 409.
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body any) (int, *reply, error) {
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body any) (int, *response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := wire.NewRequest(ctx, method, c.base+path, body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return 0, nil, fmt.Errorf("%w: %v", ErrRejected, err)
 	}
-	status, data, err := wire.Exchange(c.http, req, maxAnswer)
+	status, data, err := wire.Do(c.http, req, maxResponseBytes)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUncertain, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return sortAnswer(status, data)
+	return classifyResponse(status, data)
 }
 
-// sortAnswer turns a status and a body into a reply or an error. A body that
+// classifyResponse turns a status and a body into a reply or an error. A body that
 // can't be read leaves a successful request uncertain, never failed.
-func sortAnswer(status int, data []byte) (int, *reply, error) {
-	r := new(reply)
+func classifyResponse(status int, data []byte) (int, *response, error) {
+	r := new(response)
 	var bad error
 	if len(data) > 0 {
 		bad = msgpack.Unmarshal(data, r)
@@ -173,7 +173,7 @@
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
 		if bad != nil {
-			return 0, nil, fmt.Errorf("%w: %v", ErrUncertain, bad)
+			return 0, nil, fmt.Errorf("%w: %v", ErrOutcomeUnknown, bad)
 		}
 		return status, r, nil
 	case http.StatusTooManyRequests:
@@ -183,37 +183,37 @@
 	case http.StatusGone:
 		return 0, nil, ErrCompacted
 	case http.StatusBadRequest:
-		if r.Error == ErrNoLease.Error() {
-			return 0, nil, ErrNoLease
+		if r.Error == ErrLeaseNotFound.Error() {
+			return 0, nil, ErrLeaseNotFound
 		}
-		return 0, nil, fmt.Errorf("%w: %.200s", ErrMalformed, r.Error)
+		return 0, nil, fmt.Errorf("%w: %.200s", ErrRejected, r.Error)
 	}
-	return 0, nil, fmt.Errorf("%w: status %d", ErrUncertain, status)
+	return 0, nil, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
 // Get reads a key. A key that does not exist has stamp 0.
-func (c *Client) Get(ctx context.Context, key string) (Item, error) {
+func (c *Client) Get(ctx context.Context, key string) (KeyValue, error) {
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodGet, "/kv/"+key, nil)
 	if err != nil {
-		return Item{}, fmt.Errorf("get %s: %w", key, err)
+		return KeyValue{}, fmt.Errorf("get %s: %w", key, err)
 	}
 	if status == http.StatusNotFound {
-		return Item{Key: key}, nil
+		return KeyValue{Key: key}, nil
 	}
-	if status != http.StatusOK || r.Stamp == 0 {
-		return Item{}, fmt.Errorf("get %s: %w: status %d", key, ErrUncertain, status)
+	if status != http.StatusOK || r.ModRevision == 0 {
+		return KeyValue{}, fmt.Errorf("get %s: %w: status %d", key, ErrOutcomeUnknown, status)
 	}
-	return Item{Key: key, Value: r.Value, Stamp: r.Stamp}, nil
+	return KeyValue{Key: key, Value: r.Value, ModRevision: r.ModRevision}, nil
 }
 
 // List reads every key with the prefix, page by page. The revision is that of
 // the first page, so that a watch from it misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]Item, unit.Version, error) {
-	var items []Item
-	var first unit.Version
+func (c *Client) List(ctx context.Context, prefix string) ([]KeyValue, unit.Revision, error) {
+	var items []KeyValue
+	var first unit.Revision
 	since := ""
 	for {
-		q := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(listPage)}}
+		q := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(listPageSize)}}
 		if since != "" {
 			q.Set("since", since)
 		}
@@ -222,7 +222,7 @@
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if first == 0 {
-			first = r.JournalNo
+			first = r.Revision
 		}
 		items = append(items, r.Pairs...)
 		if !r.More || len(r.Pairs) == 0 {
@@ -234,63 +234,63 @@
 
 // Commit applies a transaction and returns its revision, which is the new
 // version of every key it set.
-func (c *Client) Commit(ctx context.Context, t Txn) (unit.Version, error) {
+func (c *Client) Commit(ctx context.Context, t Txn) (unit.Revision, error) {
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/multi", t)
 	if err != nil {
 		return 0, fmt.Errorf("commit: %w", err)
 	}
 	switch {
 	case status == http.StatusConflict:
-		return 0, &ConflictError{Failed: r.Failed}
-	case status != http.StatusOK || r.JournalNo == 0:
-		return 0, fmt.Errorf("commit: %w: status %d", ErrUncertain, status)
+		return 0, &ConflictError{FailedKeys: r.FailedKeys}
+	case status != http.StatusOK || r.Revision == 0:
+		return 0, fmt.Errorf("commit: %w: status %d", ErrOutcomeUnknown, status)
 	}
-	return r.JournalNo, nil
+	return r.Revision, nil
 }
 
-// Grant asks for a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (unit.Tenure, error) {
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (unit.LeaseID, error) {
 	body := map[string]any{"lifeMs": life.Milliseconds()}
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/leases", body)
 	if err != nil {
 		return 0, fmt.Errorf("grant: %w", err)
 	}
-	if status != http.StatusOK || r.Tenure == 0 {
-		return 0, fmt.Errorf("grant: %w: status %d", ErrUncertain, status)
+	if status != http.StatusOK || r.LeaseID == 0 {
+		return 0, fmt.Errorf("grant: %w: status %d", ErrOutcomeUnknown, status)
 	}
-	return r.Tenure, nil
+	return r.LeaseID, nil
 }
 
-// Extend renews a lease; ErrNoLease means that it has ended.
-func (c *Client) Extend(ctx context.Context, t unit.Tenure) error {
+// RenewLease renews a lease; ErrNoLease means that it has ended.
+func (c *Client) RenewLease(ctx context.Context, t unit.LeaseID) error {
 	path := fmt.Sprintf("/leases/%d/extend", t)
 	status, _, err := c.call(ctx, RequestTimeout, http.MethodPost, path, map[string]any{})
 	if err != nil {
 		return fmt.Errorf("extend: %w", err)
 	}
 	if status == http.StatusNotFound {
-		return ErrNoLease
+		return ErrLeaseNotFound
 	}
 	return nil
 }
 
-// Revoke ends a lease at once.
-func (c *Client) Revoke(ctx context.Context, t unit.Tenure) error {
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, t unit.LeaseID) error {
 	_, _, err := c.call(ctx, RequestTimeout, http.MethodDelete, fmt.Sprintf("/leases/%d", t), nil)
 	return err
 }
 
 // Watch waits until a key with the prefix has changed after since. Changes that are
 // too many to be read count as no longer kept: the keys must be read again.
-func (c *Client) Watch(ctx context.Context, prefix string, since unit.Version, hold time.Duration) ([]Change, unit.Version, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since unit.Revision, hold time.Duration) ([]WatchEvent, unit.Revision, error) {
 	q := url.Values{"prefix": {prefix}, "since": {strconv.FormatUint(uint64(since), 10)},
 		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	_, r, err := c.call(ctx, hold+RequestTimeout, http.MethodGet, "/watch?"+q.Encode(), nil)
-	if errors.Is(err, wire.ErrTooLarge) {
+	if errors.Is(err, wire.ErrResponseTooLarge) {
 		err = ErrCompacted
 	}
 	if err != nil {
 		return nil, 0, fmt.Errorf("watch %s: %w", prefix, err)
 	}
-	return r.Log, r.JournalNo, nil
+	return r.Events, r.Revision, nil
 }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -22,8 +22,8 @@
 	return statestore.NewClient("10.2.0.1:2379", srv), srv
 }
 
-func set(key string, stamp unit.Version, value any) statestore.Txn {
-	return statestore.Txn{Guards: []statestore.Guard{{Key: key, Stamp: stamp}}, Writes: []statestore.Write{{Set: key, Value: value}}}
+func set(key string, stamp unit.Revision, value any) statestore.Txn {
+	return statestore.Txn{Conditions: []statestore.Condition{{Key: key, ModRevision: stamp}}, Operations: []statestore.Operation{{SetKey: key, Value: value}}}
 }
 
 func TestCompareAndSet(t *testing.T) {
@@ -35,15 +35,15 @@
 	}
 	_, err = c.Commit(ctx, set("job/wk-000001", 0, map[string]int{"n": 2}))
 	var conflict *statestore.ConflictError
-	if !errors.As(err, &conflict) || len(conflict.Failed) != 1 || conflict.Failed[0] != "job/wk-000001" {
+	if !errors.As(err, &conflict) || len(conflict.FailedKeys) != 1 || conflict.FailedKeys[0] != "job/wk-000001" {
 		t.Fatalf("second create: %v", err)
 	}
 	item, err := c.Get(ctx, "job/wk-000001")
 	var got map[string]int
-	if err != nil || item.Stamp != v || msgpack.Unmarshal(item.Value, &got) != nil || got["n"] != 1 {
+	if err != nil || item.ModRevision != v || msgpack.Unmarshal(item.Value, &got) != nil || got["n"] != 1 {
 		t.Errorf("read back %+v, %v, %v", item, got, err)
 	}
-	if item, err := c.Get(ctx, "job/wk-000002"); err != nil || item.Stamp != 0 {
+	if item, err := c.Get(ctx, "job/wk-000002"); err != nil || item.ModRevision != 0 {
 		t.Errorf("absent key: %+v, %v", item, err)
 	}
 }
@@ -66,26 +66,26 @@
 func TestLeaseEndsWithItsKeys(t *testing.T) {
 	c, srv := setUp()
 	ctx := context.Background()
-	tenure, err := c.Grant(ctx, 10*time.Second)
+	tenure, err := c.GrantLease(ctx, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	txn := statestore.Txn{Writes: []statestore.Write{{Set: "leader", Value: "me", Tenure: tenure}}}
+	txn := statestore.Txn{Operations: []statestore.Operation{{SetKey: "leader", Value: "me", LeaseID: tenure}}}
 	if _, err := c.Commit(ctx, txn); err != nil {
 		t.Fatal(err)
 	}
 	srv.Now = srv.Now.Add(9 * time.Second)
-	if err := c.Extend(ctx, tenure); err != nil {
+	if err := c.RenewLease(ctx, tenure); err != nil {
 		t.Fatal(err)
 	}
 	srv.Now = srv.Now.Add(11 * time.Second)
-	if item, err := c.Get(ctx, "leader"); err != nil || item.Stamp != 0 {
+	if item, err := c.Get(ctx, "leader"); err != nil || item.ModRevision != 0 {
 		t.Errorf("key outlives its lease: %+v, %v", item, err)
 	}
-	if err := c.Extend(ctx, tenure); !errors.Is(err, statestore.ErrNoLease) {
+	if err := c.RenewLease(ctx, tenure); !errors.Is(err, statestore.ErrLeaseNotFound) {
 		t.Errorf("extending an ended lease: %v", err)
 	}
-	if _, err := c.Commit(ctx, txn); !errors.Is(err, statestore.ErrNoLease) {
+	if _, err := c.Commit(ctx, txn); !errors.Is(err, statestore.ErrLeaseNotFound) {
 		t.Errorf("setting with an ended lease: %v", err)
 	}
 }
@@ -100,9 +100,9 @@
 		want   error
 	}{
 		{503, "", statestore.ErrUnavailable}, {429, "", statestore.ErrThrottled},
-		{400, "\x81\xa5error\xadno such lease", statestore.ErrNoLease}, {400, "garbage", statestore.ErrMalformed},
-		{500, "", statestore.ErrUncertain}, {200, "\xc1\xc1", statestore.ErrUncertain}, {200, "", statestore.ErrUncertain},
-		{200, "\x81\xa9journalNo\xa3abc", statestore.ErrUncertain}, {409, "\x81\xa6failed\xdd\xff\xff\xff\xff", statestore.ErrUncertain},
+		{400, "\x81\xa5error\xadno such lease", statestore.ErrLeaseNotFound}, {400, "garbage", statestore.ErrRejected},
+		{500, "", statestore.ErrOutcomeUnknown}, {200, "\xc1\xc1", statestore.ErrOutcomeUnknown}, {200, "", statestore.ErrOutcomeUnknown},
+		{200, "\x81\xa9journalNo\xa3abc", statestore.ErrOutcomeUnknown}, {409, "\x81\xa6failed\xdd\xff\xff\xff\xff", statestore.ErrOutcomeUnknown},
 	} {
 		srv.Answer = func(*http.Request) (*http.Response, error) {
 			return &http.Response{StatusCode: s.status, Body: io.NopCloser(bytes.NewReader([]byte(s.body)))}, nil
@@ -112,7 +112,7 @@
 		}
 	}
 	srv.Answer = func(*http.Request) (*http.Response, error) { return nil, errors.New("connection reset") }
-	if _, err := c.Commit(context.Background(), set("k", 0, 1)); !errors.Is(err, statestore.ErrUncertain) {
+	if _, err := c.Commit(context.Background(), set("k", 0, 1)); !errors.Is(err, statestore.ErrOutcomeUnknown) {
 		t.Errorf("reset: %v", err)
 	}
 }
@@ -123,13 +123,13 @@
 	const limit = 20.0
 	now := unit.Instant(time.Hour)
 	nodes := []*statestore.Budget{statestore.NewBudget(3, 150, limit), statestore.NewBudget(3, 150, limit), statestore.NewBudget(3, 150, limit)}
-	nodes[0].Lead(now, true)
+	nodes[0].SetLeader(now, true)
 	taken := 0
 	const secs = 20
 	for range secs * 100 {
 		now = now.Add(10 * time.Millisecond)
 		for _, b := range nodes {
-			for b.TakeWrites(now, statestore.UseSubmit, 1) {
+			for b.TakeWrites(now, statestore.PurposeSubmission, 1) {
 				taken++
 			}
 		}
@@ -141,9 +141,9 @@
 	rounds := 0
 	for range secs * 100 {
 		now = now.Add(10 * time.Millisecond)
-		for nodes[0].TakeWrites(now, statestore.UseSubmit, 1) {
+		for nodes[0].TakeWrites(now, statestore.PurposeSubmission, 1) {
 		}
-		if nodes[0].TakeWrites(now, statestore.UseRound, 1) {
+		if nodes[0].TakeWrites(now, statestore.PurposeRound, 1) {
 			rounds++
 		}
 	}
@@ -151,9 +151,9 @@
 		t.Errorf("%d rounds in %d s of submissions", rounds, secs)
 	}
 	now = now.Add(time.Minute)
-	for nodes[0].TakeWrites(now, statestore.UseFold, 1) {
+	for nodes[0].TakeWrites(now, statestore.PurposeFold, 1) {
 	}
-	if !nodes[0].TakeWrites(now, statestore.UseSubmit, 1) || !nodes[0].TakeWrites(now, statestore.UseRound, 1) {
+	if !nodes[0].TakeWrites(now, statestore.PurposeSubmission, 1) || !nodes[0].TakeWrites(now, statestore.PurposeRound, 1) {
 		t.Error("folds left nothing for submissions and rounds")
 	}
 }
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -67,11 +67,11 @@
 func describe(v any, err error) string {
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
-		return fmt.Sprintf("conflict %q", conflict.Failed)
+		return fmt.Sprintf("conflict %q", conflict.FailedKeys)
 	}
 	for name, sentinel := range map[string]error{
-		"unavailable": statestore.ErrUnavailable, "throttled": statestore.ErrThrottled, "uncertain": statestore.ErrUncertain,
-		"no lease": statestore.ErrNoLease, "malformed": statestore.ErrMalformed, "compacted": statestore.ErrCompacted,
+		"unavailable": statestore.ErrUnavailable, "throttled": statestore.ErrThrottled, "uncertain": statestore.ErrOutcomeUnknown,
+		"no lease": statestore.ErrLeaseNotFound, "malformed": statestore.ErrRejected, "compacted": statestore.ErrCompacted,
 	} {
 		if errors.Is(err, sentinel) {
 			return name
@@ -83,8 +83,8 @@
 	return fmt.Sprint(v)
 }
 
-func describeItem(it statestore.Item) string {
-	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.Stamp)
+func describeItem(it statestore.KeyValue) string {
+	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.ModRevision)
 }
 
 // calls are the client's requests, each with what became of it.
@@ -107,34 +107,38 @@
 		}
 	}
 	full := statestore.Txn{
-		Guards: []statestore.Guard{{Key: "leader", Stamp: 982}, {Key: "job/wk-000412", Stamp: 0}},
-		Writes: []statestore.Write{
-			{Set: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
-			{Set: "leader", Value: goldenRecord{Node: "n2"}, Tenure: 17},
-			{Remove: "part/wk-000412/1"},
+		Conditions: []statestore.Condition{{Key: "leader", ModRevision: 982}, {Key: "job/wk-000412", ModRevision: 0}},
+		Operations: []statestore.Operation{
+			{SetKey: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
+			{SetKey: "leader", Value: goldenRecord{Node: "n2"}, LeaseID: 17},
+			{DeleteKey: "part/wk-000412/1"},
 		},
 	}
 	grant := func(ctx context.Context, c *statestore.Client) string {
-		return describe(c.Grant(ctx, 6*time.Second))
+		return describe(c.GrantLease(ctx, 6*time.Second))
+	}
+	extend := func(ctx context.Context, c *statestore.Client) string {
+		return describe("extended", c.RenewLease(ctx, 17))
+	}
+	revoke := func(ctx context.Context, c *statestore.Client) string {
+		return describe("revoked", c.RevokeLease(ctx, 17))
 	}
-	extend := func(ctx context.Context, c *statestore.Client) string { return describe("extended", c.Extend(ctx, 17)) }
-	revoke := func(ctx context.Context, c *statestore.Client) string { return describe("revoked", c.Revoke(ctx, 17)) }
 	watch := func(ctx context.Context, c *statestore.Client) string {
 		changes, revision, err := c.Watch(ctx, "job/", 1201, 1500*time.Millisecond)
 		text := fmt.Sprint("revision ", revision)
 		for _, ch := range changes {
-			text += fmt.Sprintf(" set %q remove %q %x@%d", ch.Set, ch.Remove, []byte(ch.Value), ch.Stamp)
+			text += fmt.Sprintf(" set %q remove %q %x@%d", ch.SetKey, ch.DeleteKey, []byte(ch.Value), ch.ModRevision)
 		}
 		return describe(text, err)
 	}
 	return map[string]func(context.Context, *statestore.Client) string{
 		"get": get, "get absent": get, "get throttled": get,
 		"list": list, "list in pages": list, "list unavailable": list,
-		"commit": commit(full), "commit guards only": commit(statestore.Txn{Guards: full.Guards}),
-		"commit refused":   commit(statestore.Txn{Guards: full.Guards[:1], Writes: full.Writes[2:]}),
-		"commit malformed": commit(statestore.Txn{Writes: full.Writes[:1]}),
+		"commit": commit(full), "commit guards only": commit(statestore.Txn{Conditions: full.Conditions}),
+		"commit refused":   commit(statestore.Txn{Conditions: full.Conditions[:1], Operations: full.Operations[2:]}),
+		"commit malformed": commit(statestore.Txn{Operations: full.Operations[:1]}),
 		"commit lost":      commit(statestore.Txn{}),
-		"commit ended":     commit(statestore.Txn{Writes: full.Writes[1:2]}),
+		"commit ended":     commit(statestore.Txn{Operations: full.Operations[1:2]}),
 		"grant":            grant, "extend": extend, "extend ended": extend, "revoke": revoke,
 		"watch": watch, "watch compacted": watch,
 	}
@@ -185,7 +189,7 @@
 		{"record", goldenRecord{Node: "n1", Count: 7}, 25},
 		{"record with a share", goldenRecord{Node: "n1", Count: 7, Share: 0.5}, 35},
 		{"nested", nested{Records: []goldenRecord{{Share: 2}}, Shares: map[string]float64{"a": 1, "b": 1.5}, Next: &nested{}}, 116},
-		{"unchecked revision", unit.Version(1 << 40), 13},
+		{"unchecked revision", unit.Revision(1 << 40), 13},
 		{"raw", msgpack.RawMessage{1, 2, 3}, 6},
 		{"not to be encoded", func() {}, 1 << 30},
 	} {
--- a/internal/takeover/records.go
+++ b/internal/takeover/records.go
@@ -19,9 +19,9 @@
 
 // Stored is everything that the state service holds, still encoded.
 type Stored struct {
-	Jobs, Rounds []statestore.Item
-	Parts        []statestore.Item // of records of both kinds
-	Agreed       statestore.Item   // the form of records that was agreed on
+	Jobs, Rounds []statestore.KeyValue
+	Parts        []statestore.KeyValue // of records of both kinds
+	Agreed       statestore.KeyValue   // the form of records that was agreed on
 }
 
 // Records are what could be read of it.
@@ -29,10 +29,10 @@
 	Jobs   []Job
 	Rounds []round.Stored
 	// LostRounds are the slots whose rounds can't be read.
-	LostRounds []statestore.Item
+	LostRounds []statestore.KeyValue
 	Agreed     rollout.Agreed
 	// Versions of the keys by which staged records and the agreement are guarded.
-	StageVersion, AgreedVersion unit.Version
+	StageVersion, AgreedVersion unit.Revision
 	Unreadable                  []Unreadable
 }
 
@@ -40,7 +40,7 @@
 type Job struct {
 	ID      unit.JobID
 	Record  *checkpoint.Record
-	Version unit.Version
+	Version unit.Revision
 }
 
 // Unreadable is a record that can't be read.
@@ -52,13 +52,13 @@
 // IsLater tells whether a newer program has written the record: this one must not
 // decide without knowing what that one has decided.
 func (u Unreadable) IsLater() bool {
-	return errors.Is(u.Err, checkpoint.ErrSchema) || errors.Is(u.Err, round.ErrSchema)
+	return errors.Is(u.Err, checkpoint.ErrNewerSchema) || errors.Is(u.Err, round.ErrSchema)
 }
 
 // Read decodes all records. stageKey is the key that guards staged records.
 func Read(s Stored, stageKey string) *Records {
-	out := &Records{AgreedVersion: s.Agreed.Stamp}
-	if s.Agreed.Stamp != 0 {
+	out := &Records{AgreedVersion: s.Agreed.ModRevision}
+	if s.Agreed.ModRevision != 0 {
 		if err := msgpack.Unmarshal(s.Agreed.Value, &out.Agreed); err != nil {
 			out.unreadable(s.Agreed.Key, err)
 		}
@@ -67,7 +67,7 @@
 	for _, item := range s.Parts {
 		parts[item.Key] = item.Value
 		if item.Key == stageKey {
-			out.StageVersion = item.Stamp
+			out.StageVersion = item.ModRevision
 		}
 	}
 	out.readJobs(s.Jobs, parts)
@@ -75,10 +75,10 @@
 	return out
 }
 
-func (r *Records) readJobs(items []statestore.Item, parts map[string][]byte) {
+func (r *Records) readJobs(items []statestore.KeyValue, parts map[string][]byte) {
 	for _, item := range items {
 		id := unit.JobID(strings.TrimPrefix(item.Key, checkpoint.KeyPrefix))
-		job, err := ReadJob(id, item, func(n int) []byte { return parts[checkpoint.PartKey(id, n)] })
+		job, err := ReadJob(id, item, func(n int) []byte { return parts[checkpoint.ChunkKey(id, n)] })
 		if err != nil {
 			r.unreadable(item.Key, err)
 			continue
@@ -88,15 +88,15 @@
 }
 
 // ReadJob decodes the record of one job; part returns its parts.
-func ReadJob(id unit.JobID, item statestore.Item, part func(n int) []byte) (Job, error) {
-	record, err := checkpoint.DecodeWhole(item.Value, part)
+func ReadJob(id unit.JobID, item statestore.KeyValue, part func(n int) []byte) (Job, error) {
+	record, err := checkpoint.DecodeWithChunks(item.Value, part)
 	if err != nil {
 		return Job{}, fmt.Errorf("job %s: %w", id, err)
 	}
-	return Job{ID: id, Record: record, Version: item.Stamp}, nil
+	return Job{ID: id, Record: record, Version: item.ModRevision}, nil
 }
 
-func (r *Records) readRounds(items []statestore.Item, parts map[string][]byte) {
+func (r *Records) readRounds(items []statestore.KeyValue, parts map[string][]byte) {
 	for _, item := range items {
 		part := func(n int) []byte { return parts[round.PartKey(item.Key, n)] }
 		record, err := round.Decode(item.Value, part)
@@ -105,7 +105,7 @@
 			r.LostRounds = append(r.LostRounds, item)
 			continue
 		}
-		r.Rounds = append(r.Rounds, round.Stored{Key: item.Key, Record: record, Version: item.Stamp})
+		r.Rounds = append(r.Rounds, round.Stored{Key: item.Key, Record: record, Version: item.ModRevision})
 	}
 }
 
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -111,9 +111,9 @@
 		t.Fatal(err)
 	}
 	r := Read(Stored{
-		Jobs:   []statestore.Item{{Key: "job/wk-000001", Value: good, Stamp: 3}, {Key: "job/wk-000002", Value: []byte{0xc1}, Stamp: 4}},
-		Rounds: []statestore.Item{{Key: "round/1", Value: later, Stamp: 5}},
-		Parts:  []statestore.Item{{Key: "part/stage", Value: good, Stamp: 6}},
+		Jobs:   []statestore.KeyValue{{Key: "job/wk-000001", Value: good, ModRevision: 3}, {Key: "job/wk-000002", Value: []byte{0xc1}, ModRevision: 4}},
+		Rounds: []statestore.KeyValue{{Key: "round/1", Value: later, ModRevision: 5}},
+		Parts:  []statestore.KeyValue{{Key: "part/stage", Value: good, ModRevision: 6}},
 	}, "part/stage")
 	if len(r.Jobs) != 1 || r.Jobs[0].ID != "wk-000001" || r.Jobs[0].Version != 3 || r.StageVersion != 6 {
 		t.Errorf("read %+v", r)
--- a/internal/unit/clock.go
+++ b/internal/unit/clock.go
@@ -21,18 +21,18 @@
 	Wall() time.Time
 }
 
-// SystemClock is the Clock of a running process.
-type SystemClock struct{ start time.Time }
+// System is the Clock of a running process.
+type System struct{ start time.Time }
 
-// NewSystemClock returns a clock whose instants count from an hour before
+// NewSystem returns a clock whose instants count from an hour before
 // now, so that a zero Instant always lies in the past.
-func NewSystemClock() *SystemClock { return &SystemClock{start: time.Now().Add(-time.Hour)} }
+func NewSystem() *System { return &System{start: time.Now().Add(-time.Hour)} }
 
 // Now implements Clock.
-func (c *SystemClock) Now() Instant { return Instant(time.Since(c.start)) }
+func (c *System) Now() Instant { return Instant(time.Since(c.start)) }
 
 // Wall implements Clock.
-func (c *SystemClock) Wall() time.Time { return time.Now() }
+func (c *System) Wall() time.Time { return time.Now() }
 
 // Seconds turns a number of seconds, as settings and messages carry them,
 // into a duration. Numbers out of range are clamped.
--- a/internal/unit/golden_test.go
+++ b/internal/unit/golden_test.go
@@ -23,8 +23,8 @@
 	Size   int    `json:"size"`   // bytes
 }
 
-func storedSets() map[string]Ranges {
-	return map[string]Ranges{
+func storedSets() map[string]Set {
+	return map[string]Set{
 		"empty":         {},
 		"one":           {{First: 0, Last: 0}},
 		"full 2000":     Full(2000),
@@ -34,17 +34,17 @@
 	}
 }
 
-func encodeSet(t *testing.T, r Ranges) goldenSet {
+func encodeSet(t *testing.T, r Set) goldenSet {
 	t.Helper()
 	list, err := msgpack.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var packed bytes.Buffer
-	if err := r.Pack(msgpack.NewEncoder(&packed)); err != nil {
+	if err := r.EncodeDelta(msgpack.NewEncoder(&packed)); err != nil {
 		t.Fatal(err)
 	}
-	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: r.PackedSize()}
+	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: r.DeltaSizeBound()}
 }
 
 func unhex(t *testing.T, s string) []byte {
@@ -72,14 +72,14 @@
 		if diff := cmp.Diff(want, encodeSet(t, set)); diff != "" {
 			t.Errorf("%s: written otherwise: %s", name, diff)
 		}
-		var list, packed Ranges
+		var list, packed Set
 		if err := msgpack.Unmarshal(unhex(t, want.List), &list); err != nil {
 			t.Errorf("%s: list: %v", name, err)
 		}
-		if err := packed.Unpack(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
+		if err := packed.DecodeDelta(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
 			t.Errorf("%s: packed: %v", name, err)
 		}
-		for form, read := range map[string]Ranges{"list": list, "packed": packed} {
+		for form, read := range map[string]Set{"list": list, "packed": packed} {
 			if diff := cmp.Diff(set, read, cmp.AllowUnexported(Span{}), cmpopts.EquateEmpty()); diff != "" {
 				t.Errorf("%s: %s read otherwise: %s", name, form, diff)
 			}
