--- a/internal/unit/ident.go
+++ b/internal/unit/ident.go
@@ -43,8 +43,8 @@
 // the token of the workers.
 type Epoch uint64
 
-// Version is the stamp of a key of the state service; 0 means absent.
-type Version uint64
+// Revision is the stamp of a key of the state service; 0 means absent.
+type Revision uint64
 
 // Attempt numbers the launches of a task. It is the number of the round that
 // decided the launch, so it rises for ever.
@@ -56,19 +56,19 @@
 // Session numbers the sessions of a worker.
 type Session uint64
 
-// Tally orders the messages of one worker within a session.
-type Tally uint64
+// HeartbeatSeq orders the messages of one worker within a session.
+type HeartbeatSeq uint64
 
-// Tenure is the id of a lease at the state service.
-type Tenure uint64
+// LeaseID is the id of a lease at the state service.
+type LeaseID uint64
 
-const jobPrefix = "wk-"
+const jobIDPrefix = "wk-"
 
 // ParseJobID checks the form of a job id: "wk-" and 6 to 12 digits.
 func ParseJobID(s string) (JobID, error) {
-	digits, ok := strings.CutPrefix(s, jobPrefix)
+	digits, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || len(digits) < 6 || len(digits) > 12 || !allDigits(digits) {
-		return "", fmt.Errorf("job id %.32q is not %s and digits", s, jobPrefix)
+		return "", fmt.Errorf("job id %.32q is not %s and digits", s, jobIDPrefix)
 	}
 	return JobID(s), nil
 }
--- a/internal/unit/indexset.go
+++ b/internal/unit/indexset.go
@@ -20,13 +20,13 @@
 // Len counts the indexes of the span.
 func (s Span) Len() int { return int(s.Last-s.First) + 1 }
 
-// Ranges is a set of task indexes kept as sorted, disjoint, non-adjacent
+// Set is a set of task indexes kept as sorted, disjoint, non-adjacent
 // spans. The zero value is the empty set.
-type Ranges []Span
+type Set []Span
 
-// Pack writes the set as one list of numbers: what lies between a span and the
+// EncodeDelta writes the set as one list of numbers: what lies between a span and the
 // one before it, then its length less one, and so on. Most take one byte.
-func (r Ranges) Pack(e *msgpack.Encoder) error {
+func (r Set) EncodeDelta(e *msgpack.Encoder) error {
 	if err := e.EncodeArrayLen(2 * len(r)); err != nil {
 		return err
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Unpack reads what Pack wrote. The caller checks it with Valid.
-func (r *Ranges) Unpack(d *msgpack.Decoder) error {
+// DecodeDelta reads what Pack wrote. The caller checks it with Valid.
+func (r *Set) DecodeDelta(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// PackedSize is the number of bytes that Pack writes.
-func (r Ranges) PackedSize() int {
+// DeltaSizeBound is the number of bytes that Pack writes.
+func (r Set) DeltaSizeBound() int {
 	n := 5
 	next := TaskIndex(0)
 	for _, s := range r {
-		n += NumberSize(uint64(s.First-next)) + NumberSize(uint64(s.Last-s.First))
+		n += UintSize(uint64(s.First-next)) + UintSize(uint64(s.Last-s.First))
 		next = s.Last
 	}
 	return n
 }
 
-// NumberSize is the number of bytes that a number takes in MessagePack.
-func NumberSize(n uint64) int {
+// UintSize is the number of bytes that a number takes in MessagePack.
+func UintSize(n uint64) int {
 	switch {
 	case n < 1<<7:
 		return 1
@@ -102,7 +102,7 @@
 const maxSpans = 1 << 16
 
 // DecodeMsgpack reads a set, allocating no more than is there.
-func (r *Ranges) DecodeMsgpack(d *msgpack.Decoder) error {
+func (r *Set) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -122,15 +122,15 @@
 }
 
 // Full returns the set of the first n indexes.
-func Full(n int) Ranges {
+func Full(n int) Set {
 	if n <= 0 {
 		return nil
 	}
-	return Ranges{{First: 0, Last: TaskIndex(n - 1)}}
+	return Set{{First: 0, Last: TaskIndex(n - 1)}}
 }
 
 // Len counts the indexes in the set.
-func (r Ranges) Len() int {
+func (r Set) Len() int {
 	n := 0
 	for _, s := range r {
 		n += s.Len()
@@ -138,14 +138,14 @@
 	return n
 }
 
-// Has tells whether i is in the set.
-func (r Ranges) Has(i TaskIndex) bool {
+// Contains tells whether i is in the set.
+func (r Set) Contains(i TaskIndex) bool {
 	k := sort.Search(len(r), func(k int) bool { return r[k].Last >= i })
 	return k < len(r) && r[k].First <= i
 }
 
 // Valid tells whether the spans are sorted, disjoint, non-adjacent and below n.
-func (r Ranges) Valid(n int) bool {
+func (r Set) Valid(n int) bool {
 	next := 0
 	for k, s := range r {
 		if s.First > s.Last || int(s.Last) >= n || int(s.First) < next || (k > 0 && int(s.First) == next) {
@@ -157,7 +157,7 @@
 }
 
 // Add puts i into the set and tells whether it was new.
-func (r *Ranges) Add(i TaskIndex) bool {
+func (r *Set) Add(i TaskIndex) bool {
 	s := *r
 	k := sort.Search(len(s), func(k int) bool { return s[k].Last >= i })
 	if k < len(s) && s[k].First <= i {
@@ -183,7 +183,7 @@
 }
 
 // Remove takes i out of the set and tells whether it was there.
-func (r *Ranges) Remove(i TaskIndex) bool {
+func (r *Set) Remove(i TaskIndex) bool {
 	s := *r
 	k := sort.Search(len(s), func(k int) bool { return s[k].Last >= i })
 	if k == len(s) || s[k].First > i {
@@ -208,7 +208,7 @@
 }
 
 // Each calls f for every index in order until f returns false.
-func (r Ranges) Each(f func(TaskIndex) bool) {
+func (r Set) Each(f func(TaskIndex) bool) {
 	for _, s := range r {
 		for i := s.First; ; i++ {
 			if !f(i) {
@@ -222,4 +222,4 @@
 }
 
 // Clone returns a copy that shares nothing with r.
-func (r Ranges) Clone() Ranges { return append(Ranges(nil), r...) }
+func (r Set) Clone() Set { return append(Set(nil), r...) }
--- a/internal/unit/indexset_test.go
+++ b/internal/unit/indexset_test.go
@@ -12,7 +12,7 @@
 func TestRangesAgainstSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 40
-		var r Ranges
+		var r Set
 		set := map[TaskIndex]bool{}
 		for _, step := range rapid.SliceOf(rapid.IntRange(-n, n-1)).Draw(t, "steps") {
 			if step >= 0 {
@@ -36,20 +36,20 @@
 			t.Fatalf("Len %d, want %d", r.Len(), len(set))
 		}
 		for i := range TaskIndex(n) {
-			if r.Has(i) != set[i] {
-				t.Fatalf("Has(%d) = %v", i, r.Has(i))
+			if r.Contains(i) != set[i] {
+				t.Fatalf("Has(%d) = %v", i, r.Contains(i))
 			}
 		}
 	})
 }
 
 func TestRangesRoundTrip(t *testing.T) {
-	in := Ranges{{First: 0, Last: 3}, {First: 5, Last: 5}}
+	in := Set{{First: 0, Last: 3}, {First: 5, Last: 5}}
 	data, err := msgpack.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out Ranges
+	var out Set
 	if err := msgpack.Unmarshal(data, &out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/userapi/golden_test.go
+++ b/internal/userapi/golden_test.go
@@ -37,15 +37,15 @@
 func TestGoldenSubmissions(t *testing.T) {
 	bodies := golden(t, "submissions.txt")
 	want := map[string]Submission{
-		"array-all-fields": {ID: "wk-000412", Spec: checkpoint.Spec{Class: "train", Team: "red", Priority: checkpoint.High,
-			Tasks: 16, CPUs: 2, GPUs: 0.5, MemoryGB: 4.25, Types: []unit.MachineType{"m", "m2"}, Zone: "a", OneZone: true, Spot: true,
-			Image: "img-07", ImageGB: 6.2, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}},
-		"service": {ID: "wk-123456789012", Spec: checkpoint.Spec{Class: "web", Team: "blue", Service: true, Priority: checkpoint.Prod,
-			Tasks: 3, CPUs: 1, MemoryGB: 2, Spread: true, Image: "img-01", ImageGB: 1}},
-		"gang-null-options": {ID: "wk-000413", Spec: checkpoint.Spec{Class: "mpi", Team: "red", Gang: true, Priority: checkpoint.Standard,
-			Tasks: 8, CPUs: 4, GPUs: 1, MemoryGB: 16, Image: "img-02", ImageGB: 2.5, EstimateS: 600, CheckpointS: 60, SaveS: 5}},
-		"array-options-left-out": {ID: "wk-000414", Spec: checkpoint.Spec{Class: "etl", Team: "red", Priority: checkpoint.BestEffort,
-			Tasks: 100_000, CPUs: 0.5, MemoryGB: 0.5, Image: "img-03", ImageGB: 0, EstimateS: 1}},
+		"array-all-fields": {ID: "wk-000412", Spec: checkpoint.Spec{Class: "train", Team: "red", Priority: checkpoint.PriorityHigh,
+			Tasks: 16, CPUs: 2, GPUs: 0.5, MemoryGB: 4.25, MachineTypes: []unit.MachineType{"m", "m2"}, Zone: "a", ZoneAffinity: true, Spot: true,
+			Image: "img-07", ImageGB: 6.2, EstimatedRunSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: 900}},
+		"service": {ID: "wk-123456789012", Spec: checkpoint.Spec{Class: "web", Team: "blue", Service: true, Priority: checkpoint.PriorityProd,
+			Tasks: 3, CPUs: 1, MemoryGB: 2, ZoneSpread: true, Image: "img-01", ImageGB: 1}},
+		"gang-null-options": {ID: "wk-000413", Spec: checkpoint.Spec{Class: "mpi", Team: "red", Gang: true, Priority: checkpoint.PriorityStandard,
+			Tasks: 8, CPUs: 4, GPUs: 1, MemoryGB: 16, Image: "img-02", ImageGB: 2.5, EstimatedRunSeconds: 600, CheckpointIntervalSeconds: 60, CheckpointSeconds: 5}},
+		"array-options-left-out": {ID: "wk-000414", Spec: checkpoint.Spec{Class: "etl", Team: "red", Priority: checkpoint.PriorityBestEffort,
+			Tasks: 100_000, CPUs: 0.5, MemoryGB: 0.5, Image: "img-03", ImageGB: 0, EstimatedRunSeconds: 1}},
 	}
 	for name, body := range bodies {
 		got, err := DecodeSubmission(body)
--- a/internal/userapi/rules.go
+++ b/internal/userapi/rules.go
@@ -32,7 +32,7 @@
 	if s.Service || s.Gang {
 		tasks = s.Tasks
 	}
-	all := s.Need().Times(tasks)
+	all := s.TaskResources().Multiply(tasks)
 	if team.CPUsMax > 0 && all.CPUs > team.CPUsMax+1e-6 || team.GPUsMax > 0 && all.GPUs > team.GPUsMax+1e-6 {
 		return http.StatusUnprocessableEntity
 	}
@@ -40,7 +40,7 @@
 		return http.StatusServiceUnavailable
 	}
 	most := r.mostOnOne(s)
-	if most == 0 || s.Gang && s.ZoneCap() < s.Tasks && !r.mayBeApart(s) {
+	if most == 0 || s.Gang && s.MaxTasksPerZone() < s.Tasks && !r.mayBeApart(s) {
 		return http.StatusUnprocessableEntity
 	}
 	if s.Gang && !round.GangFits(s, most, statestore.JSONSize(s), r.State) {
@@ -53,8 +53,8 @@
 func (r *Rules) mostOnOne(s *checkpoint.Spec) int {
 	most := 0
 	for _, t := range r.Types {
-		if slices.ContainsFunc(t.ZonesIn(r.Zones), func(z unit.Zone) bool { return s.Allows(t.Name, z, false) }) {
-			most = max(most, t.Capacity.Holds(s.Need()))
+		if slices.ContainsFunc(t.ZonesIn(r.Zones), func(z unit.Zone) bool { return s.AllowsMachine(t.Name, z, false) }) {
+			most = max(most, t.Capacity.MaxCopies(s.TaskResources()))
 		}
 	}
 	return most
@@ -63,5 +63,5 @@
 // mayBeApart tells whether a gang that must be spread has more than one zone to
 // run in: all its tasks run at once, so one zone is not enough.
 func (r *Rules) mayBeApart(s *checkpoint.Spec) bool {
-	return !s.OneZone && s.Zone == "" && len(r.Zones) > 1
+	return !s.ZoneAffinity && s.Zone == "" && len(r.Zones) > 1
 }
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -94,12 +94,12 @@
 			s.Team, s.Gang, s.Tasks = "wide", true, 2000
 		}, 422},
 		"large gang":                  {func(s *checkpoint.Spec) { s.Team, s.Gang, s.Tasks = "wide", true, 100 }, 0},
-		"gang of one":                 {func(s *checkpoint.Spec) { s.Gang, s.OneZone, s.Spread, s.Tasks = true, true, true, 1 }, 0},
-		"gang in one zone and spread": {func(s *checkpoint.Spec) { s.Gang, s.OneZone, s.Spread, s.Tasks = true, true, true, 4 }, 422},
+		"gang of one":                 {func(s *checkpoint.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 1 }, 0},
+		"gang in one zone and spread": {func(s *checkpoint.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 4 }, 422},
 		"gang in a zone nobody has":   {func(s *checkpoint.Spec) { s.Gang, s.Zone, s.Tasks = true, "z", 4 }, 422},
 		"unknown team":                {func(s *checkpoint.Spec) { s.Team = "green" }, 422},
 		"too large for any machine":   {func(s *checkpoint.Spec) { s.CPUs = 5 }, 422},
-		"unknown type":                {func(s *checkpoint.Spec) { s.Types = []unit.MachineType{"x"} }, 422},
+		"unknown type":                {func(s *checkpoint.Spec) { s.MachineTypes = []unit.MachineType{"x"} }, 422},
 		"unknown zone":                {func(s *checkpoint.Spec) { s.Zone = "z" }, 422},
 		"accelerators nobody has":     {func(s *checkpoint.Spec) { s.GPUs = 1 }, 422},
 	} {
@@ -139,7 +139,7 @@
 	}
 	rec := checkpoint.NewRecord(sub.Spec, 0)
 	done := *rec
-	done.Phase, done.Done = checkpoint.Done, unit.Full(sub.Spec.Tasks)
+	done.Phase, done.Done = checkpoint.PhaseDone, unit.Full(sub.Spec.Tasks)
 	for name, c := range map[string]struct {
 		inputs []Input
 		code   int
@@ -182,7 +182,7 @@
 func TestAsk(t *testing.T) {
 	active := checkpoint.NewRecord(checkpoint.Spec{Tasks: 2}, 0)
 	cancelled := *active
-	cancelled.Phase = checkpoint.Cancelled
+	cancelled.Phase = checkpoint.PhaseCancelled
 	for name, c := range map[string]struct {
 		kind   Kind
 		inputs []Input
@@ -210,7 +210,7 @@
 // called done before its checkpoint says so.
 func TestDoneOnlyOnceStored(t *testing.T) {
 	j := checkpoint.NewJob("wk-000001", checkpoint.NewRecord(checkpoint.Spec{Tasks: 1}, 0), 1, 0)
-	j.Complete(1, 0)
+	j.CompleteTask(1, 0)
 	if got := StatusOf(j); got.Standing == Done {
 		t.Error("done before it is stored")
 	}
--- a/internal/userapi/wire.go
+++ b/internal/userapi/wire.go
@@ -33,8 +33,8 @@
 var ErrMalformed = errors.New("malformed submission")
 
 var priorities = map[string]checkpoint.Priority{
-	"prod": checkpoint.Prod, "high": checkpoint.High,
-	"standard": checkpoint.Standard, "best_effort": checkpoint.BestEffort,
+	"prod": checkpoint.PriorityProd, "high": checkpoint.PriorityHigh,
+	"standard": checkpoint.PriorityStandard, "best_effort": checkpoint.PriorityBestEffort,
 }
 
 type parser struct {
@@ -47,7 +47,7 @@
 func DecodeSubmission(data []byte) (*Submission, error) {
 	p := &parser{seen: map[string]bool{}}
 	rd := bytes.NewReader(data)
-	if err := wire.Map(msgpack.NewDecoder(rd), p.fields()); err != nil {
+	if err := wire.DecodeMap(msgpack.NewDecoder(rd), p.fields()); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if rd.Len() > 0 {
@@ -59,7 +59,7 @@
 		}
 	}
 	if s := &p.sub.Spec; s.Service {
-		s.EstimateS = 0
+		s.EstimatedRunSeconds = 0
 	}
 	return &p.sub, nil
 }
@@ -83,12 +83,12 @@
 		"accelerators": p.amount("accelerators", &s.GPUs, false),
 		"memoryGb":     p.amount("memoryGb", &s.MemoryGB, false),
 		"imageGb":      p.amount("imageGb", &s.ImageGB, false),
-		"expectedS":    p.amount("expectedS", &s.EstimateS, false),
-		"folioS":       p.amount("folioS", &s.CheckpointS, false),
-		"bindS":        p.amount("bindS", &s.SaveS, false),
-		"dueS":         p.optional(p.amount("dueS", &s.DeadlineS, false)),
-		"samePlace":    p.flag("samePlace", &s.OneZone),
-		"apart":        p.flag("apart", &s.Spread),
+		"expectedS":    p.amount("expectedS", &s.EstimatedRunSeconds, false),
+		"folioS":       p.amount("folioS", &s.CheckpointIntervalSeconds, false),
+		"bindS":        p.amount("bindS", &s.CheckpointSeconds, false),
+		"dueS":         p.optional(p.amount("dueS", &s.DeadlineSeconds, false)),
+		"samePlace":    p.flag("samePlace", &s.ZoneAffinity),
+		"apart":        p.flag("apart", &s.ZoneSpread),
 		"loaner":       p.flag("loaner", &s.Spot),
 		"hall":         p.optional(p.text("hall", func(v string) error { s.Zone = unit.Zone(v); return nil })),
 		"frames":       p.optional(p.setTypes),
@@ -132,11 +132,11 @@
 		return fmt.Errorf("list of %d", n)
 	}
 	for range n {
-		v, err := wire.Text(d)
+		v, err := wire.DecodeString(d)
 		if err != nil || v == "" || len(v) > maxName {
 			return errors.New("not a list of names")
 		}
-		p.sub.Spec.Types = append(p.sub.Spec.Types, unit.MachineType(v))
+		p.sub.Spec.MachineTypes = append(p.sub.Spec.MachineTypes, unit.MachineType(v))
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 // optional lets a field be null, which is the same as leaving it out.
 func (p *parser) optional(read reader) reader {
 	return func(d *msgpack.Decoder) error {
-		if null, err := wire.Null(d); null || err != nil {
+		if null, err := wire.DecodeNil(d); null || err != nil {
 			return err
 		}
 		return read(d)
@@ -153,7 +153,7 @@
 
 func (p *parser) text(name string, set func(string) error) reader {
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.Text(d)
+		v, err := wire.DecodeString(d)
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 
 func (p *parser) amount(name string, to *float64, positive bool) reader {
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.Amount(d)
+		v, err := wire.DecodeAmount(d)
 		if err != nil {
 			return err
 		}
@@ -182,7 +182,7 @@
 
 func (p *parser) count(to *int) reader {
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.Count(d)
+		v, err := wire.DecodeCount(d)
 		if err != nil {
 			return err
 		}
@@ -197,7 +197,7 @@
 
 func (p *parser) flag(name string, to *bool) reader {
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.Bool(d)
+		v, err := wire.DecodeBool(d)
 		if err != nil {
 			return err
 		}
@@ -234,23 +234,23 @@
 // StatusOf is the state of a job by its working copy. A phase counts only once
 // it is stored.
 func StatusOf(j *checkpoint.Job) Status {
-	return status(j.StoredPhase, j.Done.Len(), j.Running())
+	return status(j.StoredPhase, j.Done.Len(), j.RunningTasks())
 }
 
 // StatusOfRecord is the state of a job by its record.
 func StatusOfRecord(r *checkpoint.Record) Status {
-	if o := r.Overflow; o != nil {
-		return status(r.Phase, o.Done, o.Live)
+	if o := r.ChunkInfo; o != nil {
+		return status(r.Phase, o.DoneTasks, o.LiveTasks)
 	}
-	return status(r.Phase, r.Done.Len(), r.Running())
+	return status(r.Phase, r.Done.Len(), r.LiveTasks())
 }
 
 func status(phase checkpoint.Phase, done, running int) Status {
 	s := Status{Standing: Queued, Done: done, Running: running}
 	switch {
-	case phase == checkpoint.Done:
+	case phase == checkpoint.PhaseDone:
 		s.Standing, s.Running = Done, 0
-	case phase == checkpoint.Cancelled:
+	case phase == checkpoint.PhaseCancelled:
 		s.Standing, s.Running = Cancelled, 0
 	case running > 0:
 		s.Standing = Running
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -25,13 +25,13 @@
 }
 
 type goldenBody struct {
-	Name  string       `msgpack:"n"`
-	Count int          `msgpack:"c"`
-	List  List[string] `msgpack:"l"`
+	Name  string              `msgpack:"n"`
+	Count int                 `msgpack:"c"`
+	List  BoundedList[string] `msgpack:"l"`
 }
 
 func bodyForGolden() goldenBody {
-	return goldenBody{Name: "host-000007", Count: 70_000, List: List[string]{"a", "b", "a", "b", "a", "b"}}
+	return goldenBody{Name: "host-000007", Count: 70_000, List: BoundedList[string]{"a", "b", "a", "b", "a", "b"}}
 }
 
 func encodeBody(e *msgpack.Encoder) error { return e.Encode(bodyForGolden()) }
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	squeezed, err := Squeeze(bodyForGolden())
+	squeezed, err := CompressMessage(bodyForGolden())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	forRecord, err := SqueezeWith(encodeBody)
+	forRecord, err := CompressRecord(encodeBody)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := Expand(value, 1<<10)
+	data, err := DecompressMessage(value, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		t.Error(err)
 	}
 	read := func(d *msgpack.Decoder) error { return d.Decode(&forRecord) }
-	if err := Packed(f.SqueezedForRecord).ExpandWith(1<<10, read); err != nil {
+	if err := Packed(f.SqueezedForRecord).DecompressRecord(1<<10, read); err != nil {
 		t.Error(err)
 	}
 	return map[string]goldenBody{"packed": packed, "squeezed": squeezed, "squeezed for a record": forRecord}
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -41,19 +41,19 @@
 	return nil
 }
 
-// Squeeze encodes a value, compresses it and packs it into a text: reports of
+// CompressMessage encodes a value, compresses it and packs it into a text: reports of
 // many machines with many tasks say much the same.
-func Squeeze(v any) (Packed, error) {
-	return squeeze(flate.BestSpeed, func(e *msgpack.Encoder) error { return e.Encode(v) })
+func CompressMessage(v any) (Packed, error) {
+	return compress(flate.BestSpeed, func(e *msgpack.Encoder) error { return e.Encode(v) })
 }
 
-// SqueezeWith compresses what f writes, for what is kept, and packs it into a
+// CompressRecord compresses what f writes, for what is kept, and packs it into a
 // text.
-func SqueezeWith(f func(*msgpack.Encoder) error) (Packed, error) {
-	return squeeze(flate.DefaultCompression, f)
+func CompressRecord(f func(*msgpack.Encoder) error) (Packed, error) {
+	return compress(flate.DefaultCompression, f)
 }
 
-func squeeze(level int, f func(*msgpack.Encoder) error) (Packed, error) {
+func compress(level int, f func(*msgpack.Encoder) error) (Packed, error) {
 	var b strings.Builder
 	w := base64.NewEncoder(base64.RawStdEncoding, &b)
 	z, err := flate.NewWriter(w, level)
@@ -66,9 +66,9 @@
 	return Packed(b.String()), nil
 }
 
-// Expand undoes Squeeze on an encoded text, up to limit bytes.
-func Expand(value []byte, limit int64) ([]byte, error) {
-	text, err := Text(msgpack.NewDecoder(bytes.NewReader(value)))
+// DecompressMessage undoes Squeeze on an encoded text, up to limit bytes.
+func DecompressMessage(value []byte, limit int64) ([]byte, error) {
+	text, err := DecodeString(msgpack.NewDecoder(bytes.NewReader(value)))
 	if err != nil {
 		return nil, fmt.Errorf("expanding: %w", err)
 	}
@@ -83,8 +83,8 @@
 	return data, nil
 }
 
-// ExpandWith lets f read what SqueezeWith wrote, up to limit bytes.
-func (p Packed) ExpandWith(limit int64, f func(*msgpack.Decoder) error) error {
+// DecompressRecord lets f read what SqueezeWith wrote, up to limit bytes.
+func (p Packed) DecompressRecord(limit int64, f func(*msgpack.Decoder) error) error {
 	z := flate.NewReader(base64.NewDecoder(base64.RawStdEncoding, strings.NewReader(string(p))))
 	if err := f(msgpack.NewDecoder(io.LimitReader(z, limit))); err != nil {
 		return fmt.Errorf("expanding: %w", err)
@@ -95,13 +95,13 @@
 // PackedLen is the length of n bytes once they are packed.
 func PackedLen(n int) int { return base64.RawStdEncoding.EncodedLen(n) }
 
-// ArrayLen reads the head of a list and bounds what it claims.
-func ArrayLen(d *msgpack.Decoder) (int, error) {
+// DecodeArrayLen reads the head of a list and bounds what it claims.
+func DecodeArrayLen(d *msgpack.Decoder) (int, error) {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return 0, err
 	}
-	if n > maxElements {
+	if n > maxListElements {
 		return 0, fmt.Errorf("list of %d elements", n)
 	}
 	return max(n, 0), nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -34,11 +34,11 @@
 	return req, nil
 }
 
-// ErrTooLarge says that an answer is larger than what is read of one.
-var ErrTooLarge = errors.New("answer too large")
+// ErrResponseTooLarge says that an answer is larger than what is read of one.
+var ErrResponseTooLarge = errors.New("answer too large")
 
-// Exchange sends a request and reads the whole answer, up to limit bytes.
-func Exchange(c *http.Client, req *http.Request, limit int64) (int, []byte, error) {
+// Do sends a request and reads the whole answer, up to limit bytes.
+func Do(c *http.Client, req *http.Request, limit int64) (int, []byte, error) {
 	resp, err := c.Do(req)
 	if err != nil {
 		return 0, nil, err
@@ -49,7 +49,7 @@
 		return 0, nil, err
 	}
 	if int64(len(data)) > limit {
-		return 0, nil, ErrTooLarge
+		return 0, nil, ErrResponseTooLarge
 	}
 	return resp.StatusCode, data, nil
 }
@@ -57,23 +57,23 @@
 // ContentType is the media type of every body.
 const ContentType = "application/msgpack"
 
-// maxElements bounds a list whatever it claims.
-const maxElements = 1 << 17
+// maxListElements bounds a list whatever it claims.
+const maxListElements = 1 << 17
 
-// maxDepth bounds how deep a value that is skipped may nest.
-const maxDepth = 16
+// maxNestingDepth bounds how deep a value that is skipped may nest.
+const maxNestingDepth = 16
 
-// List is a list whose memory grows with what is read, not with what the
+// BoundedList is a list whose memory grows with what is read, not with what the
 // message claims.
-type List[T any] []T
+type BoundedList[T any] []T
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (l *List[T]) DecodeMsgpack(d *msgpack.Decoder) error {
+func (l *BoundedList[T]) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	if n > maxElements {
+	if n > maxListElements {
 		return fmt.Errorf("list of %d elements", n)
 	}
 	*l = nil
@@ -108,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	if depth == maxDepth {
-		return fmt.Errorf("nested deeper than %d", maxDepth)
+	if depth == maxNestingDepth {
+		return fmt.Errorf("nested deeper than %d", maxNestingDepth)
 	}
 	for range max(n, 0) {
 		if err := skip(d, depth+1); err != nil {
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// Map reads a map with text keys, handing each value to the reader of its key;
+// DecodeMap reads a map with text keys, handing each value to the reader of its key;
 // what has no reader is skipped.
-func Map(d *msgpack.Decoder, fields map[string]func(*msgpack.Decoder) error) error {
+func DecodeMap(d *msgpack.Decoder, fields map[string]func(*msgpack.Decoder) error) error {
 	code, err := d.PeekCode()
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 		return err
 	}
 	for range n {
-		key, err := Text(d)
+		key, err := DecodeString(d)
 		if err != nil {
 			return err
 		}
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// Null tells whether the next value is null, and passes over it if so.
-func Null(d *msgpack.Decoder) (bool, error) {
+// DecodeNil tells whether the next value is null, and passes over it if so.
+func DecodeNil(d *msgpack.Decoder) (bool, error) {
 	code, err := d.PeekCode()
 	if err != nil || code != msgpcode.Nil {
 		return false, err
@@ -158,8 +158,8 @@
 	return true, d.DecodeNil()
 }
 
-// Text reads a text.
-func Text(d *msgpack.Decoder) (string, error) {
+// DecodeString reads a text.
+func DecodeString(d *msgpack.Decoder) (string, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return "", err
@@ -170,8 +170,8 @@
 	return d.DecodeString()
 }
 
-// Bool reads a truth value.
-func Bool(d *msgpack.Decoder) (bool, error) {
+// DecodeBool reads a truth value.
+func DecodeBool(d *msgpack.Decoder) (bool, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return false, err
@@ -182,9 +182,9 @@
 	return d.DecodeBool()
 }
 
-// Amount reads a decimal number that is not negative. Whole numbers are
+// DecodeAmount reads a decimal number that is not negative. Whole numbers are
 // decimal numbers too.
-func Amount(d *msgpack.Decoder) (float64, error) {
+func DecodeAmount(d *msgpack.Decoder) (float64, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return 0, err
@@ -202,8 +202,8 @@
 	return v, nil
 }
 
-// Count reads a whole number that is not negative.
-func Count(d *msgpack.Decoder) (uint64, error) {
+// DecodeCount reads a whole number that is not negative.
+func DecodeCount(d *msgpack.Decoder) (uint64, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return 0, err
