--- a/internal/quota/units.go
+++ b/internal/quota/units.go
@@ -14,98 +14,108 @@
 	"badgerbay/internal/config"
 )
 
-// Units are an amount of what a team's limit counts, in thousandths of a CPU and of
+// Quantity are an amount of what a team's limit counts, in thousandths of a CPU and of
 // a GPU.
-type Units struct {
-	CPU int64 `msgpack:"c" json:"c"`
-	GPU int64 `msgpack:"g" json:"g"`
+type Quantity struct {
+	MilliCPU int64 `msgpack:"c" json:"c"`
+	MilliGPU int64 `msgpack:"g" json:"g"`
 }
 
 const (
-	perWhole = 1000
+	milliPerUnit = 1000
 	// Unlimited stands for a limit that there is none of, and mostUnits bounds what
 	// a record may claim, so that sums of many can't overflow.
 	Unlimited = int64(1) << 50
-	mostUnits = int64(1) << 50
+	maxMillis = int64(1) << 50
 )
 
-// ErrUnits says that an amount can't be counted.
-var ErrUnits = errors.New("amount that can't be counted")
+// ErrOutOfRange says that an amount can't be counted.
+var ErrOutOfRange = errors.New("amount that can't be counted")
 
-// rounding forgives the rounding of sums of decimal amounts, in thousandths.
-const rounding = 1e-6
+// roundingTolerance forgives the rounding of sums of decimal amounts, in thousandths.
+const roundingTolerance = 1e-6
 
-// whole checks a number of thousandths.
-func whole(scaled float64) (int64, error) {
-	if math.IsNaN(scaled) || scaled < 0 || scaled > float64(mostUnits) {
-		return 0, fmt.Errorf("%w: %v thousandths", ErrUnits, scaled)
+// checkedMillis checks a number of thousandths.
+func checkedMillis(scaled float64) (int64, error) {
+	if math.IsNaN(scaled) || scaled < 0 || scaled > float64(maxMillis) {
+		return 0, fmt.Errorf("%w: %v thousandths", ErrOutOfRange, scaled)
 	}
 	return int64(scaled), nil
 }
 
-// NeedOf is what one task takes, rounded up.
-func NeedOf(s *checkpoint.Spec) (Units, error) {
-	cpu, err := whole(math.Ceil(s.CPUs*perWhole - rounding))
-	gpu, err2 := whole(math.Ceil(s.GPUs*perWhole - rounding))
-	return Units{cpu, gpu}, errors.Join(err, err2)
+// DemandOf is what one task takes, rounded up.
+func DemandOf(s *checkpoint.Spec) (Quantity, error) {
+	cpu, err := checkedMillis(math.Ceil(s.CPUs*milliPerUnit - roundingTolerance))
+	gpu, err2 := checkedMillis(math.Ceil(s.GPUs*milliPerUnit - roundingTolerance))
+	return Quantity{cpu, gpu}, errors.Join(err, err2)
 }
 
 // LimitOf is the limit of a team, rounded down. Where it has none it is without end.
-func LimitOf(t config.Team) (Units, error) {
-	cpu, err := limit(t.CPUsMax)
-	gpu, err2 := limit(t.GPUsMax)
-	return Units{cpu, gpu}, errors.Join(err, err2)
+func LimitOf(t config.Team) (Quantity, error) {
+	cpu, err := limitMillis(t.CPULimit)
+	gpu, err2 := limitMillis(t.GPULimit)
+	return Quantity{cpu, gpu}, errors.Join(err, err2)
 }
 
-func limit(most float64) (int64, error) {
+func limitMillis(most float64) (int64, error) {
 	if most == 0 {
 		return Unlimited, nil
 	}
-	return whole(math.Floor(most*perWhole + rounding))
+	return checkedMillis(math.Floor(most*milliPerUnit + roundingTolerance))
 }
 
-// Limited tells whether a team has any limit to share out.
-func (u Units) Limited() bool { return u.CPU < Unlimited || u.GPU < Unlimited }
+// IsLimited tells whether a team has any limit to share out.
+func (u Quantity) IsLimited() bool { return u.MilliCPU < Unlimited || u.MilliGPU < Unlimited }
 
-// Plus returns the sum.
-func (u Units) Plus(o Units) Units { return Units{u.CPU + o.CPU, u.GPU + o.GPU} }
+// Add returns the sum.
+func (u Quantity) Add(o Quantity) Quantity {
+	return Quantity{u.MilliCPU + o.MilliCPU, u.MilliGPU + o.MilliGPU}
+}
 
-// Minus returns the difference, which may be negative.
-func (u Units) Minus(o Units) Units { return Units{u.CPU - o.CPU, u.GPU - o.GPU} }
+// Sub returns the difference, which may be negative.
+func (u Quantity) Sub(o Quantity) Quantity {
+	return Quantity{u.MilliCPU - o.MilliCPU, u.MilliGPU - o.MilliGPU}
+}
 
-// Times returns n of u.
-func (u Units) Times(n int) Units { return Units{u.CPU * int64(n), u.GPU * int64(n)} }
+// Mul returns n of u.
+func (u Quantity) Mul(n int) Quantity { return Quantity{u.MilliCPU * int64(n), u.MilliGPU * int64(n)} }
 
 // Min returns the smaller of each amount.
-func (u Units) Min(o Units) Units { return Units{min(u.CPU, o.CPU), min(u.GPU, o.GPU)} }
+func (u Quantity) Min(o Quantity) Quantity {
+	return Quantity{min(u.MilliCPU, o.MilliCPU), min(u.MilliGPU, o.MilliGPU)}
+}
 
 // Max returns the larger of each amount.
-func (u Units) Max(o Units) Units { return Units{max(u.CPU, o.CPU), max(u.GPU, o.GPU)} }
+func (u Quantity) Max(o Quantity) Quantity {
+	return Quantity{max(u.MilliCPU, o.MilliCPU), max(u.MilliGPU, o.MilliGPU)}
+}
 
-// Zero tells whether there is none of anything.
-func (u Units) Zero() bool { return u == Units{} }
+// IsZero tells whether there is none of anything.
+func (u Quantity) IsZero() bool { return u == Quantity{} }
 
 // Within tells whether u is at most o.
-func (u Units) Within(o Units) bool { return u.CPU <= o.CPU && u.GPU <= o.GPU }
+func (u Quantity) Within(o Quantity) bool {
+	return u.MilliCPU <= o.MilliCPU && u.MilliGPU <= o.MilliGPU
+}
 
-// Holds is how many of need fit into u.
-func (u Units) Holds(need Units) int {
+// CapacityFor is how many of need fit into u.
+func (u Quantity) CapacityFor(need Quantity) int {
 	n := int64(math.MaxInt32)
-	if need.CPU > 0 {
-		n = min(n, u.CPU/need.CPU)
+	if need.MilliCPU > 0 {
+		n = min(n, u.MilliCPU/need.MilliCPU)
 	}
-	if need.GPU > 0 {
-		n = min(n, u.GPU/need.GPU)
+	if need.MilliGPU > 0 {
+		n = min(n, u.MilliGPU/need.MilliGPU)
 	}
 	return int(max(0, n))
 }
 
 // valid tells whether a record may claim the amount.
-func (u Units) valid() bool {
-	return u.CPU >= 0 && u.GPU >= 0 && u.CPU <= mostUnits && u.GPU <= mostUnits
+func (u Quantity) valid() bool {
+	return u.MilliCPU >= 0 && u.MilliGPU >= 0 && u.MilliCPU <= maxMillis && u.MilliGPU <= maxMillis
 }
 
 // Resources is the amount as the planner counts it.
-func (u Units) Resources() checkpoint.Resources {
-	return checkpoint.Resources{CPUs: float64(u.CPU) / perWhole, GPUs: float64(u.GPU) / perWhole}
+func (u Quantity) Resources() checkpoint.Resources {
+	return checkpoint.Resources{CPUs: float64(u.MilliCPU) / milliPerUnit, GPUs: float64(u.MilliGPU) / milliPerUnit}
 }
--- a/internal/round/bound.go
+++ b/internal/round/bound.go
@@ -21,7 +21,7 @@
 	}
 	machines := (s.Tasks + perMachine - 1) / perMachine
 	j := &checkpoint.Job{Spec: *s}
-	checkpointRoom := j.SpareBytes(limits.ValueBytes(), limits.TxnValues(), specSize)
+	checkpointRoom := j.SpareBytes(limits.MaxValueBytes(), limits.MaxTxnValues(), specSize)
 	if checkpoint.SpareBytes(machines)*j.GroupBytes(nameForBound, 0)+j.GroupBytes("", s.Tasks) > checkpointRoom {
 		return false
 	}
@@ -29,7 +29,7 @@
 	start := Start{Machine: nameForBound, Session: math.MaxInt32, Tasks: widest}
 	// One value is left to what else the round starts: with it a gang might wait
 	// for ever, if higher work came in each round.
-	room := max(limits.ValueBytes()-roundHead, parts.Capacity(limits.ValueBytes(), limits.TxnValues()-1))
+	room := max(limits.MaxValueBytes()-roundHead, parts.Capacity(limits.MaxValueBytes(), limits.MaxTxnValues()-1))
 	return machines*start.nextSize() <= room
 }
 
--- a/internal/round/gang_test.go
+++ b/internal/round/gang_test.go
@@ -21,7 +21,7 @@
 
 func gangScene(t *testing.T, zones ...unit.Zone) *scene {
 	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {CPUsMax: 40}, "blue": {CPUsMax: 40}}
+	s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 40}, "blue": {CPULimit: 40}}
 	for i, z := range zones {
 		s.machine(unit.MachineID("host-"+string(rune('1'+i))), z, false)
 	}
@@ -97,7 +97,7 @@
 // that are told to stop included, does not start, and holds nothing.
 func TestGangWithinItsLimit(t *testing.T) {
 	s := gangScene(t, "a", "a", "a")
-	s.w.Teams["red"] = config.Team{CPUsMax: 10}
+	s.w.Teams["red"] = config.Team{CPULimit: 10}
 	old := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4))
 	s.place(old, 0, "host-3").Stopping = true
 	s.job("wk-000002", gangSpec(4, 2))
@@ -119,7 +119,7 @@
 // that goes to no other work of the team that comes after it.
 func TestGangHoldsItsLimit(t *testing.T) {
 	s := gangScene(t, "a", "a", "a")
-	s.w.Teams["red"] = config.Team{CPUsMax: 10}
+	s.w.Teams["red"] = config.Team{CPULimit: 10}
 	s.place(s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4)), 0, "host-3")
 	s.job("wk-000002", gangSpec(4, 2))
 	later := s.job("wk-000003", task("red", checkpoint.PriorityStandard, 3, 2))
@@ -187,7 +187,7 @@
 // once enough of them yield the rest goes on.
 func TestGangStopsGangsWhole(t *testing.T) {
 	s := gangScene(t, "a", "a", "a", "a")
-	s.w.Teams["blue"] = config.Team{CPUsMax: 40}
+	s.w.Teams["blue"] = config.Team{CPULimit: 40}
 	for i := range 2 {
 		low := gangSpec(4, 2)
 		low.Team, low.Priority = "blue", checkpoint.PriorityBestEffort
@@ -216,7 +216,7 @@
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
 		s := gangScene(t, "a", "a")
 		s.w.MayHire = false
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPUs: 8, CPUsMax: 40}, "blue": {CPUs: guarantee, CPUsMax: 40}}
+		s.w.Teams = map[unit.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
 		holds := gangSpec(4, 2)
 		holds.Team = "blue"
 		j := s.job("wk-000001", holds)
@@ -271,7 +271,7 @@
 func TestGangBeyondOneValue(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
 		s := newScene(t)
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPUsMax: 4000}}
+		s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
 		s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, values, 4
 		for i := range 80 {
 			s.machine(unit.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
@@ -292,7 +292,7 @@
 // TestLargestGangIsPlaced: the largest gang that is taken, one task to a machine, is
 // started whole, and its records can be stored; one that is larger is not taken.
 func TestLargestGangIsPlaced(t *testing.T) {
-	limits := config.State{ValueKB: 2, TxnOps: 4}
+	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
 	for spec.Tasks = 1; GangFits(&spec, 1, 300, limits); spec.Tasks++ {
 	}
@@ -301,7 +301,7 @@
 		t.Errorf("the largest gang has %d tasks", spec.Tasks)
 	}
 	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {CPUsMax: 4000}}
+	s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
 	s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, 4, 4
 	for i := range spec.Tasks {
 		s.machine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
@@ -325,14 +325,14 @@
 // TestLargeGangBesideOthers: the largest gang starts in the same round as higher
 // work, however much of that there is: it must not wait for a round of its own.
 func TestLargeGangBesideOthers(t *testing.T) {
-	limits := config.State{ValueKB: 2, TxnOps: 4}
+	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
 	for spec.Tasks = 1; GangFits(&spec, 1, 300, limits); spec.Tasks++ {
 	}
 	spec.Tasks--
 	for _, others := range []int{5, 20} {
 		s := newScene(t)
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPUsMax: 4000}, "blue": {CPUsMax: 4000}}
+		s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
 		s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, 4, 4
 		for i := range spec.Tasks + others {
 			s.machine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
--- a/internal/round/headroom.go
+++ b/internal/round/headroom.go
@@ -71,8 +71,8 @@
 func (p *planner) keepGuaranteed() {
 	wanted, have := 0.0, 0.0
 	for name, t := range p.w.Teams {
-		if t.CPUs > 0 && p.w.Active(name) {
-			wanted += max(t.CPUs*p.w.Policy.Guarantee, p.usage[name].CPUs)
+		if t.CPUGuarantee > 0 && p.w.Active(name) {
+			wanted += max(t.CPUGuarantee*p.w.Policy.GuaranteeShare, p.usage[name].CPUs)
 		}
 	}
 	for _, b := range append(append([]*bin(nil), p.bins...), p.come...) {
--- a/internal/round/order.go
+++ b/internal/round/order.go
@@ -96,9 +96,9 @@
 // guaranteed tells how many more tasks of the job its team's guarantee covers.
 func (p *planner) guaranteed(j *checkpoint.Job) int {
 	t, used := p.w.Teams[j.Spec.Team], p.usage[j.Spec.Team]
-	n := int((t.CPUs - used.CPUs + 1e-6) / j.Spec.CPUs)
+	n := int((t.CPUGuarantee - used.CPUs + 1e-6) / j.Spec.CPUs)
 	if j.Spec.GPUs > 0 {
-		n = min(n, int((t.GPUs-used.GPUs+1e-6)/j.Spec.GPUs))
+		n = min(n, int((t.GPUGuarantee-used.GPUs+1e-6)/j.Spec.GPUs))
 	}
 	return max(0, n)
 }
@@ -108,7 +108,7 @@
 func (p *planner) withinGuarantee(j *checkpoint.Job) bool {
 	t := p.w.Teams[j.Spec.Team]
 	after := p.usage[j.Spec.Team].Add(j.Spec.TaskResources())
-	return t.CPUs > 0 && after.CPUs <= t.CPUs+1e-6 && (after.GPUs == 0 || after.GPUs <= t.GPUs+1e-6)
+	return t.CPUGuarantee > 0 && after.CPUs <= t.CPUGuarantee+1e-6 && (after.GPUs == 0 || after.GPUs <= t.GPUGuarantee+1e-6)
 }
 
 // quota tells how many more tasks of the job its team's limit allows: as many as
@@ -161,11 +161,11 @@
 func (p *planner) withinLimit(j *checkpoint.Job, used checkpoint.Resources) int {
 	t := p.w.Teams[j.Spec.Team]
 	n := math.MaxInt32
-	if t.CPUsMax > 0 && j.Spec.CPUs > 0 {
-		n = min(n, int((t.CPUsMax-used.CPUs+1e-6)/j.Spec.CPUs))
+	if t.CPULimit > 0 && j.Spec.CPUs > 0 {
+		n = min(n, int((t.CPULimit-used.CPUs+1e-6)/j.Spec.CPUs))
 	}
-	if t.GPUsMax > 0 && j.Spec.GPUs > 0 {
-		n = min(n, int((t.GPUsMax-used.GPUs+1e-6)/j.Spec.GPUs))
+	if t.GPULimit > 0 && j.Spec.GPUs > 0 {
+		n = min(n, int((t.GPULimit-used.GPUs+1e-6)/j.Spec.GPUs))
 	}
 	return max(0, n)
 }
--- a/internal/round/plan.go
+++ b/internal/round/plan.go
@@ -71,7 +71,7 @@
 	p.countUsage()
 	p.countWork()
 	for _, t := range w.Teams {
-		p.guards = p.guards || t.CPUs > 0
+		p.guards = p.guards || t.CPUGuarantee > 0
 	}
 	p.makeBins()
 	p.order()
--- a/internal/round/plan_snapshot_test.go
+++ b/internal/round/plan_snapshot_test.go
@@ -125,16 +125,16 @@
 	for _, name := range []unit.Team{"red", "blue", "green"} {
 		var team config.Team
 		if s.profile == guaranteed || s.percent(25) {
-			team.CPUs, team.GPUs = float64(pick(&s.generator, 0, 8, 16, 32)), float64(pick(&s.generator, 0, 2, 4))
+			team.CPUGuarantee, team.GPUGuarantee = float64(pick(&s.generator, 0, 8, 16, 32)), float64(pick(&s.generator, 0, 2, 4))
 		}
 		if s.percent(40) {
-			team.CPUsMax = team.CPUs + float64(pick(&s.generator, 8, 24, 64))
+			team.CPULimit = team.CPUGuarantee + float64(pick(&s.generator, 8, 24, 64))
 		}
 		if s.percent(20) {
-			team.GPUsMax = team.GPUs + float64(pick(&s.generator, 2, 6))
+			team.GPULimit = team.GPUGuarantee + float64(pick(&s.generator, 2, 6))
 		}
 		if s.profile == guaranteed && s.percent(40) {
-			team.CPUs *= 8 // more than the machines hold
+			team.CPUGuarantee *= 8 // more than the machines hold
 		}
 		teams[name] = team
 	}
@@ -161,8 +161,8 @@
 }
 
 func (s *snapshotGenerator) drawPolicy() *policy.Policy {
-	return &policy.Policy{PreemptAfter: time.Duration(pick(&s.generator, 0, 10, 60)) * time.Second,
-		SpareTasks: pick(&s.generator, 0, 2, 5), Guarantee: pick(&s.generator, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
+	return &policy.Policy{PreemptionDelay: time.Duration(pick(&s.generator, 0, 10, 60)) * time.Second,
+		SpareTasks: pick(&s.generator, 0, 2, 5), GuaranteeShare: pick(&s.generator, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
 }
 
 // drawAvailability draws which offers the cloud has none of, and which teams have
--- a/internal/round/plan_test.go
+++ b/internal/round/plan_test.go
@@ -35,7 +35,7 @@
 		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
 	f.SetMachineTypes(types)
 	s.w = &World{Now: start.Add(10 * time.Second), No: 5, Epoch: 10, Fleet: f, Types: types, Zones: []unit.Zone{"a", "b"},
-		Teams:   map[unit.Team]config.Team{"red": {CPUs: 4, CPUsMax: 8}, "blue": {CPUs: 8, CPUsMax: 8}},
+		Teams:   map[unit.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
 		Blocked: func(rental.Offer) bool { return false }, Active: func(unit.Team) bool { return true }, MayHire: true, Policy: pol, ValueBytes: 8192,
 		SpecSize: func(*checkpoint.Job) int { return 300 }}
 	return s
@@ -187,7 +187,7 @@
 			for _, m := range s.w.Fleet.Machines() {
 				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.w.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
 					spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() && (!spec.ZoneAffinity || len(j.Placements) == 0) &&
-					s.used(spec.Team)+spec.CPUs <= s.w.Teams[spec.Team].CPUsMax {
+					s.used(spec.Team)+spec.CPUs <= s.w.Teams[spec.Team].CPULimit {
 					s.place(j, j.Queue[0].First, m.ID)
 				}
 			}
@@ -229,8 +229,8 @@
 		}
 	}
 	for name, team := range s.w.Teams {
-		if used := s.used(name); used > team.CPUsMax {
-			t.Fatalf("%s uses %v of %v", name, used, team.CPUsMax)
+		if used := s.used(name); used > team.CPULimit {
+			t.Fatalf("%s uses %v of %v", name, used, team.CPULimit)
 		}
 	}
 	for _, j := range s.jobs {
--- a/internal/round/preempt.go
+++ b/internal/round/preempt.go
@@ -12,7 +12,7 @@
 	if j.Spec.Priority >= checkpoint.PriorityHigh || p.slack(j) < 2*urgentBelow {
 		return true
 	}
-	return p.w.Now.Sub(j.QueuedSince) >= p.w.Policy.PreemptAfter
+	return p.w.Now.Sub(j.QueuedSince) >= p.w.Policy.PreemptionDelay
 }
 
 // spot is where room for one task can be made, and what that costs.
@@ -84,7 +84,7 @@
 		return false
 	}
 	for name, t := range p.w.Teams {
-		if name != j.Spec.Team && p.usage[name].Sub(p.giving[name]).CPUs > t.CPUs {
+		if name != j.Spec.Team && p.usage[name].Sub(p.giving[name]).CPUs > t.CPUGuarantee {
 			return true
 		}
 	}
@@ -227,7 +227,7 @@
 	t := p.w.Teams[v.Job.Spec.Team]
 	// Stopping it must leave its team no less than its guarantee.
 	left := p.usage[v.Job.Spec.Team].Sub(p.giving[v.Job.Spec.Team]).Sub(v.Job.Spec.TaskResources().Multiply(together(v)))
-	return left.CPUs >= t.CPUs-1e-6
+	return left.CPUs >= t.CPUGuarantee-1e-6
 }
 
 // mustRun tells whether the placement belongs to a job that waited long for it,
--- a/internal/round/record_golden_test.go
+++ b/internal/round/record_golden_test.go
@@ -167,12 +167,12 @@
 		perMachine int
 		want       int
 	}{
-		{config.State{ValueKB: 2, TxnOps: 4}, 1, 126},
-		{config.State{ValueKB: 2, TxnOps: 4}, 7, 525},
-		{config.State{ValueKB: 8, TxnOps: 1}, 1, 158},
-		{config.State{ValueKB: 8, TxnOps: 16}, 2, 1920},
-		{config.State{ValueKB: 0.5, TxnOps: 64}, 1, 555},
-		{config.State{ValueKB: 32, TxnOps: 64}, 4, 1723},
+		{config.State{MaxValueKB: 2, MaxTxnOps: 4}, 1, 126},
+		{config.State{MaxValueKB: 2, MaxTxnOps: 4}, 7, 525},
+		{config.State{MaxValueKB: 8, MaxTxnOps: 1}, 1, 158},
+		{config.State{MaxValueKB: 8, MaxTxnOps: 16}, 2, 1920},
+		{config.State{MaxValueKB: 0.5, MaxTxnOps: 64}, 1, 555},
+		{config.State{MaxValueKB: 32, MaxTxnOps: 64}, 4, 1723},
 	} {
 		spec := checkpoint.Spec{Tasks: 1, Gang: true}
 		for GangFits(&spec, c.perMachine, 300, c.limits) {
--- a/internal/round/waits_test.go
+++ b/internal/round/waits_test.go
@@ -47,7 +47,7 @@
 // hold free room on machines that it stays off; others waited beside them.
 func TestNobodyHoldsWhatItMayNotUse(t *testing.T) {
 	s := lateScene(t)
-	s.w.Policy.PreemptAfter = 5 * time.Second
+	s.w.Policy.PreemptionDelay = 5 * time.Second
 	begun(s, "wk-000001", 30*time.Second) // may preempt, and goes first
 	later := begun(s, "wk-000002", 70*time.Second)
 	later.AcceptedAtMs = 1
--- a/internal/standby/catchup.go
+++ b/internal/standby/catchup.go
@@ -21,7 +21,7 @@
 // returns.
 func CatchUp(r *Replica, epoch unit.Epoch, watch WatchFunc) (takeover.StoredRecords, unit.Revision, error) {
 	if !r.Complete() {
-		return takeover.StoredRecords{}, 0, ErrUnread
+		return takeover.StoredRecords{}, 0, ErrNotLoaded
 	}
 	for _, prefix := range Prefixes {
 		log, revision, err := watch(prefix, r.Revision(prefix))
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -17,30 +17,30 @@
 
 // States.
 const (
-	// Reading: the records are being read for the first time, or anew.
-	Reading State = iota
-	// Lagging: they were read, and the changes since could not be read lately.
-	Lagging
-	// Ready: the replica is complete up to a moment ago.
-	Ready
-	// Leading: this node leads and follows nobody.
-	Leading
-	// Full: the records exceed the replica's bound, so a takeover reads them all.
-	Full
+	// StateReading: the records are being read for the first time, or anew.
+	StateReading State = iota
+	// StateLagging: they were read, and the changes since could not be read lately.
+	StateLagging
+	// StateReady: the replica is complete up to a moment ago.
+	StateReady
+	// StateLeading: this node leads and follows nobody.
+	StateLeading
+	// StateFull: the records exceed the replica's bound, so a takeover reads them all.
+	StateFull
 )
 
 // String names the state for logs and operators.
 func (s State) String() string {
 	switch s {
-	case Reading:
+	case StateReading:
 		return "reading"
-	case Lagging:
+	case StateLagging:
 		return "lagging"
-	case Ready:
+	case StateReady:
 		return "ready"
-	case Leading:
+	case StateLeading:
 		return "leading"
-	case Full:
+	case StateFull:
 		return "full"
 	}
 	return "unknown"
@@ -53,28 +53,28 @@
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// Listed answers List.
-	Listed struct {
+	// ListDone answers List.
+	ListDone struct {
 		Prefix   string
 		Err      error
 		Items    []statestore.KeyValue
 		Revision unit.Revision
 	}
-	// Changed answers Watch.
-	Changed struct {
+	// WatchDone answers Watch.
+	WatchDone struct {
 		Prefix   string
 		Err      error
-		Log      []statestore.WatchEvent
+		Changes  []statestore.WatchEvent
 		Revision unit.Revision
 	}
-	// Led says whether this node leads.
-	Led struct{ On bool }
+	// LeadershipChanged says whether this node leads.
+	LeadershipChanged struct{ Leading bool }
 )
 
-func (Tick) input()    {}
-func (Listed) input()  {}
-func (Changed) input() {}
-func (Led) input()     {}
+func (Tick) input()              {}
+func (ListDone) input()          {}
+func (WatchDone) input()         {}
+func (LeadershipChanged) input() {}
 
 // Effect is what the follower asks for: one of the types below.
 type Effect interface{ effect() }
@@ -93,40 +93,40 @@
 func (List) effect()  {}
 func (Watch) effect() {}
 
-// Times are the settings of a follower.
-type Times struct {
-	Sync time.Duration // between two looks at the changes
+// Options are the settings of a follower.
+type Options struct {
+	SyncInterval time.Duration // between two looks at the changes
 }
 
-// lagAfter is how many intervals without a whole look at the changes a replica may
+// maxMissedSyncs is how many intervals without a whole look at the changes a replica may
 // be and still count as ready.
-const lagAfter = 3
+const maxMissedSyncs = 3
 
-// retryFull is how long records that exceed the bound are not read again.
-const retryFull = time.Minute
+// fullRetryInterval is how long records that exceed the bound are not read again.
+const fullRetryInterval = time.Minute
 
 // Follower keeps a replica up to date. It is a pure state machine.
 type Follower struct {
-	times   Times
-	replica *Replica
-	leading bool
-	full    bool
-	busy    bool
-	next    unit.Instant
-	pending int // prefixes of the present look that are not answered yet
-	failed  bool
-	synced  unit.Instant // when the last whole look began; 0: never
-	begun   unit.Instant // when the present look began
-	applied int          // changes that the present look has brought
-	behind  int          // changes that the last whole look has brought
-	reread  bool         // the present look has found that the replica is of no use
-	rereads int
-	reason  error
+	options        Options
+	replica        *Replica
+	leading        bool
+	full           bool
+	syncing        bool
+	nextSync       unit.Instant
+	pendingReads   int // prefixes of the present look that are not answered yet
+	syncFailed     bool
+	lastSync       unit.Instant // when the last whole look began; 0: never
+	syncStarted    unit.Instant // when the present look began
+	appliedChanges int          // changes that the present look has brought
+	lagRecords     int          // changes that the last whole look has brought
+	reloading      bool         // the present look has found that the replica is of no use
+	reloads        int
+	lastErr        error
 }
 
 // NewFollower returns a follower whose replica may hold so many bytes.
-func NewFollower(times Times, mostBytes int) *Follower {
-	return &Follower{times: times, replica: NewReplica(mostBytes)}
+func NewFollower(times Options, mostBytes int) *Follower {
+	return &Follower{options: times, replica: NewReplica(mostBytes)}
 }
 
 // Replica is what the follower holds. It is complete up to its revisions, whatever
@@ -138,31 +138,31 @@
 	switch in := in.(type) {
 	case Tick:
 		return f.tick(now)
-	case Listed:
-		f.listed(now, in)
-	case Changed:
-		f.changed(now, in)
-	case Led:
-		f.led(now, in.On)
+	case ListDone:
+		f.listDone(now, in)
+	case WatchDone:
+		f.watchDone(now, in)
+	case LeadershipChanged:
+		f.leadershipChanged(now, in.Leading)
 	}
 	return nil
 }
 
-// led follows the leadership of this node. What it holds stays: once it does not
+// leadershipChanged follows the leadership of this node. What it holds stays: once it does not
 // lead any more, it reads what has changed since.
-func (f *Follower) led(now unit.Instant, on bool) {
+func (f *Follower) leadershipChanged(now unit.Instant, on bool) {
 	if f.leading && !on {
-		f.next = now
+		f.nextSync = now
 	}
 	f.leading = on
 }
 
 func (f *Follower) tick(now unit.Instant) []Effect {
-	if f.leading || f.busy || now.Before(f.next) {
+	if f.leading || f.syncing || now.Before(f.nextSync) {
 		return nil
 	}
-	f.busy, f.failed, f.begun, f.applied = true, false, now, 0
-	f.next, f.pending = now.Add(f.times.Sync), len(Prefixes)
+	f.syncing, f.syncFailed, f.syncStarted, f.appliedChanges = true, false, now, 0
+	f.nextSync, f.pendingReads = now.Add(f.options.SyncInterval), len(Prefixes)
 	effects := make([]Effect, 0, len(Prefixes))
 	for _, prefix := range Prefixes {
 		if since := f.replica.Revision(prefix); since != 0 {
@@ -174,35 +174,35 @@
 	return effects
 }
 
-func (f *Follower) listed(now unit.Instant, in Listed) {
+func (f *Follower) listDone(now unit.Instant, in ListDone) {
 	if in.Err == nil {
 		var replica *Replica
 		if replica, in.Err = f.replica.Load(in.Prefix, in.Items, in.Revision); in.Err == nil {
 			f.replica = replica
 		}
 	}
-	f.answered(now, in.Err)
+	f.readDone(now, in.Err)
 }
 
-func (f *Follower) changed(now unit.Instant, in Changed) {
+func (f *Follower) watchDone(now unit.Instant, in WatchDone) {
 	if in.Err == nil {
 		var replica *Replica
-		if replica, in.Err = f.replica.Apply(in.Prefix, in.Log, in.Revision); in.Err == nil {
+		if replica, in.Err = f.replica.Apply(in.Prefix, in.Changes, in.Revision); in.Err == nil {
 			f.replica = replica
-			f.applied += len(in.Log)
+			f.appliedChanges += len(in.Changes)
 		}
 	}
-	if mustReread(in.Err) {
-		f.replica = NewReplica(f.replica.most)
-		f.reread = true
+	if mustReload(in.Err) {
+		f.replica = NewReplica(f.replica.maxBytes)
+		f.reloading = true
 	}
-	f.answered(now, in.Err)
+	f.readDone(now, in.Err)
 }
 
-// mustReread tells whether an error means that the replica can't be brought up to
+// mustReload tells whether an error means that the replica can't be brought up to
 // date by changes.
-func mustReread(err error) bool {
-	for _, cause := range []error{statestore.ErrCompacted, ErrOutOfOrder, ErrForeignKey, ErrUnread} {
+func mustReload(err error) bool {
+	for _, cause := range []error{statestore.ErrCompacted, ErrOutOfOrder, ErrUnexpectedKey, ErrNotLoaded} {
 		if errors.Is(err, cause) {
 			return true
 		}
@@ -210,29 +210,29 @@
 	return false
 }
 
-// answered takes in that one of the reads of the present look is over.
-func (f *Follower) answered(now unit.Instant, err error) {
-	if err != nil && !f.failed {
-		f.failed, f.reason = true, err // the others may follow from it
+// readDone takes in that one of the reads of the present look is over.
+func (f *Follower) readDone(now unit.Instant, err error) {
+	if err != nil && !f.syncFailed {
+		f.syncFailed, f.lastErr = true, err // the others may follow from it
 	}
-	if errors.Is(err, ErrTooLarge) {
+	if errors.Is(err, ErrReplicaFull) {
 		// Nothing of it is kept: it is of no use, and takes memory.
 		f.full = true
-		f.replica = NewReplica(f.replica.most)
-		f.next = now.Add(retryFull)
+		f.replica = NewReplica(f.replica.maxBytes)
+		f.nextSync = now.Add(fullRetryInterval)
 	}
-	if f.pending--; f.pending > 0 {
+	if f.pendingReads--; f.pendingReads > 0 {
 		return
 	}
-	f.busy = false
-	if f.reread {
-		f.reread = false
-		f.rereads++
+	f.syncing = false
+	if f.reloading {
+		f.reloading = false
+		f.reloads++
 	}
-	if f.failed || !f.replica.Complete() {
+	if f.syncFailed || !f.replica.Complete() {
 		return
 	}
-	f.synced, f.behind, f.reason, f.full = f.begun, f.applied, nil, false
+	f.lastSync, f.lagRecords, f.lastErr, f.full = f.syncStarted, f.appliedChanges, nil, false
 }
 
 // Status is what an operator may know of the replica.
@@ -242,19 +242,19 @@
 	Reason  error
 	Records int
 	Bytes   int
-	// Behind is how many changes the last whole look found that were not in the
+	// LagRecords is how many changes the last whole look found that were not in the
 	// replica, and Lag how long ago that look began.
-	Behind   int
-	Lag      time.Duration
-	Revision unit.Revision // up to which all of it is complete; 0: it is not
-	Rereads  int           // times that it had to be read anew
+	LagRecords int
+	Lag        time.Duration
+	Revision   unit.Revision // up to which all of it is complete; 0: it is not
+	Reloads    int           // times that it had to be read anew
 }
 
 // Status tells how the replica is at now. It says that it is ready only while it is.
 func (f *Follower) Status(now unit.Instant) Status {
-	s := Status{State: f.state(now), Reason: f.reason, Records: f.replica.Len(), Bytes: f.replica.Bytes(), Behind: f.behind, Rereads: f.rereads}
-	if f.synced != 0 {
-		s.Lag = now.Sub(f.synced)
+	s := Status{State: f.state(now), Reason: f.lastErr, Records: f.replica.Len(), Bytes: f.replica.Bytes(), LagRecords: f.lagRecords, Reloads: f.reloads}
+	if f.lastSync != 0 {
+		s.Lag = now.Sub(f.lastSync)
 	}
 	if f.replica.Complete() {
 		s.Revision = f.replica.Revision(Prefixes[0])
@@ -268,13 +268,13 @@
 func (f *Follower) state(now unit.Instant) State {
 	switch {
 	case f.leading:
-		return Leading
+		return StateLeading
 	case f.full:
-		return Full
-	case f.synced == 0 || !f.replica.Complete():
-		return Reading
-	case now.Sub(f.synced) > lagAfter*f.times.Sync:
-		return Lagging
+		return StateFull
+	case f.lastSync == 0 || !f.replica.Complete():
+		return StateReading
+	case now.Sub(f.lastSync) > maxMissedSyncs*f.options.SyncInterval:
+		return StateLagging
 	}
-	return Ready
+	return StateReady
 }
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -22,10 +22,10 @@
 
 // Errors of changes that can't be applied. The keys must be read anew.
 var (
-	ErrOutOfOrder = errors.New("changes are out of order")
-	ErrForeignKey = errors.New("a change of a key that is not followed")
-	ErrTooLarge   = errors.New("the records exceed the replica's bound")
-	ErrUnread     = errors.New("the keys were never read")
+	ErrOutOfOrder    = errors.New("changes are out of order")
+	ErrUnexpectedKey = errors.New("a change of a key that is not followed")
+	ErrReplicaFull   = errors.New("the records exceed the replica's bound")
+	ErrNotLoaded     = errors.New("the keys were never read")
 )
 
 // Replica is a copy of the records as of some revision of the state service, for
@@ -35,12 +35,12 @@
 	items     *iradix.Tree[statestore.KeyValue]
 	revisions map[string]unit.Revision // of each prefix; absent: never read
 	bytes     int
-	most      int // bytes that it may hold
+	maxBytes  int // bytes that it may hold
 }
 
 // NewReplica returns an empty replica that may hold so many bytes.
 func NewReplica(mostBytes int) *Replica {
-	return &Replica{items: iradix.New[statestore.KeyValue](), revisions: map[string]unit.Revision{}, most: mostBytes}
+	return &Replica{items: iradix.New[statestore.KeyValue](), revisions: map[string]unit.Revision{}, maxBytes: mostBytes}
 }
 
 // Len counts the records.
@@ -66,7 +66,7 @@
 	return out
 }
 
-func sizeOf(item statestore.KeyValue) int { return len(item.Key) + len(item.Value) }
+func itemBytes(item statestore.KeyValue) int { return len(item.Key) + len(item.Value) }
 
 // Load replaces what the replica holds of a prefix by what was read at a revision. A
 // record that changed while the pages were read may be newer than the revision; its
@@ -75,17 +75,17 @@
 	txn := r.items.Txn()
 	bytes := r.bytes
 	for _, item := range r.Items(prefix) {
-		bytes -= sizeOf(item)
+		bytes -= itemBytes(item)
 	}
 	txn.DeletePrefix([]byte(prefix))
 	for _, item := range items {
 		if !strings.HasPrefix(item.Key, prefix) {
-			return r, fmt.Errorf("%w: %.100q", ErrForeignKey, item.Key)
+			return r, fmt.Errorf("%w: %.100q", ErrUnexpectedKey, item.Key)
 		}
 		txn.Insert([]byte(item.Key), item)
-		bytes += sizeOf(item)
+		bytes += itemBytes(item)
 	}
-	return r.next(txn, prefix, revision, bytes)
+	return r.withRevision(txn, prefix, revision, bytes)
 }
 
 // Apply applies the changes of a prefix since the replica's revision of it, up to
@@ -93,7 +93,7 @@
 func (r *Replica) Apply(prefix string, log []statestore.WatchEvent, revision unit.Revision) (*Replica, error) {
 	since, read := r.revisions[prefix]
 	if !read {
-		return r, ErrUnread
+		return r, ErrNotLoaded
 	}
 	if revision < since {
 		return r, fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, revision, since)
@@ -114,14 +114,14 @@
 		}
 		bytes += grown
 	}
-	return r.next(txn, prefix, revision, bytes)
+	return r.withRevision(txn, prefix, revision, bytes)
 }
 
 // applyChange applies one change, and tells by how much the replica grows.
 func applyChange(txn *iradix.Txn[statestore.KeyValue], prefix string, c statestore.WatchEvent) (int, error) {
 	key := c.SetKey + c.DeleteKey
 	if !strings.HasPrefix(key, prefix) || c.SetKey != "" && c.DeleteKey != "" {
-		return 0, fmt.Errorf("%w: %.100q", ErrForeignKey, key)
+		return 0, fmt.Errorf("%w: %.100q", ErrUnexpectedKey, key)
 	}
 	old, known := txn.Get([]byte(key))
 	if known && old.ModRevision >= c.ModRevision {
@@ -129,7 +129,7 @@
 	}
 	grown := 0
 	if known {
-		grown = -sizeOf(old)
+		grown = -itemBytes(old)
 	}
 	if c.DeleteKey != "" {
 		txn.Delete([]byte(key))
@@ -137,14 +137,14 @@
 	}
 	item := statestore.KeyValue{Key: key, Value: c.Value, ModRevision: c.ModRevision}
 	txn.Insert([]byte(key), item)
-	return grown + sizeOf(item), nil
+	return grown + itemBytes(item), nil
 }
 
-func (r *Replica) next(txn *iradix.Txn[statestore.KeyValue], prefix string, revision unit.Revision, bytes int) (*Replica, error) {
-	if bytes > r.most {
-		return r, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, bytes, r.most)
+func (r *Replica) withRevision(txn *iradix.Txn[statestore.KeyValue], prefix string, revision unit.Revision, bytes int) (*Replica, error) {
+	if bytes > r.maxBytes {
+		return r, fmt.Errorf("%w: %d bytes of %d", ErrReplicaFull, bytes, r.maxBytes)
 	}
-	out := &Replica{items: txn.Commit(), revisions: make(map[string]unit.Revision, len(Prefixes)), bytes: bytes, most: r.most}
+	out := &Replica{items: txn.Commit(), revisions: make(map[string]unit.Revision, len(Prefixes)), bytes: bytes, maxBytes: r.maxBytes}
 	for p, v := range r.revisions {
 		out.revisions[p] = v
 	}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	mostBytes = 1 << 20
-	begin     = unit.Instant(time.Hour)
+	testMaxBytes = 1 << 20
+	startTime    = unit.Instant(time.Hour)
 )
 
-var times = Times{Sync: time.Second}
+var testOptions = Options{SyncInterval: time.Second}
 
 // put stores a value under a key, without a guard.
 func put(t *testing.T, state *fake.State, key string, value any) {
@@ -31,39 +31,39 @@
 	}
 }
 
-// rig is a follower of a stand-in for the state service.
-type rig struct {
+// fixture is a follower of a stand-in for the state service.
+type fixture struct {
 	state    *fake.State
 	follower *Follower
 	now      unit.Instant
 	reads    []string
 }
 
-func newRig(most int) *rig {
-	return &rig{state: fake.NewState(), follower: NewFollower(times, most), now: begin}
+func newFixture(most int) *fixture {
+	return &fixture{state: fake.NewState(), follower: NewFollower(testOptions, most), now: startTime}
 }
 
-// look lets the follower look once, a second after the last time.
-func (r *rig) look() {
+// sync lets the follower look once, a second after the last time.
+func (r *fixture) sync() {
 	r.now = r.now.Add(time.Second)
 	for _, e := range r.follower.Step(r.now, Tick{}) {
 		switch e := e.(type) {
 		case List:
 			r.reads = append(r.reads, "list "+e.Prefix)
 			items, revision, err := r.state.List(e.Prefix)
-			r.follower.Step(r.now, Listed{Prefix: e.Prefix, Err: err, Items: items, Revision: revision})
+			r.follower.Step(r.now, ListDone{Prefix: e.Prefix, Err: err, Items: items, Revision: revision})
 		case Watch:
 			r.reads = append(r.reads, "watch "+e.Prefix)
 			log, revision, err := r.state.Watch(e.Prefix, e.Since)
-			r.follower.Step(r.now, Changed{Prefix: e.Prefix, Err: err, Log: log, Revision: revision})
+			r.follower.Step(r.now, WatchDone{Prefix: e.Prefix, Err: err, Changes: log, Revision: revision})
 		}
 	}
 }
 
-func (r *rig) stateNow() State { return r.follower.Status(r.now).State }
+func (r *fixture) followerState() State { return r.follower.Status(r.now).State }
 
 // check compares the replica with what is stored.
-func (r *rig) check(t *testing.T) {
+func (r *fixture) check(t *testing.T) {
 	t.Helper()
 	for _, prefix := range Prefixes {
 		want, _, _ := r.state.List(prefix)
@@ -77,7 +77,7 @@
 // set, set again or removed; and older replicas do not change.
 func TestReplicaFollows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	r := newRig(mostBytes)
+	r := newFixture(testMaxBytes)
 	var kept *Replica
 	var before []statestore.KeyValue
 	for i := range 300 {
@@ -92,7 +92,7 @@
 			put(t, r.state, key, rng.IntN(1000))
 		}
 		put(t, r.state, "relay/up/n1", i)
-		r.look()
+		r.sync()
 		r.check(t)
 		if i == 100 {
 			kept, before = r.follower.Replica(), r.follower.Replica().Items("job/")
@@ -101,7 +101,7 @@
 	if !cmp.Equal(before, kept.Items("job/")) {
 		t.Error("a replica has changed")
 	}
-	if bytes, want := r.follower.Replica().Bytes(), sum(r.follower.Replica()); bytes != want {
+	if bytes, want := r.follower.Replica().Bytes(), totalBytes(r.follower.Replica()); bytes != want {
 		t.Errorf("counted %d bytes, there are %d", bytes, want)
 	}
 	if !slices.Contains(r.reads, "list part/") || r.reads[len(r.reads)-1] != "watch part/" || len(r.reads) != 900 {
@@ -109,128 +109,128 @@
 	}
 }
 
-func sum(r *Replica) int {
+func totalBytes(r *Replica) int {
 	n := 0
 	for _, prefix := range Prefixes {
 		for _, item := range r.Items(prefix) {
-			n += sizeOf(item)
+			n += itemBytes(item)
 		}
 	}
 	return n
 }
 
-// TestReadyOnlyWhileItIs: a replica is ready after a whole look, and no longer than a
+// TestReadyOnlyWhileUpToDate: a replica is ready after a whole look, and no longer than a
 // few intervals after the last.
-func TestReadyOnlyWhileItIs(t *testing.T) {
-	r := newRig(mostBytes)
-	if r.stateNow() != Reading {
-		t.Errorf("%v before anything was read", r.stateNow())
+func TestReadyOnlyWhileUpToDate(t *testing.T) {
+	r := newFixture(testMaxBytes)
+	if r.followerState() != StateReading {
+		t.Errorf("%v before anything was read", r.followerState())
 	}
 	put(t, r.state, "job/1", 1)
-	r.look()
-	if s := r.follower.Status(r.now); s.State != Ready || s.Records != 1 || s.Revision == 0 {
+	r.sync()
+	if s := r.follower.Status(r.now); s.State != StateReady || s.Records != 1 || s.Revision == 0 {
 		t.Errorf("%+v", s)
 	}
 	r.state.Down = true
 	for range 4 {
-		r.look()
+		r.sync()
 	}
-	if s := r.follower.Status(r.now); s.State != Lagging || s.Reason == nil || s.Lag < 4*time.Second {
+	if s := r.follower.Status(r.now); s.State != StateLagging || s.Reason == nil || s.Lag < 4*time.Second {
 		t.Errorf("in an outage: %+v", s)
 	}
 	r.state.Down = false
-	r.look()
-	if s := r.follower.Status(r.now); s.State != Ready || s.Reason != nil {
+	r.sync()
+	if s := r.follower.Status(r.now); s.State != StateReady || s.Reason != nil {
 		t.Errorf("after it: %+v", s)
 	}
-	r.follower.Step(r.now, Led{On: true})
-	if r.stateNow() != Leading || len(r.follower.Step(r.now.Add(time.Minute), Tick{})) != 0 {
+	r.follower.Step(r.now, LeadershipChanged{Leading: true})
+	if r.followerState() != StateLeading || len(r.follower.Step(r.now.Add(time.Minute), Tick{})) != 0 {
 		t.Error("it follows itself")
 	}
-	r.follower.Step(r.now, Led{On: false})
+	r.follower.Step(r.now, LeadershipChanged{Leading: false})
 	put(t, r.state, "job/2", 1)
-	r.look()
+	r.sync()
 	r.check(t)
 }
 
-// TestGapIsReadAnew: changes that the state service keeps no more are replaced by a
+// TestCompactedChangesAreReloaded: changes that the state service keeps no more are replaced by a
 // fresh read.
-func TestGapIsReadAnew(t *testing.T) {
-	r := newRig(mostBytes)
+func TestCompactedChangesAreReloaded(t *testing.T) {
+	r := newFixture(testMaxBytes)
 	r.state.Kept = 5
 	put(t, r.state, "job/1", 1)
-	r.look()
+	r.sync()
 	for i := range 20 {
 		put(t, r.state, fmt.Sprintf("round/%d", i), i)
 	}
-	r.look()
-	if s := r.follower.Status(r.now); s.State == Ready || s.Rereads != 1 {
+	r.sync()
+	if s := r.follower.Status(r.now); s.State == StateReady || s.Reloads != 1 {
 		t.Errorf("after a gap: %+v", s)
 	}
-	r.look()
+	r.sync()
 	r.check(t)
-	if r.stateNow() != Ready {
+	if r.followerState() != StateReady {
 		t.Error("not ready after the fresh read")
 	}
 }
 
-// TestChangesThatCannotBe are refused whole: nothing of them is applied, and the keys
+// TestInconsistentChangesAreRefused are refused whole: nothing of them is applied, and the keys
 // are read anew.
-func TestChangesThatCannotBe(t *testing.T) {
+func TestInconsistentChangesAreRefused(t *testing.T) {
 	set := func(key string, stamp unit.Revision) statestore.WatchEvent {
 		return statestore.WatchEvent{SetKey: key, ModRevision: stamp}
 	}
-	for what, in := range map[string]Changed{
-		"out of order":          {Log: []statestore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
-		"known already":         {Log: []statestore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
-		"beyond their revision": {Log: []statestore.WatchEvent{set("job/1", 13)}, Revision: 12},
-		"of another key":        {Log: []statestore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
-		"set and removed":       {Log: []statestore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
-		"neither":               {Log: []statestore.WatchEvent{{ModRevision: 11}}, Revision: 12},
+	for what, in := range map[string]WatchDone{
+		"out of order":          {Changes: []statestore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
+		"known already":         {Changes: []statestore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
+		"beyond their revision": {Changes: []statestore.WatchEvent{set("job/1", 13)}, Revision: 12},
+		"of another key":        {Changes: []statestore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
+		"set and removed":       {Changes: []statestore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
+		"neither":               {Changes: []statestore.WatchEvent{{ModRevision: 11}}, Revision: 12},
 		"of an earlier state":   {Revision: 3},
 	} {
-		r := newRig(mostBytes)
+		r := newFixture(testMaxBytes)
 		for i := range 10 {
 			put(t, r.state, "job/"+fmt.Sprint(i), i)
 		}
-		r.look()
+		r.sync()
 		replica := r.follower.Replica()
-		if _, err := replica.Apply("job/", in.Log, in.Revision); err == nil {
+		if _, err := replica.Apply("job/", in.Changes, in.Revision); err == nil {
 			t.Errorf("%s: applied", what)
 		}
 		r.follower.Step(r.now.Add(time.Second), Tick{})
 		in.Prefix = "job/"
 		r.follower.Step(r.now, in)
 		for _, prefix := range Prefixes[1:] {
-			r.follower.Step(r.now, Changed{Prefix: prefix, Revision: 10})
+			r.follower.Step(r.now, WatchDone{Prefix: prefix, Revision: 10})
 		}
-		if s := r.follower.Status(r.now); s.State != Reading || s.Reason == nil || s.Rereads != 1 || s.Records != 0 {
+		if s := r.follower.Status(r.now); s.State != StateReading || s.Reason == nil || s.Reloads != 1 || s.Records != 0 {
 			t.Errorf("%s: %+v", what, s)
 		}
 		r.now = r.now.Add(time.Second)
-		r.look()
+		r.sync()
 		r.check(t)
 	}
 }
 
-// TestRecordsBeyondTheBound: a node without the memory for the records says so, and
+// TestRecordsBeyondMaxBytes: a node without the memory for the records says so, and
 // keeps nothing of them.
-func TestRecordsBeyondTheBound(t *testing.T) {
-	r := newRig(200)
+func TestRecordsBeyondMaxBytes(t *testing.T) {
+	r := newFixture(200)
 	put(t, r.state, "job/1", "short")
-	r.look()
-	if r.stateNow() != Ready {
+	r.sync()
+	if r.followerState() != StateReady {
 		t.Fatal("not ready")
 	}
 	put(t, r.state, "job/2", string(make([]byte, 300)))
-	r.look()
+	r.sync()
 	s := r.follower.Status(r.now)
-	if s.State != Full || s.Bytes != 0 || !errors.Is(s.Reason, ErrTooLarge) {
+	if s.State != StateFull || s.Bytes != 0 || !errors.Is(s.Reason, ErrReplicaFull) {
 		t.Errorf("%+v", s)
 	}
 	reads := len(r.reads)
 	for range 30 {
-		r.look()
+		r.sync()
 	}
 	if len(r.reads) != reads {
 		t.Errorf("%d reads within half a minute", len(r.reads)-reads)
@@ -240,12 +240,12 @@
 // TestCatchUp: a replica is brought up to the epoch, and is of no use if it can't be
 // shown to be complete up to it.
 func TestCatchUp(t *testing.T) {
-	r := newRig(mostBytes)
-	if _, _, err := CatchUp(r.follower.Replica(), 1, r.state.Watch); !errors.Is(err, ErrUnread) {
+	r := newFixture(testMaxBytes)
+	if _, _, err := CatchUp(r.follower.Replica(), 1, r.state.Watch); !errors.Is(err, ErrNotLoaded) {
 		t.Errorf("without a replica: %v", err)
 	}
 	put(t, r.state, "job/1", 1)
-	r.look()
+	r.sync()
 	put(t, r.state, "job/2", 1)
 	put(t, r.state, "round/1", 1)
 	put(t, r.state, "leader", "n0")
--- a/internal/takeover/gate.go
+++ b/internal/takeover/gate.go
@@ -34,7 +34,7 @@
 	if g.LostRounds && since < g.maxPlacementLifetime() {
 		return false
 	}
-	return since >= g.Workers.LongestReportGap() || g.Pristine || g.nearlyAllReported(machines) || g.Poll.answered(now, machines)
+	return since >= g.Workers.MaxHeartbeatGap() || g.Pristine || g.nearlyAllReported(machines) || g.Poll.answered(now, machines)
 }
 
 // maxPlacementLifetime is how long what an earlier leader started may run on a machine
@@ -42,7 +42,7 @@
 // its end.
 func (g *SchedulingGate) maxPlacementLifetime() time.Duration {
 	const margin = 2 * time.Second
-	return g.Workers.Lease() + delegation.GrantDuration(g.Workers) + margin
+	return g.Workers.LeaseTTL() + delegation.GrantDuration(g.Workers) + margin
 }
 
 func (g *SchedulingGate) nearlyAllReported(machines []*fleet.Machine) bool {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -39,7 +39,7 @@
 // TestSchedulingGate: a new leader places nothing until nearly all machines have reported to
 // it, or could have.
 func TestSchedulingGate(t *testing.T) {
-	workers := config.Workers{ReportS: 5, LeaseS: 27, CancelS: 52}
+	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	for _, c := range []struct {
 		what   string
 		gate   SchedulingGate
--- a/internal/userapi/rules.go
+++ b/internal/userapi/rules.go
@@ -33,7 +33,7 @@
 		tasks = s.Tasks
 	}
 	all := s.TaskResources().Multiply(tasks)
-	if team.CPUsMax > 0 && all.CPUs > team.CPUsMax+1e-6 || team.GPUsMax > 0 && all.GPUs > team.GPUsMax+1e-6 {
+	if team.CPULimit > 0 && all.CPUs > team.CPULimit+1e-6 || team.GPULimit > 0 && all.GPUs > team.GPULimit+1e-6 {
 		return http.StatusUnprocessableEntity
 	}
 	if len(r.Types) == 0 {
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -75,7 +75,7 @@
 }
 
 func rules() *Rules {
-	return &Rules{Zones: []unit.Zone{"a"}, State: config.State{ValueKB: 2, TxnOps: 4}, Teams: map[unit.Team]config.Team{"red": {Name: "red", CPUsMax: 8}, "wide": {Name: "wide", CPUsMax: 1e5}},
+	return &Rules{Zones: []unit.Zone{"a"}, State: config.State{MaxValueKB: 2, MaxTxnOps: 4}, Teams: map[unit.Team]config.Team{"red": {Name: "red", CPULimit: 8}, "wide": {Name: "wide", CPULimit: 1e5}},
 		Types: []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}}
 }
 
