--- a/internal/controller/cloud.go
+++ b/internal/controller/cloud.go
@@ -59,7 +59,7 @@
 
 func (t *term) hireDone(now unit.Instant, in HireDone) {
 	if t.rentals.FinishProvision(now, in.Name, in.Verdict, len(in.Machines)) {
-		t.ring.SettleHire(in.Name)
+		t.ring.SettleProvision(in.Name)
 	}
 	t.dirty = true
 	for _, id := range in.Machines {
@@ -82,7 +82,7 @@
 		return
 	}
 	for _, id := range in.Machines {
-		t.ring.SettleRelease(id)
+		t.ring.SettleDeprovision(id)
 		t.ended(now, t.fleet.Remove(now, id))
 	}
 	t.dirty = true
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -79,7 +79,7 @@
 // to a write of its last term for that of the round under way.
 func TestAnswersOfAnEarlierTerm(t *testing.T) {
 	c, now := newLeadingCore(t)
-	c.term.flight = &flight{record: &round.Record{No: 1}}
+	c.term.flight = &flight{record: &round.Record{RoundNo: 1}}
 	c.Step(now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.OutcomeOK, Version: 60})
 	if c.term.flight == nil {
 		t.Error("the round under way was taken for stored")
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -104,8 +104,8 @@
 // or the ring waits for, and those that have lagged long enough.
 func (t *term) foldable(now unit.Instant) (urgent, late []*checkpoint.Job) {
 	pressed := map[unit.JobID]bool{}
-	if t.ring.Free() <= t.c.pol.RingSlots/3 {
-		for _, id := range t.ring.Oldest() {
+	if t.ring.FreeSlots() <= t.c.pol.RingSlots/3 {
+		for _, id := range t.ring.OldestOpenJobs() {
 			pressed[id] = true
 		}
 	}
@@ -145,7 +145,7 @@
 		if j.Dirty() {
 			j.DirtySince = now
 		}
-		t.ring.Folded(j.ID, fj.round)
+		t.ring.JobFolded(j.ID, fj.round)
 		if fj.phase.Final() {
 			t.c.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
 			t.answerWaiters(j.ID, userapi.Known, t.c.lead.LeaseValidUntil())
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -148,7 +148,7 @@
 	m.Queued.Set(float64(queued))
 	m.UnsureHires.Set(float64(t.rentals.UnknownOutcomeCount()))
 	m.Machines.Set(float64(t.fleet.Len()))
-	m.RingFree.Set(float64(t.ring.Free()))
+	m.RingFree.Set(float64(t.ring.FreeSlots()))
 	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
 	m.Epoch.Set(float64(t.epoch))
 }
--- a/internal/controller/release.go
+++ b/internal/controller/release.go
@@ -10,16 +10,16 @@
 )
 
 // coming lists the machines that are rented, or being rented, and not up.
-func (t *term) coming(now unit.Instant) []round.Coming {
-	var out []round.Coming
+func (t *term) coming(now unit.Instant) []round.PendingMachine {
+	var out []round.PendingMachine
 	for _, m := range t.fleet.Machines() {
 		if m.Type != "" && m.Session == 0 && !m.Deprovisioning && !m.Failed && !t.late(now, m) {
-			out = append(out, round.Coming{Offer: rental.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
+			out = append(out, round.PendingMachine{Offer: rental.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
 		}
 	}
 	for _, h := range t.rentals.PendingProvisions() {
 		for range h.Count {
-			out = append(out, round.Coming{Offer: h.Offer})
+			out = append(out, round.PendingMachine{Offer: h.Offer})
 		}
 	}
 	return out
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -26,7 +26,7 @@
 // proposed tells whether a placement belongs to the round under way: its
 // launch has not left, and won't before the record is stored.
 func (t *term) proposed(p *checkpoint.Placement) bool {
-	return t.flight != nil && p.RoundNo == t.flight.record.No
+	return t.flight != nil && p.RoundNo == t.flight.record.RoundNo
 }
 
 // leaderGuard fences a transaction: once another epoch has begun it fails.
@@ -71,16 +71,16 @@
 		return
 	}
 	t.dirty, t.lastRound, t.nextPlan = false, now, now.Add(time.Second)
-	plan := round.Make(t.world(now, no))
-	t.planCost = time.Duration(plan.Work) * lookCost
-	t.noteBlocked(now, plan.Blocked)
-	for _, id := range plan.Vacate {
+	plan := round.PlanRound(t.world(now, no))
+	t.planCost = time.Duration(plan.Examined) * lookCost
+	t.noteBlocked(now, plan.ReservationBlocked)
+	for _, id := range plan.Drain {
 		t.lastVacate = now
 		t.fleet.Machine(id).Draining = true
 		t.c.log.Info("emptying", "machine", id, "epoch", t.epoch)
 	}
-	for _, s := range plan.Stops {
-		t.c.log.Debug("task stopped to make room", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", s.Placement.Machine, "for", s.For, "epoch", t.epoch)
+	for _, s := range plan.Evictions {
+		t.c.log.Debug("task stopped to make room", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", s.Placement.Machine, "for", s.Preemptor, "epoch", t.epoch)
 		t.fleet.StopPlacement(now, s.Placement, unit.Seconds(s.Placement.Job.Spec.CheckpointSeconds))
 		t.c.met.Preemptions.Inc()
 	}
@@ -90,26 +90,26 @@
 // propose reserves what the round decides and writes its record.
 func (t *term) propose(now unit.Instant, plan *round.Plan) {
 	r := &plan.Record
-	f := &flight{record: r, hireFor: plan.HireFor, jobs: map[unit.JobID]bool{}}
+	f := &flight{record: r, hireFor: plan.ProvisionedFor, jobs: map[unit.JobID]bool{}}
 	for _, s := range r.Starts {
 		j := t.jobs[s.Job]
 		f.jobs[s.Job] = true
 		s.Tasks.Each(func(i unit.TaskIndex) bool {
-			p := &checkpoint.Placement{Job: j, Task: i, Machine: s.Machine, Session: s.Session, Attempt: s.AttemptIn(r.No), RoundNo: r.No, PlacedAt: now}
+			p := &checkpoint.Placement{Job: j, Task: i, Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), RoundNo: r.RoundNo, PlacedAt: now}
 			t.fleet.Place(now, p)
 			f.places = append(f.places, p)
 			return true
 		})
 	}
-	r.Releases = t.releasable(now, plan.Keep, max(0, t.limits().MaxValueBytes()-r.SizeOf()))
-	if r.Empty() {
+	r.Deprovisions = t.releasable(now, plan.Retain, max(0, t.limits().MaxValueBytes()-r.MaxJSONSize()))
+	if r.IsEmpty() {
 		return
 	}
-	r.Low = min(t.ring.Low(), r.No)
+	r.LowWatermark = min(t.ring.LowWatermark(), r.RoundNo)
 	writes, err := t.roundWrites(r)
 	if err != nil {
 		t.c.met.TooLarge.Inc()
-		t.c.log.Error("round can't be written", "round", r.No, "err", err, "epoch", t.epoch)
+		t.c.log.Error("round can't be written", "round", r.RoundNo, "err", err, "epoch", t.epoch)
 		t.undo(now, f)
 		return
 	}
@@ -118,24 +118,24 @@
 		return
 	}
 	t.c.budget.ForceTakeWrites(now, len(writes)-1)
-	for _, id := range r.Releases {
+	for _, id := range r.Deprovisions {
 		t.fleet.Machine(id).Deprovisioning = true
 	}
 	t.flight = f
 	t.c.emit(Commit{Kind: CommitRound, Epoch: t.epoch, Txn: statestore.Txn{
-		Conditions: []statestore.Condition{t.leaderGuard(), {Key: writes[0].SetKey, ModRevision: t.ring.Version(r.No)}},
+		Conditions: []statestore.Condition{t.leaderGuard(), {Key: writes[0].SetKey, ModRevision: t.ring.Revision(r.RoundNo)}},
 		Operations: writes,
 	}})
 }
 
 // roundWrites are the changes that store a round: its record, and the parts of it.
 func (t *term) roundWrites(r *round.Record) ([]statestore.Operation, error) {
-	key := t.ring.Key(r.No)
+	key := t.ring.Key(r.RoundNo)
 	stored, rest, err := r.Split(t.limits().MaxValueBytes(), t.roundParts(), statestore.JSONSize)
 	if err != nil {
 		return nil, err
 	}
-	return recordWrites(key, stored, rest, func(n int) string { return round.PartKey(key, n) }), nil
+	return recordWrites(key, stored, rest, func(n int) string { return round.ChunkKey(key, n) }), nil
 }
 
 // recordWrites are the changes that store a record with its parts.
@@ -152,7 +152,7 @@
 	for _, p := range f.places {
 		t.fleet.Retract(now, p)
 	}
-	for _, id := range f.record.Releases {
+	for _, id := range f.record.Deprovisions {
 		if m := t.fleet.Machine(id); m != nil {
 			m.Deprovisioning = false
 		}
@@ -199,25 +199,25 @@
 		return
 	}
 	r := f.record
-	t.ring.Put(r, in.Version)
+	t.ring.Add(r, in.Version)
 	t.c.met.Rounds.Inc()
 	for _, p := range f.places {
-		t.launch(now, p, r.No)
+		t.launch(now, p, r.RoundNo)
 	}
 	for id := range f.jobs {
 		j := t.jobs[id]
-		j.LastRound = max(j.LastRound, r.No)
+		j.LastRound = max(j.LastRound, r.RoundNo)
 		j.MarkDirty(now)
 	}
-	for _, h := range r.Hires {
-		t.c.log.Info("renting", "hire", h.Name, "type", h.Offer.Type, "zone", h.Offer.Zone, "spot", h.Offer.Spot, "count", h.Count, "job", f.hireFor, "round", r.No, "epoch", t.epoch)
+	for _, h := range r.Provisions {
+		t.c.log.Info("renting", "hire", h.Name, "type", h.Offer.Type, "zone", h.Offer.Zone, "spot", h.Offer.Spot, "count", h.Count, "job", f.hireFor, "round", r.RoundNo, "epoch", t.epoch)
 		t.rentals.AddProvision(now, h.Name, h.Offer, h.Count, false)
 	}
-	if len(r.Releases) > 0 {
-		t.c.log.Info("returning", "machines", r.Releases, "round", r.No, "epoch", t.epoch)
-		t.rentals.AddDeprovision(r.Releases...)
+	if len(r.Deprovisions) > 0 {
+		t.c.log.Info("returning", "machines", r.Deprovisions, "round", r.RoundNo, "epoch", t.epoch)
+		t.rentals.AddDeprovision(r.Deprovisions...)
 	}
-	t.c.log.Debug("round", "round", r.No, "epoch", t.epoch, "starts", len(f.places), "hires", len(r.Hires), "releases", len(r.Releases))
+	t.c.log.Debug("round", "round", r.RoundNo, "epoch", t.epoch, "starts", len(f.places), "hires", len(r.Provisions), "releases", len(r.Deprovisions))
 }
 
 // launch lets a recorded placement start, unless its job or its machine has
@@ -237,17 +237,17 @@
 }
 
 // world gathers what a round is planned from.
-func (t *term) world(now unit.Instant, no unit.RoundNo) *round.World {
+func (t *term) world(now unit.Instant, no unit.RoundNo) *round.Snapshot {
 	p := t.c.set.Params
-	w := &round.World{Now: now, WallMs: t.c.clock.Wall().UnixMilli(), No: no, Epoch: t.epoch, Fleet: t.fleet,
-		Types: t.c.types, Zones: p.Zones, Teams: t.teams, Coming: t.coming(now),
-		Blocked: func(o rental.Offer) bool { return t.rentals.Blocked(now, o) },
-		Policy:  t.c.pol, Expect: t.expect, Spares: t.spares(), Typical: t.typical(),
-		MayVacate:  now.Sub(max(t.lastVacate, t.acquired)) >= t.c.pol.DrainInterval && !t.c.cut,
-		MayHire:    len(t.c.types) > 0 && t.knowsMachines(now) && t.cloud.Available(now) >= 1 && len(t.rentals.PendingProvisions()) < 4,
-		ValueBytes: t.limits().MaxValueBytes(), Parts: t.parts(), RoundParts: t.roundParts(), Replace: t.replaceable(now), SpecSize: func(j *checkpoint.Job) int { return t.specSize[j.ID] }}
-	w.Held, w.Covers = t.held()
-	w.Active = func(team unit.Team) bool {
+	w := &round.Snapshot{Now: now, WallMs: t.c.clock.Wall().UnixMilli(), RoundNo: no, Epoch: t.epoch, Fleet: t.fleet,
+		MachineTypes: t.c.types, Zones: p.Zones, Teams: t.teams, PendingMachines: t.coming(now),
+		OfferUnavailable: func(o rental.Offer) bool { return t.rentals.Blocked(now, o) },
+		Policy:           t.c.pol, Objectives: t.expect, SpareSpecs: t.spares(), TypicalSpecs: t.typical(),
+		MayDrain:     now.Sub(max(t.lastVacate, t.acquired)) >= t.c.pol.DrainInterval && !t.c.cut,
+		MayProvision: len(t.c.types) > 0 && t.knowsMachines(now) && t.cloud.Available(now) >= 1 && len(t.rentals.PendingProvisions()) < 4,
+		ValueBytes:   t.limits().MaxValueBytes(), MaxJobValues: t.parts(), MaxRoundValues: t.roundParts(), ReplacementAttempts: t.replaceable(now), SpecJSONSize: func(j *checkpoint.Job) int { return t.specSize[j.ID] }}
+	w.Reserved, w.ReservedTasks = t.held()
+	w.TeamActive = func(team unit.Team) bool {
 		last, ok := t.lastWork[team]
 		return ok && now.Sub(last) <= t.c.pol.GuaranteeHoldTime
 	}
@@ -256,10 +256,10 @@
 			t.lastWork[j.Spec.Team] = now
 		}
 		if len(j.Placements) > 0 {
-			w.All = append(w.All, j)
+			w.PlacedJobs = append(w.PlacedJobs, j)
 		}
 		if len(j.Queue) > 0 && !j.Phase.Final() && !now.Before(j.BackoffUntil) {
-			w.Jobs = append(w.Jobs, j)
+			w.QueuedJobs = append(w.QueuedJobs, j)
 		}
 	}
 	return w
@@ -270,7 +270,7 @@
 func (t *term) spares() []*checkpoint.Spec {
 	var out []*checkpoint.Spec
 	for _, s := range t.typical() {
-		if within := t.expect[s.Class].Start; within > 0 && within < t.fastestBoot(s) {
+		if within := t.expect[s.Class].StartWithin; within > 0 && within < t.fastestBoot(s) {
 			out = append(out, s)
 		}
 	}
--- a/internal/controller/rounds_test.go
+++ b/internal/controller/rounds_test.go
@@ -88,23 +88,23 @@
 	g := newGrown(t, 3)
 	tm := g.core.term
 	tm.loaded, tm.ready, tm.acquired = false, false, g.now
-	good := &round.Record{Schema: 2, No: 5, Epoch: 4, Low: 5}
+	good := &round.Record{SchemaVersion: 2, RoundNo: 5, Epoch: 4, LowWatermark: 5}
 	whole, err := msgpack.Marshal(good)
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn, err := msgpack.Marshal(&round.Record{Schema: 3, No: 6, Epoch: 4, Low: 5, Overflow: &round.Overflow{Parts: 2, Sum: 7}})
+	torn, err := msgpack.Marshal(&round.Record{SchemaVersion: 3, RoundNo: 6, Epoch: 4, LowWatermark: 5, ChunkInfo: &round.ChunkInfo{Chunks: 2, Checksum: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.step(Loaded{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: []statestore.KeyValue{
 		{Key: "round/5", Value: whole, ModRevision: 11}, {Key: "round/6", Value: torn, ModRevision: 12}}}})
-	if tm.ring.Version(6) != 12 {
-		t.Errorf("the slot is written under version %d", tm.ring.Version(6))
+	if tm.ring.Revision(6) != 12 {
+		t.Errorf("the slot is written under version %d", tm.ring.Revision(6))
 	}
 	g.submit(1, batch)
 	begun := g.now
-	for tm.ring.Free() == g.core.pol.RingSlots && g.now.Sub(begun) < 2*time.Minute {
+	for tm.ring.FreeSlots() == g.core.pol.RingSlots && g.now.Sub(begun) < 2*time.Minute {
 		g.pass(200 * time.Millisecond)
 	}
 	waited := g.now.Sub(begun)
@@ -181,8 +181,8 @@
 	}
 	var rounds []statestore.KeyValue
 	for _, r := range []*round.Record{
-		{No: 5, Epoch: 4, Low: 5, Starts: wire.BoundedList[round.Start]{start("m1", 0, 0), start("m2", 1, 0)}},
-		{No: 7, Epoch: 4, Low: 5, Starts: wire.BoundedList[round.Start]{start("m3", 1, 5)}},
+		{RoundNo: 5, Epoch: 4, LowWatermark: 5, Starts: wire.BoundedList[round.Start]{start("m1", 0, 0), start("m2", 1, 0)}},
+		{RoundNo: 7, Epoch: 4, LowWatermark: 5, Starts: wire.BoundedList[round.Start]{start("m3", 1, 5)}},
 	} {
 		head, _, err := r.Split(2048, 4, statestore.JSONSize)
 		if err != nil {
@@ -192,7 +192,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rounds = append(rounds, statestore.KeyValue{Key: tm.ring.Key(r.No), Value: value, ModRevision: 20 + unit.Revision(r.No)})
+		rounds = append(rounds, statestore.KeyValue{Key: tm.ring.Key(r.RoundNo), Value: value, ModRevision: 20 + unit.Revision(r.RoundNo)})
 	}
 	g.core.Step(g.now, Loaded{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: rounds,
 		Jobs: []statestore.KeyValue{{Key: "job/wk-000001", Value: job, ModRevision: 9}}}})
@@ -338,9 +338,9 @@
 func TestRoomForWhatStartsFasterThanMachines(t *testing.T) {
 	g := newGrown(t, 0)
 	tm := g.core.term
-	tm.expect = map[unit.Class]round.Expect{}
+	tm.expect = map[unit.Class]round.Objectives{}
 	for class, within := range map[unit.Class]time.Duration{"fast": 12 * time.Second, "slow": 30 * time.Second, "small": 30 * time.Second} {
-		tm.expect[class] = round.Expect{}.Add("wait", within)
+		tm.expect[class] = round.Objectives{}.With("wait", within)
 		spec := spread
 		spec.Class = class
 		if class == "small" {
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -30,10 +30,10 @@
 	for _, j := range records.Jobs {
 		t.addJob(now, j)
 	}
-	ring, open := round.Restore(t.c.pol.RingSlots, records.Rounds)
+	ring, open := round.RestoreRing(t.c.pol.RingSlots, records.Rounds)
 	t.ring = ring
 	for _, item := range records.LostRounds {
-		t.ring.Skip(item.Key, item.ModRevision)
+		t.ring.SkipUnreadable(item.Key, item.ModRevision)
 	}
 	t.lostRounds = len(records.LostRounds) > 0
 	for _, r := range open {
@@ -76,18 +76,18 @@
 func (t *term) replay(now unit.Instant, r *round.Record) {
 	for _, s := range r.Starts {
 		j := t.jobs[s.Job]
-		if j == nil || j.StoredRound >= r.No {
-			t.ring.Folded(s.Job, r.No)
+		if j == nil || j.StoredRound >= r.RoundNo {
+			t.ring.JobFolded(s.Job, r.RoundNo)
 			continue
 		}
-		t.restore(now, j, checkpoint.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptIn(r.No), Tasks: s.Tasks})
-		j.LastRound = max(j.LastRound, r.No)
+		t.restore(now, j, checkpoint.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), Tasks: s.Tasks})
+		j.LastRound = max(j.LastRound, r.RoundNo)
 		j.MarkDirty(now)
 	}
-	for _, h := range r.Hires {
+	for _, h := range r.Provisions {
 		t.rentals.AddProvision(now, h.Name, h.Offer, h.Count, true)
 	}
-	for _, id := range r.Releases {
+	for _, id := range r.Deprovisions {
 		t.fleet.Ensure(now, id).Deprovisioning = true
 		t.rentals.AddDeprovision(id)
 	}
@@ -163,7 +163,7 @@
 		return
 	}
 	gate := takeover.SchedulingGate{AcquiredAt: t.acquired, Epoch: t.epoch, Workers: t.c.set.Params.Workers,
-		Poll: &t.asking, LostRounds: t.lostRounds, Pristine: t.listRead && t.ring.Fresh() && t.fleet.Len() == 0}
+		Poll: &t.asking, LostRounds: t.lostRounds, Pristine: t.listRead && t.ring.IsUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -65,7 +65,7 @@
 	reach       handover.Reachability
 	found       unit.Instant // when a machine that was silent for too long was last heard again
 	ledger      *delegation.GrantTracker
-	expect      map[unit.Class]round.Expect
+	expect      map[unit.Class]round.Objectives
 	lastWork    map[unit.Team]unit.Instant // when the team last had work
 	lastSpec    map[unit.Class]*checkpoint.Spec
 }
@@ -75,7 +75,7 @@
 		specSize: map[unit.JobID]int{}, reading: map[unit.JobID]bool{},
 		rentals: rental.NewTracker(c.pol.ProvisionBackoff), ring: round.NewRing(c.pol.RingSlots),
 		waiting: map[unit.JobID][]waiter{}, teams: c.set.Params.TeamsByName(),
-		lastWork: map[unit.Team]unit.Instant{}, expect: map[unit.Class]round.Expect{}, lastSpec: map[unit.Class]*checkpoint.Spec{}, tooLarge: map[unit.JobID]unit.Instant{},
+		lastWork: map[unit.Team]unit.Instant{}, expect: map[unit.Class]round.Objectives{}, lastSpec: map[unit.Class]*checkpoint.Spec{}, tooLarge: map[unit.JobID]unit.Instant{},
 		keepsQuotas: map[string]unit.Instant{}, lastRaise: now, nextTypes: now.Add(5 * time.Second)}
 	p := c.set.Params
 	t.cluster = rollout.New(c.set.PeerNames(), 0)
@@ -99,7 +99,7 @@
 
 func (t *term) objectives() {
 	for _, o := range t.c.set.Params.Objectives {
-		t.expect[o.Class] = t.expect[o.Class].Add(o.Kind, unit.Seconds(o.WithinSeconds))
+		t.expect[o.Class] = t.expect[o.Class].With(o.Kind, unit.Seconds(o.WithinSeconds))
 	}
 }
 
--- a/internal/round/gang.go
+++ b/internal/round/gang.go
@@ -13,52 +13,52 @@
 	"badgerbay/internal/wire"
 )
 
-// gangPart is what of a gang goes to one machine.
-type gangPart struct {
-	b     *bin
-	tasks []unit.TaskIndex
+// gangAssignment is what of a gang goes to one machine.
+type gangAssignment struct {
+	machine *candidateMachine
+	tasks   []unit.TaskIndex
 }
 
 // placeGang starts a gang whole, or not at all. One that does not fit holds what
 // is free or coming in one zone, as long as that zone can hold it, so that tasks
 // that come one by one do not fill each hole before it. It returns how many
 // tasks machines must be rented for: those of the whole gang that its zone lacks.
-func (p *planner) placeGang(t turn) int {
+func (p *planner) placeGang(t queueEntry) int {
 	j := t.job
-	if p.full {
+	if p.recordFull {
 		return 0
 	}
 	if len(j.Placements) > 0 {
-		p.replaceInGang(j)
+		p.replaceGangTasks(j)
 		return 0
 	}
 	n := j.Queue.Len()
-	p.noteBlocked(j, n)
-	if may := p.quota(j); may < n {
+	p.recordReservationBlocked(j, n)
+	if may := p.tasksWithinQuota(j); may < n {
 		// It holds no machine, but what is left of its team's limit: else tasks
 		// of its team that come one by one would take each bit as it comes free.
 		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(may))
 		return 0
 	}
-	if found := p.fitGang(j, p.ranked(j)); found != nil {
+	if found := p.fitGang(j, p.rankMachines(j)); found != nil {
 		p.startGang(j, found, 0)
 		return 0
 	}
-	p.plan.Short += n
+	p.plan.UnplacedTasks += n
 	p.demand[j.Spec.Class] += n
-	return p.holdForGang(j, n, t.guaranteed)
+	return p.reserveZoneForGang(j, n, t.guaranteed)
 }
 
-// replaceInGang starts the tasks again that a gang lost before it began, under the
+// replaceGangTasks starts the tasks again that a gang lost before it began, under the
 // attempt that the others wait in. What is left of any other attempt must be over
 // first: it stays on its machines, and in its zone.
-func (p *planner) replaceInGang(j *checkpoint.Job) {
-	attempt, may := p.w.Replace[j.ID]
-	if !may || p.quota(j) < j.Queue.Len() {
+func (p *planner) replaceGangTasks(j *checkpoint.Job) {
+	attempt, may := p.snapshot.ReplacementAttempts[j.ID]
+	if !may || p.tasksWithinQuota(j) < j.Queue.Len() {
 		return
 	}
 	// A machine that still knows an exit of this attempt would ignore the launch.
-	bins := slices.DeleteFunc(p.ranked(j), func(b *bin) bool { return b.m.HasAttempt(j.ID, attempt) })
+	bins := slices.DeleteFunc(p.rankMachines(j), func(b *candidateMachine) bool { return b.machine.HasAttempt(j.ID, attempt) })
 	if found := p.fitGang(j, bins); found != nil {
 		p.startGang(j, found, attempt)
 	}
@@ -67,38 +67,38 @@
 // startGang records the starts of a gang in an attempt; 0: that of the round. If
 // the round has no room left for them, a new one takes them: in one value where
 // they fit into one, else in as many as a transaction holds.
-func (p *planner) startGang(j *checkpoint.Job, found []gangPart, attempt unit.Attempt) {
-	size := wire.PackedLen(len(j.ID)) + 2*hireSize
+func (p *planner) startGang(j *checkpoint.Job, found []gangAssignment, attempt unit.Attempt) {
+	size := wire.PackedLen(len(j.ID)) + 2*MaxProvisionJSONSize
 	var starts []Start
 	for _, part := range found {
-		st := startOf(j, part.b, part.tasks)
+		st := newStart(j, part.machine, part.tasks)
 		st.Attempt = attempt
 		starts = append(starts, st)
-		size += st.nextSize()
+		size += st.MaxJSONSizeSameJob()
 	}
-	limit := p.w.ValueBytes
-	if p.plan.Record.headSize()+size > limit {
-		limit = gangBytes(p.w.ValueBytes, p.w.RoundParts)
+	limit := p.snapshot.ValueBytes
+	if p.plan.Record.MaxHeadJSONSize()+size > limit {
+		limit = maxGangRecordSize(p.snapshot.ValueBytes, p.snapshot.MaxRoundValues)
 	}
-	if p.size+size > limit && len(p.plan.Record.Starts) > 0 {
-		p.full = true
+	if p.recordSize+size > limit && len(p.plan.Record.Starts) > 0 {
+		p.recordFull = true
 		return
 	}
 	for i, part := range found {
-		p.record(j, part.b, starts[i], len(part.tasks))
+		p.addStart(j, part.machine, starts[i], len(part.tasks))
 	}
 }
 
-// gangZones are the zones that a gang may be in, one for each choice; "" stands
+// candidateZones are the zones that a gang may be in, one for each choice; "" stands
 // for all together.
-func (p *planner) gangZones(j *checkpoint.Job) []unit.Zone {
+func (p *planner) candidateZones(j *checkpoint.Job) []unit.Zone {
 	switch {
 	case !j.Spec.ZoneAffinity:
 		return []unit.Zone{""}
 	case j.Spec.Zone != "":
 		return []unit.Zone{j.Spec.Zone}
 	}
-	return p.w.Zones
+	return p.snapshot.Zones
 }
 
 // fitGang finds room for all queued tasks of a gang, in one zone if it must be,
@@ -106,17 +106,17 @@
 // none. bins are in the order of preference; the zone of the first that holds the
 // gang is taken. Where the records don't hold that many machines, those that take
 // most tasks are tried first.
-func (p *planner) fitGang(j *checkpoint.Job, bins []*bin) []gangPart {
-	if found := p.fitGangZone(j, bins); found != nil {
+func (p *planner) fitGang(j *checkpoint.Job, bins []*candidateMachine) []gangAssignment {
+	if found := p.fitGangInAnyZone(j, bins); found != nil {
 		return found
 	}
 	need := j.Spec.TaskResources()
 	roomiest := slices.Clone(bins)
-	slices.SortStableFunc(roomiest, func(x, y *bin) int { return cmp.Compare(y.free.MaxCopies(need), x.free.MaxCopies(need)) })
-	return p.fitGangZone(j, roomiest)
+	slices.SortStableFunc(roomiest, func(x, y *candidateMachine) int { return cmp.Compare(y.free.MaxCopies(need), x.free.MaxCopies(need)) })
+	return p.fitGangInAnyZone(j, roomiest)
 }
 
-func (p *planner) fitGangZone(j *checkpoint.Job, bins []*bin) []gangPart {
+func (p *planner) fitGangInAnyZone(j *checkpoint.Job, bins []*candidateMachine) []gangAssignment {
 	zones := []unit.Zone{""}
 	if j.Spec.ZoneAffinity {
 		zones = nil
@@ -127,35 +127,35 @@
 		}
 	}
 	for _, z := range zones {
-		if found := p.fitGangIn(j, bins, z); found != nil {
+		if found := p.fitGangInZone(j, bins, z); found != nil {
 			return found
 		}
 	}
 	return nil
 }
 
-func (p *planner) fitGangIn(j *checkpoint.Job, bins []*bin, zone unit.Zone) []gangPart {
+func (p *planner) fitGangInZone(j *checkpoint.Job, bins []*candidateMachine, zone unit.Zone) []gangAssignment {
 	var tasks []unit.TaskIndex
 	j.Queue.Each(func(i unit.TaskIndex) bool { tasks = append(tasks, i); return true })
-	var found []gangPart
-	room, size, used := p.room(j), p.plan.Record.headSize()+2*hireSize, map[unit.Zone]int{}
+	var found []gangAssignment
+	room, size, used := p.recordRoom(j), p.plan.Record.MaxHeadJSONSize()+2*MaxProvisionJSONSize, map[unit.Zone]int{}
 	for _, b := range bins {
 		if zone != "" && b.zone != zone {
 			continue
 		}
 		n := min(len(tasks), b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone)-used[b.zone])
-		n = j.FittingTasks(room, b.m.ID, n)
+		n = j.FittingTasks(room, b.machine.ID, n)
 		if n <= 0 {
 			continue
 		}
-		st := startOf(j, b, tasks[:n])
-		size += st.nextSize()
-		if size > gangBytes(p.w.ValueBytes, p.w.RoundParts) {
+		st := newStart(j, b, tasks[:n])
+		size += st.MaxJSONSizeSameJob()
+		if size > maxGangRecordSize(p.snapshot.ValueBytes, p.snapshot.MaxRoundValues) {
 			return nil
 		}
-		found = append(found, gangPart{b, tasks[:n]})
+		found = append(found, gangAssignment{b, tasks[:n]})
 		used[b.zone] += n
-		room -= j.GroupBytes(b.m.ID, n)
+		room -= j.GroupBytes(b.machine.ID, n)
 		if tasks = tasks[n:]; len(tasks) == 0 {
 			return found
 		}
@@ -163,69 +163,69 @@
 	return nil
 }
 
-// gangBytes is how large the record of a round may be that starts a gang: as large
+// maxGangRecordSize is how large the record of a round may be that starts a gang: as large
 // as all values that one transaction holds, where nodes know parts.
-func gangBytes(limit, values int) int { return limit + parts.Capacity(limit, values-1) }
+func maxGangRecordSize(limit, values int) int { return limit + parts.Capacity(limit, values-1) }
 
-// holdForGang picks the zone that lacks least for a gang and keeps what is free
+// reserveZoneForGang picks the zone that lacks least for a gang and keeps what is free
 // and coming there for it. It returns for how many tasks machines are missing,
 // and notes that these must be rented in that zone.
-func (p *planner) holdForGang(j *checkpoint.Job, n int, guaranteed bool) int {
+func (p *planner) reserveZoneForGang(j *checkpoint.Job, n int, guaranteed bool) int {
 	zones := p.feasibleZones(j, n)
 	if len(zones) == 0 {
 		return 0
 	}
 	best := zones[0]
-	lacks := max(0, n-best.room)
+	lacks := max(0, n-best.tasks)
 	if lacks > 0 && (guaranteed || p.mayPreempt(j)) {
 		for _, z := range zones {
-			if p.makeRoomForGang(j, z.zone, n) {
+			if p.preemptForGang(j, z.zone, n) {
 				return 0
 			}
 		}
 	}
-	p.keepForGang(j, best.zone, n)
-	p.gangZone[j] = best.zone
+	p.reserveRoomForGang(j, best.zone, n)
+	p.provisionZone[j] = best.zone
 	return lacks
 }
 
-// gangZone is a zone with the number of a gang's tasks that it has room for.
-type gangZone struct {
-	zone unit.Zone
-	room int
+// zoneRoom is a zone with the number of a gang's tasks that it has room for.
+type zoneRoom struct {
+	zone  unit.Zone
+	tasks int
 }
 
 // feasibleZones lists the zones that can come to hold n tasks of a gang, the one
 // that lacks least first. A zone that can't be completed holds nothing, unless the
 // machines that others use now are enough for the gang.
-func (p *planner) feasibleZones(j *checkpoint.Job, n int) []gangZone {
-	var out []gangZone
-	for _, z := range p.gangZones(j) {
-		room := p.gangRoom(j, z)
-		if room >= n || p.canRent(j, z) || p.gangCapacity(j, z) >= n {
-			out = append(out, gangZone{z, room})
+func (p *planner) feasibleZones(j *checkpoint.Job, n int) []zoneRoom {
+	var out []zoneRoom
+	for _, z := range p.candidateZones(j) {
+		room := p.gangTasksFitting(j, z)
+		if room >= n || p.canProvisionForGang(j, z) || p.gangTasksIfEmpty(j, z) >= n {
+			out = append(out, zoneRoom{z, room})
 		}
 	}
-	slices.SortStableFunc(out, func(x, y gangZone) int { return cmp.Compare(y.room, x.room) })
+	slices.SortStableFunc(out, func(x, y zoneRoom) int { return cmp.Compare(y.tasks, x.tasks) })
 	return out
 }
 
-// eachGangBin calls f for the machines of a zone that the gang may use, those
+// eachGangMachine calls f for the machines of a zone that the gang may use, those
 // that are up first.
-func (p *planner) eachGangBin(j *checkpoint.Job, zone unit.Zone, f func(*bin)) {
-	for _, bins := range [][]*bin{p.bins, p.come} {
+func (p *planner) eachGangMachine(j *checkpoint.Job, zone unit.Zone, f func(*candidateMachine)) {
+	for _, bins := range [][]*candidateMachine{p.machines, p.pending} {
 		for _, b := range bins {
-			if (zone == "" || b.zone == zone) && p.allowed(j, b) && (b.m == nil || p.mayUse(j, b)) {
+			if (zone == "" || b.zone == zone) && p.allows(j, b) && (b.machine == nil || p.mayUseMachine(j, b)) {
 				f(b)
 			}
 		}
 	}
 }
 
-// gangRoom is for how many tasks of a gang a zone has, or will have, free room.
-func (p *planner) gangRoom(j *checkpoint.Job, zone unit.Zone) int {
+// gangTasksFitting is for how many tasks of a gang a zone has, or will have, free room.
+func (p *planner) gangTasksFitting(j *checkpoint.Job, zone unit.Zone) int {
 	in := map[unit.Zone]int{}
-	p.eachGangBin(j, zone, func(b *bin) {
+	p.eachGangMachine(j, zone, func(b *candidateMachine) {
 		in[b.zone] = min(p.zoneRoom(j, b.zone), in[b.zone]+b.free.MaxCopies(j.Spec.TaskResources()))
 	})
 	sum := 0
@@ -235,26 +235,26 @@
 	return sum
 }
 
-// gangCapacity is how many tasks of a gang a zone would hold if it were empty.
-func (p *planner) gangCapacity(j *checkpoint.Job, zone unit.Zone) int {
+// gangTasksIfEmpty is how many tasks of a gang a zone would hold if it were empty.
+func (p *planner) gangTasksIfEmpty(j *checkpoint.Job, zone unit.Zone) int {
 	sum := 0
-	p.eachGangBin(j, zone, func(b *bin) { sum += b.typ.Capacity.MaxCopies(j.Spec.TaskResources()) })
+	p.eachGangMachine(j, zone, func(b *candidateMachine) { sum += b.machineType.Capacity.MaxCopies(j.Spec.TaskResources()) })
 	return sum
 }
 
-// canRent tells whether a machine for the gang may be rented in the zone.
-func (p *planner) canRent(j *checkpoint.Job, zone unit.Zone) bool {
+// canProvisionForGang tells whether a machine for the gang may be rented in the zone.
+func (p *planner) canProvisionForGang(j *checkpoint.Job, zone unit.Zone) bool {
 	can := false
 	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) {
-		can = can || (zone == "" || o.Zone == zone) && !p.w.Blocked(o) && t.Capacity.Fits(j.Spec.TaskResources()) && p.worth(j, t, o.Spot)
+		can = can || (zone == "" || o.Zone == zone) && !p.snapshot.OfferUnavailable(o) && t.Capacity.Fits(j.Spec.TaskResources()) && p.worthProvisioning(j, t, o.Spot)
 	})
 	return can
 }
 
-// keepForGang keeps room for up to n tasks of a gang from what is planned after
+// reserveRoomForGang keeps room for up to n tasks of a gang from what is planned after
 // it. It starts nothing.
-func (p *planner) keepForGang(j *checkpoint.Job, zone unit.Zone, n int) {
-	p.eachGangBin(j, zone, func(b *bin) {
+func (p *planner) reserveRoomForGang(j *checkpoint.Job, zone unit.Zone, n int) {
+	p.eachGangMachine(j, zone, func(b *candidateMachine) {
 		if k := min(n, b.free.MaxCopies(j.Spec.TaskResources())); k > 0 {
 			n -= k
 			b.free = b.free.Sub(j.Spec.TaskResources().Multiply(k))
@@ -262,44 +262,44 @@
 	})
 }
 
-// makeRoomForGang stops what yields to a gang in one zone, if that makes room for
+// preemptForGang stops what yields to a gang in one zone, if that makes room for
 // all n tasks there with what is free, and tells whether it does. A part would be
 // stopped for nothing; machines that are coming may never come, and don't count.
-func (p *planner) makeRoomForGang(j *checkpoint.Job, zone unit.Zone, n int) bool {
+func (p *planner) preemptForGang(j *checkpoint.Job, zone unit.Zone, n int) bool {
 	there := *j // the same gang, bound to the zone
 	if zone != "" {
 		there.Spec.Zone = zone
 	}
-	before := p.save()
-	if p.makeRoom(&there, n, false) == n {
+	before := p.saveState()
+	if p.preempt(&there, n, false) == n {
 		return true
 	}
-	p.restore(before)
+	p.restoreState(before)
 	return false
 }
 
-// saved is what making room changes of a plan.
-type saved struct {
-	stops  int
-	taken  map[*checkpoint.Placement]bool
-	usage  map[unit.Team]checkpoint.Resources
-	giving map[unit.Team]checkpoint.Resources
-	free   []checkpoint.Resources // of each bin
-	later  []checkpoint.Resources
+// savedState is what making room changes of a plan.
+type savedState struct {
+	evictions    int
+	evicted      map[*checkpoint.Placement]bool
+	usage        map[unit.Team]checkpoint.Resources
+	evictedUsage map[unit.Team]checkpoint.Resources
+	free         []checkpoint.Resources // of each bin
+	freeing      []checkpoint.Resources
 }
 
-func (p *planner) save() saved {
-	s := saved{stops: len(p.plan.Stops), taken: maps.Clone(p.taken), usage: maps.Clone(p.usage), giving: maps.Clone(p.giving)}
-	for _, b := range p.bins {
-		s.free, s.later = append(s.free, b.free), append(s.later, b.later)
+func (p *planner) saveState() savedState {
+	s := savedState{evictions: len(p.plan.Evictions), evicted: maps.Clone(p.evicted), usage: maps.Clone(p.usage), evictedUsage: maps.Clone(p.evictedUsage)}
+	for _, b := range p.machines {
+		s.free, s.freeing = append(s.free, b.free), append(s.freeing, b.freeing)
 	}
 	return s
 }
 
-func (p *planner) restore(s saved) {
-	p.plan.Stops = p.plan.Stops[:s.stops]
-	p.taken, p.usage, p.giving = s.taken, s.usage, s.giving
-	for i, b := range p.bins {
-		b.free, b.later = s.free[i], s.later[i]
+func (p *planner) restoreState(s savedState) {
+	p.plan.Evictions = p.plan.Evictions[:s.evictions]
+	p.evicted, p.usage, p.evictedUsage = s.evicted, s.usage, s.evictedUsage
+	for i, b := range p.machines {
+		b.free, b.freeing = s.free[i], s.freeing[i]
 	}
 }
--- a/internal/round/gang_test.go
+++ b/internal/round/gang_test.go
@@ -14,16 +14,16 @@
 )
 
 func gangSpec(n int, cpus float64) checkpoint.Spec {
-	s := task("red", checkpoint.PriorityStandard, n, cpus)
+	s := taskSpec("red", checkpoint.PriorityStandard, n, cpus)
 	s.Gang, s.ZoneAffinity = true, true
 	return s
 }
 
-func gangScene(t *testing.T, zones ...unit.Zone) *scene {
-	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 40}, "blue": {CPULimit: 40}}
+func newGangFixture(t *testing.T, zones ...unit.Zone) *fixture {
+	s := newFixture(t)
+	s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 40}, "blue": {CPULimit: 40}}
 	for i, z := range zones {
-		s.machine(unit.MachineID("host-"+string(rune('1'+i))), z, false)
+		s.addMachine(unit.MachineID("host-"+string(rune('1'+i))), z, false)
 	}
 	return s
 }
@@ -31,8 +31,8 @@
 // TestGangInOneZone: a gang that must be in one zone starts where one holds it
 // whole; room that is spread over zones is none, and is not held either.
 func TestGangInOneZone(t *testing.T) {
-	s := gangScene(t, "a", "b", "b")
-	s.job("wk-000001", gangSpec(4, 2))
+	s := newGangFixture(t, "a", "b", "b")
+	s.addJob("wk-000001", gangSpec(4, 2))
 	starts := map[unit.MachineID]int{}
 	for _, st := range s.plan().Record.Starts {
 		starts[st.Machine] += st.Tasks.Len()
@@ -40,11 +40,11 @@
 	if len(starts) != 2 || starts["host-2"] != 2 || starts["host-3"] != 2 {
 		t.Errorf("starts %v, want two on each machine of zone b", starts)
 	}
-	s = gangScene(t, "a", "b")
-	s.w.MayHire = false
-	s.job("wk-000001", gangSpec(4, 2))
-	s.w.Blocked = func(rental.Offer) bool { return true } // and no zone can be given more
-	later := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 2, 2))
+	s = newGangFixture(t, "a", "b")
+	s.snapshot.MayProvision = false
+	s.addJob("wk-000001", gangSpec(4, 2))
+	s.snapshot.OfferUnavailable = func(rental.Offer) bool { return true } // and no zone can be given more
+	later := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 2, 2))
 	later.AcceptedAtMs = 1
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestGangHoldsItsZone: while machines for the rest of a gang may be rented, what
+// TestGangReservesItsZone: while machines for the rest of a gang may be rented, what
 // is free in its zone is kept for it, and the rest is rented there.
-func TestGangHoldsItsZone(t *testing.T) {
-	s := gangScene(t, "a", "b", "b")
-	s.job("wk-000001", gangSpec(6, 2)) // three machines
-	later := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 6, 2))
+func TestGangReservesItsZone(t *testing.T) {
+	s := newGangFixture(t, "a", "b", "b")
+	s.addJob("wk-000001", gangSpec(6, 2)) // three machines
+	later := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 6, 2))
 	later.AcceptedAtMs = 1
 	plan := s.plan()
 	for _, st := range plan.Record.Starts {
@@ -69,17 +69,17 @@
 			t.Errorf("start %+v in the zone that is kept for the gang", st)
 		}
 	}
-	if h := plan.Record.Hires; len(h) != 1 || h[0].Offer.Zone != "b" || plan.HireFor != "wk-000001" {
-		t.Errorf("rentals %+v for %q, want one in zone b for the gang", h, plan.HireFor)
+	if h := plan.Record.Provisions; len(h) != 1 || h[0].Offer.Zone != "b" || plan.ProvisionedFor != "wk-000001" {
+		t.Errorf("rentals %+v for %q, want one in zone b for the gang", h, plan.ProvisionedFor)
 	}
 }
 
-// TestGangsDoNotHoldHalfEach: of two gangs that each need the whole zone, the
+// TestGangsDoNotReserveHalfEach: of two gangs that each need the whole zone, the
 // first gets it and the second nothing.
-func TestGangsDoNotHoldHalfEach(t *testing.T) {
-	s := gangScene(t, "a", "a")
-	s.job("wk-000001", gangSpec(4, 2))
-	second := s.job("wk-000002", gangSpec(4, 2))
+func TestGangsDoNotReserveHalfEach(t *testing.T) {
+	s := newGangFixture(t, "a", "a")
+	s.addJob("wk-000001", gangSpec(4, 2))
+	second := s.addJob("wk-000002", gangSpec(4, 2))
 	second.AcceptedAtMs = 1
 	n := 0
 	for _, st := range s.plan().Record.Starts {
@@ -96,12 +96,12 @@
 // TestGangWithinItsLimit: a gang that would take its team beyond its limit, tasks
 // that are told to stop included, does not start, and holds nothing.
 func TestGangWithinItsLimit(t *testing.T) {
-	s := gangScene(t, "a", "a", "a")
-	s.w.Teams["red"] = config.Team{CPULimit: 10}
-	old := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4))
+	s := newGangFixture(t, "a", "a", "a")
+	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
+	old := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
 	s.place(old, 0, "host-3").Stopping = true
-	s.job("wk-000002", gangSpec(4, 2))
-	later := s.job("wk-000003", task("blue", checkpoint.PriorityStandard, 4, 2))
+	s.addJob("wk-000002", gangSpec(4, 2))
+	later := s.addJob("wk-000003", taskSpec("blue", checkpoint.PriorityStandard, 4, 2))
 	later.AcceptedAtMs = 1
 	n := 0
 	for _, st := range s.plan().Record.Starts {
@@ -115,33 +115,33 @@
 	}
 }
 
-// TestGangHoldsItsLimit: while a gang waits for its team's limit, what is left of
+// TestGangReservesItsQuota: while a gang waits for its team's limit, what is left of
 // that goes to no other work of the team that comes after it.
-func TestGangHoldsItsLimit(t *testing.T) {
-	s := gangScene(t, "a", "a", "a")
-	s.w.Teams["red"] = config.Team{CPULimit: 10}
-	s.place(s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4)), 0, "host-3")
-	s.job("wk-000002", gangSpec(4, 2))
-	later := s.job("wk-000003", task("red", checkpoint.PriorityStandard, 3, 2))
+func TestGangReservesItsQuota(t *testing.T) {
+	s := newGangFixture(t, "a", "a", "a")
+	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
+	s.place(s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4)), 0, "host-3")
+	s.addJob("wk-000002", gangSpec(4, 2))
+	later := s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 3, 2))
 	later.AcceptedAtMs = 1
 	if starts := s.plan().Record.Starts; len(starts) > 0 {
 		t.Errorf("starts %+v of what the gang waits for", starts)
 	}
 }
 
-// TestGangIsStoppedWholeOrNot: a gang that is in the way of higher work is stopped
+// TestGangIsEvictedWholeOrNot: a gang that is in the way of higher work is stopped
 // with all its tasks, on whatever machine, and none of equal priority is.
-func TestGangIsStoppedWholeOrNot(t *testing.T) {
+func TestGangIsEvictedWholeOrNot(t *testing.T) {
 	for _, priority := range []checkpoint.Priority{checkpoint.PriorityBestEffort, checkpoint.PriorityProd} {
-		s := gangScene(t, "a", "a")
+		s := newGangFixture(t, "a", "a")
 		low := gangSpec(2, 4)
 		low.Priority = priority
-		j := s.job("wk-000001", low)
+		j := s.addJob("wk-000001", low)
 		s.place(j, 0, "host-1")
 		s.place(j, 1, "host-2")
-		s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 2))
+		s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 2))
 		stopped := map[unit.TaskIndex]bool{}
-		for _, stop := range s.plan().Stops {
+		for _, stop := range s.plan().Evictions {
 			stopped[stop.Placement.Task] = true
 		}
 		if want := 2 * int(checkpoint.PriorityProd-priority) / int(checkpoint.PriorityProd); len(stopped) != want {
@@ -150,48 +150,48 @@
 	}
 }
 
-// TestGangMakesRoomForAllOfIt: a higher gang has lower work stopped in one zone, as
+// TestGangPreemptsForAllOfIt: a higher gang has lower work stopped in one zone, as
 // much as lets all of it start and no more; where that can't be, nothing is stopped.
-func TestGangMakesRoomForAllOfIt(t *testing.T) {
+func TestGangPreemptsForAllOfIt(t *testing.T) {
 	for _, c := range []struct {
 		what  string
 		tasks int
 		stops int
 	}{{"one free machine and two tasks stopped", 4, 2}, {"more than the zone holds", 7, 0}} {
-		s := gangScene(t, "a", "a", "a", "b")
-		s.w.MayHire = false
-		low := s.job("wk-000001", task("blue", checkpoint.PriorityBestEffort, 5, 2))
+		s := newGangFixture(t, "a", "a", "a", "b")
+		s.snapshot.MayProvision = false
+		low := s.addJob("wk-000001", taskSpec("blue", checkpoint.PriorityBestEffort, 5, 2))
 		for i, m := range []unit.MachineID{"host-1", "host-1", "host-2", "host-2", "host-4"} {
 			s.place(low, unit.TaskIndex(i), m)
 		}
 		high := gangSpec(c.tasks, 2)
 		high.Priority = checkpoint.PriorityHigh
-		s.job("wk-000002", high)
+		s.addJob("wk-000002", high)
 		plan := s.plan()
-		if len(plan.Stops) != c.stops || len(plan.Record.Starts) > 0 {
-			t.Errorf("%s: %d stops, want %d; starts %+v", c.what, len(plan.Stops), c.stops, plan.Record.Starts)
+		if len(plan.Evictions) != c.stops || len(plan.Record.Starts) > 0 {
+			t.Errorf("%s: %d stops, want %d; starts %+v", c.what, len(plan.Evictions), c.stops, plan.Record.Starts)
 		}
-		for _, stop := range plan.Stops {
+		for _, stop := range plan.Evictions {
 			if stop.Placement.Machine == "host-4" {
 				t.Errorf("%s: stopped in another zone", c.what)
 			}
 			stop.Placement.Stopping = true
 		}
-		if again := s.plan().Stops; len(again) > 0 {
+		if again := s.plan().Evictions; len(again) > 0 {
 			t.Errorf("%s: %d more are stopped while the first end", c.what, len(again))
 		}
 	}
 }
 
-// TestGangStopsGangsWhole: a higher gang stops lower ones, each with all its tasks;
+// TestGangPreemptsWholeGangs: a higher gang stops lower ones, each with all its tasks;
 // once enough of them yield the rest goes on.
-func TestGangStopsGangsWhole(t *testing.T) {
-	s := gangScene(t, "a", "a", "a", "a")
-	s.w.Teams["blue"] = config.Team{CPULimit: 40}
+func TestGangPreemptsWholeGangs(t *testing.T) {
+	s := newGangFixture(t, "a", "a", "a", "a")
+	s.snapshot.Teams["blue"] = config.Team{CPULimit: 40}
 	for i := range 2 {
 		low := gangSpec(4, 2)
 		low.Team, low.Priority = "blue", checkpoint.PriorityBestEffort
-		j := s.job(unit.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
+		j := s.addJob(unit.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
 		for k := range unit.TaskIndex(4) {
 			// Each lies on two machines, next to no other.
 			s.place(j, k, unit.MachineID(fmt.Sprintf("host-%d", 2*i+1+int(k)/2)))
@@ -199,9 +199,9 @@
 	}
 	high := gangSpec(3, 2)
 	high.Priority = checkpoint.PriorityHigh
-	s.job("wk-000009", high)
+	s.addJob("wk-000009", high)
 	stopped := map[unit.JobID]int{}
-	for _, stop := range s.plan().Stops {
+	for _, stop := range s.plan().Evictions {
 		stopped[stop.Placement.Job.ID]++
 	}
 	if len(stopped) != 1 || stopped["wk-000001"]+stopped["wk-000002"] != 4 {
@@ -209,43 +209,43 @@
 	}
 }
 
-// TestGuaranteeIsGivenBackByGangs: a gang of a team within its guarantee takes back
+// TestGangsGiveGuaranteeBack: a gang of a team within its guarantee takes back
 // what another team's gang holds beyond its own, whole, but not so much that the
 // other falls below its guarantee.
-func TestGuaranteeIsGivenBackByGangs(t *testing.T) {
+func TestGangsGiveGuaranteeBack(t *testing.T) {
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
-		s := gangScene(t, "a", "a")
-		s.w.MayHire = false
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
+		s := newGangFixture(t, "a", "a")
+		s.snapshot.MayProvision = false
+		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
 		holds := gangSpec(4, 2)
 		holds.Team = "blue"
-		j := s.job("wk-000001", holds)
+		j := s.addJob("wk-000001", holds)
 		for k := range unit.TaskIndex(4) {
 			s.place(j, k, unit.MachineID(fmt.Sprintf("host-%d", 1+int(k)/2)))
 		}
 		for _, m := range []unit.MachineID{"host-1", "host-2"} {
-			s.machineReports(m, j)
+			s.sendHeartbeat(m, j)
 		}
-		s.job("wk-000002", gangSpec(4, 2))
-		if n := len(s.plan().Stops); n != want {
+		s.addJob("wk-000002", gangSpec(4, 2))
+		if n := len(s.plan().Evictions); n != want {
 			t.Errorf("guarantee %v: %d stops, want %d", guarantee, n, want)
 		}
 	}
 }
 
-// TestLostTaskIsReplacedUnderItsAttempt: what a waiting gang lost is started again
+// TestLostGangTaskIsReplacedInItsAttempt: what a waiting gang lost is started again
 // in its zone under its attempt, not where an exit of that attempt is still known;
 // without leave nothing is.
-func TestLostTaskIsReplacedUnderItsAttempt(t *testing.T) {
+func TestLostGangTaskIsReplacedInItsAttempt(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		s := gangScene(t, "a", "a", "a", "b")
-		j := s.job("wk-000001", gangSpec(3, 4))
+		s := newGangFixture(t, "a", "a", "a", "b")
+		j := s.addJob("wk-000001", gangSpec(3, 4))
 		for i, m := range []unit.MachineID{"host-1", "host-2"} {
 			s.place(j, unit.TaskIndex(i), m).State = checkpoint.PlacementFetching
 		}
-		s.w.Fleet.Retract(s.w.Now, s.place(j, 2, "host-3")) // and its exit is reaped
+		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is reaped
 		if may {
-			s.w.Replace = map[unit.JobID]unit.Attempt{j.ID: 1}
+			s.snapshot.ReplacementAttempts = map[unit.JobID]unit.Attempt{j.ID: 1}
 		}
 		starts := s.plan().Record.Starts
 		if !may {
@@ -254,11 +254,11 @@
 			}
 			continue
 		}
-		if len(starts) != 1 || starts[0].Machine != "host-3" || starts[0].AttemptIn(5) != 1 || !starts[0].Tasks.Contains(2) {
+		if len(starts) != 1 || starts[0].Machine != "host-3" || starts[0].AttemptInRound(5) != 1 || !starts[0].Tasks.Contains(2) {
 			t.Errorf("starts %+v", starts)
 		}
 		exit := s.place(j, 2, "host-3")
-		s.w.Fleet.ApplyHeartbeat(s.w.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2, FencingToken: 10,
+		s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2, FencingToken: 10,
 			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: "exited", Cause: fleet.ExitNoCapacity}}}, true)
 		if starts := s.plan().Record.Starts; len(starts) > 0 {
 			t.Errorf("starts %+v where the exit is known, or in another zone", starts)
@@ -270,13 +270,13 @@
 // record in parts where nodes know them, and one of few machines where they don't.
 func TestGangBeyondOneValue(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
-		s := newScene(t)
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
-		s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, values, 4
+		s := newFixture(t)
+		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
+		s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, values, 4
 		for i := range 80 {
-			s.machine(unit.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
+			s.addMachine(unit.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
 		}
-		s.job("wk-000001", gangSpec(80, 3)) // one to a machine
+		s.addJob("wk-000001", gangSpec(80, 3)) // one to a machine
 		plan := s.plan()
 		if n := len(plan.Record.Starts); n != want {
 			t.Errorf("%d values: %d starts, want %d", values, n, want)
@@ -294,19 +294,19 @@
 func TestLargestGangIsPlaced(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; GangFits(&spec, 1, 300, limits); spec.Tasks++ {
+	for spec.Tasks = 1; GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
 	}
 	spec.Tasks--
 	if spec.Tasks < 100 {
 		t.Errorf("the largest gang has %d tasks", spec.Tasks)
 	}
-	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
-	s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, 4, 4
+	s := newFixture(t)
+	s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
+	s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, 4, 4
 	for i := range spec.Tasks {
-		s.machine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
+		s.addMachine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 	}
-	j := s.job("wk-000001", spec)
+	j := s.addJob("wk-000001", spec)
 	plan := s.plan()
 	if n := len(plan.Record.Starts); n != spec.Tasks {
 		t.Fatalf("%d of %d tasks start", n, spec.Tasks)
@@ -327,20 +327,20 @@
 func TestLargeGangBesideOthers(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; GangFits(&spec, 1, 300, limits); spec.Tasks++ {
+	for spec.Tasks = 1; GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
 	}
 	spec.Tasks--
 	for _, others := range []int{5, 20} {
-		s := newScene(t)
-		s.w.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
-		s.w.ValueBytes, s.w.RoundParts, s.w.Parts = 2048, 4, 4
+		s := newFixture(t)
+		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
+		s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, 4, 4
 		for i := range spec.Tasks + others {
-			s.machine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
+			s.addMachine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 		}
-		gang := s.job("wk-000001", spec)
-		first := task("blue", checkpoint.PriorityProd, others, 3)
+		gang := s.addJob("wk-000001", spec)
+		first := taskSpec("blue", checkpoint.PriorityProd, others, 3)
 		first.Service = true
-		s.job("wk-000002", first)
+		s.addJob("wk-000002", first)
 		plan := s.plan()
 		starts := 0
 		for _, st := range plan.Record.Starts {
@@ -357,24 +357,24 @@
 	}
 }
 
-// TestGangIsTheLastToMakeWay: where a task of an array can make room, a gang of the
+// TestGangIsPreemptedLast: where a task of an array can make room, a gang of the
 // same priority goes on, though its work would be saved and the array's is lost.
-func TestGangIsTheLastToMakeWay(t *testing.T) {
-	s := gangScene(t, "a", "a")
+func TestGangIsPreemptedLast(t *testing.T) {
+	s := newGangFixture(t, "a", "a")
 	saves := gangSpec(2, 2)
 	saves.CheckpointIntervalSeconds, saves.CheckpointSeconds = 20, 3
-	j := s.job("wk-000001", saves)
+	j := s.addJob("wk-000001", saves)
 	s.place(j, 0, "host-1")
 	s.place(j, 1, "host-1")
-	array := s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 2, 2))
+	array := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 2, 2))
 	s.place(array, 0, "host-2")
 	s.place(array, 1, "host-2")
-	s.w.Now = s.w.Now.Add(40 * time.Second)
+	s.snapshot.Now = s.snapshot.Now.Add(40 * time.Second)
 	for m, held := range map[unit.MachineID]*checkpoint.Job{"host-1": j, "host-2": array} {
-		s.machineReports(m, held)
+		s.sendHeartbeat(m, held)
 	}
-	s.job("wk-000003", task("blue", checkpoint.PriorityProd, 1, 2))
-	stops := s.plan().Stops
+	s.addJob("wk-000003", taskSpec("blue", checkpoint.PriorityProd, 1, 2))
+	stops := s.plan().Evictions
 	if len(stops) != 1 || stops[0].Placement.Job != array {
 		t.Errorf("stopped: %+v, want a task of the array", stops)
 	}
--- a/internal/round/machines.go
+++ b/internal/round/machines.go
@@ -9,156 +9,158 @@
 	"badgerbay/internal/unit"
 )
 
-type bin struct {
-	m    *fleet.Machine // nil: coming
-	typ  *fleet.MachineType
-	zone unit.Zone
-	spot bool
-	free checkpoint.Resources
-	// later is room that stops are making and nobody is promised yet. Nothing
+type candidateMachine struct {
+	machine     *fleet.Machine // nil: coming
+	machineType *fleet.MachineType
+	zone        unit.Zone
+	spot        bool
+	free        checkpoint.Resources
+	// freeing is room that stops are making and nobody is promised yet. Nothing
 	// may start in it before their exits are seen.
-	later checkpoint.Resources
-	live  []*checkpoint.Placement // see running
-	// started: this plan starts tasks here.
-	started bool
+	freeing    checkpoint.Resources
+	placements []*checkpoint.Placement // see running
+	// receivesTasks: this plan starts tasks here.
+	receivesTasks bool
 }
 
-// running lists the placements on the bin's machine. A plan changes none, so
+// livePlacements lists the placements on the bin's machine. A plan changes none, so
 // they are listed once.
-func (b *bin) running() []*checkpoint.Placement {
-	if b.live == nil {
-		b.live = b.m.LivePlacements()
+func (b *candidateMachine) livePlacements() []*checkpoint.Placement {
+	if b.placements == nil {
+		b.placements = b.machine.LivePlacements()
 	}
-	return b.live
+	return b.placements
 }
 
-// promise keeps room for one task: what is being made first, then what is free.
-func (b *bin) promise(need checkpoint.Resources) {
-	rest := b.later.Sub(need)
-	b.later = rest.Max(checkpoint.Resources{})
-	b.free = b.free.Add(rest.Sub(b.later)).Max(checkpoint.Resources{})
+// reserveTask keeps room for one task: what is being made first, then what is free.
+func (b *candidateMachine) reserveTask(need checkpoint.Resources) {
+	rest := b.freeing.Sub(need)
+	b.freeing = rest.Max(checkpoint.Resources{})
+	b.free = b.free.Add(rest.Sub(b.freeing)).Max(checkpoint.Resources{})
 }
 
-func (p *planner) makeBins() {
-	for _, m := range p.w.Fleet.Machines() {
-		if p.w.Fleet.Schedulable(m) && !p.w.Fleet.HeartbeatOverdue(p.w.Now, m) {
-			p.bins = append(p.bins, &bin{m: m, typ: p.w.Fleet.MachineType(m.Type), zone: m.Zone, spot: m.Spot, free: p.w.Fleet.FreeCapacity(m)})
+func (p *planner) listMachines() {
+	for _, m := range p.snapshot.Fleet.Machines() {
+		if p.snapshot.Fleet.Schedulable(m) && !p.snapshot.Fleet.HeartbeatOverdue(p.snapshot.Now, m) {
+			p.machines = append(p.machines, &candidateMachine{machine: m, machineType: p.snapshot.Fleet.MachineType(m.Type), zone: m.Zone, spot: m.Spot, free: p.snapshot.Fleet.FreeCapacity(m)})
 		}
 	}
-	for _, b := range p.bins {
-		p.inZone[b.zone]++
+	for _, b := range p.machines {
+		p.machinesByZone[b.zone]++
 	}
-	for _, c := range p.w.Coming {
-		p.inZone[c.Offer.Zone]++
-		if t := p.w.Fleet.MachineType(c.Offer.Type); t != nil {
-			p.come = append(p.come, &bin{typ: t, zone: c.Offer.Zone, spot: c.Offer.Spot, free: t.Capacity})
+	for _, c := range p.snapshot.PendingMachines {
+		p.machinesByZone[c.Offer.Zone]++
+		if t := p.snapshot.Fleet.MachineType(c.Offer.Type); t != nil {
+			p.pending = append(p.pending, &candidateMachine{machineType: t, zone: c.Offer.Zone, spot: c.Offer.Spot, free: t.Capacity})
 		}
 	}
 }
 
-// allowed tells whether the bin may take the job's tasks.
-func (p *planner) allowed(j *checkpoint.Job, b *bin) bool {
-	if !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+// allows tells whether the bin may take the job's tasks.
+func (p *planner) allows(j *checkpoint.Job, b *candidateMachine) bool {
+	if !j.Spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
 		return false
 	}
-	if b.m == nil {
+	if b.machine == nil {
 		return true
 	}
 	return !p.avoids(j, b)
 }
 
 // avoids tells whether the job has just failed on the bin's machine.
-func (p *planner) avoids(j *checkpoint.Job, b *bin) bool {
-	until, bad := j.AvoidUntil[b.m.ID]
-	return bad && !until.Before(p.w.Now)
+func (p *planner) avoids(j *checkpoint.Job, b *candidateMachine) bool {
+	until, bad := j.AvoidUntil[b.machine.ID]
+	return bad && !until.Before(p.snapshot.Now)
 }
 
-// candidate is a bin with what ranks it.
-type candidate struct {
-	b        *bin
-	image    bool
-	anchored bool
-	replicas int
+// rankedMachine is a bin with what ranks it.
+type rankedMachine struct {
+	machine     *candidateMachine
+	hasImage    bool
+	runsService bool
+	replicas    int
 }
 
-// ranked returns the bins for the job, best first: those that hold the image,
+// rankMachines returns the bins for the job, best first: those that hold the image,
 // then spot machines for tasks that may use them, then the most free room.
-func (p *planner) ranked(j *checkpoint.Job) []*bin {
+func (p *planner) rankMachines(j *checkpoint.Job) []*candidateMachine {
 	need, shape := j.Spec.TaskResources(), shapeOf(&j.Spec)
-	if p.nowhere[shape] {
+	if p.unplaceable[shape] {
 		return nil
 	}
-	p.plan.Work += len(p.bins)
-	var found []candidate
+	p.plan.Examined += len(p.machines)
+	var found []rankedMachine
 	fits := false
-	for _, b := range p.bins {
-		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) {
+	for _, b := range p.machines {
+		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
 			continue
 		}
 		fits = true
-		if p.avoids(j, b) || !p.mayUse(j, b) {
+		if p.avoids(j, b) || !p.mayUseMachine(j, b) {
 			continue
 		}
-		c := candidate{b: b, image: b.m.HasImage(j.Spec.Image), anchored: b.m.RunsService()}
+		c := rankedMachine{machine: b, hasImage: b.machine.HasImage(j.Spec.Image), runsService: b.machine.RunsService()}
 		if j.Spec.Service {
-			c.replicas = p.replicas(b)
+			c.replicas = p.replicaCount(b)
 		}
 		found = append(found, c)
 	}
 	// Within a plan free room only shrinks: what fits nowhere now need not be
 	// tried again for the next job of the same shape.
-	p.nowhere[shape] = !fits
-	slices.SortStableFunc(found, func(x, y candidate) int { return p.compare(j, x, y) })
-	out := make([]*bin, len(found))
+	p.unplaceable[shape] = !fits
+	slices.SortStableFunc(found, func(x, y rankedMachine) int { return p.compareMachines(j, x, y) })
+	out := make([]*candidateMachine, len(found))
 	for i, c := range found {
-		out[i] = c.b
+		out[i] = c.machine
 	}
 	return out
 }
 
-func (p *planner) compare(j *checkpoint.Job, x, y candidate) int {
+func (p *planner) compareMachines(j *checkpoint.Job, x, y rankedMachine) int {
 	switch {
-	case x.image != y.image:
-		return first(x.image)
-	case p.w.Policy.PreferSpot && x.b.spot != y.b.spot:
-		return first(x.b.spot)
-	case !x.image:
-		return cmp.Compare(y.b.free.CPUs, x.b.free.CPUs)
+	case x.hasImage != y.hasImage:
+		return preferTrue(x.hasImage)
+	case p.snapshot.Policy.PreferSpot && x.machine.spot != y.machine.spot:
+		return preferTrue(x.machine.spot)
+	case !x.hasImage:
+		return cmp.Compare(y.machine.free.CPUs, x.machine.free.CPUs)
 	// Among those that hold the image, the fullest: so that others run empty
 	// and can be returned.
-	case x.anchored != y.anchored:
-		return first(x.anchored)
+	case x.runsService != y.runsService:
+		return preferTrue(x.runsService)
 	// Replicas go where fewest are: a machine that dies takes few of them.
 	case x.replicas != y.replicas:
 		return cmp.Compare(x.replicas, y.replicas)
 	}
-	return cmp.Compare(x.b.free.CPUs, y.b.free.CPUs)
+	return cmp.Compare(x.machine.free.CPUs, y.machine.free.CPUs)
 }
 
-// first orders what is so before what isn't.
-func first(so bool) int {
+// preferTrue orders what is so before what isn't.
+func preferTrue(so bool) int {
 	if so {
 		return -1
 	}
 	return 1
 }
 
-// shape is what decides on which machines a task may go, leaving aside where
+// placementShape is what decides on which machines a task may go, leaving aside where
 // the job's other tasks are.
-type shape struct {
-	need  checkpoint.Resources
-	zone  unit.Zone
-	spot  bool
-	types string
+type placementShape struct {
+	need         checkpoint.Resources
+	zone         unit.Zone
+	spot         bool
+	machineTypes string
 }
 
-func shapeOf(s *checkpoint.Spec) shape {
+func shapeOf(s *checkpoint.Spec) placementShape {
 	types := ""
 	for _, t := range s.MachineTypes {
 		types += string(t) + " "
 	}
-	return shape{need: s.TaskResources(), zone: s.Zone, spot: s.Spot, types: types}
+	return placementShape{need: s.TaskResources(), zone: s.Zone, spot: s.Spot, machineTypes: types}
 }
 
-// replicas counts the service tasks on the bin's machine, or about to be there.
-func (p *planner) replicas(b *bin) int { return p.placed[b] + b.m.Load().Services }
+// replicaCount counts the service tasks on the bin's machine, or about to be there.
+func (p *planner) replicaCount(b *candidateMachine) int {
+	return p.plannedReplicas[b] + b.machine.Load().Services
+}
--- a/internal/round/place.go
+++ b/internal/round/place.go
@@ -8,7 +8,7 @@
 )
 
 func (p *planner) zoneCount(j *checkpoint.Job, z unit.Zone) int {
-	return j.PlacementsByZone[z] + p.added[j][z]
+	return j.PlacementsByZone[z] + p.plannedByZone[j][z]
 }
 
 // zoneRoom tells how many more tasks of the job may be in the zone, given
@@ -24,7 +24,7 @@
 				return 0
 			}
 		}
-		for other, n := range p.added[j] {
+		for other, n := range p.plannedByZone[j] {
 			if n > 0 && other != z {
 				return 0
 			}
@@ -38,147 +38,147 @@
 
 // placeJob starts as many of the job's tasks as fit, and returns how many that
 // could start by its limits found no room.
-func (p *planner) placeJob(t turn) int {
+func (p *planner) placeJob(t queueEntry) int {
 	j := t.job
 	if j.Spec.Gang {
 		return p.placeGang(t)
 	}
-	left := j.Queue.Len() - p.claimed[j].Len()
-	p.noteBlocked(j, left)
-	left = min(left, p.quota(j))
+	left := j.Queue.Len() - p.claimedTasks[j].Len()
+	p.recordReservationBlocked(j, left)
+	left = min(left, p.tasksWithinQuota(j))
 	if t.guaranteed {
-		left = min(left, p.guaranteed(j))
+		left = min(left, p.tasksWithinGuarantee(j))
 	}
-	if t.first {
-		left = min(left, p.firstTasks(j))
+	if t.aged {
+		left = min(left, p.agedTasks(j))
 	}
-	if left <= 0 || p.full {
+	if left <= 0 || p.recordFull {
 		return 0
 	}
-	tasks := p.claim(j, left, t.first)
-	p.first = t.first
-	bins := p.ranked(j)
+	tasks := p.claimTasks(j, left, t.aged)
+	p.placingAged = t.aged
+	bins := p.rankMachines(j)
 	rushed := false
 	for _, b := range bins {
-		if !rushed && !b.m.HasImage(j.Spec.Image) && p.rush(j, b) {
+		if !rushed && !b.machine.HasImage(j.Spec.Image) && p.fetchTooSlow(j, b) {
 			// The fetch alone would take too long: rather stop something
 			// where the image is.
 			rushed = true
-			tasks = tasks[p.makeRoom(j, len(tasks), true):]
+			tasks = tasks[p.preempt(j, len(tasks), true):]
 		}
-		if len(tasks) == 0 || p.full {
+		if len(tasks) == 0 || p.recordFull {
 			break
 		}
 		n := min(len(tasks), b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
-		if p.onlyOne(j, b) {
-			n = min(n, 1-min(1, p.began[j]))
+		if p.limitedToOneTask(j, b) {
+			n = min(n, 1-min(1, p.startedTasks[j]))
 		}
-		if n = j.FittingTasks(p.room(j), b.m.ID, n); n > 0 {
-			n = p.start(j, b, tasks[:n])
+		if n = j.FittingTasks(p.recordRoom(j), b.machine.ID, n); n > 0 {
+			n = p.startTasks(j, b, tasks[:n])
 			tasks = tasks[n:]
 		}
 	}
-	n := min(len(tasks), j.FittingSingleTasks(p.room(j)))
-	if n == 0 || p.full {
+	n := min(len(tasks), j.FittingSingleTasks(p.recordRoom(j)))
+	if n == 0 || p.recordFull {
 		return 0
 	}
-	if t.first {
-		p.reserve(j, n)
+	if t.aged {
+		p.reserveMachines(j, n)
 	}
-	return p.noRoom(j, n, t.guaranteed)
+	return p.handleUnplaced(j, n, t.guaranteed)
 }
 
-// rush tells whether the job must start sooner than the bin's machine could
+// fetchTooSlow tells whether the job must start sooner than the bin's machine could
 // fetch its image.
-func (p *planner) rush(j *checkpoint.Job, b *bin) bool {
-	within := p.w.Expect[j.Spec.Class].Start.Seconds()
-	return within > 0 && j.Spec.Priority >= checkpoint.PriorityHigh && b.typ.FetchGBps > 0 && j.Spec.ImageGB/b.typ.FetchGBps > within
+func (p *planner) fetchTooSlow(j *checkpoint.Job, b *candidateMachine) bool {
+	within := p.snapshot.Objectives[j.Spec.Class].StartWithin.Seconds()
+	return within > 0 && j.Spec.Priority >= checkpoint.PriorityHigh && b.machineType.FetchGBps > 0 && j.Spec.ImageGB/b.machineType.FetchGBps > within
 }
 
-// start adds a group to the record, as far as the record has room, and
+// startTasks adds a group to the record, as far as the record has room, and
 // returns how many tasks it took.
-func (p *planner) start(j *checkpoint.Job, b *bin, tasks []unit.TaskIndex) int {
-	st := startOf(j, b, tasks)
+func (p *planner) startTasks(j *checkpoint.Job, b *candidateMachine, tasks []unit.TaskIndex) int {
+	st := newStart(j, b, tasks)
 	// Room is kept for one rental.
-	if p.size+st.SizeOf()+2*hireSize > p.w.ValueBytes {
-		p.full = true
+	if p.recordSize+st.MaxJSONSize()+2*MaxProvisionJSONSize > p.snapshot.ValueBytes {
+		p.recordFull = true
 		return 0
 	}
-	p.record(j, b, st, len(tasks))
+	p.addStart(j, b, st, len(tasks))
 	return len(tasks)
 }
 
-// record adds a start of n tasks to the record.
-func (p *planner) record(j *checkpoint.Job, b *bin, st Start, n int) {
-	p.size += st.SizeOf()
+// addStart adds a start of n tasks to the record.
+func (p *planner) addStart(j *checkpoint.Job, b *candidateMachine, st Start, n int) {
+	p.recordSize += st.MaxJSONSize()
 	p.plan.Record.Starts = append(p.plan.Record.Starts, st)
-	b.started = true
-	p.began[j] += n
-	p.rooms[j] -= j.GroupBytes(b.m.ID, n)
-	p.take(j, b, n)
+	b.receivesTasks = true
+	p.startedTasks[j] += n
+	p.recordRooms[j] -= j.GroupBytes(b.machine.ID, n)
+	p.allocate(j, b, n)
 }
 
-func startOf(j *checkpoint.Job, b *bin, tasks []unit.TaskIndex) Start {
-	st := Start{Job: j.ID, Machine: b.m.ID, Session: b.m.Session}
+func newStart(j *checkpoint.Job, b *candidateMachine, tasks []unit.TaskIndex) Start {
+	st := Start{Job: j.ID, Machine: b.machine.ID, Session: b.machine.Session}
 	for _, i := range tasks {
 		st.Tasks.Add(i)
 	}
 	return st
 }
 
-// room is what the job's record still holds, with what this plan has started.
-func (p *planner) room(j *checkpoint.Job) checkpoint.SpareBytes {
-	r, ok := p.rooms[j]
+// recordRoom is what the job's record still holds, with what this plan has started.
+func (p *planner) recordRoom(j *checkpoint.Job) checkpoint.SpareBytes {
+	r, ok := p.recordRooms[j]
 	if !ok {
-		r = j.SpareBytes(p.w.ValueBytes, p.w.Parts, p.w.SpecSize(j))
-		p.rooms[j] = r
+		r = j.SpareBytes(p.snapshot.ValueBytes, p.snapshot.MaxJobValues, p.snapshot.SpecJSONSize(j))
+		p.recordRooms[j] = r
 	}
 	return r
 }
 
-func (p *planner) take(j *checkpoint.Job, b *bin, n int) {
+func (p *planner) allocate(j *checkpoint.Job, b *candidateMachine, n int) {
 	b.free = b.free.Sub(j.Spec.TaskResources().Multiply(n))
 	if j.Spec.Service {
-		p.placed[b] += n
+		p.plannedReplicas[b] += n
 	}
-	p.count(j, b, n)
+	p.countPlaced(j, b, n)
 }
 
-// count counts n tasks of the job as being on the bin's machine.
-func (p *planner) count(j *checkpoint.Job, b *bin, n int) {
+// countPlaced counts n tasks of the job as being on the bin's machine.
+func (p *planner) countPlaced(j *checkpoint.Job, b *candidateMachine, n int) {
 	p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(n))
-	p.cover(j, n)
-	if p.added[j] == nil {
-		p.added[j] = map[unit.Zone]int{}
+	p.useReservation(j, n)
+	if p.plannedByZone[j] == nil {
+		p.plannedByZone[j] = map[unit.Zone]int{}
 	}
-	p.added[j][b.zone] += n
+	p.plannedByZone[j][b.zone] += n
 }
 
-// noRoom handles tasks that fit no free machine: room is made for them by
+// handleUnplaced handles tasks that fit no free machine: room is made for them by
 // stopping others where the rules allow it; else they wait for machines that
 // are coming. It returns how many need a machine rented.
-func (p *planner) noRoom(j *checkpoint.Job, n int, guaranteed bool) int {
-	p.plan.Short += n
+func (p *planner) handleUnplaced(j *checkpoint.Job, n int, guaranteed bool) int {
+	p.plan.UnplacedTasks += n
 	p.demand[j.Spec.Class] += n
 	if guaranteed || p.mayPreempt(j) {
-		n -= p.makeRoom(j, n, false)
+		n -= p.preempt(j, n, false)
 	}
 	need := j.Spec.TaskResources()
-	for _, b := range p.come {
+	for _, b := range p.pending {
 		if n == 0 {
 			break
 		}
 		// Work that can wait does not count on dear machines: they were rented
 		// for what can't.
-		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.typ.Name, b.zone, b.spot) || !p.guards && !p.worth(j, b.typ, b.spot) {
+		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) || !p.hasGuarantees && !p.worthProvisioning(j, b.machineType, b.spot) {
 			continue
 		}
 		k := min(n, b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
-		if p.needsOnlyBegin(j) && !p.isCheap(j, b.typ, b.spot) {
-			k = min(k, 1-min(1, p.promised[j]))
+		if p.needsOnlyOneStart(j) && !p.isCheap(j, b.machineType, b.spot) {
+			k = min(k, 1-min(1, p.tasksAwaitingMachines[j]))
 		}
-		p.promised[j] += k
-		p.take(j, b, k)
+		p.tasksAwaitingMachines[j] += k
+		p.allocate(j, b, k)
 		n -= k
 	}
 	return n
--- a/internal/round/plan.go
+++ b/internal/round/plan.go
@@ -8,108 +8,108 @@
 )
 
 type planner struct {
-	w    *World
-	plan *Plan
-	size int
-	bins []*bin
-	come []*bin
-	// byMachine finds the bins of machines; see binOf.
-	byMachine map[unit.MachineID]*bin
+	snapshot   *Snapshot
+	plan       *Plan
+	recordSize int
+	machines   []*candidateMachine
+	pending    []*candidateMachine
+	// machinesByID finds the bins of machines; see binOf.
+	machinesByID map[unit.MachineID]*candidateMachine
 	// usage counts all placements that may exist. What is told to stop stays
 	// in it until its exit is seen; giving counts it for the guarantees.
-	usage  map[unit.Team]checkpoint.Resources
-	giving map[unit.Team]checkpoint.Resources
-	queue  []turn
-	// claimed are the tasks of a job that this plan has dealt with.
-	claimed map[*checkpoint.Job]unit.Set
-	added   map[*checkpoint.Job]map[unit.Zone]int // tasks given a place in this plan
-	taken   map[*checkpoint.Placement]bool
-	rooms   map[*checkpoint.Job]checkpoint.SpareBytes
-	full    bool
-	first   bool           // the turn at hand is one of old work
-	nowhere map[shape]bool // what fits no machine
+	usage        map[unit.Team]checkpoint.Resources
+	evictedUsage map[unit.Team]checkpoint.Resources
+	queue        []queueEntry
+	// claimedTasks are the tasks of a job that this plan has dealt with.
+	claimedTasks  map[*checkpoint.Job]unit.Set
+	plannedByZone map[*checkpoint.Job]map[unit.Zone]int // tasks given a place in this plan
+	evicted       map[*checkpoint.Placement]bool
+	recordRooms   map[*checkpoint.Job]checkpoint.SpareBytes
+	recordFull    bool
+	placingAged   bool                    // the turn at hand is one of old work
+	unplaceable   map[placementShape]bool // what fits no machine
 
-	missing []shortage                  // of the room kept free
-	placed  map[*bin]int                // replicas given a place in this plan
-	starts  map[*checkpoint.Job]float64 // see soonest
-	least   map[*checkpoint.Job]float64 // see cheapest
+	spareShortages  []shortage                  // of the room kept free
+	plannedReplicas map[*candidateMachine]int   // replicas given a place in this plan
+	startTimes      map[*checkpoint.Job]float64 // see soonest
+	lowestPrices    map[*checkpoint.Job]float64 // see cheapest
 	// demand counts the tasks of a class that found no room, those that wait
 	// for machines to come included: many small jobs that arrive one by one
 	// share large machines, as one large job would.
-	demand  map[unit.Class]int
-	guards  bool              // some team has a guarantee
-	surplus float64           // CPUs beyond what the guarantees want as machines
-	inZone  map[unit.Zone]int // machines, coming ones too
+	demand         map[unit.Class]int
+	hasGuarantees  bool              // some team has a guarantee
+	surplusCPUs    float64           // CPUs beyond what the guarantees want as machines
+	machinesByZone map[unit.Zone]int // machines, coming ones too
 
-	work   [checkpoint.PriorityProd + 1]checkpoint.Resources // of arrays by priority, see workOf
-	ahead  map[*checkpoint.Job]checkpoint.Resources          // see queueWork
-	usable map[shape]checkpoint.Resources                    // see usableBy
-	// spareForOld is what old jobs may still start before others.
-	spareForOld checkpoint.Resources
+	workByPriority [checkpoint.PriorityProd + 1]checkpoint.Resources // of arrays by priority, see workOf
+	workAhead      map[*checkpoint.Job]checkpoint.Resources          // see queueWork
+	usableCapacity map[placementShape]checkpoint.Resources           // see usableBy
+	// agedBudget is what old jobs may still start before others.
+	agedBudget checkpoint.Resources
 
-	elders map[*checkpoint.Job]*checkpoint.Placement // see eldest
+	oldestPlacements map[*checkpoint.Job]*checkpoint.Placement // see eldest
 
-	began map[*checkpoint.Job]int // tasks that this plan starts
-	// promised counts the tasks of a job that wait for machines to come.
-	promised map[*checkpoint.Job]int
-	held     map[unit.Team]checkpoint.Resources // see World
-	slots    map[*checkpoint.Job]int            // see covered
-	blocked  map[*checkpoint.Job]bool           // see noteBlocked
-	// gangZone is where machines for a gang must be rented; "": anywhere.
-	gangZone map[*checkpoint.Job]unit.Zone
+	startedTasks map[*checkpoint.Job]int // tasks that this plan starts
+	// tasksAwaitingMachines counts the tasks of a job that wait for machines to come.
+	tasksAwaitingMachines map[*checkpoint.Job]int
+	reserved              map[unit.Team]checkpoint.Resources // see World
+	reservedTasks         map[*checkpoint.Job]int            // see covered
+	reservationChecked    map[*checkpoint.Job]bool           // see noteBlocked
+	// provisionZone is where machines for a gang must be rented; "": anywhere.
+	provisionZone map[*checkpoint.Job]unit.Zone
 }
 
-// Make plans a round. It changes nothing it is given.
-func Make(w *World) *Plan {
-	p := &planner{w: w, plan: &Plan{Blocked: map[unit.Team]checkpoint.Resources{}}, held: maps.Clone(w.Held), slots: map[*checkpoint.Job]int{}, blocked: map[*checkpoint.Job]bool{}, usage: map[unit.Team]checkpoint.Resources{}, giving: map[unit.Team]checkpoint.Resources{},
-		placed: map[*bin]int{}, claimed: map[*checkpoint.Job]unit.Set{}, starts: map[*checkpoint.Job]float64{}, least: map[*checkpoint.Job]float64{},
-		added: map[*checkpoint.Job]map[unit.Zone]int{}, taken: map[*checkpoint.Placement]bool{}, rooms: map[*checkpoint.Job]checkpoint.SpareBytes{},
-		demand: map[unit.Class]int{}, nowhere: map[shape]bool{}, inZone: map[unit.Zone]int{},
-		elders: map[*checkpoint.Job]*checkpoint.Placement{}, ahead: map[*checkpoint.Job]checkpoint.Resources{}, usable: map[shape]checkpoint.Resources{}, began: map[*checkpoint.Job]int{}, promised: map[*checkpoint.Job]int{}, gangZone: map[*checkpoint.Job]unit.Zone{}}
-	p.plan.Record = Record{Schema: schemaPlain, No: w.No, Epoch: w.Epoch}
-	p.size = p.plan.Record.SizeOf()
+// PlanRound plans a round. It changes nothing it is given.
+func PlanRound(w *Snapshot) *Plan {
+	p := &planner{snapshot: w, plan: &Plan{ReservationBlocked: map[unit.Team]checkpoint.Resources{}}, reserved: maps.Clone(w.Reserved), reservedTasks: map[*checkpoint.Job]int{}, reservationChecked: map[*checkpoint.Job]bool{}, usage: map[unit.Team]checkpoint.Resources{}, evictedUsage: map[unit.Team]checkpoint.Resources{},
+		plannedReplicas: map[*candidateMachine]int{}, claimedTasks: map[*checkpoint.Job]unit.Set{}, startTimes: map[*checkpoint.Job]float64{}, lowestPrices: map[*checkpoint.Job]float64{},
+		plannedByZone: map[*checkpoint.Job]map[unit.Zone]int{}, evicted: map[*checkpoint.Placement]bool{}, recordRooms: map[*checkpoint.Job]checkpoint.SpareBytes{},
+		demand: map[unit.Class]int{}, unplaceable: map[placementShape]bool{}, machinesByZone: map[unit.Zone]int{},
+		oldestPlacements: map[*checkpoint.Job]*checkpoint.Placement{}, workAhead: map[*checkpoint.Job]checkpoint.Resources{}, usableCapacity: map[placementShape]checkpoint.Resources{}, startedTasks: map[*checkpoint.Job]int{}, tasksAwaitingMachines: map[*checkpoint.Job]int{}, provisionZone: map[*checkpoint.Job]unit.Zone{}}
+	p.plan.Record = Record{SchemaVersion: SchemaPlain, RoundNo: w.RoundNo, Epoch: w.Epoch}
+	p.recordSize = p.plan.Record.MaxJSONSize()
 	p.countUsage()
-	p.countWork()
+	p.countRunningWork()
 	for _, t := range w.Teams {
-		p.guards = p.guards || t.CPUGuarantee > 0
+		p.hasGuarantees = p.hasGuarantees || t.CPUGuarantee > 0
 	}
-	p.makeBins()
-	p.order()
-	p.spareForOld = p.forNeglected()
+	p.listMachines()
+	p.buildQueue()
+	p.agedBudget = p.agedCapacity()
 	var short []shortage
 	spared := false
 	for _, t := range p.queue {
-		p.queueWork(t.job)
+		p.countQueuedWork(t.job)
 		if !spared && t.job.Spec.Priority < checkpoint.PriorityHigh {
 			// Before work that would yield to it takes the room.
 			spared = true
-			p.countSpare()
+			p.measureSpareCapacity()
 		}
-		if n := p.placeJob(t); n > 0 && !p.full {
+		if n := p.placeJob(t); n > 0 && !p.recordFull {
 			short = append(short, shortage{t.job, n})
 		}
 	}
 	if !spared {
-		p.countSpare()
+		p.measureSpareCapacity()
 	}
-	p.rent(short)
-	p.rentSpare()
-	p.keepGuaranteed()
+	p.provision(short)
+	p.provisionSpareCapacity()
+	p.ensureGuarantees()
 	p.consolidate(short)
 	return p.plan
 }
 
 type shortage struct {
-	job *checkpoint.Job
-	n   int
+	job   *checkpoint.Job
+	tasks int
 }
 
 func (p *planner) countUsage() {
-	for _, j := range p.w.All {
+	for _, j := range p.snapshot.PlacedJobs {
 		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(len(j.Placements)))
 		for _, v := range j.Placements {
 			if v.Stopping {
-				p.giving[j.Spec.Team] = p.giving[j.Spec.Team].Add(j.Spec.TaskResources())
+				p.evictedUsage[j.Spec.Team] = p.evictedUsage[j.Spec.Team].Add(j.Spec.TaskResources())
 			}
 		}
 	}
--- a/internal/round/plan_golden_test.go
+++ b/internal/round/plan_golden_test.go
@@ -33,12 +33,12 @@
 	counts := map[string]int{}
 	for seed := range uint64(goldenPlans) {
 		s := newSnapshot(seed)
-		plan := Make(s.world)
+		plan := PlanRound(s.world)
 		text := canonicalPlan(plan)
-		if again := canonicalPlan(Make(s.world)); again != text {
+		if again := canonicalPlan(PlanRound(s.world)); again != text {
 			t.Errorf("seed %d: the second plan of a snapshot differs:\n%s\nfirst:\n%s", seed, again, text)
 		}
-		if again := canonicalPlan(Make(newSnapshot(seed).world)); again != text {
+		if again := canonicalPlan(PlanRound(newSnapshot(seed).world)); again != text {
 			t.Errorf("seed %d: the plan of the same snapshot, made anew, differs:\n%s\nfirst:\n%s", seed, again, text)
 		}
 		kinds := s.kindsOf(plan)
@@ -70,17 +70,17 @@
 func (s *snapshotGenerator) kindsOf(plan *Plan) []string {
 	has := map[string]bool{
 		"start":         len(plan.Record.Starts) > 0,
-		"consolidation": len(plan.Vacate) > 0,
-		"scale-out":     len(plan.Record.Hires) > 0,
-		"scale-out-for-guarantee": len(plan.Record.Hires) > 0 && plan.HireFor == "" && len(s.world.Spares) == 0 &&
-			len(s.world.Typical) > 0,
-		"gang-in-parts": plan.Record.SizeOf() > s.world.ValueBytes,
-		"spare-kept":    len(plan.Keep) > 0,
-		"blocked":       len(plan.Blocked) > 0,
-		"short":         plan.Short > 0,
+		"consolidation": len(plan.Drain) > 0,
+		"scale-out":     len(plan.Record.Provisions) > 0,
+		"scale-out-for-guarantee": len(plan.Record.Provisions) > 0 && plan.ProvisionedFor == "" && len(s.world.SpareSpecs) == 0 &&
+			len(s.world.TypicalSpecs) > 0,
+		"gang-in-parts": plan.Record.MaxJSONSize() > s.world.ValueBytes,
+		"spare-kept":    len(plan.Retain) > 0,
+		"blocked":       len(plan.ReservationBlocked) > 0,
+		"short":         plan.UnplacedTasks > 0,
 	}
-	for _, stop := range plan.Stops {
-		winner, victim := s.jobs[stop.For], stop.Placement.Job
+	for _, stop := range plan.Evictions {
+		winner, victim := s.jobs[stop.Preemptor], stop.Placement.Job
 		if winner == nil {
 			continue
 		}
@@ -104,7 +104,7 @@
 func canonicalPlan(plan *Plan) string {
 	var b strings.Builder
 	r := &plan.Record
-	fmt.Fprintf(&b, "record schema=%d no=%d epoch=%d low=%d\n", r.Schema, r.No, r.Epoch, r.Low)
+	fmt.Fprintf(&b, "record schema=%d no=%d epoch=%d low=%d\n", r.SchemaVersion, r.RoundNo, r.Epoch, r.LowWatermark)
 	for _, st := range r.Starts {
 		fmt.Fprintf(&b, "start %s %s session=%d attempt=%d tasks=", st.Job, st.Machine, st.Session, st.Attempt)
 		for _, span := range st.Tasks {
@@ -112,27 +112,27 @@
 		}
 		b.WriteString("\n")
 	}
-	for _, h := range r.Hires {
-		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n", h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.HireFor)
+	for _, h := range r.Provisions {
+		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n", h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.ProvisionedFor)
 	}
-	for _, m := range r.Releases {
+	for _, m := range r.Deprovisions {
 		fmt.Fprintf(&b, "release %s\n", m)
 	}
-	for _, stop := range sortedGangStops(plan.Stops) {
+	for _, stop := range sortedGangStops(plan.Evictions) {
 		p := stop.Placement
-		fmt.Fprintf(&b, "stop %s/%d %s attempt=%d for=%s\n", p.Job.ID, p.Task, p.Machine, p.Attempt, stop.For)
+		fmt.Fprintf(&b, "stop %s/%d %s attempt=%d for=%s\n", p.Job.ID, p.Task, p.Machine, p.Attempt, stop.Preemptor)
 	}
-	for _, m := range plan.Vacate {
+	for _, m := range plan.Drain {
 		fmt.Fprintf(&b, "vacate %s\n", m)
 	}
-	for _, m := range slices.Sorted(maps.Keys(plan.Keep)) {
-		fmt.Fprintf(&b, "keep %s %t\n", m, plan.Keep[m])
+	for _, m := range slices.Sorted(maps.Keys(plan.Retain)) {
+		fmt.Fprintf(&b, "keep %s %t\n", m, plan.Retain[m])
 	}
-	for _, team := range slices.Sorted(maps.Keys(plan.Blocked)) {
-		amount := plan.Blocked[team]
+	for _, team := range slices.Sorted(maps.Keys(plan.ReservationBlocked)) {
+		amount := plan.ReservationBlocked[team]
 		fmt.Fprintf(&b, "blocked %s cpus=%s gpus=%s memory=%s\n", team, number(amount.CPUs), number(amount.GPUs), number(amount.MemoryGB))
 	}
-	fmt.Fprintf(&b, "short=%d work=%d\n", plan.Short, plan.Work)
+	fmt.Fprintf(&b, "short=%d work=%d\n", plan.UnplacedTasks, plan.Examined)
 	return b.String()
 }
 
@@ -140,15 +140,15 @@
 
 // sortedGangStops returns the stops in their order, but the members of one gang,
 // which are stopped together in the order of a map, by their tasks.
-func sortedGangStops(stops []Stop) []Stop {
+func sortedGangStops(stops []Eviction) []Eviction {
 	out := slices.Clone(stops)
 	for i := 0; i < len(out); {
 		k := i + 1
-		for k < len(out) && out[k].Placement.Job == out[i].Placement.Job && out[k].For == out[i].For {
+		for k < len(out) && out[k].Placement.Job == out[i].Placement.Job && out[k].Preemptor == out[i].Preemptor {
 			k++
 		}
 		if out[i].Placement.Job.Spec.Gang {
-			slices.SortFunc(out[i:k], func(x, y Stop) int { return int(x.Placement.Task) - int(y.Placement.Task) })
+			slices.SortFunc(out[i:k], func(x, y Eviction) int { return int(x.Placement.Task) - int(y.Placement.Task) })
 		}
 		i = k
 	}
--- a/internal/round/plan_snapshot_test.go
+++ b/internal/round/plan_snapshot_test.go
@@ -65,7 +65,7 @@
 type snapshotGenerator struct {
 	generator
 	profile  profile
-	world    *World
+	world    *Snapshot
 	jobs     map[unit.JobID]*checkpoint.Job
 	zones    []unit.Zone
 	types    []*fleet.MachineType
@@ -81,16 +81,16 @@
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, snapshotEpoch, leaderBegan,
 		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
 	f.SetMachineTypes(s.types)
-	s.world = &World{Now: snapshotNow, WallMs: snapshotWall, No: unit.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
-		Fleet: f, Types: s.types, Zones: s.zones, Teams: s.drawTeams(), Expect: s.drawExpectations(),
-		MayVacate: s.percent(80), MayHire: s.percent(85), Policy: s.drawPolicy(),
-		ValueBytes: pick(&s.generator, 8192, 65536), Parts: 1, RoundParts: 1,
-		SpecSize: func(*checkpoint.Job) int { return 300 }, Replace: map[unit.JobID]unit.Attempt{}}
+	s.world = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: unit.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
+		Fleet: f, MachineTypes: s.types, Zones: s.zones, Teams: s.drawTeams(), Objectives: s.drawExpectations(),
+		MayDrain: s.percent(80), MayProvision: s.percent(85), Policy: s.drawPolicy(),
+		ValueBytes: pick(&s.generator, 8192, 65536), MaxJobValues: 1, MaxRoundValues: 1,
+		SpecJSONSize: func(*checkpoint.Job) int { return 300 }, ReplacementAttempts: map[unit.JobID]unit.Attempt{}}
 	if s.profile == sparse {
-		s.world.MayVacate, s.world.Policy.SpareTasks = true, s.below(3)
+		s.world.MayDrain, s.world.Policy.SpareTasks = true, s.below(3)
 	}
 	if s.profile == large {
-		s.world.ValueBytes, s.world.Parts, s.world.RoundParts = 2048, 4, pick(&s.generator, 1, 4, 4)
+		s.world.ValueBytes, s.world.MaxJobValues, s.world.MaxRoundValues = 2048, 4, pick(&s.generator, 1, 4, 4)
 	}
 	s.drawAvailability()
 	s.drawMachines()
@@ -143,17 +143,17 @@
 
 var classes = []unit.Class{"web", "batch", "train", "report"}
 
-func (s *snapshotGenerator) drawExpectations() map[unit.Class]Expect {
-	expect := map[unit.Class]Expect{}
+func (s *snapshotGenerator) drawExpectations() map[unit.Class]Objectives {
+	expect := map[unit.Class]Objectives{}
 	for _, class := range classes {
-		var e Expect
+		var e Objectives
 		if s.percent(40) {
-			e = e.Add("wait", time.Duration(pick(&s.generator, 5, 12, 40, 120))*time.Second)
+			e = e.With("wait", time.Duration(pick(&s.generator, 5, 12, 40, 120))*time.Second)
 		}
 		for s.percent(35) {
-			e = e.Add("finished", time.Duration(pick(&s.generator, 60, 110, 250, 600))*time.Second)
+			e = e.With("finished", time.Duration(pick(&s.generator, 60, 110, 250, 600))*time.Second)
 		}
-		if !e.None() {
+		if !e.IsEmpty() {
 			expect[class] = e
 		}
 	}
@@ -176,9 +176,9 @@
 			}
 		}
 	}
-	s.world.Blocked = func(o rental.Offer) bool { return out[o] }
+	s.world.OfferUnavailable = func(o rental.Offer) bool { return out[o] }
 	active := map[unit.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
-	s.world.Active = func(team unit.Team) bool { return active[team] }
+	s.world.TeamActive = func(team unit.Team) bool { return active[team] }
 }
 
 func (s *snapshotGenerator) drawMachines() {
@@ -350,7 +350,7 @@
 		s.reportAgain(m, "exited", lost)
 	}
 	if s.percent(80) {
-		s.world.Replace[j.ID] = lost.Attempt
+		s.world.ReplacementAttempts[j.ID] = lost.Attempt
 	}
 }
 
@@ -425,9 +425,9 @@
 		spec := s.drawSpec()
 		spec.Class, spec.Gang = class, false
 		if s.percent(60) || s.profile == guaranteed {
-			s.world.Typical = append(s.world.Typical, &spec)
+			s.world.TypicalSpecs = append(s.world.TypicalSpecs, &spec)
 			if s.profile != guaranteed && s.percent(30) {
-				s.world.Spares = append(s.world.Spares, &spec)
+				s.world.SpareSpecs = append(s.world.SpareSpecs, &spec)
 			}
 		}
 	}
@@ -438,21 +438,21 @@
 	if !s.percent(30) {
 		return
 	}
-	s.world.Held = map[unit.Team]checkpoint.Resources{}
+	s.world.Reserved = map[unit.Team]checkpoint.Resources{}
 	for _, team := range []unit.Team{"red", "blue", "green"} {
 		if s.percent(60) {
-			s.world.Held[team] = checkpoint.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
+			s.world.Reserved[team] = checkpoint.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
 		}
 	}
 	covered := s.between(0, 4)
-	s.world.Covers = func(j *checkpoint.Job) int { return min(covered, j.Spec.Tasks) }
+	s.world.ReservedTasks = func(j *checkpoint.Job) int { return min(covered, j.Spec.Tasks) }
 }
 
 func (s *snapshotGenerator) drawComing() {
 	for range s.between(0, 5) {
 		if s.percent(50) {
 			t := pick(&s.generator, s.types...)
-			s.world.Coming = append(s.world.Coming, Coming{Offer: rental.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
+			s.world.PendingMachines = append(s.world.PendingMachines, PendingMachine{Offer: rental.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
 		}
 	}
 }
@@ -477,10 +477,10 @@
 	for i := range len(s.jobs) {
 		j := s.jobs[unit.JobID(fmt.Sprintf("wk-%06d", i+1))]
 		if len(j.Placements) > 0 {
-			s.world.All = append(s.world.All, j)
+			s.world.PlacedJobs = append(s.world.PlacedJobs, j)
 		}
 		if len(j.Queue) > 0 {
-			s.world.Jobs = append(s.world.Jobs, j)
+			s.world.QueuedJobs = append(s.world.QueuedJobs, j)
 		}
 	}
 }
--- a/internal/round/plan_test.go
+++ b/internal/round/plan_test.go
@@ -15,90 +15,90 @@
 	"badgerbay/internal/unit"
 )
 
-// scene builds a world to plan in.
-type scene struct {
-	w    *World
-	jobs map[unit.JobID]*checkpoint.Job
+// fixture builds a world to plan in.
+type fixture struct {
+	snapshot *Snapshot
+	jobs     map[unit.JobID]*checkpoint.Job
 }
 
-const start = unit.Instant(time.Hour)
+const leaderStart = unit.Instant(time.Hour)
 
-func newScene(t interface{ Fatal(...any) }) *scene {
+func newFixture(t interface{ Fatal(...any) }) *fixture {
 	pol, err := policy.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scene{jobs: map[unit.JobID]*checkpoint.Job{}}
+	s := &fixture{jobs: map[unit.JobID]*checkpoint.Job{}}
 	types := []*fleet.MachineType{{Name: "m4", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20,
 		HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second, Zones: []unit.Zone{"a", "b"}}}
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, 10, start,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, 10, leaderStart,
 		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
 	f.SetMachineTypes(types)
-	s.w = &World{Now: start.Add(10 * time.Second), No: 5, Epoch: 10, Fleet: f, Types: types, Zones: []unit.Zone{"a", "b"},
-		Teams:   map[unit.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
-		Blocked: func(rental.Offer) bool { return false }, Active: func(unit.Team) bool { return true }, MayHire: true, Policy: pol, ValueBytes: 8192,
-		SpecSize: func(*checkpoint.Job) int { return 300 }}
+	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []unit.Zone{"a", "b"},
+		Teams:            map[unit.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
+		OfferUnavailable: func(rental.Offer) bool { return false }, TeamActive: func(unit.Team) bool { return true }, MayProvision: true, Policy: pol, ValueBytes: 8192,
+		SpecJSONSize: func(*checkpoint.Job) int { return 300 }}
 	return s
 }
 
-func (s *scene) machine(id unit.MachineID, zone unit.Zone, spot bool) {
-	s.w.Fleet.ApplyHeartbeat(s.w.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10}, true)
+func (s *fixture) addMachine(id unit.MachineID, zone unit.Zone, spot bool) {
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10}, true)
 }
 
-// machineReports has a machine report what it holds of a job, all running.
-func (s *scene) machineReports(id unit.MachineID, j *checkpoint.Job) {
-	r := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.w.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
-	for _, v := range s.w.Fleet.Machine(id).LivePlacements() {
+// sendHeartbeat has a machine report what it holds of a job, all running.
+func (s *fixture) sendHeartbeat(id unit.MachineID, j *checkpoint.Job) {
+	r := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
+	for _, v := range s.snapshot.Fleet.Machine(id).LivePlacements() {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: v.ID(), Attempt: v.Attempt, State: "running"})
 	}
-	s.w.Fleet.ApplyHeartbeat(s.w.Now, r, true)
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, r, true)
 }
 
-func (s *scene) job(id unit.JobID, spec checkpoint.Spec) *checkpoint.Job {
-	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, 0), 1, start)
+func (s *fixture) addJob(id unit.JobID, spec checkpoint.Spec) *checkpoint.Job {
+	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, 0), 1, leaderStart)
 	s.jobs[id] = j
 	return j
 }
 
-func (s *scene) place(j *checkpoint.Job, i unit.TaskIndex, m unit.MachineID) *checkpoint.Placement {
-	p := &checkpoint.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: checkpoint.PlacementRunning, RunningSince: start}
-	s.w.Fleet.Place(s.w.Now, p)
+func (s *fixture) place(j *checkpoint.Job, i unit.TaskIndex, m unit.MachineID) *checkpoint.Placement {
+	p := &checkpoint.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: checkpoint.PlacementRunning, RunningSince: leaderStart}
+	s.snapshot.Fleet.Place(s.snapshot.Now, p)
 	return p
 }
 
-func (s *scene) plan() *Plan {
-	s.w.Jobs, s.w.All = nil, nil
+func (s *fixture) plan() *Plan {
+	s.snapshot.QueuedJobs, s.snapshot.PlacedJobs = nil, nil
 	for _, j := range s.jobs {
 		if len(j.Queue) > 0 {
-			s.w.Jobs = append(s.w.Jobs, j)
+			s.snapshot.QueuedJobs = append(s.snapshot.QueuedJobs, j)
 		}
 		if len(j.Placements) > 0 {
-			s.w.All = append(s.w.All, j)
+			s.snapshot.PlacedJobs = append(s.snapshot.PlacedJobs, j)
 		}
 	}
-	return Make(s.w)
+	return PlanRound(s.snapshot)
 }
 
-func task(team unit.Team, prio checkpoint.Priority, n int, cpus float64) checkpoint.Spec {
+func taskSpec(team unit.Team, prio checkpoint.Priority, n int, cpus float64) checkpoint.Spec {
 	return checkpoint.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
 }
 
-// TestStopKeepsQuota guards against a quota once broken: a task that is told
+// TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told
 // to stop still counts for its team until its exit is seen, so another job of
 // the team must not take its place in the limit in the same round.
-func TestStopKeepsQuota(t *testing.T) {
-	s := newScene(t)
-	s.machine("host-1", "a", false)
-	s.machine("host-2", "b", false)
-	s.machine("host-3", "b", false)
-	low := s.job("wk-000001", task("red", checkpoint.PriorityBestEffort, 2, 4))
+func TestEvictedTaskCountsForQuota(t *testing.T) {
+	s := newFixture(t)
+	s.addMachine("host-1", "a", false)
+	s.addMachine("host-2", "b", false)
+	s.addMachine("host-3", "b", false)
+	low := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityBestEffort, 2, 4))
 	s.place(low, 0, "host-1")
 	s.place(low, 1, "host-2") // red is at its limit of 8
-	blue := s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 4))
+	blue := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 4))
 	blue.Spec.Zone = "a"
-	s.job("wk-000003", task("red", checkpoint.PriorityStandard, 1, 4))
+	s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
 	plan := s.plan()
-	if len(plan.Stops) == 0 {
+	if len(plan.Evictions) == 0 {
 		t.Fatal("no room was made for the prod job")
 	}
 	for _, st := range plan.Record.Starts {
@@ -108,16 +108,16 @@
 	}
 }
 
-func TestImageFirst(t *testing.T) {
-	s := newScene(t)
-	s.machine("host-1", "a", false)
-	s.machine("host-2", "a", false)
-	old := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 1))
+func TestMachineWithImageFirst(t *testing.T) {
+	s := newFixture(t)
+	s.addMachine("host-1", "a", false)
+	s.addMachine("host-2", "a", false)
+	old := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 1))
 	p := s.place(old, 0, "host-2")
 	p.State = checkpoint.PlacementFetching
-	s.w.Fleet.ApplyHeartbeat(s.w.Now, &fleet.Heartbeat{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2,
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2,
 		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: "running"}}}, true)
-	s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 1, 1))
+	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 1, 1))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Machine != "host-2" {
 		t.Errorf("starts %+v, want one on the machine that holds the image", plan.Record.Starts)
@@ -125,10 +125,10 @@
 }
 
 func TestHigherPriorityFirst(t *testing.T) {
-	s := newScene(t)
-	s.machine("host-1", "a", false)
-	s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4))
-	s.job("wk-000002", task("blue", checkpoint.PriorityProd, 1, 4))
+	s := newFixture(t)
+	s.addMachine("host-1", "a", false)
+	s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
+	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 4))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != "wk-000002" {
 		t.Errorf("starts %+v, want the prod job", plan.Record.Starts)
@@ -138,65 +138,65 @@
 // TestNoPreemptionAmongEquals: work does not stop work of the same priority,
 // unless a team is to be given its guarantee.
 func TestNoPreemptionAmongEquals(t *testing.T) {
-	s := newScene(t)
-	s.machine("host-1", "a", false)
-	low := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 1, 4)) // within red's guarantee
+	s := newFixture(t)
+	s.addMachine("host-1", "a", false)
+	low := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4)) // within red's guarantee
 	s.place(low, 0, "host-1")
-	s.job("wk-000002", task("blue", checkpoint.PriorityStandard, 1, 4))
-	if plan := s.plan(); len(plan.Stops) != 0 {
-		t.Errorf("stopped %v", plan.Stops[0].Placement.ID())
+	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 1, 4))
+	if plan := s.plan(); len(plan.Evictions) != 0 {
+		t.Errorf("stopped %v", plan.Evictions[0].Placement.ID())
 	}
 	// Beyond its guarantee, red must give back what blue is guaranteed.
-	s.machine("host-2", "a", false)
-	more := s.job("wk-000003", task("red", checkpoint.PriorityStandard, 1, 4))
+	s.addMachine("host-2", "a", false)
+	more := s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
 	s.place(more, 0, "host-2")
-	if plan := s.plan(); len(plan.Stops) != 1 {
-		t.Errorf("%d stops, want 1 to give blue its guarantee", len(plan.Stops))
+	if plan := s.plan(); len(plan.Evictions) != 1 {
+		t.Errorf("%d stops, want 1 to give blue its guarantee", len(plan.Evictions))
 	}
 }
 
 func TestGangWholeOrNotAtAll(t *testing.T) {
-	s := newScene(t)
-	s.machine("host-1", "a", false)
-	spec := task("blue", checkpoint.PriorityStandard, 2, 4)
+	s := newFixture(t)
+	s.addMachine("host-1", "a", false)
+	spec := taskSpec("blue", checkpoint.PriorityStandard, 2, 4)
 	spec.Gang = true
-	s.job("wk-000001", spec)
-	if plan := s.plan(); len(plan.Record.Starts) != 0 || len(plan.Record.Hires) != 1 {
+	s.addJob("wk-000001", spec)
+	if plan := s.plan(); len(plan.Record.Starts) != 0 || len(plan.Record.Provisions) != 1 {
 		t.Errorf("half a gang starts: %+v", plan.Record)
 	}
-	s.machine("host-2", "b", false)
+	s.addMachine("host-2", "b", false)
 	if plan := s.plan(); len(plan.Record.Starts) != 2 {
 		t.Errorf("starts %+v, want both", plan.Record.Starts)
 	}
 }
 
-// TestPlanKeepsLimits draws worlds and checks that no plan goes beyond team
+// TestPlanStaysWithinLimits draws worlds and checks that no plan goes beyond team
 // limits, room on machines, zones, or the size of a record.
-func TestPlanKeepsLimits(t *testing.T) {
+func TestPlanStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			s.machine(unit.MachineID(fmt.Sprintf("host-%d", i)), rapid.SampledFrom([]unit.Zone{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			s.addMachine(unit.MachineID(fmt.Sprintf("host-%d", i)), rapid.SampledFrom([]unit.Zone{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
 		}
 		for i := range rapid.IntRange(0, 8).Draw(t, "jobs") {
-			spec := task(rapid.SampledFrom([]unit.Team{"red", "blue"}).Draw(t, "team"),
+			spec := taskSpec(rapid.SampledFrom([]unit.Team{"red", "blue"}).Draw(t, "team"),
 				checkpoint.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"), rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
 			spec.ZoneSpread, spec.ZoneAffinity, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "one"), rapid.Bool().Draw(t, "spot")
-			j := s.job(unit.JobID(fmt.Sprintf("wk-%06d", i)), spec)
-			for _, m := range s.w.Fleet.Machines() {
-				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.w.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
+			j := s.addJob(unit.JobID(fmt.Sprintf("wk-%06d", i)), spec)
+			for _, m := range s.snapshot.Fleet.Machines() {
+				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.snapshot.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
 					spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() && (!spec.ZoneAffinity || len(j.Placements) == 0) &&
-					s.used(spec.Team)+spec.CPUs <= s.w.Teams[spec.Team].CPULimit {
+					s.used(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit {
 					s.place(j, j.Queue[0].First, m.ID)
 				}
 			}
 		}
-		checkPlan(t, s, s.plan())
+		checkPlanLimits(t, s, s.plan())
 	})
 }
 
-func (s *scene) used(team unit.Team) float64 {
+func (s *fixture) used(team unit.Team) float64 {
 	sum := 0.0
 	for _, j := range s.jobs {
 		if j.Spec.Team == team {
@@ -206,12 +206,12 @@
 	return sum
 }
 
-func checkPlan(t *rapid.T, s *scene, plan *Plan) {
-	if n := plan.Record.SizeOf(); n > s.w.ValueBytes {
+func checkPlanLimits(t *rapid.T, s *fixture, plan *Plan) {
+	if n := plan.Record.MaxJSONSize(); n > s.snapshot.ValueBytes {
 		t.Fatalf("record of %d bytes", n)
 	}
 	for _, st := range plan.Record.Starts {
-		j, m := s.jobs[st.Job], s.w.Fleet.Machine(st.Machine)
+		j, m := s.jobs[st.Job], s.snapshot.Fleet.Machine(st.Machine)
 		if !j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%v may not run on %s", st, m.ID)
 		}
@@ -223,12 +223,12 @@
 			return true
 		})
 	}
-	for _, m := range s.w.Fleet.Machines() {
-		if !s.w.Fleet.FreeCapacity(m).Fits(checkpoint.Resources{}) {
-			t.Fatalf("%s is overfull: %+v", m.ID, s.w.Fleet.FreeCapacity(m))
+	for _, m := range s.snapshot.Fleet.Machines() {
+		if !s.snapshot.Fleet.FreeCapacity(m).Fits(checkpoint.Resources{}) {
+			t.Fatalf("%s is overfull: %+v", m.ID, s.snapshot.Fleet.FreeCapacity(m))
 		}
 	}
-	for name, team := range s.w.Teams {
+	for name, team := range s.snapshot.Teams {
 		if used := s.used(name); used > team.CPULimit {
 			t.Fatalf("%s uses %v of %v", name, used, team.CPULimit)
 		}
@@ -249,23 +249,23 @@
 	}
 }
 
-// TestOldJobsGetWholeMachines: a job that has waited long, and whose tasks are
+// TestAgedJobsGetWholeMachines: a job that has waited long, and whose tasks are
 // larger than the holes, gets a machine kept for it. Smaller tasks of a higher
 // priority filled every hole as it opened, and its last tasks began after four
 // minutes.
-func TestOldJobsGetWholeMachines(t *testing.T) {
-	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
+func TestAgedJobsGetWholeMachines(t *testing.T) {
+	s := newFixture(t)
+	s.snapshot.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
 	for i := range 4 {
-		s.machine(unit.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
+		s.addMachine(unit.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
 	}
-	small := s.job("wk-000001", task("red", checkpoint.PriorityStandard, 12, 2))
+	small := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 12, 2))
 	for i := range 4 { // half of each machine is taken
 		s.place(small, unit.TaskIndex(i), unit.MachineID(fmt.Sprintf("host-%d", i)))
 	}
 	small.AcceptedAtMs = 300_000
-	s.job("wk-000002", task("blue", checkpoint.PriorityBestEffort, 1, 4))
-	s.w.WallMs = 320_000
+	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityBestEffort, 1, 4))
+	s.snapshot.WallMs = 320_000
 	left := 4
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
--- a/internal/round/record_golden_test.go
+++ b/internal/round/record_golden_test.go
@@ -39,8 +39,8 @@
 	}
 	replaced := append(wire.BoundedList[Start](nil), starts...)
 	replaced[1].Attempt = 70_000
-	hires := wire.BoundedList[Hire]{{Name: HireName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
-		{Name: HireName(991, 4711, 1), Offer: rental.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
+	hires := wire.BoundedList[Provision]{{Name: ProvisionName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
+		{Name: ProvisionName(991, 4711, 1), Offer: rental.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
 	releases := wire.BoundedList[unit.MachineID]{"host-000007", "host-000008"}
 	var wide wire.BoundedList[Start]
 	for i := range unit.TaskIndex(60) {
@@ -48,11 +48,11 @@
 			Session: unit.Session(i%9 + 1), Tasks: unit.Set{span(i, i)}})
 	}
 	return []goldenRecord{
-		{"lists", 1, 0, 0, &Record{Schema: 1, No: 9, Epoch: 4, Low: 7, Starts: starts, Hires: hires, Releases: releases}},
-		{"empty", 2, 8192, 4, &Record{No: 70_000, Epoch: 4, Low: 70_000}},
-		{"packed", 2, 8192, 4, &Record{No: 4711, Epoch: 991, Low: 4700, Starts: starts, Hires: hires, Releases: releases}},
-		{"attempts", 3, 8192, 4, &Record{No: 80_000, Epoch: 991, Low: 4700, Starts: replaced, Hires: hires}},
-		{"parts", 3, 400, 4, &Record{No: 4711, Epoch: 991, Low: 4700, Starts: wide, Releases: releases}},
+		{"lists", 1, 0, 0, &Record{SchemaVersion: 1, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: starts, Provisions: hires, Deprovisions: releases}},
+		{"empty", 2, 8192, 4, &Record{RoundNo: 70_000, Epoch: 4, LowWatermark: 70_000}},
+		{"packed", 2, 8192, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: starts, Provisions: hires, Deprovisions: releases}},
+		{"attempts", 3, 8192, 4, &Record{RoundNo: 80_000, Epoch: 991, LowWatermark: 4700, Starts: replaced, Provisions: hires}},
+		{"parts", 3, 400, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: wide, Deprovisions: releases}},
 	}
 }
 
@@ -61,7 +61,7 @@
 	t.Helper()
 	if g.values == 0 {
 		lists := *r
-		lists.Schema = g.schema
+		lists.SchemaVersion = g.schema
 		return []any{&lists}
 	}
 	head, rest, err := r.Split(g.limit, g.values, statestore.JSONSize)
@@ -117,7 +117,7 @@
 			t.Errorf("%s: %v", g.name, err)
 			continue
 		}
-		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "Schema"), cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "SchemaVersion"), cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%s is read as another record:\n%s", g.name, diff)
 		}
 		if again, _ := g.lines(t, read); strings.Join(again, "\n")+"\n" != text {
@@ -146,13 +146,13 @@
 func TestGoldenKeys(t *testing.T) {
 	ring := NewRing(32)
 	for got, want := range map[string]string{
-		ring.Key(0):                  "round/0",
-		ring.Key(31):                 "round/31",
-		ring.Key(4711):               "round/7",
-		PartKey(ring.Key(4711), 1):   "part/round/7/1",
-		PartKey(ring.Key(31), 12):    "part/round/31/12",
-		HireName(991, 4711, 0):       "r-991-4711-0",
-		HireName(1<<63, 1<<62, 1234): "r-9223372036854775808-4611686018427387904-1234",
+		ring.Key(0):                       "round/0",
+		ring.Key(31):                      "round/31",
+		ring.Key(4711):                    "round/7",
+		ChunkKey(ring.Key(4711), 1):       "part/round/7/1",
+		ChunkKey(ring.Key(31), 12):        "part/round/31/12",
+		ProvisionName(991, 4711, 0):       "r-991-4711-0",
+		ProvisionName(1<<63, 1<<62, 1234): "r-9223372036854775808-4611686018427387904-1234",
 	} {
 		if got != want {
 			t.Errorf("%q, want %q", got, want)
@@ -175,7 +175,7 @@
 		{config.State{MaxValueKB: 32, MaxTxnOps: 64}, 4, 1723},
 	} {
 		spec := checkpoint.Spec{Tasks: 1, Gang: true}
-		for GangFits(&spec, c.perMachine, 300, c.limits) {
+		for GangRecordsFit(&spec, c.perMachine, 300, c.limits) {
 			spec.Tasks++
 		}
 		if largest := spec.Tasks - 1; largest != c.want {
--- a/internal/round/record_test.go
+++ b/internal/round/record_test.go
@@ -17,24 +17,24 @@
 	"badgerbay/internal/wire"
 )
 
-func sample() *Record {
-	return &Record{Schema: schemaPlain, No: 9, Epoch: 4, Low: 7, Starts: wire.BoundedList[Start]{
+func sampleRecord() *Record {
+	return &Record{SchemaVersion: SchemaPlain, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: wire.BoundedList[Start]{
 		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Set{{First: 0, Last: 3}, {First: 70_000, Last: 70_001}}},
 		{Job: "wk-000001", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 9, Last: 9}}},
 		{Job: "wk-000002", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 0, Last: 0}}}},
-		Releases: wire.BoundedList[unit.MachineID]{"host-000007"}}
+		Deprovisions: wire.BoundedList[unit.MachineID]{"host-000007"}}
 }
 
-// TestRecordSurvivesTheStore: what a successor reads is what was decided, from
+// TestRecordRoundTrip: what a successor reads is what was decided, from
 // records of this schema and of the one before.
-func TestRecordSurvivesTheStore(t *testing.T) {
-	want := sample()
+func TestRecordRoundTrip(t *testing.T) {
+	want := sampleRecord()
 	stored, err := want.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	old := *want
-	old.Schema = 1
+	old.SchemaVersion = 1
 	for _, form := range []*Record{stored, &old} {
 		data, err := msgpack.Marshal(form)
 		if err != nil {
@@ -44,7 +44,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got.Schema = want.Schema
+		got.SchemaVersion = want.SchemaVersion
 		if diff := cmp.Diff(want, got, cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
@@ -52,7 +52,7 @@
 }
 
 func FuzzDecodeRecord(f *testing.F) {
-	stored, err := sample().Encode()
+	stored, err := sampleRecord().Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -71,9 +71,9 @@
 	})
 }
 
-// TestRecordOfTheVersionBefore: a round that the production version has stored
+// TestRecordOfPreviousVersion: a round that the production version has stored
 // is read, and written again byte by byte.
-func TestRecordOfTheVersionBefore(t *testing.T) {
+func TestRecordOfPreviousVersion(t *testing.T) {
 	data, err := os.ReadFile("testdata/production/round.msgpack")
 	if err != nil {
 		t.Fatal(err)
@@ -82,8 +82,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Starts) != 120 || len(r.Hires) != 1 || len(r.Releases) != 2 || r.No != 4501 || r.Low != 4490 {
-		t.Errorf("%d starts, %d rentals, %d releases of round %d", len(r.Starts), len(r.Hires), len(r.Releases), r.No)
+	if len(r.Starts) != 120 || len(r.Provisions) != 1 || len(r.Deprovisions) != 2 || r.RoundNo != 4501 || r.LowWatermark != 4490 {
+		t.Errorf("%d starts, %d rentals, %d releases of round %d", len(r.Starts), len(r.Provisions), len(r.Deprovisions), r.RoundNo)
 	}
 	again, err := r.Encode()
 	if err != nil {
@@ -94,9 +94,9 @@
 	}
 }
 
-// wide is a round that starts a gang of n tasks on as many machines.
-func wide(n int) *Record {
-	r := &Record{Schema: schemaPlain, No: 4711, Epoch: 991, Low: 4700}
+// wideRecord is a round that starts a gang of n tasks on as many machines.
+func wideRecord(n int) *Record {
+	r := &Record{SchemaVersion: SchemaPlain, RoundNo: 4711, Epoch: 991, LowWatermark: 4700}
 	for i := range n {
 		r.Starts = append(r.Starts, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
 			Session: unit.Session(i%9 + 1), Tasks: unit.Set{{First: unit.TaskIndex(i), Last: unit.TaskIndex(i)}}})
@@ -104,18 +104,18 @@
 	return r
 }
 
-// TestRoundInParts: a round that does not fit into one value is split into parts
+// TestRecordInChunks: a round that does not fit into one value is split into parts
 // of the smaller limit, and read back whole or not at all. One that fits is what
 // the version before reads.
-func TestRoundInParts(t *testing.T) {
+func TestRecordInChunks(t *testing.T) {
 	const limit, values = 2048, 4
-	want := wide(600)
+	want := wideRecord(600)
 	head, rest, err := want.Split(limit, values, statestore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rest) == 0 || head.Schema != schemaParts || statestore.JSONSize(head) > limit {
-		t.Fatalf("%d parts, a head of %d bytes in schema %d", len(rest), statestore.JSONSize(head), head.Schema)
+	if len(rest) == 0 || head.SchemaVersion != schemaChunked || statestore.JSONSize(head) > limit {
+		t.Fatalf("%d parts, a head of %d bytes in schema %d", len(rest), statestore.JSONSize(head), head.SchemaVersion)
 	}
 	stored := func(v any) []byte {
 		data, err := msgpack.Marshal(v)
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Schema = want.Schema
+	got.SchemaVersion = want.SchemaVersion
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
@@ -148,25 +148,25 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if small, none, err := wide(3).Split(limit, values, statestore.JSONSize); err != nil || len(none) > 0 || small.Schema != schemaPlain {
-		t.Errorf("a small round: %d parts, schema %d, %v", len(none), small.Schema, err)
+	if small, none, err := wideRecord(3).Split(limit, values, statestore.JSONSize); err != nil || len(none) > 0 || small.SchemaVersion != SchemaPlain {
+		t.Errorf("a small round: %d parts, schema %d, %v", len(none), small.SchemaVersion, err)
 	}
-	if plain, none, err := want.Split(8192, 1, statestore.JSONSize); err != nil || len(none) > 0 || plain.Schema != schemaPlain {
-		t.Errorf("where the version before may serve: %d parts, schema %d, %v", len(none), plain.Schema, err)
+	if plain, none, err := want.Split(8192, 1, statestore.JSONSize); err != nil || len(none) > 0 || plain.SchemaVersion != SchemaPlain {
+		t.Errorf("where the version before may serve: %d parts, schema %d, %v", len(none), plain.SchemaVersion, err)
 	}
-	if _, _, err := wide(9000).Split(limit, values, statestore.JSONSize); !errors.Is(err, parts.ErrTooLarge) {
+	if _, _, err := wideRecord(9000).Split(limit, values, statestore.JSONSize); !errors.Is(err, parts.ErrTooLarge) {
 		t.Errorf("9,000 starts: %v", err)
 	}
 }
 
-// TestStartsNameTheirAttempt: a replacement in a gang that waits keeps the gang's
+// TestReplacementKeepsAttempt: a replacement in a gang that waits keeps the gang's
 // attempt, in a record that the version before refuses to read.
-func TestStartsNameTheirAttempt(t *testing.T) {
-	r := wide(2)
+func TestReplacementKeepsAttempt(t *testing.T) {
+	r := wideRecord(2)
 	r.Starts[1].Attempt = 4700
 	head, rest, err := r.Split(2048, 4, statestore.JSONSize)
-	if err != nil || len(rest) > 0 || head.Schema != schemaParts {
-		t.Fatalf("%d parts, schema %d, %v", len(rest), head.Schema, err)
+	if err != nil || len(rest) > 0 || head.SchemaVersion != schemaChunked {
+		t.Fatalf("%d parts, schema %d, %v", len(rest), head.SchemaVersion, err)
 	}
 	data, err := msgpack.Marshal(head)
 	if err != nil {
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := got.Starts[0].AttemptIn(got.No), got.Starts[1].AttemptIn(got.No); a != 4711 || b != 4700 {
+	if a, b := got.Starts[0].AttemptInRound(got.RoundNo), got.Starts[1].AttemptInRound(got.RoundNo); a != 4711 || b != 4700 {
 		t.Errorf("attempts %d and %d", a, b)
 	}
 }
--- a/internal/round/rent.go
+++ b/internal/round/rent.go
@@ -9,22 +9,22 @@
 	"badgerbay/internal/unit"
 )
 
-// serviceHorizon is the run time, in seconds, over which the boot of a machine
+// defaultRunSeconds is the run time, in seconds, over which the boot of a machine
 // is weighed for tasks whose own run time is not known.
-const serviceHorizon = 300
+const defaultRunSeconds = 300
 
-// lateUnit: being late by so many seconds counts as much as the price.
-const lateUnit = 30
+// latenessUnitSeconds: being late by so many seconds counts as much as the price.
+const latenessUnitSeconds = 30
 
-// rent decides on at most one rental: the best offer for the first job that
+// provision decides on at most one rental: the best offer for the first job that
 // found no room, as many machines as that job and those behind it fill.
-func (p *planner) rent(short []shortage) {
-	if !p.w.MayHire {
+func (p *planner) provision(short []shortage) {
+	if !p.snapshot.MayProvision {
 		return
 	}
 	sums := map[unit.Class]int{}
 	for _, s := range short {
-		sums[s.job.Spec.Class] += s.n
+		sums[s.job.Spec.Class] += s.tasks
 	}
 	for class, n := range sums {
 		p.demand[class] = max(p.demand[class], n)
@@ -34,17 +34,17 @@
 		if typ == nil {
 			continue
 		}
-		count := p.fill(short[i:], offer, typ)
+		count := p.machinesNeeded(short[i:], offer, typ)
 		if count > 0 {
-			p.plan.HireFor = s.job.ID
-			p.plan.Record.Hires = []Hire{{Name: HireName(p.w.Epoch, p.w.No, 0), Offer: offer, Count: count}}
+			p.plan.ProvisionedFor = s.job.ID
+			p.plan.Record.Provisions = []Provision{{Name: ProvisionName(p.snapshot.Epoch, p.snapshot.RoundNo, 0), Offer: offer, Count: count}}
 			return
 		}
 	}
 }
 
-// fill tells how many machines of the offer the tasks in need of one take.
-func (p *planner) fill(short []shortage, o rental.Offer, t *fleet.MachineType) int {
+// machinesNeeded tells how many machines of the offer the tasks in need of one take.
+func (p *planner) machinesNeeded(short []shortage, o rental.Offer, t *fleet.MachineType) int {
 	free := checkpoint.Resources{}
 	count := 0
 	for i, s := range short {
@@ -53,9 +53,9 @@
 				continue
 			}
 		}
-		n := min(s.n, p.zoneRoom(s.job, o.Zone))
-		if p.needsOnlyBegin(s.job) && !p.isCheap(s.job, t, o.Spot) {
-			n = min(n, 1-min(1, p.promised[s.job]))
+		n := min(s.tasks, p.zoneRoom(s.job, o.Zone))
+		if p.needsOnlyOneStart(s.job) && !p.isCheap(s.job, t, o.Spot) {
+			n = min(n, 1-min(1, p.tasksAwaitingMachines[s.job]))
 		}
 		for ; n > 0; n-- {
 			if !free.Fits(s.job.Spec.TaskResources()) {
@@ -78,13 +78,13 @@
 	var bestType *fleet.MachineType
 	bestCost := math.Inf(1)
 	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) {
-		if z := p.gangZone[j]; z != "" && z != o.Zone {
+		if z := p.provisionZone[j]; z != "" && z != o.Zone {
 			return
 		}
-		if p.zoneRoom(j, o.Zone) == 0 || p.w.Blocked(o) || !p.worth(j, t, o.Spot) {
+		if p.zoneRoom(j, o.Zone) == 0 || p.snapshot.OfferUnavailable(o) || !p.worthProvisioning(j, t, o.Spot) {
 			return
 		}
-		if cost := p.cost(j, t, o.Zone, o.Spot); cost < bestCost {
+		if cost := p.offerCost(j, t, o.Zone, o.Spot); cost < bestCost {
 			best, bestType, bestCost = o, t, cost
 		}
 	})
@@ -93,8 +93,8 @@
 
 // eachOffer calls f for every kind of machine that the job allows.
 func (p *planner) eachOffer(j *checkpoint.Job, f func(rental.Offer, *fleet.MachineType)) {
-	for _, t := range p.w.Types {
-		for _, z := range t.AvailableZones(p.w.Zones) {
+	for _, t := range p.snapshot.MachineTypes {
+		for _, z := range t.AvailableZones(p.snapshot.Zones) {
 			for _, spot := range []bool{true, false} {
 				if j.Spec.AllowsMachine(t.Name, z, spot) {
 					f(rental.Offer{Type: t.Name, Zone: z, Spot: spot}, t)
@@ -104,26 +104,26 @@
 	}
 }
 
-func (p *planner) cost(j *checkpoint.Job, t *fleet.MachineType, z unit.Zone, spot bool) float64 {
+func (p *planner) offerCost(j *checkpoint.Job, t *fleet.MachineType, z unit.Zone, spot bool) float64 {
 	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
 	if per == 0 {
 		return math.Inf(1)
 	}
 	run := j.Spec.EstimatedRunSeconds
 	if j.Spec.Service || run <= 0 {
-		run = serviceHorizon
+		run = defaultRunSeconds
 	}
-	wait := startTime(j, t)
+	wait := newMachineStartSeconds(j, t)
 	// A machine that the job fills only in part is paid for in whole.
 	filled := min(per, max(1, p.demand[j.Spec.Class]))
-	cost := price(t, spot) / float64(filled) * (run + wait) / run
-	if within := p.w.Expect[j.Spec.Class].Start.Seconds(); within > 0 && wait > within {
+	cost := machinePrice(t, spot) / float64(filled) * (run + wait) / run
+	if within := p.snapshot.Objectives[j.Spec.Class].StartWithin.Seconds(); within > 0 && wait > within {
 		// It will be late wherever it goes: the sooner the better.
-		cost *= 1 + (wait-within)/lateUnit
+		cost *= 1 + (wait-within)/latenessUnitSeconds
 	}
-	if left, has := p.timeLeft(j); has && run+wait > left {
+	if left, has := p.secondsToDeadline(j); has && run+wait > left {
 		cost *= 2 + (run+wait-left)/run
 	}
 	// A second zone spreads the risk; the fewest machines first.
-	return cost * (1 + 0.001*float64(p.inZone[z]))
+	return cost * (1 + 0.001*float64(p.machinesByZone[z]))
 }
--- a/internal/round/ring.go
+++ b/internal/round/ring.go
@@ -10,14 +10,16 @@
 )
 
 type slot struct {
-	version  unit.Revision
-	no       unit.RoundNo
-	jobs     map[unit.JobID]bool
-	hires    map[string]bool
-	releases map[unit.MachineID]bool
+	revision            unit.Revision
+	roundNo             unit.RoundNo
+	pendingJobs         map[unit.JobID]bool
+	pendingProvisions   map[string]bool
+	pendingDeprovisions map[unit.MachineID]bool
 }
 
-func (s *slot) open() bool { return len(s.jobs)+len(s.hires)+len(s.releases) > 0 }
+func (s *slot) isOpen() bool {
+	return len(s.pendingJobs)+len(s.pendingProvisions)+len(s.pendingDeprovisions) > 0
+}
 
 // Ring is the small ring of round records. A slot is used again once all that
 // its round decided is settled elsewhere.
@@ -34,128 +36,128 @@
 	return KeyPrefix + strconv.Itoa(int(no%unit.RoundNo(len(g.slots))))
 }
 
-// PartKey is the key of part n of the record in the slot with a key. The keys of
+// ChunkKey is the key of part n of the record in the slot with a key. The keys of
 // slots name no job, so they don't meet those of jobs' parts.
-func PartKey(slot string, n int) string { return parts.Key(slot, n) }
+func ChunkKey(slot string, n int) string { return parts.Key(slot, n) }
 
 func (g *Ring) slotOf(no unit.RoundNo) *slot { return &g.slots[no%unit.RoundNo(len(g.slots))] }
 
 // Next is the number of the next round, and whether its slot is free.
-func (g *Ring) Next() (unit.RoundNo, bool) { return g.next, !g.slotOf(g.next).open() }
+func (g *Ring) Next() (unit.RoundNo, bool) { return g.next, !g.slotOf(g.next).isOpen() }
 
-// Fresh tells whether no round was ever recorded: nothing has been rented or
+// IsUnused tells whether no round was ever recorded: nothing has been rented or
 // placed by anybody.
-func (g *Ring) Fresh() bool { return g.next == 1 }
+func (g *Ring) IsUnused() bool { return g.next == 1 }
 
-// Version is the version of the slot that round no goes to.
-func (g *Ring) Version(no unit.RoundNo) unit.Revision { return g.slotOf(no).version }
+// Revision is the version of the slot that round no goes to.
+func (g *Ring) Revision(no unit.RoundNo) unit.Revision { return g.slotOf(no).revision }
 
-// Low is the lowest round that is not settled.
-func (g *Ring) Low() unit.RoundNo {
+// LowWatermark is the lowest round that is not settled.
+func (g *Ring) LowWatermark() unit.RoundNo {
 	low := g.next
 	for i := range g.slots {
-		if g.slots[i].open() {
-			low = min(low, g.slots[i].no)
+		if g.slots[i].isOpen() {
+			low = min(low, g.slots[i].roundNo)
 		}
 	}
 	return low
 }
 
-// Free counts the free slots.
-func (g *Ring) Free() int {
+// FreeSlots counts the free slots.
+func (g *Ring) FreeSlots() int {
 	n := 0
 	for i := range g.slots {
-		if !g.slots[i].open() {
+		if !g.slots[i].isOpen() {
 			n++
 		}
 	}
 	return n
 }
 
-// Put takes in a record that is stored with the version.
-func (g *Ring) Put(r *Record, v unit.Revision) {
-	s := slot{version: v, no: r.No, jobs: map[unit.JobID]bool{}, hires: map[string]bool{}, releases: map[unit.MachineID]bool{}}
+// Add takes in a record that is stored with the version.
+func (g *Ring) Add(r *Record, v unit.Revision) {
+	s := slot{revision: v, roundNo: r.RoundNo, pendingJobs: map[unit.JobID]bool{}, pendingProvisions: map[string]bool{}, pendingDeprovisions: map[unit.MachineID]bool{}}
 	for _, st := range r.Starts {
-		s.jobs[st.Job] = true
+		s.pendingJobs[st.Job] = true
 	}
-	for _, h := range r.Hires {
-		s.hires[h.Name] = true
+	for _, h := range r.Provisions {
+		s.pendingProvisions[h.Name] = true
 	}
-	for _, m := range r.Releases {
-		s.releases[m] = true
+	for _, m := range r.Deprovisions {
+		s.pendingDeprovisions[m] = true
 	}
-	*g.slotOf(r.No) = s
-	g.next = max(g.next, r.No+1)
+	*g.slotOf(r.RoundNo) = s
+	g.next = max(g.next, r.RoundNo+1)
 }
 
-// Skip takes in that the record under a key can't be read. Its slot may be used
+// SkipUnreadable takes in that the record under a key can't be read. Its slot may be used
 // again under that version, and its number, whatever it was, is passed over: a
 // number names attempts, and must not come twice.
-func (g *Ring) Skip(key string, v unit.Revision) {
+func (g *Ring) SkipUnreadable(key string, v unit.Revision) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, KeyPrefix))
 	if err != nil || n < 0 || n >= len(g.slots) {
 		return
 	}
-	g.slots[n].version = v
+	g.slots[n].revision = v
 	g.next += unit.RoundNo(len(g.slots))
 }
 
-// Stored is a record read back with its version.
-type Stored struct {
-	Key     string
-	Record  *Record
-	Version unit.Revision
+// StoredRecord is a record read back with its version.
+type StoredRecord struct {
+	Key      string
+	Record   *Record
+	Revision unit.Revision
 }
 
-// Restore makes a ring from what a successor reads: records in the order of
+// RestoreRing makes a ring from what a successor reads: records in the order of
 // their rounds. Those below the Low of the newest are settled already.
-func Restore(n int, stored []Stored) (*Ring, []*Record) {
+func RestoreRing(n int, stored []StoredRecord) (*Ring, []*Record) {
 	g := NewRing(n)
-	sort.Slice(stored, func(a, b int) bool { return stored[a].Record.No < stored[b].Record.No })
+	sort.Slice(stored, func(a, b int) bool { return stored[a].Record.RoundNo < stored[b].Record.RoundNo })
 	var open []*Record
 	low := unit.RoundNo(0)
 	for _, s := range stored {
-		low = max(low, s.Record.Low)
+		low = max(low, s.Record.LowWatermark)
 	}
 	for _, s := range stored {
-		if s.Record.No >= low {
-			g.Put(s.Record, s.Version)
+		if s.Record.RoundNo >= low {
+			g.Add(s.Record, s.Revision)
 			open = append(open, s.Record)
 			continue
 		}
-		g.Put(&Record{No: s.Record.No}, s.Version)
+		g.Add(&Record{RoundNo: s.Record.RoundNo}, s.Revision)
 	}
 	return g, open
 }
 
-// Folded notes that the checkpoint of a job holds all rounds up to through.
-func (g *Ring) Folded(job unit.JobID, through unit.RoundNo) {
+// JobFolded notes that the checkpoint of a job holds all rounds up to through.
+func (g *Ring) JobFolded(job unit.JobID, through unit.RoundNo) {
 	for i := range g.slots {
-		if s := &g.slots[i]; s.no <= through {
-			delete(s.jobs, job)
+		if s := &g.slots[i]; s.roundNo <= through {
+			delete(s.pendingJobs, job)
 		}
 	}
 }
 
-// SettleHire notes that a rental has been answered for good.
-func (g *Ring) SettleHire(name string) {
+// SettleProvision notes that a rental has been answered for good.
+func (g *Ring) SettleProvision(name string) {
 	for i := range g.slots {
-		delete(g.slots[i].hires, name)
+		delete(g.slots[i].pendingProvisions, name)
 	}
 }
 
-// SettleRelease notes that a machine is gone.
-func (g *Ring) SettleRelease(m unit.MachineID) {
+// SettleDeprovision notes that a machine is gone.
+func (g *Ring) SettleDeprovision(m unit.MachineID) {
 	for i := range g.slots {
-		delete(g.slots[i].releases, m)
+		delete(g.slots[i].pendingDeprovisions, m)
 	}
 }
 
-// Oldest returns the jobs that keep the oldest open slot open.
-func (g *Ring) Oldest() []unit.JobID {
+// OldestOpenJobs returns the jobs that keep the oldest open slot open.
+func (g *Ring) OldestOpenJobs() []unit.JobID {
 	var s *slot
 	for i := range g.slots {
-		if g.slots[i].open() && (s == nil || g.slots[i].no < s.no) {
+		if g.slots[i].isOpen() && (s == nil || g.slots[i].roundNo < s.roundNo) {
 			s = &g.slots[i]
 		}
 	}
@@ -163,7 +165,7 @@
 		return nil
 	}
 	var out []unit.JobID
-	for j := range s.jobs {
+	for j := range s.pendingJobs {
 		out = append(out, j)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a] < out[b] })
--- a/internal/round/ring_test.go
+++ b/internal/round/ring_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 4
 		ring := NewRing(slots)
-		stored := map[string]Stored{}
+		stored := map[string]StoredRecord{}
 		open := map[unit.RoundNo]unit.JobID{}
 		version := unit.Revision(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -26,37 +26,37 @@
 				if !free {
 					continue
 				}
-				if old, ok := stored[ring.Key(no)]; ok && open[old.Record.No] != "" {
-					t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.No)
+				if old, ok := stored[ring.Key(no)]; ok && open[old.Record.RoundNo] != "" {
+					t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.RoundNo)
 				}
 				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "job")))
-				r := &Record{No: no, Low: min(ring.Low(), no), Starts: []Start{{Job: job}}}
+				r := &Record{RoundNo: no, LowWatermark: min(ring.LowWatermark(), no), Starts: []Start{{Job: job}}}
 				version++
-				ring.Put(r, version)
-				stored[ring.Key(no)] = Stored{ring.Key(no), r, version}
+				ring.Add(r, version)
+				stored[ring.Key(no)] = StoredRecord{ring.Key(no), r, version}
 				open[no] = job
 			case 1:
 				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "folded")))
 				no, _ := ring.Next()
-				ring.Folded(job, no-1)
+				ring.JobFolded(job, no-1)
 				for r, j := range open {
 					if j == job && r < no {
 						delete(open, r)
 					}
 				}
 			case 2:
-				var all []Stored
+				var all []StoredRecord
 				for _, s := range stored {
 					all = append(all, s)
 				}
 				next, _ := ring.Next()
-				again, found := Restore(slots, all)
+				again, found := RestoreRing(slots, all)
 				if got, _ := again.Next(); got != next {
 					t.Fatalf("a successor goes on at round %d, not %d", got, next)
 				}
 				seen := map[unit.RoundNo]bool{}
 				for _, r := range found {
-					seen[r.No] = true
+					seen[r.RoundNo] = true
 				}
 				for r := range open {
 					if !seen[r] {
--- a/internal/round/urgency_test.go
+++ b/internal/round/urgency_test.go
@@ -10,22 +10,22 @@
 	"badgerbay/internal/unit"
 )
 
-// gpuScene has one machine type with many CPUs and two GPUs, whose spot machines
+// newGPUFixture has one machine type with many CPUs and two GPUs, whose spot machines
 // are all taken, and n ordinary machines that are up.
-func gpuScene(t *testing.T, n int) *scene {
-	s := newScene(t)
-	s.w.Types = []*fleet.MachineType{{Name: "m4", Capacity: checkpoint.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
+func newGPUFixture(t *testing.T, n int) *fixture {
+	s := newFixture(t)
+	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: checkpoint.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
 		HourlyPrice: 4, HourlySpotPrice: 1, BootTime: 30 * time.Second, Zones: []unit.Zone{"a", "b"}}}
-	s.w.Fleet.SetMachineTypes(s.w.Types)
-	s.w.Teams = nil
-	s.w.Blocked = func(o rental.Offer) bool { return o.Spot }
+	s.snapshot.Fleet.SetMachineTypes(s.snapshot.MachineTypes)
+	s.snapshot.Teams = nil
+	s.snapshot.OfferUnavailable = func(o rental.Offer) bool { return o.Spot }
 	for i := range n {
-		s.machine(unit.MachineID("host-"+string(rune('a'+i))), "a", false)
+		s.addMachine(unit.MachineID("host-"+string(rune('a'+i))), "a", false)
 	}
 	return s
 }
 
-func gpuArray(tasks int, estimate float64) checkpoint.Spec {
+func gpuArraySpec(tasks int, estimate float64) checkpoint.Spec {
 	return checkpoint.Spec{Class: "arr", Team: "red", Priority: checkpoint.PriorityBestEffort, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimatedRunSeconds: estimate, Spot: true}
 }
@@ -34,10 +34,10 @@
 // GPUs five turns, however many CPUs those have. Counted in CPUs they seemed to have
 // room for all of them at once, and no machine was rented.
 func TestScarceGPUsDecide(t *testing.T) {
-	s := gpuScene(t, 4)
-	s.w.Expect = map[unit.Class]Expect{"arr": Expect{}.Add("finished", 110*time.Second)}
-	s.job("wk-000001", gpuArray(40, 50))
-	if plan := s.plan(); len(plan.Record.Hires) == 0 {
+	s := newGPUFixture(t, 4)
+	s.snapshot.Objectives = map[unit.Class]Objectives{"arr": Objectives{}.With("finished", 110*time.Second)}
+	s.addJob("wk-000001", gpuArraySpec(40, 50))
+	if plan := s.plan(); len(plan.Record.Provisions) == 0 {
 		t.Error("no machine is rented for an array that the machines at hand would finish late")
 	}
 }
@@ -46,22 +46,22 @@
 // the shortest counts, as long as the job can still keep it. The last one counted,
 // so work was planned to be done within the 250 s that only stragglers may take.
 func TestShortestObjectiveDecides(t *testing.T) {
-	s := gpuScene(t, 1)
-	s.w.Expect = map[unit.Class]Expect{"arr": Expect{}.Add("finished", 250*time.Second).Add("finished", 150*time.Second)}
-	j := s.job("wk-000001", gpuArray(1, 50))
+	s := newGPUFixture(t, 1)
+	s.snapshot.Objectives = map[unit.Class]Objectives{"arr": Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)}
+	j := s.addJob("wk-000001", gpuArraySpec(1, 50))
 	patienceAfter := func(waited time.Duration) float64 {
-		w := *s.w
+		w := *s.snapshot
 		w.WallMs = waited.Milliseconds()
-		return (&planner{w: &w}).slack(j)
+		return (&planner{snapshot: &w}).slackSeconds(j)
 	}
 	for _, c := range []struct {
 		waited time.Duration
 		want   float64
 	}{
-		{0, 150 - runs*50},
-		{80 * time.Second, 150 - 80 - runs*50},
+		{0, 150 - expectedRunRatio*50},
+		{80 * time.Second, 150 - 80 - expectedRunRatio*50},
 		{119 * time.Second, 0}, // all must go well
-		{121 * time.Second, 250 - 121 - runs*50},
+		{121 * time.Second, 250 - 121 - expectedRunRatio*50},
 		{240 * time.Second, 0},
 	} {
 		if got := patienceAfter(c.waited); got < c.want-0.01 || got > c.want+0.01 {
@@ -70,25 +70,25 @@
 	}
 }
 
-// TestSavingWorkMakesRoomInTime: work that saves within a quarter of the time in
+// TestCheckpointingWorkIsEvictedInTime: work that saves within a quarter of the time in
 // which a class must start leaves room for it; what takes longer does not.
-func TestSavingWorkMakesRoomInTime(t *testing.T) {
+func TestCheckpointingWorkIsEvictedInTime(t *testing.T) {
 	for saves, hires := range map[float64]bool{2: false, 4: true} {
-		s := gpuScene(t, 3)
-		s.w.Expect = map[unit.Class]Expect{"svc": Expect{}.Add("wait", 12*time.Second)}
-		replica := gpuArray(2, 0)
+		s := newGPUFixture(t, 3)
+		s.snapshot.Objectives = map[unit.Class]Objectives{"svc": Objectives{}.With("wait", 12*time.Second)}
+		replica := gpuArraySpec(2, 0)
 		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, checkpoint.PriorityProd
-		s.w.Spares = []*checkpoint.Spec{&replica}
-		array := gpuArray(6, 100)
+		s.snapshot.SpareSpecs = []*checkpoint.Spec{&replica}
+		array := gpuArraySpec(6, 100)
 		array.CheckpointIntervalSeconds, array.CheckpointSeconds = 10, saves
-		j := s.job("wk-000001", array)
+		j := s.addJob("wk-000001", array)
 		for i := range 6 {
 			p := s.place(j, unit.TaskIndex(i), unit.MachineID("host-"+string(rune('a'+i/2))))
-			p.RunningSince = s.w.Now
+			p.RunningSince = s.snapshot.Now
 		}
 		j.Queue = nil
-		if plan := s.plan(); (len(plan.Record.Hires) > 0) != hires {
-			t.Errorf("work that saves for %v s: rented %v", saves, plan.Record.Hires)
+		if plan := s.plan(); (len(plan.Record.Provisions) > 0) != hires {
+			t.Errorf("work that saves for %v s: rented %v", saves, plan.Record.Provisions)
 		}
 	}
 }
--- a/internal/round/waits_test.go
+++ b/internal/round/waits_test.go
@@ -9,47 +9,47 @@
 	"badgerbay/internal/unit"
 )
 
-// lateScene has one free machine that is dear, since cheap ones exist and can't
+// newCostlyFixture has one free machine that is dear, since cheap ones exist and can't
 // be had, and no guarantees.
-func lateScene(t *testing.T) *scene {
-	s := newScene(t)
-	s.w.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
-	s.machine("host-1", "a", false)
+func newCostlyFixture(t *testing.T) *fixture {
+	s := newFixture(t)
+	s.snapshot.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
+	s.addMachine("host-1", "a", false)
 	return s
 }
 
-func begun(s *scene, id unit.JobID, idle time.Duration) *checkpoint.Job {
-	spec := task("red", checkpoint.PriorityStandard, 6, 1)
+func startedJob(s *fixture, id unit.JobID, idle time.Duration) *checkpoint.Job {
+	spec := taskSpec("red", checkpoint.PriorityStandard, 6, 1)
 	spec.Spot = true
-	j := s.job(id, spec)
-	j.CompleteTask(s.w.Now, 0) // some of it has run already
-	j.QueuedSince = s.w.Now.Add(-idle)
+	j := s.addJob(id, spec)
+	j.CompleteTask(s.snapshot.Now, 0) // some of it has run already
+	j.QueuedSince = s.snapshot.Now.Add(-idle)
 	return j
 }
 
-// TestRestOfAJobIsNotLeft: what is left of a job that has begun, and that
+// TestRestOfJobIsNotStarved: what is left of a job that has begun, and that
 // nothing is expected of, waits for a cheap machine, but not for ever: beside an
 // idle dear one it waited for good.
-func TestRestOfAJobIsNotLeft(t *testing.T) {
+func TestRestOfJobIsNotStarved(t *testing.T) {
 	for _, c := range []struct {
 		idle   time.Duration
 		starts int
 	}{{20 * time.Second, 0}, {70 * time.Second, 1}} {
-		s := lateScene(t)
-		begun(s, "wk-000001", c.idle)
+		s := newCostlyFixture(t)
+		startedJob(s, "wk-000001", c.idle)
 		if plan := s.plan(); len(plan.Record.Starts) != c.starts {
 			t.Errorf("after %v: %d starts, want %d", c.idle, len(plan.Record.Starts), c.starts)
 		}
 	}
 }
 
-// TestNobodyHoldsWhatItMayNotUse: a job that may have room made for it does not
+// TestUnusableRoomIsNotReserved: a job that may have room made for it does not
 // hold free room on machines that it stays off; others waited beside them.
-func TestNobodyHoldsWhatItMayNotUse(t *testing.T) {
-	s := lateScene(t)
-	s.w.Policy.PreemptionDelay = 5 * time.Second
-	begun(s, "wk-000001", 30*time.Second) // may preempt, and goes first
-	later := begun(s, "wk-000002", 70*time.Second)
+func TestUnusableRoomIsNotReserved(t *testing.T) {
+	s := newCostlyFixture(t)
+	s.snapshot.Policy.PreemptionDelay = 5 * time.Second
+	startedJob(s, "wk-000001", 30*time.Second) // may preempt, and goes first
+	later := startedJob(s, "wk-000002", 70*time.Second)
 	later.AcceptedAtMs = 1
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != later.ID {
--- a/internal/takeover/records.go
+++ b/internal/takeover/records.go
@@ -27,7 +27,7 @@
 // Records are what could be read of it.
 type Records struct {
 	Jobs   []JobRecord
-	Rounds []round.Stored
+	Rounds []round.StoredRecord
 	// LostRounds are the slots whose rounds can't be read.
 	LostRounds      []statestore.KeyValue
 	SchemaAgreement rollout.Agreement
@@ -52,7 +52,7 @@
 // FromNewerSchema tells whether a newer program has written the record: this one must not
 // decide without knowing what that one has decided.
 func (u UnreadableRecord) FromNewerSchema() bool {
-	return errors.Is(u.Err, checkpoint.ErrNewerSchema) || errors.Is(u.Err, round.ErrSchema)
+	return errors.Is(u.Err, checkpoint.ErrNewerSchema) || errors.Is(u.Err, round.ErrNewerSchema)
 }
 
 // DecodeRecords decodes all records. stageKey is the key that guards staged records.
@@ -98,14 +98,14 @@
 
 func (r *Records) decodeRounds(items []statestore.KeyValue, parts map[string][]byte) {
 	for _, item := range items {
-		part := func(n int) []byte { return parts[round.PartKey(item.Key, n)] }
+		part := func(n int) []byte { return parts[round.ChunkKey(item.Key, n)] }
 		record, err := round.Decode(item.Value, part)
 		if err != nil {
 			r.addUnreadable(item.Key, err)
 			r.LostRounds = append(r.LostRounds, item)
 			continue
 		}
-		r.Rounds = append(r.Rounds, round.Stored{Key: item.Key, Record: record, Version: item.ModRevision})
+		r.Rounds = append(r.Rounds, round.StoredRecord{Key: item.Key, Record: record, Revision: item.ModRevision})
 	}
 }
 
--- a/internal/userapi/rules.go
+++ b/internal/userapi/rules.go
@@ -43,7 +43,7 @@
 	if most == 0 || s.Gang && s.MaxTasksPerZone() < s.Tasks && !r.mayBeApart(s) {
 		return http.StatusUnprocessableEntity
 	}
-	if s.Gang && !round.GangFits(s, most, statestore.JSONSize(s), r.State) {
+	if s.Gang && !round.GangRecordsFit(s, most, statestore.JSONSize(s), r.State) {
 		return http.StatusUnprocessableEntity
 	}
 	return 0
