--- a/cmd/badgerbay/client.go
+++ b/cmd/badgerbay/client.go
@@ -35,7 +35,7 @@
 	if err := dec.Decode(&job); err != nil {
 		return fmt.Errorf("%s is not a JSON object: %w", c.File, err)
 	}
-	body, err := msgpack.Marshal(plain(job))
+	body, err := msgpack.Marshal(decodeNumbers(job))
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 	return os.ReadFile(name)
 }
 
-// plain turns the numbers of JSON into whole or decimal numbers, as written.
-func plain(v any) any {
+// decodeNumbers turns the numbers of JSON into whole or decimal numbers, as written.
+func decodeNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
 		if n, err := v.Int64(); err == nil {
@@ -60,11 +60,11 @@
 		return f
 	case map[string]any:
 		for k, e := range v {
-			v[k] = plain(e)
+			v[k] = decodeNumbers(e)
 		}
 	case []any:
 		for i, e := range v {
-			v[i] = plain(e)
+			v[i] = decodeNumbers(e)
 		}
 	}
 	return v
@@ -115,7 +115,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusCreated {
-		return refusal(resp)
+		return statusError(resp)
 	}
 	var answer map[string]any
 	if err := msgpack.Unmarshal(data, &answer); err != nil {
@@ -124,7 +124,7 @@
 	return json.NewEncoder(os.Stdout).Encode(answer)
 }
 
-func refusal(resp *http.Response) error {
+func statusError(resp *http.Response) error {
 	if after := resp.Header.Get("Retry-After"); after != "" {
 		return fmt.Errorf("%s; come back in %s s", resp.Status, after)
 	}
--- a/cmd/badgerbay/golden_test.go
+++ b/cmd/badgerbay/golden_test.go
@@ -106,7 +106,7 @@
 		}))
 		out, err := runVerb(t, "status wk-000412 --addr "+strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
-		if err == nil || err.Error() != want || out != "" || statusOf(err) != 1 {
+		if err == nil || err.Error() != want || out != "" || exitStatus(err) != 1 {
 			t.Errorf("Retry-After %q: printed %q, %v", retryAfter, out, err)
 		}
 	}
--- a/cmd/badgerbay/main.go
+++ b/cmd/badgerbay/main.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	keepWithin(set.Params.MachineLimits)
+	applyMachineLimits(set.Params.MachineLimits)
 	node, err := controller.NewNode(set, pol, log)
 	if err != nil {
 		return err
@@ -75,8 +75,8 @@
 	return node.Run(ctx)
 }
 
-// keepWithin fits the runtime to what the machine grants the process.
-func keepWithin(l config.Limits) {
+// applyMachineLimits fits the runtime to what the machine grants the process.
+func applyMachineLimits(l config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.CPUs))))
 	debug.SetMemoryLimit(int64(l.MemoryMB * 0.7 * (1 << 20)))
 }
@@ -128,10 +128,10 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "badgerbay:", err)
-	os.Exit(statusOf(err))
+	os.Exit(exitStatus(err))
 }
 
-func statusOf(err error) int {
+func exitStatus(err error) int {
 	var field *config.FieldError
 	var pol *policy.Error
 	var wrong *feature.Error
--- a/cmd/badgerbay/main_test.go
+++ b/cmd/badgerbay/main_test.go
@@ -20,7 +20,7 @@
 		}
 		flags := settingsFlags{Config: "../../examples/node-0.json", Policy: file}
 		_, _, err := flags.load()
-		if err == nil || statusOf(err) != exitUsage || !strings.HasPrefix(err.Error(), field+": ") || strings.Contains(err.Error(), "\n") {
+		if err == nil || exitStatus(err) != exitUsage || !strings.HasPrefix(err.Error(), field+": ") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line that names %s", script, err, field)
 		}
 	}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -14,20 +14,20 @@
 	"badgerbay/internal/unit"
 )
 
-// TestBook: a connection finds room as long as another is missed less, and is
+// TestLimiterEviction: a connection finds room as long as another is missed less, and is
 // refused otherwise; strangers go before workers.
-func TestBook(t *testing.T) {
-	limiter := NewLimiter(Limits{All: 3, IdleTimeout: 10 * time.Second})
+func TestLimiterEviction(t *testing.T) {
+	limiter := NewLimiter(Limits{MaxConnections: 3, IdleTimeout: 10 * time.Second})
 	now := unit.Instant(time.Hour)
-	enter := func() (*Conn, *Conn) { return limiter.Open(now, func() {}) }
+	enter := func() (*Entry, *Entry) { return limiter.Admit(now, func() {}) }
 	worker, _ := enter()
-	limiter.Begin(worker, Worker)
-	limiter.End(now, worker)
+	limiter.BeginRequest(worker, Worker)
+	limiter.EndRequest(now, worker)
 	now = now.Add(3 * time.Second)
 	silent, _ := enter()
 	busy, _ := enter()
-	limiter.Begin(busy, User)
-	if v, _ := enter(); v != nil || limiter.Refused != 1 {
+	limiter.BeginRequest(busy, User)
+	if v, _ := enter(); v != nil || limiter.Rejected != 1 {
 		t.Error("a fourth of three was let in, and nobody had waited long")
 	}
 	now = now.Add(2 * time.Second)
@@ -38,39 +38,39 @@
 		t.Error("a worker's connection was given up within its timeout")
 	}
 	now = now.Add(6 * time.Second)
-	first := limiter.waiting[Unidentified].Front().Value.(*Conn)
-	limiter.Begin(first, User)
+	first := limiter.idleByKind[Unidentified].Front().Value.(*Entry)
+	limiter.BeginRequest(first, User)
 	if v, evict := enter(); v == nil || evict != worker {
 		t.Error("a worker that was silent for too long must make room")
 	}
-	limiter.Close(worker) // its connection closes after it was evicted
-	if limiter.Len() != 3 || limiter.Count(User) != 2 || limiter.Count(Worker) != 0 || limiter.Count(Unidentified) != 1 {
-		t.Errorf("%d open: %d users, %d workers, %d unidentified", limiter.Len(), limiter.Count(User), limiter.Count(Worker), limiter.Count(Unidentified))
+	limiter.Remove(worker) // its connection closes after it was evicted
+	if limiter.OpenCount() != 3 || limiter.Count(User) != 2 || limiter.Count(Worker) != 0 || limiter.Count(Unidentified) != 1 {
+		t.Errorf("%d open: %d users, %d workers, %d unidentified", limiter.OpenCount(), limiter.Count(User), limiter.Count(Worker), limiter.Count(Unidentified))
 	}
-	if limiter.Begin(worker, Worker) {
+	if limiter.BeginRequest(worker, Worker) {
 		t.Error("an evicted connection is kept")
 	}
 }
 
-// TestMoreWorkersThanConnections: with more workers than the listener takes,
+// TestListenerServesMoreWorkersThanConnections: with more workers than the listener takes,
 // connections that say nothing among them, all workers are answered, and so are
 // users and probes. The listener before it stopped accepting, and left them
 // without an answer.
-func TestMoreWorkersThanConnections(t *testing.T) {
+func TestListenerServesMoreWorkersThanConnections(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	limited := New(l, Limits{All: 40, IdleTimeout: time.Minute}, func() unit.Instant { return unit.Instant(time.Hour + time.Since(begun)) })
-	kind := func(r *http.Request) Kind {
+	limited := NewListener(l, Limits{MaxConnections: 40, IdleTimeout: time.Minute}, func() unit.Instant { return unit.Instant(time.Hour + time.Since(begun)) })
+	kind := func(r *http.Request) ClientKind {
 		if r.URL.Path == "/agent/beat" {
 			return Worker
 		}
 		return User
 	}
 	served := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") })
-	srv := &http.Server{Handler: limited.Handler(kind, served), ConnContext: limited.Context}
+	srv := &http.Server{Handler: limited.Handler(kind, served), ConnContext: limited.ConnContext}
 	go srv.Serve(limited)
 	t.Cleanup(func() { srv.Close() })
 	addr := l.Addr().String()
@@ -83,7 +83,7 @@
 	}
 	var wg sync.WaitGroup
 	for i := range 60 {
-		wg.Go(func() { report(t, addr, i) })
+		wg.Go(func() { sendHeartbeats(t, addr, i) })
 	}
 	wg.Wait()
 	for range 10 {
@@ -98,9 +98,9 @@
 	}
 }
 
-// report plays a worker: it reports three times, on the connection that it has
+// sendHeartbeats plays a worker: it reports three times, on the connection that it has
 // as long as that is kept, and tries again when it is refused.
-func report(t *testing.T, addr string, i int) {
+func sendHeartbeats(t *testing.T, addr string, i int) {
 	var c net.Conn
 	for n, tries := 0, 0; n < 3; tries++ {
 		if tries == 100 {
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -17,22 +17,22 @@
 	limiter *Limiter
 }
 
-// New limits the connections of a listener.
-func New(listener net.Listener, limits Limits, now func() unit.Instant) *Listener {
+// NewListener limits the connections of a listener.
+func NewListener(listener net.Listener, limits Limits, now func() unit.Instant) *Listener {
 	return &Listener{Listener: listener, now: now, limiter: NewLimiter(limits)}
 }
 
-// conn is a connection that leaves the limiter when it is closed.
-type conn struct {
+// limitedConn is a connection that leaves the limiter when it is closed.
+type limitedConn struct {
 	net.Conn
 	listener *Listener
-	entry    *Conn
+	entry    *Entry
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
+func (c *limitedConn) Close() error {
 	c.listener.mu.Lock()
-	c.listener.limiter.Close(c.entry)
+	c.listener.limiter.Remove(c.entry)
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
@@ -46,58 +46,58 @@
 			return nil, err
 		}
 		l.mu.Lock()
-		v, evict := l.limiter.Open(l.now(), func() { c.Close() })
+		v, evict := l.limiter.Admit(l.now(), func() { c.Close() })
 		l.mu.Unlock()
 		if evict != nil {
-			evict.end()
+			evict.closeConn()
 		}
 		if v == nil {
 			c.Close()
 			continue
 		}
-		return &conn{Conn: c, listener: l, entry: v}, nil
+		return &limitedConn{Conn: c, listener: l, entry: v}, nil
 	}
 }
 
-type connKey struct{}
+type entryContextKey struct{}
 
-// Context is the ConnContext of the server on the listener.
-func (l *Listener) Context(ctx context.Context, c net.Conn) context.Context {
-	if v, ok := c.(*conn); ok {
-		return context.WithValue(ctx, connKey{}, v.entry)
+// ConnContext is the ConnContext of the server on the listener.
+func (l *Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
+	if v, ok := c.(*limitedConn); ok {
+		return context.WithValue(ctx, entryContextKey{}, v.entry)
 	}
 	return ctx
 }
 
 // Handler notes the requests that kind tells the users of, and has connections
 // closed after the answer that are more than their part.
-func (l *Listener) Handler(kind func(*http.Request) Kind, next http.Handler) http.Handler {
+func (l *Listener) Handler(kind func(*http.Request) ClientKind, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		v, ok := r.Context().Value(connKey{}).(*Conn)
+		v, ok := r.Context().Value(entryContextKey{}).(*Entry)
 		if !ok {
 			next.ServeHTTP(w, r)
 			return
 		}
 		l.mu.Lock()
-		keep := l.limiter.Begin(v, kind(r))
+		keep := l.limiter.BeginRequest(v, kind(r))
 		l.mu.Unlock()
 		if !keep {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 		l.mu.Lock()
-		l.limiter.End(l.now(), v)
+		l.limiter.EndRequest(l.now(), v)
 		l.mu.Unlock()
 	})
 }
 
 // Stats are the figures of a limited listener.
-type Stats struct{ Open, Users, Workers, Evicted, Refused int }
+type Stats struct{ Open, Users, Workers, Evicted, Rejected int }
 
 // Stats returns the present figures.
 func (l *Listener) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limiter := l.limiter
-	return Stats{Open: limiter.open, Users: limiter.count[User], Workers: limiter.count[Worker], Evicted: limiter.Evicted, Refused: limiter.Refused}
+	return Stats{Open: limiter.openCount, Users: limiter.countByKind[User], Workers: limiter.countByKind[Worker], Evicted: limiter.Evicted, Rejected: limiter.Rejected}
 }
--- a/internal/controller/acts_test.go
+++ b/internal/controller/acts_test.go
@@ -14,7 +14,7 @@
 	case ReplyReport:
 		return fake.Act{What: fake.AnsweredReport}, e.Code == 200 && !e.Final && now.Before(e.Until)
 	case ReplyAsk:
-		return fake.Act{What: fake.AnsweredUser}, e.Outcome == userapi.Known && now.Before(e.Until)
+		return fake.Act{What: fake.AnsweredUser}, e.Outcome == userapi.JobFound && now.Before(e.Until)
 	case Commit:
 		return fake.Act{What: fake.WroteRecords, Round: e.Kind == CommitRound}, true
 	case Do:
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -107,7 +107,7 @@
 		}
 	}
 	s.ExcludedMachines = slices.Collect(maps.Keys(excluded))
-	if !mesh.NamesFit(s.ExcludedMachines) {
+	if !mesh.MachineIDsFit(s.ExcludedMachines) {
 		s.GrantDuration, s.ExcludedMachines = 0, nil
 	}
 	return s
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -148,7 +148,7 @@
 		t.ring.JobFolded(j.ID, fj.round)
 		if fj.phase.Final() {
 			t.c.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
-			t.answerWaiters(j.ID, userapi.Known, t.c.lead.LeaseValidUntil())
+			t.answerWaiters(j.ID, userapi.JobFound, t.c.lead.LeaseValidUntil())
 		}
 	}
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -87,15 +87,15 @@
 // askDelegation asks a peer for a grant, and for what it has done by its own.
 func (n *Node) askDelegation(ctx context.Context, name string) error {
 	sent := n.clock.Now()
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, Delegation: true})
+	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, WantsDelegation: true})
 	if err != nil {
 		return fmt.Errorf("asking for a grant: %w", err)
 	}
-	reply, err := n.peers.Relay(ctx, name, data)
+	reply, err := n.peers.RelayBatch(ctx, name, data)
 	if err != nil {
 		return fmt.Errorf("asking for a grant: %w", err)
 	}
-	a, err := mesh.DecodeAnswers(reply)
+	a, err := mesh.DecodeReply(reply)
 	switch {
 	case err != nil:
 		return fmt.Errorf("grant of %s can't be read: %w", name, err)
@@ -106,19 +106,19 @@
 	if err != nil {
 		return err
 	}
-	n.post(ctx, PeerStatus{Node: name, Sent: sent, Status: status, Form: a.Delegation.Form, Quotas: a.Delegation.Quotas})
+	n.post(ctx, PeerStatus{Node: name, Sent: sent, Status: status, Form: a.Delegation.SchemaVersion, Quotas: a.Delegation.EnforcesQuotas})
 	return nil
 }
 
 // delegationStatus answers a peer that asks, or not at all if the core is overloaded.
-func (n *Node) delegationStatus(ctx context.Context, node string) *mesh.Delegation {
+func (n *Node) delegationStatus(ctx context.Context, node string) *mesh.DelegationStatus {
 	ticket := make(chan ReplyPeer, 1)
 	if !n.offer(PeerAsked{Ticket: ticket, Node: node}) {
 		return nil
 	}
 	select {
 	case r := <-ticket:
-		return mesh.PackDelegation(r.Status)
+		return mesh.PackDelegationStatus(r.Status)
 	case <-ctx.Done():
 		return nil
 	}
@@ -136,7 +136,7 @@
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		s := d.Stats()
-		n.log.Debug("load", "connections", s.Open, "workers", s.Workers, "users", s.Users, "evicted", s.Evicted, "refused", s.Refused,
+		n.log.Debug("load", "connections", s.Open, "workers", s.Workers, "users", s.Users, "evicted", s.Evicted, "refused", s.Rejected,
 			"threads", pprof.Lookup("threadcreate").Count(), "goroutines", runtime.NumGoroutine(), "heap_mb", mem.HeapInuse>>20, "sys_mb", mem.Sys>>20)
 	}
 }
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -160,12 +160,12 @@
 	if err != nil {
 		return nil
 	}
-	reply, err := a.n.peers.Relay(ctx, leader, data)
+	reply, err := a.n.peers.RelayBatch(ctx, leader, data)
 	a.n.noteMesh(leader, err)
 	if err != nil {
 		return nil
 	}
-	answers, err := mesh.DecodeAnswers(reply)
+	answers, err := mesh.DecodeReply(reply)
 	if err != nil {
 		a.n.met.BadBatches.Inc()
 		return nil
--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -127,7 +127,7 @@
 		t.Errorf("a grant of %v without %d machines", status.GrantDuration, len(status.ExcludedMachines))
 	}
 	keeper := delegation.NewDelegate("a", g.core.set.Params.Workers, g.now)
-	grant, err := mesh.PackDelegation(status).Unpack()
+	grant, err := mesh.PackDelegationStatus(status).Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/meshserver.go
+++ b/internal/controller/meshserver.go
@@ -25,11 +25,11 @@
 		return &meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_NOT_LEADER}, nil
 	}
 	t := s.n.askCore(ctx, id, r.Withdraw)
-	outcome := map[userapi.Outcome]meshpb.Outcome{
-		userapi.Known: meshpb.Outcome_OUTCOME_KNOWN, userapi.Absent: meshpb.Outcome_OUTCOME_ABSENT,
-		userapi.Busy: meshpb.Outcome_OUTCOME_BUSY, userapi.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
-	return &meshpb.AskReply{Outcome: outcome, Standing: string(t.Status.Standing),
-		Done: uint32(t.Status.Done), Running: uint32(t.Status.Running)}, nil
+	outcome := map[userapi.QueryOutcome]meshpb.Outcome{
+		userapi.JobFound: meshpb.Outcome_OUTCOME_KNOWN, userapi.JobNotFound: meshpb.Outcome_OUTCOME_ABSENT,
+		userapi.LeaderBusy: meshpb.Outcome_OUTCOME_BUSY, userapi.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
+	return &meshpb.AskReply{Outcome: outcome, Standing: string(t.Status.State),
+		Done: uint32(t.Status.DoneTasks), Running: uint32(t.Status.RunningTasks)}, nil
 }
 
 // Relay lets the core answer the reports of workers that can't reach this node.
@@ -39,11 +39,11 @@
 		s.n.met.BadBatches.Inc()
 		return nil, err
 	}
-	answers := &mesh.Answers{ID: b.ID}
+	answers := &mesh.BatchReply{ID: b.ID}
 	switch {
 	case b.Quota != nil:
 		answers.Quota = s.n.askQuota(ctx, b.Quota)
-	case b.Delegation:
+	case b.WantsDelegation:
 		answers.Delegation = s.n.delegationStatus(ctx, b.Node)
 	default:
 		answers = s.n.serveBatch(ctx, b)
@@ -68,9 +68,9 @@
 
 // Accept stores a submission for a node that can't.
 func (s *meshServer) Accept(ctx context.Context, r *meshpb.AcceptRequest) (*meshpb.AcceptReply, error) {
-	if len(r.Submission) > userapi.MaxBody {
+	if len(r.Submission) > userapi.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
 	}
 	_, ans := s.n.runSubmit(ctx, r.Submission, false)
-	return &meshpb.AcceptReply{Status: uint32(ans.Code), Body: []byte(ans.Status.Standing)}, nil
+	return &meshpb.AcceptReply{Status: uint32(ans.Code), Body: []byte(ans.Status.State)}, nil
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -225,7 +225,7 @@
 	// ReplyAsk answers a poll or a cancellation; Known must leave before Until.
 	ReplyAsk struct {
 		Ticket  Ticket
-		Outcome userapi.Outcome
+		Outcome userapi.QueryOutcome
 		Status  userapi.Status
 		Until   unit.Instant
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -113,7 +113,7 @@
 	watch("worker_connections", "Connections of workers.", func(s connlimit.Stats) int { return s.Workers })
 	watch("user_connections", "Connections of users and of the load balancer's probes.", func(s connlimit.Stats) int { return s.Users })
 	watch("connections_evicted", "Connections closed so far to make room for others.", func(s connlimit.Stats) int { return s.Evicted })
-	watch("connections_refused", "Connections closed so far for want of room.", func(s connlimit.Stats) int { return s.Refused })
+	watch("connections_refused", "Connections closed so far for want of room.", func(s connlimit.Stats) int { return s.Rejected })
 }
 
 // watchStandby sets the gauges of a standby.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -67,7 +67,7 @@
 	cloud  *rental.Client
 	worker *http.Client
 	doing  chan struct{} // holds one for each direct command under way
-	peers  *mesh.Peers
+	peers  *mesh.Clients
 	core   *Core
 	stop   chan error
 	inbox  chan Input
@@ -79,7 +79,7 @@
 	kept            atomic.Bool  // the machine types are stored
 	keeperIdleSince atomic.Int64 // see delegation.Keeper
 	router          relay.Router
-	relayOut        chan relay.Item
+	relayOut        chan relay.PendingRequest
 	meshFailed      sync.Map      // peer to the Instant of its last failure
 	standby         *standbyActor // nil: there is no warm standby
 	holder          *holderActor  // nil: there are no team quotas
@@ -116,7 +116,7 @@
 		worker: &http.Client{Transport: deps.worker, Timeout: doTimeout},
 		doing:  make(chan struct{}, sockets(set, doShare)),
 		stop:   make(chan error, 1),
-		inbox:  make(chan Input, mostQueued(set)), relayOut: make(chan relay.Item, mostQueued(set))}
+		inbox:  make(chan Input, mostQueued(set)), relayOut: make(chan relay.PendingRequest, mostQueued(set))}
 	n.health.hint.Store("")
 	n.pace = userapi.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -217,19 +217,19 @@
 // than that. A listener that stopped accepting left them, and with them users
 // and the load balancer's probes, without an answer.
 func (n *Node) limitConnections(l net.Listener) *connlimit.Listener {
-	limited := connlimit.New(l, connlimit.Limits{All: sockets(n.set, listenShare), IdleTimeout: 2*n.set.Params.Workers.HeartbeatInterval() + time.Second}, n.clock.Now)
+	limited := connlimit.NewListener(l, connlimit.Limits{MaxConnections: sockets(n.set, listenShare), IdleTimeout: 2*n.set.Params.Workers.HeartbeatInterval() + time.Second}, n.clock.Now)
 	n.met.watchConnections(limited)
 	return limited
 }
 
 func (n *Node) newServer(limited *connlimit.Listener) *http.Server {
-	return &http.Server{Handler: limited.Handler(clientKind, n.routes()), ConnContext: limited.Context,
+	return &http.Server{Handler: limited.Handler(clientKind, n.routes()), ConnContext: limited.ConnContext,
 		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 		IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 }
 
 // clientKind tells who makes a request.
-func clientKind(r *http.Request) connlimit.Kind {
+func clientKind(r *http.Request) connlimit.ClientKind {
 	if r.URL.Path == beatPath {
 		return connlimit.Worker
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -31,13 +31,13 @@
 	if a, err := n.relayMesh(ctx, leader, r); err == nil {
 		return fromAnswer(a)
 	}
-	n.router.MeshFailed(r.Machine)
-	item := relay.NewReport(r, n.clock.Now().Add(reportBudget))
+	n.router.RecordPeerFailure(r.Machine)
+	item := relay.NewHeartbeatRequest(r, n.clock.Now().Add(reportBudget))
 	if !n.queueRelay(item) {
 		return refused
 	}
 	select {
-	case a := <-item.Answer:
+	case a := <-item.HeartbeatReply:
 		return fromAnswer(a)
 	case <-ctx.Done():
 		return refused
@@ -45,7 +45,7 @@
 }
 
 // queueRelay hands an item to the actor that writes batches, unless too many wait.
-func (n *Node) queueRelay(item relay.Item) bool {
+func (n *Node) queueRelay(item relay.PendingRequest) bool {
 	select {
 	case n.relayOut <- item:
 		return true
@@ -54,43 +54,43 @@
 	}
 }
 
-func fromAnswer(a mesh.Answer) ReplyReport {
-	return ReplyReport{Code: a.Code, Epoch: a.Epoch, Orders: a.Unpack(), Relayed: true}
+func fromAnswer(a mesh.HeartbeatReply) ReplyReport {
+	return ReplyReport{Code: a.Code, Epoch: a.Epoch, Orders: a.UnpackCommands(), Relayed: true}
 }
 
-func (n *Node) relayMesh(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.Answer, error) {
+func (n *Node) relayMesh(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.HeartbeatReply, error) {
 	if !n.meshWorks(leader) {
-		return mesh.Answer{}, errors.New("the leader was not reached a moment ago")
+		return mesh.HeartbeatReply{}, errors.New("the leader was not reached a moment ago")
 	}
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, Reports: []mesh.Report{mesh.Pack(r)}})
+	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, Heartbeats: []mesh.Heartbeat{mesh.PackHeartbeat(r)}})
 	if err != nil {
-		return mesh.Answer{}, err
+		return mesh.HeartbeatReply{}, err
 	}
-	reply, err := n.peers.Relay(ctx, leader, data)
+	reply, err := n.peers.RelayBatch(ctx, leader, data)
 	n.noteMesh(leader, err)
 	if err != nil {
-		return mesh.Answer{}, err
+		return mesh.HeartbeatReply{}, err
 	}
-	answers, err := mesh.DecodeAnswers(reply)
-	if err != nil || len(answers.Reports) != 1 {
-		return mesh.Answer{}, errors.New("no answer")
+	answers, err := mesh.DecodeReply(reply)
+	if err != nil || len(answers.Heartbeats) != 1 {
+		return mesh.HeartbeatReply{}, errors.New("no answer")
 	}
-	return answers.Reports[0], nil
+	return answers.Heartbeats[0], nil
 }
 
 // relayCancel cancels a job through the state service.
-func (n *Node) relayCancel(ctx context.Context, id unit.JobID) userapi.Told {
-	unknown := userapi.Told{Outcome: userapi.NoLeader}
-	item := relay.NewCancellation(id, n.clock.Now().Add(reportBudget))
+func (n *Node) relayCancel(ctx context.Context, id unit.JobID) userapi.LeaderReplied {
+	unknown := userapi.LeaderReplied{Outcome: userapi.NoLeader}
+	item := relay.NewCancelRequest(id, n.clock.Now().Add(reportBudget))
 	if !n.queueRelay(item) {
 		return unknown
 	}
 	select {
-	case s := <-item.State:
-		if s.Standing == "" {
+	case s := <-item.CancelReply:
+		if s.State == "" {
 			return unknown
 		}
-		return userapi.Told{Outcome: userapi.Known, Status: userapi.Status{Standing: userapi.Standing(s.Standing), Done: s.Done}}
+		return userapi.LeaderReplied{Outcome: userapi.JobFound, Status: userapi.Status{State: userapi.JobState(s.State), DoneTasks: s.DoneTasks}}
 	case <-ctx.Done():
 		return unknown
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	r := &fleet.Heartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1}
-	batch, err := wire.CompressMessage(mesh.Batch{ID: "b-1", Reports: []mesh.Report{mesh.Pack(r)}, Asks: []mesh.Ask{{Job: "wk-000001"}}})
+	batch, err := wire.CompressMessage(mesh.Batch{ID: "b-1", Heartbeats: []mesh.Heartbeat{mesh.PackHeartbeat(r)}, CancelRequests: []mesh.CancelRequest{{Job: "wk-000001"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,28 +38,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.UpPrefix + "n1", Value: data}, relay.Answered{})
-	item, _ := b.n.store.Get(context.Background(), mesh.DownPrefix+"n1")
-	a, err := mesh.ExpandAnswers(item.Value)
-	if err != nil || a.ID != "b-1" || len(a.Reports) != 1 || a.Reports[0].Code != 200 || a.Reports[0].Epoch != 77 {
+	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	item, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1")
+	a, err := mesh.DecompressReply(item.Value)
+	if err != nil || a.ID != "b-1" || len(a.Heartbeats) != 1 || a.Heartbeats[0].Code != 200 || a.Heartbeats[0].Epoch != 77 {
 		t.Fatalf("answers %+v, %v", a, err)
 	}
-	if len(a.Asks) != 1 || a.Asks[0].Standing != "" {
-		t.Errorf("an unknown job was answered: %+v", a.Asks)
+	if len(a.Cancellations) != 1 || a.Cancellations[0].State != "" {
+		t.Errorf("an unknown job was answered: %+v", a.Cancellations)
 	}
 	// What can't be read is counted, and answered by nothing.
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.UpPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.Answered{})
+	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
 	if bad := testutil.ToFloat64(b.n.met.BadBatches); bad != 1 {
 		t.Errorf("%v bad batches counted, want 1", bad)
 	}
-	if again, _ := b.n.store.Get(context.Background(), mesh.DownPrefix+"n1"); again.ModRevision != item.ModRevision {
+	if again, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
 		t.Error("a batch that can't be read was answered")
 	}
 	// Once another leads, nothing more is written.
 	b.n.store.Commit(context.Background(), holder)
 	before := item.ModRevision
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.UpPrefix + "n1", Value: data}, relay.Answered{})
-	if item, _ := b.n.store.Get(context.Background(), mesh.DownPrefix+"n1"); item.ModRevision != before {
+	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	if item, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1"); item.ModRevision != before {
 		t.Error("a deposed leader answered")
 	}
 }
@@ -69,7 +69,7 @@
 // it arrives; without a known answer it counts for nothing.
 func TestRelayedNodesAttest(t *testing.T) {
 	b := newNodeRig(t)
-	answered := relay.Answered{}
+	answered := relay.AnsweredBatches{}
 	data, err := wire.CompressMessage(mesh.Batch{ID: "x", Node: "n1"})
 	if err != nil {
 		t.Fatal(err)
@@ -79,15 +79,15 @@
 		t.Fatal(err)
 	}
 	left := b.clock.now
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.UpPrefix + "n1", Value: value}, answered)
+	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: value}, answered)
 	b.clock.now = b.clock.now.Add(20 * time.Second)
-	for _, bad := range []mesh.Batch{{Node: "n1"}, {Node: "n1", Echo: "y"}, {Node: "n2", Echo: "x"}, {Node: "n1", Echo: "x", QuietMs: -1}, {Node: "n1", Echo: "x", QuietMs: 1 << 60}} {
+	for _, bad := range []mesh.Batch{{Node: "n1"}, {Node: "n1", AckedBatchID: "y"}, {Node: "n2", AckedBatchID: "x"}, {Node: "n1", AckedBatchID: "x", IdleMs: -1}, {Node: "n1", AckedBatchID: "x", IdleMs: 1 << 60}} {
 		b.n.attest(context.Background(), answered, &bad)
 	}
 	if len(b.n.inbox) != 0 {
 		t.Fatalf("%v was taken in", <-b.n.inbox)
 	}
-	b.n.attest(context.Background(), answered, &mesh.Batch{Node: "n1", Echo: "x", QuietMs: 5000})
+	b.n.attest(context.Background(), answered, &mesh.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
 	if in, ok := (<-b.n.inbox).(PeerStatus); !ok || in.Node != "n1" || in.Sent != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
 		t.Errorf("taken in as %+v", in)
 	}
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -17,9 +17,9 @@
 // relayDown serves the batches of cut-off nodes while this node leads. The
 // answers are guarded by the epoch like every write of the leader.
 func (n *Node) relayDown(ctx context.Context, epoch unit.Epoch, since unit.Revision) {
-	answered := relay.Answered{}
+	answered := relay.AnsweredBatches{}
 	for n.leadsSince(epoch) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, mesh.UpPrefix, since, watchHold)
+		log, next, err := n.store.Watch(ctx, mesh.BatchKeyPrefix, since, watchHold)
 		if errors.Is(err, statestore.ErrCompacted) {
 			log, next, err = n.readBatches(ctx)
 		}
@@ -35,7 +35,7 @@
 			}
 		}
 		for key, c := range latest {
-			n.serveUp(ctx, key[len(mesh.UpPrefix):], c, answered)
+			n.serveUp(ctx, key[len(mesh.BatchKeyPrefix):], c, answered)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 // readBatches reads the batches that are stored, when the changes since the last
 // look are not kept any more, and returns the revision to go on from.
 func (n *Node) readBatches(ctx context.Context) ([]statestore.WatchEvent, unit.Revision, error) {
-	items, revision, err := n.store.List(ctx, mesh.UpPrefix)
+	items, revision, err := n.store.List(ctx, mesh.BatchKeyPrefix)
 	changes := make([]statestore.WatchEvent, 0, len(items))
 	for _, item := range items {
 		changes = append(changes, statestore.WatchEvent{SetKey: item.Key, Value: item.Value, ModRevision: item.ModRevision})
@@ -52,17 +52,17 @@
 }
 
 // attest takes in what a node that is out of reach over the mesh says of its grant.
-func (n *Node) attest(ctx context.Context, answered relay.Answered, b *mesh.Batch) {
-	if a, ok := answered.Attested(b); ok {
-		n.post(ctx, PeerStatus{Node: b.Node, Sent: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, Form: b.Form})
+func (n *Node) attest(ctx context.Context, answered relay.AnsweredBatches, b *mesh.Batch) {
+	if a, ok := answered.Attestation(b); ok {
+		n.post(ctx, PeerStatus{Node: b.Node, Sent: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, Form: b.SchemaVersion})
 	}
 }
 
-func (n *Node) serveUp(ctx context.Context, node string, c statestore.WatchEvent, answered relay.Answered) {
+func (n *Node) serveUp(ctx context.Context, node string, c statestore.WatchEvent, answered relay.AnsweredBatches) {
 	if node == n.set.NodeName {
 		return
 	}
-	b, err := mesh.ExpandBatch(c.Value)
+	b, err := mesh.DecompressBatch(c.Value)
 	if err != nil {
 		n.met.BadBatches.Inc()
 		n.log.Warn("batch can't be read", "node", node, "err", err)
@@ -71,17 +71,17 @@
 	b.Node = node
 	n.attest(ctx, answered, b)
 	answers := n.serveBatch(ctx, b)
-	value, err := relay.SqueezeAnswers(answers, n.relayLimit())
+	value, err := relay.CompressReply(answers, n.relayLimit())
 	if err != nil {
 		n.log.Error("batch can't be answered", "node", node, "err", err)
 		return
 	}
-	n.met.Relayed.Add(float64(len(answers.Reports)))
-	answered.Note(node, b.ID, n.clock.Now())
+	n.met.Relayed.Add(float64(len(answers.Heartbeats)))
+	answered.Record(node, b.ID, n.clock.Now())
 	n.budget.TakeWrites(n.clock.Now(), statestore.PurposeLeadership, 1)
 	_, err = n.store.Commit(ctx, statestore.Txn{
 		Conditions: []statestore.Condition{{Key: leadership.LeaderKey, ModRevision: unit.Revision(n.view.Load().epoch)}},
-		Operations: []statestore.Operation{{SetKey: mesh.DownPrefix + node, Value: value}},
+		Operations: []statestore.Operation{{SetKey: mesh.ReplyKeyPrefix + node, Value: value}},
 	})
 	if n.note(err) != nil {
 		n.log.Debug("relayed answers not stored", "node", node, "err", err)
@@ -91,48 +91,48 @@
 // serveBatch lets the core answer what another node hands over. An answer may
 // reach its worker late; that is safe, since a lease counts from when the
 // report was sent, and that was before the core took it in.
-func (n *Node) serveBatch(ctx context.Context, b *mesh.Batch) *mesh.Answers {
+func (n *Node) serveBatch(ctx context.Context, b *mesh.Batch) *mesh.BatchReply {
 	ctx, cancel := context.WithTimeout(ctx, relayGather)
 	defer cancel()
-	out := &mesh.Answers{ID: b.ID}
-	tickets := make([]chan ReplyReport, len(b.Reports))
+	out := &mesh.BatchReply{ID: b.ID}
+	tickets := make([]chan ReplyReport, len(b.Heartbeats))
 	if b.Node == "" {
 		b.Node = "?" // of a node that does not say
 	}
-	for i := range b.Reports {
-		if r, err := b.Reports[i].Unpack(); err == nil {
+	for i := range b.Heartbeats {
+		if r, err := b.Heartbeats[i].Unpack(); err == nil {
 			tickets[i] = make(chan ReplyReport, 1)
 			if !n.offer(Reported{Ticket: tickets[i], Report: r, Via: b.Node}) {
 				tickets[i] = nil
 			}
 		}
 	}
-	states := make([]chan mesh.AskState, len(b.Asks))
-	for i, a := range b.Asks {
-		states[i] = make(chan mesh.AskState, 1)
+	states := make([]chan mesh.CancelReply, len(b.CancelRequests))
+	for i, a := range b.CancelRequests {
+		states[i] = make(chan mesh.CancelReply, 1)
 		go func() {
-			s := mesh.AskState{Job: a.Job}
-			if t := n.askCore(ctx, a.Job, true); t.Outcome == userapi.Known {
-				s.Standing, s.Done = string(t.Status.Standing), t.Status.Done
+			s := mesh.CancelReply{Job: a.Job}
+			if t := n.askCore(ctx, a.Job, true); t.Outcome == userapi.JobFound {
+				s.State, s.DoneTasks = string(t.Status.State), t.Status.DoneTasks
 			}
 			states[i] <- s
 		}()
 	}
 	for i, ticket := range tickets {
-		a := mesh.Answer{Machine: b.Reports[i].Machine, Code: http.StatusServiceUnavailable}
+		a := mesh.HeartbeatReply{Machine: b.Heartbeats[i].Machine, Code: http.StatusServiceUnavailable}
 		if ticket != nil {
 			select {
 			case reply := <-ticket:
 				if reply.Code == http.StatusOK && n.clock.Now().Before(reply.Until) {
-					a.Code, a.Epoch, a.Orders = http.StatusOK, reply.Epoch, mesh.PackOrders(reply.Orders)
+					a.Code, a.Epoch, a.Commands = http.StatusOK, reply.Epoch, mesh.PackCommands(reply.Orders)
 				}
 			case <-ctx.Done():
 			}
 		}
-		out.Reports = append(out.Reports, a)
+		out.Heartbeats = append(out.Heartbeats, a)
 	}
 	for _, s := range states {
-		out.Asks = append(out.Asks, <-s)
+		out.Cancellations = append(out.Cancellations, <-s)
 	}
 	return out
 }
--- a/internal/controller/relayup.go
+++ b/internal/controller/relayup.go
@@ -14,7 +14,7 @@
 // relayUp is the actor that carries what waits to the leader through the state
 // service, one batch at a time.
 func (n *Node) relayUp(ctx context.Context) {
-	var queue []relay.Item
+	var queue []relay.PendingRequest
 	nonce := strconv.FormatInt(time.Now().UnixNano(), 36)
 	answered := ""
 	for number := 1; ; number++ {
@@ -31,7 +31,7 @@
 		queue = n.drainRelay(queue)
 		id := nonce + "-" + strconv.Itoa(number)
 		batch := n.relayBatch(id, answered, queue)
-		queue = batch.Rest
+		queue = batch.Remaining
 		if len(batch.Sent) > 0 && n.exchange(ctx, id, batch) {
 			answered = id
 		}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (n *Node) drainRelay(queue []relay.Item) []relay.Item {
+func (n *Node) drainRelay(queue []relay.PendingRequest) []relay.PendingRequest {
 	for {
 		select {
 		case item := <-n.relayOut:
@@ -53,9 +53,9 @@
 }
 
 // relayBatch makes the next batch of the queue.
-func (n *Node) relayBatch(id, answered string, queue []relay.Item) relay.Batch {
+func (n *Node) relayBatch(id, answered string, queue []relay.PendingRequest) relay.Batch {
 	now := n.clock.Now()
-	header := relay.Header{ID: id, Node: n.set.NodeName, Echo: answered, IdleFor: now.Sub(unit.Instant(n.keeperIdleSince.Load()))}
+	header := relay.BatchHeader{ID: id, Node: n.set.NodeName, AckedBatchID: answered, IdleFor: now.Sub(unit.Instant(n.keeperIdleSince.Load()))}
 	batch, err := relay.NewBatch(now, header, queue, n.relayLimit())
 	if err != nil {
 		n.log.Error("batch can't be made", "err", err)
@@ -66,7 +66,7 @@
 // relayLimit is how large a batch or its answers may be: below the limits of the
 // state service that hold now, and below those to come.
 func (n *Node) relayLimit() int {
-	return relay.Limit(n.set.Params.StateService.Strictest().MaxValueBytes())
+	return relay.MaxBatchBytes(n.set.Params.StateService.Strictest().MaxValueBytes())
 }
 
 // exchange writes a batch and waits for the leader's answers to it; it tells
@@ -75,26 +75,26 @@
 	if !n.budget.TakeWrites(n.clock.Now(), statestore.PurposeSubmission, 1) {
 		return false
 	}
-	key := mesh.UpPrefix + n.set.NodeName
+	key := mesh.BatchKeyPrefix + n.set.NodeName
 	since, err := n.store.Commit(ctx, statestore.Txn{Operations: []statestore.Operation{{SetKey: key, Value: batch.Value}}})
 	if n.note(err) != nil {
 		return false
 	}
 	until := n.clock.Now().Add(relayWait)
 	for n.clock.Now().Before(until) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, mesh.DownPrefix+n.set.NodeName, since, until.Sub(n.clock.Now()))
+		log, next, err := n.store.Watch(ctx, mesh.ReplyKeyPrefix+n.set.NodeName, since, until.Sub(n.clock.Now()))
 		if n.note(err) != nil {
 			return false
 		}
 		since = max(since, next)
 		for _, c := range log {
-			a, err := mesh.ExpandAnswers(c.Value)
+			a, err := mesh.DecompressReply(c.Value)
 			if err != nil {
 				n.met.BadBatches.Inc()
 				continue
 			}
 			if a.ID == id {
-				relay.Deliver(a, batch.Sent)
+				relay.DeliverReplies(a, batch.Sent)
 				return true
 			}
 		}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -87,15 +87,15 @@
 	j := t.jobs[in.Job]
 	if j == nil {
 		t.noticed(Noticed{Job: in.Job})
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.Absent})
+		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
 		return
 	}
 	if !in.Cancel && beingStored(j) {
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.Absent})
+		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
 		return
 	}
 	if !in.Cancel || j.StoredPhase.Final() {
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.Known, Status: userapi.StatusOf(j), Until: t.c.lead.LeaseValidUntil()})
+		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobFound, Status: userapi.StatusOfJob(j), Until: t.c.lead.LeaseValidUntil()})
 		return
 	}
 	if !j.Phase.Final() {
@@ -130,11 +130,11 @@
 	}
 }
 
-func (t *term) answerWaiters(id unit.JobID, o userapi.Outcome, until unit.Instant) {
+func (t *term) answerWaiters(id unit.JobID, o userapi.QueryOutcome, until unit.Instant) {
 	for _, w := range t.waiting[id] {
 		reply := ReplyAsk{Ticket: w.ticket, Outcome: o, Until: until}
 		if j := t.jobs[id]; j != nil {
-			reply.Status = userapi.StatusOf(j)
+			reply.Status = userapi.StatusOfJob(j)
 		}
 		t.c.emit(reply)
 	}
--- a/internal/controller/rounds_test.go
+++ b/internal/controller/rounds_test.go
@@ -133,7 +133,7 @@
 		t.Fatal("no answer")
 		return ReplyAsk{}
 	}
-	if got := poll(); got.Outcome != userapi.Known || got.Status.Standing != userapi.Queued {
+	if got := poll(); got.Outcome != userapi.JobFound || got.Status.State != userapi.Queued {
 		t.Errorf("before its end: %+v", got)
 	}
 	for i := range batch.Tasks {
@@ -154,11 +154,11 @@
 	if write == nil {
 		t.Fatal("the end is not stored")
 	}
-	if got := poll(); got.Outcome != userapi.Absent {
+	if got := poll(); got.Outcome != userapi.JobNotFound {
 		t.Errorf("while its end is being stored: %+v, want that the record is read", got)
 	}
 	g.core.Step(g.now, Committed{Kind: CommitFold, Epoch: write.Epoch, Version: 999})
-	if got := poll(); got.Outcome != userapi.Known || got.Status.Standing != userapi.Done {
+	if got := poll(); got.Outcome != userapi.JobFound || got.Status.State != userapi.Done {
 		t.Errorf("after it was stored: %+v", got)
 	}
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -51,7 +51,7 @@
 	}
 	r.GET("/up", n.up)
 	r.POST("/submissions", n.submit)
-	r.GET("/submissions/:id", n.ask(userapi.Poll))
+	r.GET("/submissions/:id", n.ask(userapi.QueryStatus))
 	r.POST("/submissions/:id/withdraw", n.ask(userapi.Cancel))
 	r.POST(beatPath, n.beat)
 	r.GET("/standby", n.showStandby)
@@ -82,10 +82,10 @@
 	return n.clock.Now().Sub(unit.Instant(n.health.lastState.Load())) < d
 }
 
-func (n *Node) answer(w http.ResponseWriter, id unit.JobID, a userapi.Answer) {
+func (n *Node) answer(w http.ResponseWriter, id unit.JobID, a userapi.Response) {
 	n.met.Submissions.WithLabelValues(strconv.Itoa(a.Code)).Inc()
 	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(userapi.RetrySeconds(a.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(userapi.RetryAfterSeconds(a.RetryAfter)))
 	}
 	if a.Code != http.StatusOK && a.Code != http.StatusCreated {
 		w.WriteHeader(a.Code)
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -98,7 +98,7 @@
 	seenStart int           // of its tasks, when last looked at
 	starts    int
 	cancelled unit.Instant // when its user was told
-	told      userapi.Standing
+	told      userapi.JobState
 	heard     unit.Instant // when its user was last answered
 	accepted  unit.Instant
 	began     unit.Instant // 0: no task has started
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -202,9 +202,9 @@
 	life := n.life
 	s.step(n, Asked{Job: id, Cancel: cancelJob, Ticket: func(a ReplyAsk) {
 		switch {
-		case a.Outcome == userapi.Known && n.clock(s.now).Before(a.Until):
+		case a.Outcome == userapi.JobFound && n.clock(s.now).Before(a.Until):
 			s.hear(id, j, a.Status)
-		case a.Outcome == userapi.NoLeader || a.Outcome == userapi.Absent:
+		case a.Outcome == userapi.NoLeader || a.Outcome == userapi.JobNotFound:
 			s.after(s.stateLatency(), func() {
 				item, err := s.state.Get(checkpoint.Key(id))
 				if !n.alive || n.life != life || s.stateless(n) || err != nil || item.ModRevision == 0 {
@@ -224,17 +224,17 @@
 
 // hear checks what a user is told against what was said before.
 func (s *sim) hear(id unit.JobID, j *simJob, st userapi.Status) {
-	if j.over() && st.Standing != j.told {
-		s.t.Fatalf("went_back: %s was %s and is %s", id, j.told, st.Standing)
+	if j.over() && st.State != j.told {
+		s.t.Fatalf("went_back: %s was %s and is %s", id, j.told, st.State)
 	}
-	if st.Standing == userapi.Done && st.Done != j.spec.Tasks {
-		s.t.Fatalf("not_done: %s has %d of %d", id, st.Done, j.spec.Tasks)
+	if st.State == userapi.Done && st.DoneTasks != j.spec.Tasks {
+		s.t.Fatalf("not_done: %s has %d of %d", id, st.DoneTasks, j.spec.Tasks)
 	}
 	j.heard = s.now
-	if st.Standing == userapi.Cancelled && j.cancelled == 0 {
+	if st.State == userapi.Cancelled && j.cancelled == 0 {
 		j.cancelled = s.now
 	}
-	j.told = st.Standing
+	j.told = st.State
 }
 
 // cancelJob asks until it is told.
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -16,10 +16,10 @@
 )
 
 func (n *Node) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	data, err := readBody(w, r, userapi.MaxBody)
+	data, err := readBody(w, r, userapi.MaxBodyBytes)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		n.answer(w, "", userapi.Answer{Code: http.StatusBadRequest})
+		n.answer(w, "", userapi.Response{Code: http.StatusBadRequest})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitBudget)
@@ -44,17 +44,17 @@
 // want of the state service or of its share of the writes, is handed to the
 // others too: a job is stored only if it does not exist, so whichever node
 // comes first stores it, and the rest find it there.
-func (n *Node) runSubmit(ctx context.Context, data []byte, forward bool) (unit.JobID, userapi.Answer) {
+func (n *Node) runSubmit(ctx context.Context, data []byte, forward bool) (unit.JobID, userapi.Response) {
 	sub, err := userapi.DecodeSubmission(data)
 	if err != nil {
 		n.log.Debug("submission refused", "err", err)
-		return "", userapi.Answer{Code: http.StatusBadRequest}
+		return "", userapi.Response{Code: http.StatusBadRequest}
 	}
-	req := userapi.NewSubmit(sub, n.rules(), n.clock.Wall().UnixMilli())
+	req := userapi.NewSubmitRequest(sub, n.rules(), n.clock.Wall().UnixMilli())
 	if !forward {
 		return sub.ID, n.drive(ctx, sub.ID, req)
 	}
-	own := make(chan userapi.Answer, 1)
+	own := make(chan userapi.Response, 1)
 	go func() { own <- n.drive(ctx, sub.ID, req) }()
 	wait := hedgeAfter
 	if !n.stateReachable(time.Second) {
@@ -73,10 +73,10 @@
 
 // hedge hands a submission to the others and answers with what comes first
 // that accepts it; a refusal counts only once nobody is left to ask.
-func (n *Node) hedge(ctx context.Context, data []byte, own <-chan userapi.Answer) userapi.Answer {
-	others := make(chan userapi.Answer, 1)
+func (n *Node) hedge(ctx context.Context, data []byte, own <-chan userapi.Response) userapi.Response {
+	others := make(chan userapi.Response, 1)
 	go func() { others <- n.handOver(ctx, data) }()
-	refusal := userapi.Answer{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
+	refusal := userapi.Response{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
 	var last <-chan time.Time
 	for range 2 {
 		select {
@@ -116,43 +116,43 @@
 	}
 	first := int(n.asked.Add(1)) % len(names)
 	out := append(slices.Clone(names[first:]), names[:first]...)
-	if n.pace.Flooded() {
+	if n.pace.Overloaded() {
 		return out[:1]
 	}
 	return out
 }
 
 // handOver asks others that the mesh reaches to store a submission.
-func (n *Node) handOver(ctx context.Context, data []byte) userapi.Answer {
+func (n *Node) handOver(ctx context.Context, data []byte) userapi.Response {
 	asked := 0
 	for _, name := range n.takers() {
 		if asked == maxHandOver || !n.meshWorks(name) {
 			continue
 		}
 		asked++
-		reply, err := n.peers.Accept(ctx, name, data)
+		reply, err := n.peers.ForwardSubmission(ctx, name, data)
 		if ctx.Err() == nil {
 			n.noteMesh(name, err)
 		}
 		if err == nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
-			return userapi.Answer{Code: int(reply.Status), Status: userapi.Status{Standing: userapi.Standing(reply.Body)}}
+			return userapi.Response{Code: int(reply.Status), Status: userapi.Status{State: userapi.JobState(reply.Body)}}
 		}
 	}
-	return userapi.Answer{Code: http.StatusServiceUnavailable}
+	return userapi.Response{Code: http.StatusServiceUnavailable}
 }
 
-func (n *Node) rules() *userapi.Rules {
-	return &userapi.Rules{Teams: n.teams, Zones: n.set.Params.Zones, Types: n.view.Load().types, State: n.set.Params.StateService.Strictest()}
+func (n *Node) rules() *userapi.AdmissionRules {
+	return &userapi.AdmissionRules{Teams: n.teams, Zones: n.set.Params.Zones, MachineTypes: n.view.Load().types, StateLimits: n.set.Params.StateService.Strictest()}
 }
 
 // create stores a job if it does not exist. Only refusals for want of changes
 // count for the pace: others may store what the state service refuses this node.
 func (n *Node) create(ctx context.Context, id unit.JobID, req *userapi.Request, rec *checkpoint.Record) userapi.CreateResult {
 	if now := n.clock.Now(); !n.budget.TakeWrites(now, statestore.PurposeSubmission, 1) {
-		req.SetRetry(n.budget.WriteDelay(now, statestore.PurposeSubmission) + n.pace.Refused())
-		return userapi.Refused
+		req.SetRetryAfter(n.budget.WriteDelay(now, statestore.PurposeSubmission) + n.pace.Rejected())
+		return userapi.Rejected
 	}
-	n.pace.Took()
+	n.pace.Accepted()
 	key := checkpoint.Key(id)
 	_, err := n.store.Commit(ctx, statestore.Txn{
 		Conditions: []statestore.Condition{{Key: key, ModRevision: 0}},
@@ -165,11 +165,11 @@
 		n.holder.offer(id, &rec.Spec)
 		return userapi.Stored
 	case errors.As(err, &conflict):
-		return userapi.Exists
+		return userapi.AlreadyExists
 	case errors.Is(err, statestore.ErrOutcomeUnknown):
-		return userapi.Uncertain
+		return userapi.Indeterminate
 	}
-	return userapi.Refused
+	return userapi.Rejected
 }
 
 // notify tells the leader of a new job. If the notice is lost, the leader's
@@ -183,7 +183,7 @@
 	if v.leader == "" || v.leader == n.set.NodeName {
 		return
 	}
-	if err := n.peers.Notice(context.Background(), v.leader, string(id)); err != nil {
+	if err := n.peers.NotifyJobChanged(context.Background(), v.leader, string(id)); err != nil {
 		n.log.Debug("notice lost", "job", id, "err", err)
 	}
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -182,7 +182,7 @@
 	}
 	for id, ws := range t.waiting {
 		if len(ws) > 0 && !now.Before(ws[0].until) {
-			t.answerWaiters(id, userapi.Busy, 0)
+			t.answerWaiters(id, userapi.LeaderBusy, 0)
 		}
 	}
 	t.c.met.watch(t, now)
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -58,8 +58,8 @@
 	// Where the mesh does not reach the leader, the worker hardly will; but a
 	// filter that refuses connections between nodes lets workers through, and
 	// relaying them all took the changes that submissions need.
-	works := func() bool { return n.meshWorks(leader) || n.peers.Refused(leader) }
-	if works() && n.router.Direct(n.clock.Now(), r.Machine, leader, works) {
+	works := func() bool { return n.meshWorks(leader) || n.peers.ConnectionRefused(leader) }
+	if works() && n.router.ShouldRedirect(n.clock.Now(), r.Machine, leader, works) {
 		return reply
 	}
 	return n.relayReport(ctx, leader, r)
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -46,34 +46,34 @@
 func goldenBatch() *Batch {
 	notice := 12.5
 	return &Batch{
-		ID: "k3v9-17", Node: "n0", Delegation: true, Echo: "k3v9-16", QuietMs: 2500, Form: 3,
-		Reports: []Report{
-			{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, Tally: 88, Token: 41,
-				Tasks: []Tasks{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
-			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, Tally: 12, Token: 40, Notice: &notice,
-				Tasks: []Tasks{
+		ID: "k3v9-17", Node: "n0", WantsDelegation: true, AckedBatchID: "k3v9-16", IdleMs: 2500, SchemaVersion: 3,
+		Heartbeats: []Heartbeat{
+			{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 88, FencingToken: 41,
+				TaskGroups: []TaskGroup{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
+			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, HeartbeatSeq: 12, FencingToken: 40, SpotNoticeSeconds: &notice,
+				TaskGroups: []TaskGroup{
 					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, Stored: true, Indexes: unit.Set{{First: 2, Last: 2}}},
 					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.ExitDone, Indexes: unit.Set{{First: 300, Last: 70000}}}}},
 		},
-		Asks: []Ask{{Job: "wk-000398"}},
+		CancelRequests: []CancelRequest{{Job: "wk-000398"}},
 		Quota: &quota.AllocationRequest{Holder: quota.HolderID{Node: "n0", ModRevision: 515},
 			Teams: []quota.TeamRequest{{Team: "red", ReleaseSeq: 4, Ceiling: quota.Quantity{MilliCPU: 64000, MilliGPU: 2000}, Desired: quota.Quantity{MilliCPU: 96500, MilliGPU: 1}}},
 			Jobs:  []unit.JobID{"wk-000001", "wk-000002"}},
 	}
 }
 
-// goldenAnswers has a value in every field that a leader answers.
-func goldenAnswers() *Answers {
-	return &Answers{
+// goldenReply has a value in every field that a leader answers.
+func goldenReply() *BatchReply {
+	return &BatchReply{
 		ID: "k3v9-17",
-		Reports: []Answer{
-			{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []Orders{
-				{Verb: fleet.CommandStop, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
-				{Verb: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
-				{Verb: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
+		Heartbeats: []HeartbeatReply{
+			{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []CommandGroup{
+				{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
+				{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
+				{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
 			{Machine: "host-000002", Code: 503, Epoch: 77}},
-		Asks:       []AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}, {Job: "wk-000399"}},
-		Delegation: &Delegation{Epoch: 77, LifeMs: 30000, QuietMs: 1500, Excluded: []unit.MachineID{"host-000007"}, Form: 3, Quotas: true},
+		Cancellations: []CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}, {Job: "wk-000399"}},
+		Delegation:    &DelegationStatus{Epoch: 77, TTLMs: 30000, IdleMs: 1500, Excluded: []unit.MachineID{"host-000007"}, SchemaVersion: 3, EnforcesQuotas: true},
 		Quota: &quota.AllocationResponse{Holder: quota.HolderID{Node: "n0", ModRevision: 515}, Epoch: 77, Revoked: true,
 			Teams:   []quota.TeamAllocation{{Team: "red", ReleaseSeq: 5, Allocated: quota.Quantity{MilliCPU: 32000, MilliGPU: 1000}, Recall: quota.Quantity{MilliCPU: 500}}},
 			JobCaps: []quota.JobCap{{Job: "wk-000001", MaxTasks: 17}}},
@@ -84,7 +84,7 @@
 // in JSON, are written as they always were, and read back as they were written.
 func TestGoldenMessages(t *testing.T) {
 	want := golden(t, "messages.txt")
-	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(Answers{}, "Quota")}
+	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(BatchReply{}, "Quota")}
 	encodeValue := func(v any) ([]byte, error) {
 		text, err := wire.CompressMessage(v)
 		if err != nil {
@@ -101,14 +101,14 @@
 	}{
 		{"batch", goldenBatch(), msgpack.Marshal, func(d []byte) (any, error) { return DecodeBatch(d) }, nil},
 		{"batch-empty", &Batch{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeBatch(d) }, nil},
-		{"batch-squeezed", goldenBatch(), encodeValue, func(d []byte) (any, error) { return ExpandBatch(d) }, nil},
+		{"batch-squeezed", goldenBatch(), encodeValue, func(d []byte) (any, error) { return DecompressBatch(d) }, nil},
 		{"batch-json", goldenBatch(), json.Marshal, func(d []byte) (any, error) { b := new(Batch); return b, json.Unmarshal(d, b) }, ignoreQuota},
-		{"answers", goldenAnswers(), msgpack.Marshal, func(d []byte) (any, error) { return DecodeAnswers(d) }, nil},
-		{"answers-empty", &Answers{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeAnswers(d) }, nil},
-		{"answers-squeezed", goldenAnswers(), encodeValue, func(d []byte) (any, error) { return ExpandAnswers(d) }, nil},
-		{"answers-json", goldenAnswers(), json.Marshal, func(d []byte) (any, error) { a := new(Answers); return a, json.Unmarshal(d, a) }, ignoreQuota},
-		{"delegation", PackDelegation(delegation.Status{Epoch: 9, GrantDuration: 7 * time.Second, IdleFor: 40 * time.Millisecond, ExcludedMachines: []unit.MachineID{"m1", "m2"}}),
-			msgpack.Marshal, func(d []byte) (any, error) { v := new(Delegation); return v, msgpack.Unmarshal(d, v) }, nil},
+		{"answers", goldenReply(), msgpack.Marshal, func(d []byte) (any, error) { return DecodeReply(d) }, nil},
+		{"answers-empty", &BatchReply{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeReply(d) }, nil},
+		{"answers-squeezed", goldenReply(), encodeValue, func(d []byte) (any, error) { return DecompressReply(d) }, nil},
+		{"answers-json", goldenReply(), json.Marshal, func(d []byte) (any, error) { a := new(BatchReply); return a, json.Unmarshal(d, a) }, ignoreQuota},
+		{"delegation", PackDelegationStatus(delegation.Status{Epoch: 9, GrantDuration: 7 * time.Second, IdleFor: 40 * time.Millisecond, ExcludedMachines: []unit.MachineID{"m1", "m2"}}),
+			msgpack.Marshal, func(d []byte) (any, error) { v := new(DelegationStatus); return v, msgpack.Unmarshal(d, v) }, nil},
 	}
 	for _, tt := range tests {
 		data, err := hex.DecodeString(want[tt.name])
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	maxMessage  = 256 << 10
-	bufferSize  = 8 << 10
-	callTimeout = 600 * time.Millisecond
+	maxMessageBytes = 256 << 10
+	bufferBytes     = 8 << 10
+	callTimeout     = 600 * time.Millisecond
 )
 
-// Peers are the connections to the other nodes.
-type Peers struct {
-	conns   map[string]*grpc.ClientConn
-	names   []string
-	refused map[string]*atomic.Bool // the last connection was refused
+// Clients are the connections to the other nodes.
+type Clients struct {
+	connections       map[string]*grpc.ClientConn
+	names             []string
+	connectionRefused map[string]*atomic.Bool // the last connection was refused
 }
 
 // Dial prepares connections to the peers; they are made when first used.
-func Dial(peers []config.Peer) (*Peers, error) {
-	p := &Peers{conns: map[string]*grpc.ClientConn{}, refused: map[string]*atomic.Bool{}}
+func Dial(peers []config.Peer) (*Clients, error) {
+	p := &Clients{connections: map[string]*grpc.ClientConn{}, connectionRefused: map[string]*atomic.Bool{}}
 	for _, peer := range peers {
 		refused := new(atomic.Bool)
-		p.refused[peer.NodeName] = refused
+		p.connectionRefused[peer.NodeName] = refused
 		conn, err := grpc.NewClient("passthrough:///"+peer.Addr,
 			grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(),
-			grpc.WithContextDialer(dialer(refused)),
-			grpc.WithReadBufferSize(bufferSize), grpc.WithWriteBufferSize(bufferSize),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+			grpc.WithContextDialer(newDialer(refused)),
+			grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 				Backoff: backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}}))
@@ -51,14 +51,14 @@
 			p.Close()
 			return nil, fmt.Errorf("peer %s: %w", peer.NodeName, err)
 		}
-		p.conns[peer.NodeName] = conn
+		p.connections[peer.NodeName] = conn
 		p.names = append(p.names, peer.NodeName)
 	}
 	return p, nil
 }
 
-// dialer connects, and notes whether the connection was refused.
-func dialer(refused *atomic.Bool) func(context.Context, string) (net.Conn, error) {
+// newDialer connects, and notes whether the connection was refused.
+func newDialer(refused *atomic.Bool) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp4", addr)
 		refused.Store(errors.Is(err, syscall.ECONNREFUSED))
@@ -66,34 +66,34 @@
 	}
 }
 
-// Refused tells whether the last attempt to connect to the peer was refused.
+// ConnectionRefused tells whether the last attempt to connect to the peer was refused.
 // Something answers there then: a packet filter between the nodes, or a machine
 // whose process is down. A network that is cut says nothing.
-func (p *Peers) Refused(name string) bool {
-	r := p.refused[name]
+func (p *Clients) ConnectionRefused(name string) bool {
+	r := p.connectionRefused[name]
 	return r != nil && r.Load()
 }
 
 // Close ends all connections.
-func (p *Peers) Close() {
-	for _, c := range p.conns {
+func (p *Clients) Close() {
+	for _, c := range p.connections {
 		c.Close()
 	}
 }
 
 // Names lists the peers.
-func (p *Peers) Names() []string { return p.names }
+func (p *Clients) Names() []string { return p.names }
 
-func (p *Peers) client(name string) (meshpb.MeshClient, error) {
-	conn := p.conns[name]
+func (p *Clients) client(name string) (meshpb.MeshClient, error) {
+	conn := p.connections[name]
 	if conn == nil {
 		return nil, fmt.Errorf("no peer %q", name)
 	}
 	return meshpb.NewMeshClient(conn), nil
 }
 
-// Ask polls or cancels a job at the peer.
-func (p *Peers) Ask(ctx context.Context, name string, req *meshpb.AskRequest, timeout time.Duration) (*meshpb.AskReply, error) {
+// QueryJob polls or cancels a job at the peer.
+func (p *Clients) QueryJob(ctx context.Context, name string, req *meshpb.AskRequest, timeout time.Duration) (*meshpb.AskReply, error) {
 	c, err := p.client(name)
 	if err != nil {
 		return nil, err
@@ -103,8 +103,8 @@
 	return c.Ask(ctx, req)
 }
 
-// Notice tells the peer of a job.
-func (p *Peers) Notice(ctx context.Context, name, job string) error {
+// NotifyJobChanged tells the peer of a job.
+func (p *Clients) NotifyJobChanged(ctx context.Context, name, job string) error {
 	c, err := p.client(name)
 	if err != nil {
 		return err
@@ -115,8 +115,8 @@
 	return err
 }
 
-// Accept hands a submission to the peer.
-func (p *Peers) Accept(ctx context.Context, name string, submission []byte) (*meshpb.AcceptReply, error) {
+// ForwardSubmission hands a submission to the peer.
+func (p *Clients) ForwardSubmission(ctx context.Context, name string, submission []byte) (*meshpb.AcceptReply, error) {
 	c, err := p.client(name)
 	if err != nil {
 		return nil, err
@@ -126,8 +126,8 @@
 	return c.Accept(ctx, &meshpb.AcceptRequest{Submission: submission})
 }
 
-// Relay hands a batch of reports to the peer.
-func (p *Peers) Relay(ctx context.Context, name string, batch []byte) ([]byte, error) {
+// RelayBatch hands a batch of reports to the peer.
+func (p *Clients) RelayBatch(ctx context.Context, name string, batch []byte) ([]byte, error) {
 	c, err := p.client(name)
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 }
 
 // Health asks what the peer can reach.
-func (p *Peers) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
+func (p *Clients) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
 	c, err := p.client(name)
 	if err != nil {
 		return nil, err
@@ -152,21 +152,21 @@
 	return c.Health(ctx, &meshpb.HealthRequest{})
 }
 
-// NamesFit tells whether the names of machines fit into one message, beside what
+// MachineIDsFit tells whether the names of machines fit into one message, beside what
 // else it holds.
-func NamesFit(names []unit.MachineID) bool {
+func MachineIDsFit(names []unit.MachineID) bool {
 	const head = 3 // of a text of up to 64 KiB
 	size := 0
 	for _, name := range names {
 		size += len(name) + head
 	}
-	return size <= maxMessage/2
+	return size <= maxMessageBytes/2
 }
 
 // Serve answers peers on the listener until it is closed, up to calls of each at
 // the same time.
 func Serve(l net.Listener, impl meshpb.MeshServer, calls int) error {
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize),
+	s := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ReadBufferSize(bufferBytes), grpc.WriteBufferSize(bufferBytes),
 		grpc.MaxConcurrentStreams(uint32(calls)), grpc.ConnectionTimeout(5*time.Second),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
 	meshpb.RegisterMeshServer(s, impl)
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -18,50 +18,50 @@
 // Keys of the state service through which a cut-off node and the leader
 // exchange batches. Each node has one key each way.
 const (
-	UpPrefix   = "relay/up/"
-	DownPrefix = "relay/down/"
+	BatchKeyPrefix = "relay/up/"
+	ReplyKeyPrefix = "relay/down/"
 )
 
 // Batch is what a node hands to the leader: workers' reports, and what users
 // ask. It is kept small, since it travels in one value.
 type Batch struct {
-	ID      string                   `msgpack:"id" json:"id"`
-	Node    string                   `msgpack:"n" json:"n"` // that hands it over
-	Reports wire.BoundedList[Report] `msgpack:"r,omitempty" json:"r,omitempty"`
-	Asks    wire.BoundedList[Ask]    `msgpack:"a,omitempty" json:"a,omitempty"`
-	// Delegation asks for a grant, and for what the node has done by its own.
-	Delegation bool `msgpack:"v,omitempty" json:"v,omitempty"`
-	// Echo names the last answers that the node has had through the state
+	ID             string                          `msgpack:"id" json:"id"`
+	Node           string                          `msgpack:"n" json:"n"` // that hands it over
+	Heartbeats     wire.BoundedList[Heartbeat]     `msgpack:"r,omitempty" json:"r,omitempty"`
+	CancelRequests wire.BoundedList[CancelRequest] `msgpack:"a,omitempty" json:"a,omitempty"`
+	// WantsDelegation asks for a grant, and for what the node has done by its own.
+	WantsDelegation bool `msgpack:"v,omitempty" json:"v,omitempty"`
+	// AckedBatchID names the last answers that the node has had through the state
 	// service before it said, in QuietMs, how long ago it kept a worker.
-	Echo    string `msgpack:"e,omitempty" json:"e,omitempty"`
-	QuietMs int64  `msgpack:"q,omitempty" json:"q,omitempty"`
-	// Form is what the node can; see package rollout.
-	Form rollout.Version `msgpack:"f,omitempty" json:"f,omitempty"`
+	AckedBatchID string `msgpack:"e,omitempty" json:"e,omitempty"`
+	IdleMs       int64  `msgpack:"q,omitempty" json:"q,omitempty"`
+	// SchemaVersion is what the node can; see package rollout.
+	SchemaVersion rollout.Version `msgpack:"f,omitempty" json:"f,omitempty"`
 	// Quota is what a holder of team quotas asks; see package quota.
 	Quota *quota.AllocationRequest `msgpack:"qa,omitempty" json:"-"`
 }
 
-// Ask is a cancellation on its way to the leader.
-type Ask struct {
+// CancelRequest is a cancellation on its way to the leader.
+type CancelRequest struct {
 	Job unit.JobID `msgpack:"j" json:"j"`
 }
 
-// Report is a worker's report with its tasks in groups.
-type Report struct {
-	Machine unit.MachineID          `msgpack:"m" json:"m"`
-	Addr    string                  `msgpack:"a" json:"a"`
-	Type    unit.MachineType        `msgpack:"t" json:"t"`
-	Zone    unit.Zone               `msgpack:"z" json:"z"`
-	Spot    bool                    `msgpack:"s,omitempty" json:"s,omitempty"`
-	Session unit.Session            `msgpack:"h" json:"h"`
-	Tally   unit.HeartbeatSeq       `msgpack:"y" json:"y"`
-	Token   unit.Epoch              `msgpack:"e" json:"e"`
-	Notice  *float64                `msgpack:"n,omitempty" json:"n,omitempty"`
-	Tasks   wire.BoundedList[Tasks] `msgpack:"g,omitempty" json:"g,omitempty"`
+// Heartbeat is a worker's report with its tasks in groups.
+type Heartbeat struct {
+	Machine           unit.MachineID              `msgpack:"m" json:"m"`
+	Addr              string                      `msgpack:"a" json:"a"`
+	Type              unit.MachineType            `msgpack:"t" json:"t"`
+	Zone              unit.Zone                   `msgpack:"z" json:"z"`
+	Spot              bool                        `msgpack:"s,omitempty" json:"s,omitempty"`
+	Session           unit.Session                `msgpack:"h" json:"h"`
+	HeartbeatSeq      unit.HeartbeatSeq           `msgpack:"y" json:"y"`
+	FencingToken      unit.Epoch                  `msgpack:"e" json:"e"`
+	SpotNoticeSeconds *float64                    `msgpack:"n,omitempty" json:"n,omitempty"`
+	TaskGroups        wire.BoundedList[TaskGroup] `msgpack:"g,omitempty" json:"g,omitempty"`
 }
 
-// Tasks are tasks of one job and attempt in one state.
-type Tasks struct {
+// TaskGroup are tasks of one job and attempt in one state.
+type TaskGroup struct {
 	Job     unit.JobID      `msgpack:"j" json:"j"`
 	Attempt unit.Attempt    `msgpack:"a" json:"a"`
 	State   fleet.TaskState `msgpack:"s" json:"s"`
@@ -70,89 +70,89 @@
 	Indexes unit.Set        `msgpack:"i" json:"i"`
 }
 
-// Answers is what the leader hands back for a batch.
-type Answers struct {
-	ID         string                     `msgpack:"id" json:"id"`
-	Reports    wire.BoundedList[Answer]   `msgpack:"r,omitempty" json:"r,omitempty"`
-	Asks       wire.BoundedList[AskState] `msgpack:"a,omitempty" json:"a,omitempty"`
-	Delegation *Delegation                `msgpack:"v,omitempty" json:"v,omitempty"`
-	Quota      *quota.AllocationResponse  `msgpack:"qa,omitempty" json:"-"`
+// BatchReply is what the leader hands back for a batch.
+type BatchReply struct {
+	ID            string                           `msgpack:"id" json:"id"`
+	Heartbeats    wire.BoundedList[HeartbeatReply] `msgpack:"r,omitempty" json:"r,omitempty"`
+	Cancellations wire.BoundedList[CancelReply]    `msgpack:"a,omitempty" json:"a,omitempty"`
+	Delegation    *DelegationStatus                `msgpack:"v,omitempty" json:"v,omitempty"`
+	Quota         *quota.AllocationResponse        `msgpack:"qa,omitempty" json:"-"`
 }
 
-// Delegation is what a node says of grants; see package delegation.
-type Delegation struct {
-	Epoch    unit.Epoch                       `msgpack:"e" json:"e"`
-	LifeMs   int64                            `msgpack:"l" json:"l"`
-	QuietMs  int64                            `msgpack:"q" json:"q"`
-	Excluded wire.BoundedList[unit.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
-	Form     rollout.Version                  `msgpack:"f,omitempty" json:"f,omitempty"`
-	// Quotas: as leader the node keeps to what was allotted of teams' limits.
-	Quotas bool `msgpack:"k,omitempty" json:"k,omitempty"`
+// DelegationStatus is what a node says of grants; see package delegation.
+type DelegationStatus struct {
+	Epoch         unit.Epoch                       `msgpack:"e" json:"e"`
+	TTLMs         int64                            `msgpack:"l" json:"l"`
+	IdleMs        int64                            `msgpack:"q" json:"q"`
+	Excluded      wire.BoundedList[unit.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
+	SchemaVersion rollout.Version                  `msgpack:"f,omitempty" json:"f,omitempty"`
+	// EnforcesQuotas: as leader the node keeps to what was allotted of teams' limits.
+	EnforcesQuotas bool `msgpack:"k,omitempty" json:"k,omitempty"`
 }
 
-// PackDelegation makes the form of it that travels.
-func PackDelegation(s delegation.Status) *Delegation {
-	return &Delegation{Epoch: s.Epoch, LifeMs: s.GrantDuration.Milliseconds(), QuietMs: s.IdleFor.Milliseconds(), Excluded: s.ExcludedMachines, Form: rollout.Latest, Quotas: true}
+// PackDelegationStatus makes the form of it that travels.
+func PackDelegationStatus(s delegation.Status) *DelegationStatus {
+	return &DelegationStatus{Epoch: s.Epoch, TTLMs: s.GrantDuration.Milliseconds(), IdleMs: s.IdleFor.Milliseconds(), Excluded: s.ExcludedMachines, SchemaVersion: rollout.Latest, EnforcesQuotas: true}
 }
 
 // Unpack undoes PackDelegation. What can't be is taken for no grant.
-func (v *Delegation) Unpack() (delegation.Status, error) {
+func (v *DelegationStatus) Unpack() (delegation.Status, error) {
 	const most = 1 << 40 // milliseconds: some decades
-	if v.LifeMs < 0 || v.LifeMs > most || v.QuietMs < 0 || v.QuietMs > most {
+	if v.TTLMs < 0 || v.TTLMs > most || v.IdleMs < 0 || v.IdleMs > most {
 		return delegation.Status{}, errors.New("a grant with an impossible time")
 	}
-	return delegation.Status{Epoch: v.Epoch, GrantDuration: time.Duration(v.LifeMs) * time.Millisecond,
-		IdleFor: time.Duration(v.QuietMs) * time.Millisecond, ExcludedMachines: v.Excluded}, nil
+	return delegation.Status{Epoch: v.Epoch, GrantDuration: time.Duration(v.TTLMs) * time.Millisecond,
+		IdleFor: time.Duration(v.IdleMs) * time.Millisecond, ExcludedMachines: v.Excluded}, nil
 }
 
-// Answer answers one report.
-type Answer struct {
-	Machine unit.MachineID           `msgpack:"m" json:"m"`
-	Code    int                      `msgpack:"c" json:"c"`
-	Epoch   unit.Epoch               `msgpack:"e" json:"e"`
-	Orders  wire.BoundedList[Orders] `msgpack:"o,omitempty" json:"o,omitempty"`
+// HeartbeatReply answers one report.
+type HeartbeatReply struct {
+	Machine  unit.MachineID                 `msgpack:"m" json:"m"`
+	Code     int                            `msgpack:"c" json:"c"`
+	Epoch    unit.Epoch                     `msgpack:"e" json:"e"`
+	Commands wire.BoundedList[CommandGroup] `msgpack:"o,omitempty" json:"o,omitempty"`
 }
 
-// Orders are the same order for tasks of one job and attempt.
-type Orders struct {
-	Verb    fleet.CommandKind `msgpack:"v" json:"v"`
-	Job     unit.JobID        `msgpack:"j" json:"j"`
-	Attempt unit.Attempt      `msgpack:"a" json:"a"`
-	LeaveS  float64           `msgpack:"l,omitempty" json:"l,omitempty"`
-	Indexes unit.Set          `msgpack:"i" json:"i"`
+// CommandGroup are the same order for tasks of one job and attempt.
+type CommandGroup struct {
+	Kind               fleet.CommandKind `msgpack:"v" json:"v"`
+	Job                unit.JobID        `msgpack:"j" json:"j"`
+	Attempt            unit.Attempt      `msgpack:"a" json:"a"`
+	GracePeriodSeconds float64           `msgpack:"l,omitempty" json:"l,omitempty"`
+	Indexes            unit.Set          `msgpack:"i" json:"i"`
 }
 
-// AskState answers an ask.
-type AskState struct {
-	Job      unit.JobID `msgpack:"j" json:"j"`
-	Standing string     `msgpack:"s" json:"s"` // empty: ask again
-	Done     int        `msgpack:"d,omitempty" json:"d,omitempty"`
+// CancelReply answers an ask.
+type CancelReply struct {
+	Job       unit.JobID `msgpack:"j" json:"j"`
+	State     string     `msgpack:"s" json:"s"` // empty: ask again
+	DoneTasks int        `msgpack:"d,omitempty" json:"d,omitempty"`
 }
 
-// Pack makes the compact form of a report.
-func Pack(r *fleet.Heartbeat) Report {
-	out := Report{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Tally: r.HeartbeatSeq, Token: r.FencingToken}
+// PackHeartbeat makes the compact form of a report.
+func PackHeartbeat(r *fleet.Heartbeat) Heartbeat {
+	out := Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+		Session: r.Session, HeartbeatSeq: r.HeartbeatSeq, FencingToken: r.FencingToken}
 	if r.InterruptionNoticed {
 		s := r.InterruptionIn.Seconds()
-		out.Notice = &s
+		out.SpotNoticeSeconds = &s
 	}
-	at := map[tasksKey]int{}
+	at := map[taskGroupKey]int{}
 	for _, e := range r.Tasks {
-		k := tasksKey{e.Task.Job, e.Attempt, e.State, e.Cause, e.CheckpointStored}
+		k := taskGroupKey{e.Task.Job, e.Attempt, e.State, e.Cause, e.CheckpointStored}
 		n, ok := at[k]
 		if !ok {
-			n = len(out.Tasks)
+			n = len(out.TaskGroups)
 			at[k] = n
-			out.Tasks = append(out.Tasks, Tasks{Job: k.job, Attempt: k.attempt, State: k.state, Cause: k.cause, Stored: k.stored})
+			out.TaskGroups = append(out.TaskGroups, TaskGroup{Job: k.job, Attempt: k.attempt, State: k.state, Cause: k.cause, Stored: k.stored})
 		}
-		out.Tasks[n].Indexes.Add(e.Task.Index)
+		out.TaskGroups[n].Indexes.Add(e.Task.Index)
 	}
 	return out
 }
 
-// tasksKey tells groups of tasks apart.
-type tasksKey struct {
+// taskGroupKey tells groups of tasks apart.
+type taskGroupKey struct {
 	job     unit.JobID
 	attempt unit.Attempt
 	state   fleet.TaskState
@@ -160,21 +160,21 @@
 	stored  bool
 }
 
-// maxTasks bounds the tasks of one relayed report.
-const maxTasks = 10_000
+// maxTasksPerHeartbeat bounds the tasks of one relayed report.
+const maxTasksPerHeartbeat = 10_000
 
 // Unpack makes a report of its compact form.
-func (r *Report) Unpack() (*fleet.Heartbeat, error) {
+func (r *Heartbeat) Unpack() (*fleet.Heartbeat, error) {
 	if r.Machine == "" || r.Session == 0 {
 		return nil, errors.New("relayed report without machine or session")
 	}
 	out := &fleet.Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, HeartbeatSeq: r.Tally, FencingToken: r.Token}
-	if r.Notice != nil {
-		out.InterruptionNoticed, out.InterruptionIn = true, unit.Seconds(*r.Notice)
+		Session: r.Session, HeartbeatSeq: r.HeartbeatSeq, FencingToken: r.FencingToken}
+	if r.SpotNoticeSeconds != nil {
+		out.InterruptionNoticed, out.InterruptionIn = true, unit.Seconds(*r.SpotNoticeSeconds)
 	}
-	for _, g := range r.Tasks {
-		if !g.Indexes.Valid(1<<20) || len(out.Tasks)+g.Indexes.Len() > maxTasks {
+	for _, g := range r.TaskGroups {
+		if !g.Indexes.Valid(1<<20) || len(out.Tasks)+g.Indexes.Len() > maxTasksPerHeartbeat {
 			return nil, errors.New("relayed report with impossible tasks")
 		}
 		g.Indexes.Each(func(i unit.TaskIndex) bool {
@@ -186,14 +186,14 @@
 	return out, nil
 }
 
-// PackOrders makes the compact form of orders, keeping their sequence of
+// PackCommands makes the compact form of orders, keeping their sequence of
 // halts, launches and reaps.
-func PackOrders(orders []fleet.Command) []Orders {
-	var out []Orders
+func PackCommands(orders []fleet.Command) []CommandGroup {
+	var out []CommandGroup
 	for _, o := range orders {
 		n := len(out) - 1
-		if n < 0 || out[n].Verb != o.Kind || out[n].Job != o.Task.Job || out[n].Attempt != o.Attempt || out[n].LeaveS != o.GracePeriod.Seconds() {
-			out = append(out, Orders{Verb: o.Kind, Job: o.Task.Job, Attempt: o.Attempt, LeaveS: o.GracePeriod.Seconds()})
+		if n < 0 || out[n].Kind != o.Kind || out[n].Job != o.Task.Job || out[n].Attempt != o.Attempt || out[n].GracePeriodSeconds != o.GracePeriod.Seconds() {
+			out = append(out, CommandGroup{Kind: o.Kind, Job: o.Task.Job, Attempt: o.Attempt, GracePeriodSeconds: o.GracePeriod.Seconds()})
 			n++
 		}
 		out[n].Indexes.Add(o.Task.Index)
@@ -201,16 +201,16 @@
 	return out
 }
 
-// Unpack makes the orders of an answer.
-func (a *Answer) Unpack() []fleet.Command {
+// UnpackCommands makes the orders of an answer.
+func (a *HeartbeatReply) UnpackCommands() []fleet.Command {
 	var out []fleet.Command
-	for _, g := range a.Orders {
-		if !g.Indexes.Valid(1<<20) || len(out)+g.Indexes.Len() > maxTasks {
+	for _, g := range a.Commands {
+		if !g.Indexes.Valid(1<<20) || len(out)+g.Indexes.Len() > maxTasksPerHeartbeat {
 			continue
 		}
 		g.Indexes.Each(func(i unit.TaskIndex) bool {
-			out = append(out, fleet.Command{Kind: g.Verb, Task: unit.TaskID{Job: g.Job, Index: i}, Attempt: g.Attempt,
-				GracePeriod: time.Duration(g.LeaveS * float64(time.Second))})
+			out = append(out, fleet.Command{Kind: g.Kind, Task: unit.TaskID{Job: g.Job, Index: i}, Attempt: g.Attempt,
+				GracePeriod: time.Duration(g.GracePeriodSeconds * float64(time.Second))})
 			return true
 		})
 	}
@@ -226,30 +226,30 @@
 	return b, nil
 }
 
-// maxExpanded bounds what a squeezed batch, or its answers, may hold.
-const maxExpanded = 1 << 20
+// maxDecompressedBytes bounds what a squeezed batch, or its answers, may hold.
+const maxDecompressedBytes = 1 << 20
 
-// ExpandBatch reads a batch that was squeezed into a value.
-func ExpandBatch(value []byte) (*Batch, error) {
-	data, err := wire.DecompressMessage(value, maxExpanded)
+// DecompressBatch reads a batch that was squeezed into a value.
+func DecompressBatch(value []byte) (*Batch, error) {
+	data, err := wire.DecompressMessage(value, maxDecompressedBytes)
 	if err != nil {
 		return nil, fmt.Errorf("relayed batch: %w", err)
 	}
 	return DecodeBatch(data)
 }
 
-// ExpandAnswers reads answers that were squeezed into a value.
-func ExpandAnswers(value []byte) (*Answers, error) {
-	data, err := wire.DecompressMessage(value, maxExpanded)
+// DecompressReply reads answers that were squeezed into a value.
+func DecompressReply(value []byte) (*BatchReply, error) {
+	data, err := wire.DecompressMessage(value, maxDecompressedBytes)
 	if err != nil {
 		return nil, fmt.Errorf("relayed answers: %w", err)
 	}
-	return DecodeAnswers(data)
+	return DecodeReply(data)
 }
 
-// DecodeAnswers reads the answers to a batch.
-func DecodeAnswers(data []byte) (*Answers, error) {
-	a := new(Answers)
+// DecodeReply reads the answers to a batch.
+func DecodeReply(data []byte) (*BatchReply, error) {
+	a := new(BatchReply)
 	if err := msgpack.Unmarshal(data, a); err != nil {
 		return nil, fmt.Errorf("decoding relayed answers: %w", err)
 	}
--- a/internal/mesh/relay_test.go
+++ b/internal/mesh/relay_test.go
@@ -16,24 +16,24 @@
 	"badgerbay/internal/wire"
 )
 
-func task(i unit.TaskIndex) unit.TaskID { return unit.TaskID{Job: "wk-000001", Index: i} }
+func testTask(i unit.TaskIndex) unit.TaskID { return unit.TaskID{Job: "wk-000001", Index: i} }
 
-// TestReportsSurviveTheRelay: what a worker said must reach the leader as it
+// TestHeartbeatRoundTrip: what a worker said must reach the leader as it
 // was, and the leader's orders the worker in their sequence.
-func TestReportsSurviveTheRelay(t *testing.T) {
+func TestHeartbeatRoundTrip(t *testing.T) {
 	in := &fleet.Heartbeat{Machine: "host-1", Addr: "10.0.0.1:9", Type: "m", Zone: "a", Spot: true, Session: 2, HeartbeatSeq: 7, FencingToken: 9,
 		InterruptionNoticed: true, InterruptionIn: 12 * time.Second, Tasks: []fleet.TaskStatus{
-			{Task: task(0), Attempt: 3, State: "running"}, {Task: task(1), Attempt: 3, State: "running"},
-			{Task: task(2), Attempt: 4, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}}
-	data, err := msgpack.Marshal(Batch{ID: "x", Reports: []Report{Pack(in)}})
+			{Task: testTask(0), Attempt: 3, State: "running"}, {Task: testTask(1), Attempt: 3, State: "running"},
+			{Task: testTask(2), Attempt: 4, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}}
+	data, err := msgpack.Marshal(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(in)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	b, err := DecodeBatch(data)
-	if err != nil || len(b.Reports) != 1 || len(b.Reports[0].Tasks) != 2 {
+	if err != nil || len(b.Heartbeats) != 1 || len(b.Heartbeats[0].TaskGroups) != 2 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	out, err := b.Reports[0].Unpack()
+	out, err := b.Heartbeats[0].Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,20 +42,20 @@
 	}
 }
 
-func TestOrdersKeepTheirSequence(t *testing.T) {
-	in := []fleet.Command{{Kind: fleet.CommandStop, Task: task(0), Attempt: 1, GracePeriod: 4 * time.Second}, {Kind: fleet.CommandStop, Task: task(1), Attempt: 1, GracePeriod: 4 * time.Second},
-		{Kind: fleet.CommandStart, Task: task(0), Attempt: 2}, {Kind: fleet.CommandStart, Task: task(1), Attempt: 2}, {Kind: fleet.CommandForget, Task: task(5), Attempt: 1}}
-	a := Answer{Machine: "host-1", Code: 200, Epoch: 4, Orders: PackOrders(in)}
-	if len(a.Orders) != 3 {
-		t.Errorf("%d groups, want 3", len(a.Orders))
+func TestCommandsKeepOrder(t *testing.T) {
+	in := []fleet.Command{{Kind: fleet.CommandStop, Task: testTask(0), Attempt: 1, GracePeriod: 4 * time.Second}, {Kind: fleet.CommandStop, Task: testTask(1), Attempt: 1, GracePeriod: 4 * time.Second},
+		{Kind: fleet.CommandStart, Task: testTask(0), Attempt: 2}, {Kind: fleet.CommandStart, Task: testTask(1), Attempt: 2}, {Kind: fleet.CommandForget, Task: testTask(5), Attempt: 1}}
+	a := HeartbeatReply{Machine: "host-1", Code: 200, Epoch: 4, Commands: PackCommands(in)}
+	if len(a.Commands) != 3 {
+		t.Errorf("%d groups, want 3", len(a.Commands))
 	}
-	if diff := cmp.Diff(in, a.Unpack(), cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(in, a.UnpackCommands(), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func FuzzDecodeBatch(f *testing.F) {
-	data, err := msgpack.Marshal(Batch{ID: "x", Reports: []Report{Pack(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
+	data, err := msgpack.Marshal(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -63,24 +63,24 @@
 	f.Add([]byte{0x81, 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if b, err := DecodeBatch(data); err == nil {
-			for i := range b.Reports {
-				if r, err := b.Reports[i].Unpack(); err == nil && len(r.Tasks) > maxTasks {
+			for i := range b.Heartbeats {
+				if r, err := b.Heartbeats[i].Unpack(); err == nil && len(r.Tasks) > maxTasksPerHeartbeat {
 					t.Errorf("%d tasks", len(r.Tasks))
 				}
 			}
 		}
-		if a, err := DecodeAnswers(data); err == nil {
-			for i := range a.Reports {
-				a.Reports[i].Unpack()
+		if a, err := DecodeReply(data); err == nil {
+			for i := range a.Heartbeats {
+				a.Heartbeats[i].UnpackCommands()
 			}
 		}
 	})
 }
 
-// FuzzExpand: what stands in the keys of the relay is bounded however little
+// FuzzDecompress: what stands in the keys of the relay is bounded however little
 // of it there is, and never believed.
-func FuzzExpand(f *testing.F) {
-	batch, err := wire.CompressMessage(Batch{ID: "x", Reports: []Report{Pack(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
+func FuzzDecompress(f *testing.F) {
+	batch, err := wire.CompressMessage(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	bomb, err := wire.CompressMessage(strings.Repeat("x", 2*maxExpanded))
+	bomb, err := wire.CompressMessage(strings.Repeat("x", 2*maxDecompressedBytes))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -100,18 +100,18 @@
 	f.Add(tooMuch)
 	f.Add([]byte{0xa4, '!', '!', '!', '!'})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if b, err := ExpandBatch(data); err == nil && len(b.ID) > maxExpanded {
+		if b, err := DecompressBatch(data); err == nil && len(b.ID) > maxDecompressedBytes {
 			t.Errorf("an id of %d bytes", len(b.ID))
 		}
-		if a, err := ExpandAnswers(data); err == nil && len(a.ID) > maxExpanded {
+		if a, err := DecompressReply(data); err == nil && len(a.ID) > maxDecompressedBytes {
 			t.Errorf("an id of %d bytes", len(a.ID))
 		}
 	})
 }
 
-// TestRefusedIsNotSilent: a peer that refuses connections is told from one
+// TestConnectionRefusedIsReported: a peer that refuses connections is told from one
 // that a cut hides: its workers may still be reached.
-func TestRefusedIsNotSilent(t *testing.T) {
+func TestConnectionRefusedIsReported(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -122,11 +122,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	if p.Refused("n1") || p.Refused("unheard-of") {
+	if p.ConnectionRefused("n1") || p.ConnectionRefused("unheard-of") {
 		t.Error("refused before anything was tried")
 	}
 	l.Close()
-	if _, err := p.Health(t.Context(), "n1"); err == nil || !p.Refused("n1") {
-		t.Errorf("%v, refused %v", err, p.Refused("n1"))
+	if _, err := p.Health(t.Context(), "n1"); err == nil || !p.ConnectionRefused("n1") {
+		t.Errorf("%v, refused %v", err, p.ConnectionRefused("n1"))
 	}
 }
--- a/internal/mesh/versions_test.go
+++ b/internal/mesh/versions_test.go
@@ -14,8 +14,8 @@
 	"badgerbay/internal/wire"
 )
 
-// production reads a message as the production version sent it.
-func production(t *testing.T, name string) []byte {
+// readProduction reads a message as the production version sent it.
+func readProduction(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/" + name)
 	if err != nil {
@@ -24,11 +24,11 @@
 	return data
 }
 
-// parsed reads a gRPC message of the production version, and checks that it is
+// roundTrip reads a gRPC message of the production version, and checks that it is
 // written again byte by byte, without fields that are not known here.
-func parsed[M proto.Message](t *testing.T, name string, m M) M {
+func roundTrip[M proto.Message](t *testing.T, name string, m M) M {
 	t.Helper()
-	data := production(t, name)
+	data := readProduction(t, name)
 	if err := proto.Unmarshal(data, m); err != nil {
 		t.Fatal(err)
 	}
@@ -38,17 +38,17 @@
 	return m
 }
 
-// TestBatchesOfTheVersionBefore: what the production version sends through the
+// TestBatchesFromPreviousVersion: what the production version sends through the
 // state service is read, and means the same when it is written again.
-func TestBatchesOfTheVersionBefore(t *testing.T) {
-	b, err := ExpandBatch(production(t, "batch.msgpack"))
+func TestBatchesFromPreviousVersion(t *testing.T) {
+	b, err := DecompressBatch(readProduction(t, "batch.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Node != "n0" || b.Echo != "k3v9-16" || b.Form != 0 || len(b.Reports) != 2 || len(b.Asks) != 1 || b.Asks[0].Job != "wk-000398" {
+	if b.Node != "n0" || b.AckedBatchID != "k3v9-16" || b.SchemaVersion != 0 || len(b.Heartbeats) != 2 || len(b.CancelRequests) != 1 || b.CancelRequests[0].Job != "wk-000398" {
 		t.Errorf("batch %+v", b)
 	}
-	r, err := b.Reports[1].Unpack()
+	r, err := b.Heartbeats[1].Unpack()
 	if err != nil || r.Session != 3 || r.HeartbeatSeq != 12 || r.FencingToken != 40 || !r.Spot || r.InterruptionIn != 12500*time.Millisecond || len(r.Tasks) != 2 {
 		t.Fatalf("report %+v, %v", r, err)
 	}
@@ -59,48 +59,48 @@
 	if !stored[fleet.ExitStopped] || stored[fleet.ExitDone] {
 		t.Errorf("exits %+v", r.Tasks)
 	}
-	unchanged(t, "batch.msgpack", b)
+	checkReencoded(t, "batch.msgpack", b)
 
-	a, err := ExpandAnswers(production(t, "answers.msgpack"))
+	a, err := DecompressReply(readProduction(t, "answers.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders := a.Reports[0].Unpack()
-	if a.ID != b.ID || len(a.Reports) != 2 || a.Reports[0].Code != 200 || len(orders) != 3 || orders[1].GracePeriod != 10*time.Second {
+	orders := a.Heartbeats[0].UnpackCommands()
+	if a.ID != b.ID || len(a.Heartbeats) != 2 || a.Heartbeats[0].Code != 200 || len(orders) != 3 || orders[1].GracePeriod != 10*time.Second {
 		t.Errorf("answers %+v, orders %+v", a, orders)
 	}
-	unchanged(t, "answers.msgpack", a)
+	checkReencoded(t, "answers.msgpack", a)
 }
 
-// unchanged checks that a value is squeezed into the text that it was read from.
-func unchanged(t *testing.T, name string, v any) {
+// checkReencoded checks that a value is squeezed into the text that it was read from.
+func checkReencoded(t *testing.T, name string, v any) {
 	t.Helper()
 	text, err := wire.CompressMessage(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, production(t, name)) {
+	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readProduction(t, name)) {
 		t.Errorf("%s: not written as it was read: %v", name, err)
 	}
 }
 
-// TestCallsOfTheVersionBefore: the gRPC messages of the production version are read
+// TestCallsFromPreviousVersion: the gRPC messages of the production version are read
 // and answered, and what this version sends is the same but for the form, which
 // that version passes over.
-func TestCallsOfTheVersionBefore(t *testing.T) {
-	req := parsed(t, "grant-request.pb", &meshpb.RelayRequest{})
+func TestCallsFromPreviousVersion(t *testing.T) {
+	req := roundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
 	q, err := DecodeBatch(req.Batch)
-	if err != nil || !q.Delegation || q.Node != "n1" {
+	if err != nil || !q.WantsDelegation || q.Node != "n1" {
 		t.Errorf("question %+v, %v", q, err)
 	}
-	reply := parsed(t, "grant-reply.pb", &meshpb.RelayReply{})
-	a, err := DecodeAnswers(reply.Answers)
+	reply := roundTrip(t, "grant-reply.pb", &meshpb.RelayReply{})
+	a, err := DecodeReply(reply.Answers)
 	if err != nil || a.Delegation == nil {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	said, err := a.Delegation.Unpack()
-	if err != nil || said.Epoch != 77 || said.GrantDuration <= 0 || a.Delegation.Form != 0 {
-		t.Errorf("grant %+v of form %d, %v", said, a.Delegation.Form, err)
+	if err != nil || said.Epoch != 77 || said.GrantDuration <= 0 || a.Delegation.SchemaVersion != 0 {
+		t.Errorf("grant %+v of form %d, %v", said, a.Delegation.SchemaVersion, err)
 	}
 	if again, err := msgpack.Marshal(a); err != nil || !bytes.Equal(again, reply.Answers) {
 		t.Errorf("the grant is not written as it was read: %v", err)
@@ -112,37 +112,37 @@
 			LifeMs int64  `msgpack:"l"`
 		} `msgpack:"v"`
 	}
-	data, err := msgpack.Marshal(Answers{Delegation: PackDelegation(said)})
+	data, err := msgpack.Marshal(BatchReply{Delegation: PackDelegationStatus(said)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := msgpack.Unmarshal(data, &old); err != nil || old.Delegation.Epoch != 77 || old.Delegation.LifeMs != said.GrantDuration.Milliseconds() {
 		t.Errorf("the production version reads %+v, %v", old, err)
 	}
-	if r := parsed(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
+	if r := roundTrip(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
 		t.Errorf("cancellation %v", r)
 	}
-	if r := parsed(t, "cancel-reply.pb", &meshpb.AskReply{}); r.Standing != "cancelled" || r.Outcome != meshpb.Outcome_OUTCOME_KNOWN {
+	if r := roundTrip(t, "cancel-reply.pb", &meshpb.AskReply{}); r.Standing != "cancelled" || r.Outcome != meshpb.Outcome_OUTCOME_KNOWN {
 		t.Errorf("its answer %v", r)
 	}
-	parsed(t, "health-reply.pb", &meshpb.HealthReply{})
+	roundTrip(t, "health-reply.pb", &meshpb.HealthReply{})
 }
 
-// TestMessagesOfLaterVersions: what a later version adds is passed over, and what
+// TestMessagesFromLaterVersions: what a later version adds is passed over, and what
 // makes no sense is refused.
-func TestMessagesOfLaterVersions(t *testing.T) {
+func TestMessagesFromLaterVersions(t *testing.T) {
 	data, err := msgpack.Marshal(map[string]any{"id": "x", "n": "n1", "f": 99, "new": []any{1, "two"}, "v": true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := DecodeBatch(data); err != nil || b.Node != "n1" || !b.Delegation {
+	if b, err := DecodeBatch(data); err != nil || b.Node != "n1" || !b.WantsDelegation {
 		t.Errorf("%+v, %v", b, err)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x93, 1, 2}, {0x81, 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
 		if _, err := DecodeBatch(bad); err == nil {
 			t.Errorf("%x was read as a batch", bad)
 		}
-		if _, err := ExpandAnswers(bad); err == nil {
+		if _, err := DecompressReply(bad); err == nil {
 			t.Errorf("%x was read as answers", bad)
 		}
 	}
--- a/internal/relay/attest.go
+++ b/internal/relay/attest.go
@@ -7,17 +7,17 @@
 	"badgerbay/internal/unit"
 )
 
-// Answered holds, for each node, the last batch that was answered through the state
+// AnsweredBatches holds, for each node, the last batch that was answered through the state
 // service, and when the answers left.
-type Answered map[string]answered
+type AnsweredBatches map[string]answeredBatch
 
-type answered struct {
-	id string
-	at unit.Instant
+type answeredBatch struct {
+	id         string
+	answeredAt unit.Instant
 }
 
-// Note takes in that the answers to a node's batch leave.
-func (a Answered) Note(node, id string, at unit.Instant) { a[node] = answered{id, at} }
+// Record takes in that the answers to a node's batch leave.
+func (a AnsweredBatches) Record(node, id string, at unit.Instant) { a[node] = answeredBatch{id, at} }
 
 // Attestation is what a node says of the workers that it keeps by a grant.
 type Attestation struct {
@@ -25,16 +25,16 @@
 	IdleFor time.Duration
 }
 
-// mostQuietMs bounds what a node may say of its quiet time: some decades.
-const mostQuietMs = 1 << 40
+// maxIdleMs bounds what a node may say of its quiet time: some decades.
+const maxIdleMs = 1 << 40
 
-// Attested returns what a node that is out of reach over the mesh says of its grant.
+// Attestation returns what a node that is out of reach over the mesh says of its grant.
 // It said so after it had seen the answers that it names, so that counts from when
 // these left; a batch itself may be long on its way.
-func (a Answered) Attested(b *mesh.Batch) (Attestation, bool) {
+func (a AnsweredBatches) Attestation(b *mesh.Batch) (Attestation, bool) {
 	last := a[b.Node]
-	if b.Echo == "" || last.id != b.Echo || b.QuietMs < 0 || b.QuietMs >= mostQuietMs {
+	if b.AckedBatchID == "" || last.id != b.AckedBatchID || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
 		return Attestation{}, false
 	}
-	return Attestation{Since: last.at, IdleFor: time.Duration(b.QuietMs) * time.Millisecond}, true
+	return Attestation{Since: last.answeredAt, IdleFor: time.Duration(b.IdleMs) * time.Millisecond}, true
 }
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -13,63 +13,63 @@
 	"badgerbay/internal/wire"
 )
 
-// Item waits for the leader's answer through the state service: a worker's report,
+// PendingRequest waits for the leader's answer through the state service: a worker's report,
 // or, if Report is nil, the cancellation of a job.
-type Item struct {
-	Report *fleet.Heartbeat
-	Job    unit.JobID
-	Until  unit.Instant // nobody waits for the answer any longer
-	// Answer receives the answer to a report, State that to a cancellation.
-	Answer chan mesh.Answer
-	State  chan mesh.AskState
+type PendingRequest struct {
+	Heartbeat *fleet.Heartbeat
+	Job       unit.JobID
+	Deadline  unit.Instant // nobody waits for the answer any longer
+	// HeartbeatReply receives the answer to a report, State that to a cancellation.
+	HeartbeatReply chan mesh.HeartbeatReply
+	CancelReply    chan mesh.CancelReply
 }
 
-// NewReport returns an item for a worker's report.
-func NewReport(r *fleet.Heartbeat, until unit.Instant) Item {
-	return Item{Report: r, Until: until, Answer: make(chan mesh.Answer, 1)}
+// NewHeartbeatRequest returns an item for a worker's report.
+func NewHeartbeatRequest(r *fleet.Heartbeat, until unit.Instant) PendingRequest {
+	return PendingRequest{Heartbeat: r, Deadline: until, HeartbeatReply: make(chan mesh.HeartbeatReply, 1)}
 }
 
-// NewCancellation returns an item for the cancellation of a job.
-func NewCancellation(id unit.JobID, until unit.Instant) Item {
-	return Item{Job: id, Until: until, State: make(chan mesh.AskState, 1)}
+// NewCancelRequest returns an item for the cancellation of a job.
+func NewCancelRequest(id unit.JobID, until unit.Instant) PendingRequest {
+	return PendingRequest{Job: id, Deadline: until, CancelReply: make(chan mesh.CancelReply, 1)}
 }
 
-// rank sorts what users ask before reports.
-func (i *Item) rank() int {
-	if i.Report != nil {
+// sendOrder sorts what users ask before reports.
+func (i *PendingRequest) sendOrder() int {
+	if i.Heartbeat != nil {
 		return 1
 	}
 	return 0
 }
 
-// Header is what a batch says beside its items.
-type Header struct {
-	ID      string
-	Node    string
-	Echo    string        // the last batch that was answered
-	IdleFor time.Duration // since the node kept a worker by a grant
+// BatchHeader is what a batch says beside its items.
+type BatchHeader struct {
+	ID           string
+	Node         string
+	AckedBatchID string        // the last batch that was answered
+	IdleFor      time.Duration // since the node kept a worker by a grant
 }
 
 // Batch is what goes into one value.
 type Batch struct {
-	Value wire.Packed
-	Sent  []Item // in the value
-	Rest  []Item // left for the next batch
+	Value     wire.Packed
+	Sent      []PendingRequest // in the value
+	Remaining []PendingRequest // left for the next batch
 }
 
 // NewBatch compresses as much of the queue as a value of limit bytes holds, users'
 // requests first, and drops what has waited too long, and a single report that is
 // too large: it is of no use.
-func NewBatch(now unit.Instant, h Header, queue []Item, limit int) (Batch, error) {
-	waiting := slices.DeleteFunc(slices.Clone(queue), func(i Item) bool { return !now.Before(i.Until) })
-	slices.SortStableFunc(waiting, func(a, b Item) int { return cmp.Compare(a.rank(), b.rank()) })
+func NewBatch(now unit.Instant, h BatchHeader, queue []PendingRequest, limit int) (Batch, error) {
+	waiting := slices.DeleteFunc(slices.Clone(queue), func(i PendingRequest) bool { return !now.Before(i.Deadline) })
+	slices.SortStableFunc(waiting, func(a, b PendingRequest) int { return cmp.Compare(a.sendOrder(), b.sendOrder()) })
 	for count := len(waiting); count > 0; {
-		value, err := wire.CompressMessage(message(h, waiting[:count]))
+		value, err := wire.CompressMessage(newMessage(h, waiting[:count]))
 		switch {
 		case err != nil:
 			return Batch{}, fmt.Errorf("encoding a batch: %w", err)
 		case len(value) <= limit:
-			return Batch{Value: value, Sent: waiting[:count], Rest: waiting[count:]}, nil
+			return Batch{Value: value, Sent: waiting[:count], Remaining: waiting[count:]}, nil
 		case count == 1:
 			return Batch{}, nil
 		}
@@ -78,47 +78,47 @@
 	return Batch{}, nil
 }
 
-func message(h Header, items []Item) *mesh.Batch {
-	b := &mesh.Batch{ID: h.ID, Node: h.Node, Echo: h.Echo, QuietMs: h.IdleFor.Milliseconds(), Form: rollout.Latest}
+func newMessage(h BatchHeader, items []PendingRequest) *mesh.Batch {
+	b := &mesh.Batch{ID: h.ID, Node: h.Node, AckedBatchID: h.AckedBatchID, IdleMs: h.IdleFor.Milliseconds(), SchemaVersion: rollout.Latest}
 	for _, item := range items {
-		if item.Report != nil {
-			b.Reports = append(b.Reports, mesh.Pack(item.Report))
+		if item.Heartbeat != nil {
+			b.Heartbeats = append(b.Heartbeats, mesh.PackHeartbeat(item.Heartbeat))
 		} else {
-			b.Asks = append(b.Asks, mesh.Ask{Job: item.Job})
+			b.CancelRequests = append(b.CancelRequests, mesh.CancelRequest{Job: item.Job})
 		}
 	}
 	return b
 }
 
-// Deliver hands the answers of a batch to those who wait for them.
-func Deliver(a *mesh.Answers, sent []Item) {
-	reports := make(map[unit.MachineID]mesh.Answer, len(a.Reports))
-	for _, r := range a.Reports {
+// DeliverReplies hands the answers of a batch to those who wait for them.
+func DeliverReplies(a *mesh.BatchReply, sent []PendingRequest) {
+	reports := make(map[unit.MachineID]mesh.HeartbeatReply, len(a.Heartbeats))
+	for _, r := range a.Heartbeats {
 		reports[r.Machine] = r
 	}
-	asks := make(map[unit.JobID]mesh.AskState, len(a.Asks))
-	for _, s := range a.Asks {
+	asks := make(map[unit.JobID]mesh.CancelReply, len(a.Cancellations))
+	for _, s := range a.Cancellations {
 		asks[s.Job] = s
 	}
 	for _, item := range sent {
-		if item.Report == nil {
+		if item.Heartbeat == nil {
 			if s, ok := asks[item.Job]; ok {
-				item.State <- s
+				item.CancelReply <- s
 			}
 			continue
 		}
-		if r, ok := reports[item.Report.Machine]; ok {
-			item.Answer <- r
+		if r, ok := reports[item.Heartbeat.Machine]; ok {
+			item.HeartbeatReply <- r
 		}
 	}
 }
 
-// SqueezeAnswers compresses the answers to a batch into a value of limit bytes. What
+// CompressReply compresses the answers to a batch into a value of limit bytes. What
 // does not fit is left out, and answered by the next batch.
-func SqueezeAnswers(a *mesh.Answers, limit int) (wire.Packed, error) {
+func CompressReply(a *mesh.BatchReply, limit int) (wire.Packed, error) {
 	value, err := wire.CompressMessage(a)
-	for err == nil && len(a.Reports) > 0 && len(value) > limit {
-		a.Reports = a.Reports[:len(a.Reports)/2]
+	for err == nil && len(a.Heartbeats) > 0 && len(value) > limit {
+		a.Heartbeats = a.Heartbeats[:len(a.Heartbeats)/2]
 		value, err = wire.CompressMessage(a)
 	}
 	if err != nil {
@@ -127,8 +127,8 @@
 	return value, nil
 }
 
-// valueMargin is left free of a value by batches and answers: one eighth at most.
-const valueMargin = 1024
+// maxReservedBytes is left free of a value by batches and answers: one eighth at most.
+const maxReservedBytes = 1024
 
-// Limit is how large a batch or its answers may be where values have so many bytes.
-func Limit(valueBytes int) int { return valueBytes - min(valueMargin, valueBytes/8) }
+// MaxBatchBytes is how large a batch or its answers may be where values have so many bytes.
+func MaxBatchBytes(valueBytes int) int { return valueBytes - min(maxReservedBytes, valueBytes/8) }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -28,24 +28,24 @@
 			InterruptionNoticed: true, InterruptionIn: 12500 * time.Millisecond, Tasks: []fleet.TaskStatus{
 				{Task: unit.TaskID{Job: "wk-000412", Index: 2}, Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}},
 	}
-	queue := []Item{NewReport(reports[0], now.Add(time.Second)), NewReport(reports[1], now.Add(time.Second)), NewCancellation("wk-000398", now.Add(time.Second))}
-	header := Header{ID: "k3v9-17", Node: "n0", Echo: "k3v9-16", IdleFor: 2500 * time.Millisecond}
-	batch, err := NewBatch(now, header, queue, Limit(8192))
+	queue := []PendingRequest{NewHeartbeatRequest(reports[0], now.Add(time.Second)), NewHeartbeatRequest(reports[1], now.Add(time.Second)), NewCancelRequest("wk-000398", now.Add(time.Second))}
+	header := BatchHeader{ID: "k3v9-17", Node: "n0", AckedBatchID: "k3v9-16", IdleFor: 2500 * time.Millisecond}
+	batch, err := NewBatch(now, header, queue, MaxBatchBytes(8192))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := goldenValue(t, "batch.txt"); string(batch.Value) != want {
 		t.Errorf("batch %s, want %s", batch.Value, want)
 	}
-	got, err := mesh.ExpandBatch(encoded(t, goldenValue(t, "batch.txt")))
-	if err != nil || got.ID != header.ID || got.Node != header.Node || got.Echo != header.Echo || got.QuietMs != 2500 || got.Form != 3 {
+	got, err := mesh.DecompressBatch(encoded(t, goldenValue(t, "batch.txt")))
+	if err != nil || got.ID != header.ID || got.Node != header.Node || got.AckedBatchID != header.AckedBatchID || got.IdleMs != 2500 || got.SchemaVersion != 3 {
 		t.Fatalf("batch read as %+v, %v", got, err)
 	}
-	if diff := cmp.Diff([]mesh.Ask{{Job: "wk-000398"}}, []mesh.Ask(got.Asks)); diff != "" {
+	if diff := cmp.Diff([]mesh.CancelRequest{{Job: "wk-000398"}}, []mesh.CancelRequest(got.CancelRequests)); diff != "" {
 		t.Error(diff)
 	}
 	for i, r := range reports {
-		report, err := got.Reports[i].Unpack()
+		report, err := got.Heartbeats[i].Unpack()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,20 +55,20 @@
 	}
 }
 
-// TestGoldenAnswers: likewise for what the leader answers.
-func TestGoldenAnswers(t *testing.T) {
-	answers := func() *mesh.Answers {
-		return &mesh.Answers{ID: "k3v9-17",
-			Reports: []mesh.Answer{
-				{Machine: "host-000001", Code: 200, Epoch: 77, Orders: []mesh.Orders{
-					{Verb: fleet.CommandStop, Job: "wk-000412", Attempt: 7, LeaveS: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
-					{Verb: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
-					{Verb: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
+// TestGoldenReply: likewise for what the leader answers.
+func TestGoldenReply(t *testing.T) {
+	answers := func() *mesh.BatchReply {
+		return &mesh.BatchReply{ID: "k3v9-17",
+			Heartbeats: []mesh.HeartbeatReply{
+				{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []mesh.CommandGroup{
+					{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
+					{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
+					{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
 				{Machine: "host-000002", Code: 503, Epoch: 77}},
-			Asks: []mesh.AskState{{Job: "wk-000398", Standing: "cancelled", Done: 3}},
+			Cancellations: []mesh.CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}},
 		}
 	}
-	value, err := SqueezeAnswers(answers(), Limit(8192))
+	value, err := CompressReply(answers(), MaxBatchBytes(8192))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	if string(value) != want {
 		t.Errorf("answers %s, want %s", value, want)
 	}
-	got, err := mesh.ExpandAnswers(encoded(t, want))
+	got, err := mesh.DecompressReply(encoded(t, want))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/userapi/golden_test.go
+++ b/internal/userapi/golden_test.go
@@ -66,10 +66,10 @@
 func TestGoldenAnswers(t *testing.T) {
 	bodies := golden(t, "answers.txt")
 	statuses := map[string]Status{
-		"queued":    {Standing: Queued},
-		"running":   {Standing: Running, Done: 3, Running: 300},
-		"done":      {Standing: Done, Done: 100_000},
-		"cancelled": {Standing: Cancelled, Done: 5},
+		"queued":    {State: Queued},
+		"running":   {State: Running, DoneTasks: 3, RunningTasks: 300},
+		"done":      {State: Done, DoneTasks: 100_000},
+		"cancelled": {State: Cancelled, DoneTasks: 5},
 	}
 	for name, status := range statuses {
 		got, err := EncodeStatus("wk-000412", status)
--- a/internal/userapi/messages.go
+++ b/internal/userapi/messages.go
@@ -6,13 +6,13 @@
 	"badgerbay/internal/checkpoint"
 )
 
-// Kind of a request.
-type Kind int
+// RequestKind of a request.
+type RequestKind int
 
 // Kinds.
 const (
-	Submit Kind = iota
-	Poll
+	Submit RequestKind = iota
+	QueryStatus
 	Cancel
 )
 
@@ -23,24 +23,24 @@
 type (
 	// Begin starts the request.
 	Begin struct{}
-	// Created answers Create.
-	Created struct{ Result CreateResult }
-	// Loaded answers Load. Record is nil if the job was never accepted.
-	Loaded struct {
+	// RecordCreated answers Create.
+	RecordCreated struct{ Result CreateResult }
+	// RecordLoaded answers Load. Record is nil if the job was never accepted.
+	RecordLoaded struct {
 		OK     bool
 		Record *checkpoint.Record
 	}
-	// Told answers AskLeader.
-	Told struct {
-		Outcome Outcome
+	// LeaderReplied answers AskLeader.
+	LeaderReplied struct {
+		Outcome QueryOutcome
 		Status  Status
 	}
 )
 
-func (Begin) input()   {}
-func (Created) input() {}
-func (Loaded) input()  {}
-func (Told) input()    {}
+func (Begin) input()         {}
+func (RecordCreated) input() {}
+func (RecordLoaded) input()  {}
+func (LeaderReplied) input() {}
 
 // CreateResult is what became of the attempt to store a job.
 type CreateResult int
@@ -49,20 +49,20 @@
 // was not, for want of budget or of the state service.
 const (
 	Stored CreateResult = iota
-	Exists
-	Refused
-	Uncertain
+	AlreadyExists
+	Rejected
+	Indeterminate
 )
 
-// Outcome of asking the leader.
-type Outcome int
+// QueryOutcome of asking the leader.
+type QueryOutcome int
 
 // Outcomes. Nothing was done in the last two.
 const (
-	Known Outcome = iota
-	Absent
+	JobFound QueryOutcome = iota
+	JobNotFound
 	NoLeader
-	Busy
+	LeaderBusy
 )
 
 // Action is what a request asks its server to do next.
@@ -70,21 +70,21 @@
 
 // Actions.
 type (
-	// Create stores the job if it does not exist.
-	Create struct{ Record *checkpoint.Record }
-	// Load reads the job's record.
-	Load struct{}
-	// AskLeader polls or cancels the job at the leader.
-	AskLeader struct{ Cancel bool }
-	// Answer ends the request.
-	Answer struct {
+	// CreateRecord stores the job if it does not exist.
+	CreateRecord struct{ Record *checkpoint.Record }
+	// LoadRecord reads the job's record.
+	LoadRecord struct{}
+	// QueryLeader polls or cancels the job at the leader.
+	QueryLeader struct{ Cancel bool }
+	// Response ends the request.
+	Response struct {
 		Code       int
 		Status     Status
 		RetryAfter time.Duration
 	}
 )
 
-func (Create) action()    {}
-func (Load) action()      {}
-func (AskLeader) action() {}
-func (Answer) action()    {}
+func (CreateRecord) action() {}
+func (LoadRecord) action()   {}
+func (QueryLeader) action()  {}
+func (Response) action()     {}
--- a/internal/userapi/request.go
+++ b/internal/userapi/request.go
@@ -11,92 +11,92 @@
 	"badgerbay/internal/checkpoint"
 )
 
-type stage int
+type requestState int
 
 const (
-	fresh stage = iota
-	creating
-	checking // reading back after a create that found the job or is uncertain
-	asking
-	reading
-	refusing // reading before a refusal, in case the job is known
+	stateNew requestState = iota
+	stateCreating
+	stateVerifying // reading back after a create that found the job or is uncertain
+	stateQueryingLeader
+	stateReadingRecord
+	stateRejecting // reading before a refusal, in case the job is known
 )
 
 // Request is the state machine of one request.
 type Request struct {
-	kind  Kind
-	sub   *Submission
-	rules *Rules
-	now   int64 // time of day, ms
-	retry time.Duration
-	stage stage
+	kind          RequestKind
+	submission    *Submission
+	admission     *AdmissionRules
+	submittedAtMs int64 // time of day, ms
+	retryAfter    time.Duration
+	state         requestState
 	// uncertain is set when a create may have been executed.
-	uncertain bool
-	refusal   int
+	uncertain     bool
+	rejectionCode int
 }
 
-// NewSubmit returns the machine of a submission.
-func NewSubmit(sub *Submission, rules *Rules, wallMs int64) *Request {
-	return &Request{kind: Submit, sub: sub, rules: rules, now: wallMs, retry: time.Second}
+// NewSubmitRequest returns the machine of a submission.
+func NewSubmitRequest(sub *Submission, rules *AdmissionRules, wallMs int64) *Request {
+	return &Request{kind: Submit, submission: sub, admission: rules, submittedAtMs: wallMs, retryAfter: time.Second}
 }
 
-// NewAsk returns the machine of a poll or a cancellation.
-func NewAsk(kind Kind) *Request { return &Request{kind: kind, retry: time.Second} }
+// NewJobRequest returns the machine of a poll or a cancellation.
+func NewJobRequest(kind RequestKind) *Request { return &Request{kind: kind, retryAfter: time.Second} }
 
-// SetRetry sets when a user who is refused should come back.
-func (r *Request) SetRetry(d time.Duration) { r.retry = max(d, time.Second) }
+// SetRetryAfter sets when a user who is refused should come back.
+func (r *Request) SetRetryAfter(d time.Duration) { r.retryAfter = max(d, time.Second) }
 
 // Step takes an input and returns the next action.
 func (r *Request) Step(in Input) Action {
 	switch in := in.(type) {
 	case Begin:
 		return r.begin()
-	case Created:
-		return r.created(in)
-	case Loaded:
-		return r.loaded(in)
-	case Told:
-		return r.told(in)
+	case RecordCreated:
+		return r.recordCreated(in)
+	case RecordLoaded:
+		return r.recordLoaded(in)
+	case LeaderReplied:
+		return r.leaderReplied(in)
 	}
 	return r.unavailable()
 }
 
 func (r *Request) unavailable() Action {
-	return Answer{Code: http.StatusServiceUnavailable, RetryAfter: r.retry}
+	return Response{Code: http.StatusServiceUnavailable, RetryAfter: r.retryAfter}
 }
 
 func (r *Request) begin() Action {
 	if r.kind != Submit {
-		r.stage = asking
-		return AskLeader{Cancel: r.kind == Cancel}
+		r.state = stateQueryingLeader
+		return QueryLeader{Cancel: r.kind == Cancel}
 	}
-	switch code := r.rules.Check(&r.sub.Spec); code {
+	switch code := r.admission.Check(&r.submission.Spec); code {
 	case 0:
-		r.stage = creating
-		return Create{Record: checkpoint.NewRecord(r.sub.Spec, r.now)}
+		r.state = stateCreating
+		return CreateRecord{Record: checkpoint.NewRecord(r.submission.Spec, r.submittedAtMs)}
 	case http.StatusUnprocessableEntity:
 		// A job that is known must never be refused, whatever has changed
 		// since it was accepted.
-		r.stage, r.refusal = refusing, code
-		return Load{}
+		r.state, r.rejectionCode = stateRejecting, code
+		return LoadRecord{}
 	default:
 		return r.unavailable()
 	}
 }
 
-func (r *Request) created(in Created) Action {
+func (r *Request) recordCreated(in RecordCreated) Action {
 	switch in.Result {
 	case Stored:
-		return Answer{Code: http.StatusCreated, Status: Status{Standing: Queued}}
-	case Exists, Uncertain:
-		r.uncertain = in.Result == Uncertain
-		r.stage = checking
-		return Load{}
+		return Response{Code: http.StatusCreated, Status: Status{State: Queued}}
+	case AlreadyExists, Indeterminate:
+		r.uncertain = in.Result == Indeterminate
+		r.state = stateVerifying
+		return LoadRecord{}
 	}
 	return r.unavailable()
 }
 
-func (r *Request) loaded(in Loaded) Action {
+func (r *Request) recordLoaded(in RecordLoaded) Action {
 	if !in.OK {
 		return r.unavailable()
 	}
@@ -104,33 +104,33 @@
 		if r.kind == Cancel && !in.Record.Phase.Final() {
 			return r.unavailable() // only the leader cancels
 		}
-		return Answer{Code: http.StatusOK, Status: StatusOfRecord(in.Record)}
+		return Response{Code: http.StatusOK, Status: StatusOfRecord(in.Record)}
 	}
-	switch r.stage {
-	case refusing:
-		return Answer{Code: r.refusal}
-	case checking:
+	switch r.state {
+	case stateRejecting:
+		return Response{Code: r.rejectionCode}
+	case stateVerifying:
 		// Not stored so far; a late execution would accept it, so the user
 		// must ask again rather than be refused.
 		return r.unavailable()
 	}
-	return Answer{Code: http.StatusNotFound}
+	return Response{Code: http.StatusNotFound}
 }
 
-func (r *Request) told(in Told) Action {
+func (r *Request) leaderReplied(in LeaderReplied) Action {
 	switch in.Outcome {
-	case Known:
-		return Answer{Code: http.StatusOK, Status: in.Status}
-	case Busy:
+	case JobFound:
+		return Response{Code: http.StatusOK, Status: in.Status}
+	case LeaderBusy:
 		return r.unavailable()
 	}
 	// The leader does not know the job, or none can be asked: the record
 	// decides. Nothing is told before it is stored, so it is never too old.
-	r.stage = reading
-	return Load{}
+	r.state = stateReadingRecord
+	return LoadRecord{}
 }
 
-// RetrySeconds is the value of Retry-After for a duration.
-func RetrySeconds(d time.Duration) int {
+// RetryAfterSeconds is the value of Retry-After for a duration.
+func RetryAfterSeconds(d time.Duration) int {
 	return max(1, min(30, int(math.Ceil(d.Seconds()))))
 }
--- a/internal/userapi/retry.go
+++ b/internal/userapi/retry.go
@@ -10,46 +10,46 @@
 // flood they are spread out: those who come back together are refused together.
 // It is safe for concurrent use.
 type RetryPacer struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	share float64 // of the last submissions, about, that were refused
+	mu            sync.Mutex
+	rng           *rand.Rand
+	rejectedShare float64 // of the last submissions, about, that were refused
 }
 
 const (
-	// paceMemory is the weight of the last submission.
-	paceMemory = 0.05
-	// paceSpread is over how long users are spread if nearly all are refused.
+	// rejectionWeight is the weight of the last submission.
+	rejectionWeight = 0.05
+	// maxRetrySpread is over how long users are spread if nearly all are refused.
 	// It is short beside the minute for which they try.
-	paceSpread = 4 * time.Second
-	// flooded is the share from which it is of no use to ask other nodes.
-	flooded = 0.5
+	maxRetrySpread = 4 * time.Second
+	// overloadThreshold is the share from which it is of no use to ask other nodes.
+	overloadThreshold = 0.5
 )
 
 // NewRetryPacer returns the pace of a node that has refused nobody.
 func NewRetryPacer(rng *rand.Rand) *RetryPacer { return &RetryPacer{rng: rng} }
 
-// Took notes that a submission was stored.
-func (p *RetryPacer) Took() { p.note(0) }
+// Accepted notes that a submission was stored.
+func (p *RetryPacer) Accepted() { p.observe(0) }
 
-// Refused notes that one was not, and tells how much later than the next change
+// Rejected notes that one was not, and tells how much later than the next change
 // its user should come back.
-func (p *RetryPacer) Refused() time.Duration {
-	share := p.note(1)
+func (p *RetryPacer) Rejected() time.Duration {
+	share := p.observe(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.rng.Float64() * share * float64(paceSpread))
+	return time.Duration(p.rng.Float64() * share * float64(maxRetrySpread))
 }
 
-// Flooded tells whether most submissions are being refused.
-func (p *RetryPacer) Flooded() bool {
+// Overloaded tells whether most submissions are being refused.
+func (p *RetryPacer) Overloaded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.share > flooded
+	return p.rejectedShare > overloadThreshold
 }
 
-func (p *RetryPacer) note(refused float64) float64 {
+func (p *RetryPacer) observe(refused float64) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.share += paceMemory * (refused - p.share)
-	return p.share
+	p.rejectedShare += rejectionWeight * (refused - p.rejectedShare)
+	return p.rejectedShare
 }
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -15,7 +15,7 @@
 	"badgerbay/internal/unit"
 )
 
-func body(change map[string]any) []byte {
+func submissionBody(change map[string]any) []byte {
 	m := map[string]any{"id": "wk-000412", "ledgerClass": "train", "desk": "red", "shape": "batch", "rank": "high",
 		"entries": 16, "cpus": 2.0, "accelerators": 0.0, "memoryGb": 4.0, "bundle": "img-07", "imageGb": 6.2,
 		"frames": []string{"m"}, "hall": nil, "samePlace": true, "apart": false, "loaner": true,
@@ -39,7 +39,7 @@
 		"plain": {}, "unknown field": {"novel": []any{1, map[string]any{"a": nil}}}, "whole amounts": {"cpus": 2, "dueS": nil},
 		"optional fields left out": {"frames": "absent", "hall": "absent", "dueS": "absent"}, "zero": {"folioS": 0, "bindS": 0.0},
 	} {
-		if _, err := DecodeSubmission(body(change)); err != nil {
+		if _, err := DecodeSubmission(submissionBody(change)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -51,14 +51,14 @@
 		"rank misspelt": {"rank": "Prod"}, "unknown shape": {"shape": "array"}, "flag a number": {"samePlace": 1},
 		"flag missing": {"apart": "absent"}, "null flag": {"loaner": nil}, "no types": {"frames": []string{}},
 		"types a text": {"frames": "m"}, "types of numbers": {"frames": []any{1}}, "empty zone": {"hall": ""},
-		"binary text": {"bundle": []byte("img")}, "nested too deep": {"novel": nest(40)},
+		"binary text": {"bundle": []byte("img")}, "nested too deep": {"novel": nestedLists(40)},
 	} {
-		if s, err := DecodeSubmission(body(change)); err == nil {
+		if s, err := DecodeSubmission(submissionBody(change)); err == nil {
 			t.Errorf("%s: taken as %+v", name, s)
 		}
 	}
 	for name, data := range map[string][]byte{"empty": {}, "no map": {0x93, 1, 2, 3}, "text": []byte("hello"),
-		"cut off": body(nil)[:40], "more after it": append(body(nil), 0xc0), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
+		"cut off": submissionBody(nil)[:40], "more after it": append(submissionBody(nil), 0xc0), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 		"huge list": {0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
 		if _, err := DecodeSubmission(data); err == nil {
 			t.Errorf("%s: taken", name)
@@ -66,7 +66,7 @@
 	}
 }
 
-func nest(n int) any {
+func nestedLists(n int) any {
 	var v any = 1
 	for range n {
 		v = []any{v}
@@ -74,12 +74,12 @@
 	return v
 }
 
-func rules() *Rules {
-	return &Rules{Zones: []unit.Zone{"a"}, State: config.State{MaxValueKB: 2, MaxTxnOps: 4}, Teams: map[unit.Team]config.Team{"red": {Name: "red", CPULimit: 8}, "wide": {Name: "wide", CPULimit: 1e5}},
-		Types: []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}}
+func testAdmissionRules() *AdmissionRules {
+	return &AdmissionRules{Zones: []unit.Zone{"a"}, StateLimits: config.State{MaxValueKB: 2, MaxTxnOps: 4}, Teams: map[unit.Team]config.Team{"red": {Name: "red", CPULimit: 8}, "wide": {Name: "wide", CPULimit: 1e5}},
+		MachineTypes: []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}}
 }
 
-func TestCheck(t *testing.T) {
+func TestAdmissionRules(t *testing.T) {
 	base := checkpoint.Spec{Team: "red", Tasks: 100, CPUs: 2, MemoryGB: 4}
 	for name, c := range map[string]struct {
 		change func(*checkpoint.Spec)
@@ -105,23 +105,23 @@
 	} {
 		s := base
 		c.change(&s)
-		if got := rules().Check(&s); got != c.want {
+		if got := testAdmissionRules().Check(&s); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
-	blind := rules()
-	blind.Types = nil
+	blind := testAdmissionRules()
+	blind.MachineTypes = nil
 	if got := blind.Check(&base); got != http.StatusServiceUnavailable {
 		t.Errorf("machine types not known: %d, want 503", got)
 	}
 }
 
-// answer drives a request with scripted inputs and returns its answer.
-func answer(t *testing.T, r *Request, inputs ...Input) Answer {
+// respond drives a request with scripted inputs and returns its answer.
+func respond(t *testing.T, r *Request, inputs ...Input) Response {
 	t.Helper()
 	for i, in := range inputs {
 		act := r.Step(in)
-		if a, ok := act.(Answer); ok {
+		if a, ok := act.(Response); ok {
 			if i != len(inputs)-1 {
 				t.Fatalf("answered %+v before input %d", a, i+1)
 			}
@@ -129,11 +129,11 @@
 		}
 	}
 	t.Fatal("no answer")
-	return Answer{}
+	return Response{}
 }
 
-func TestSubmit(t *testing.T) {
-	sub, err := DecodeSubmission(body(nil))
+func TestSubmitRequest(t *testing.T) {
+	sub, err := DecodeSubmission(submissionBody(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,19 +143,19 @@
 	for name, c := range map[string]struct {
 		inputs []Input
 		code   int
-		st     Standing
+		st     JobState
 	}{
-		"stored":                       {[]Input{Begin{}, Created{Stored}}, 201, Queued},
-		"known":                        {[]Input{Begin{}, Created{Exists}, Loaded{OK: true, Record: rec}}, 200, Queued},
-		"known and over":               {[]Input{Begin{}, Created{Exists}, Loaded{OK: true, Record: &done}}, 200, Done},
-		"answer lost, stored":          {[]Input{Begin{}, Created{Uncertain}, Loaded{OK: true, Record: rec}}, 200, Queued},
-		"answer lost, not stored yet":  {[]Input{Begin{}, Created{Uncertain}, Loaded{OK: true}}, 503, ""},
-		"answer lost, can't read back": {[]Input{Begin{}, Created{Uncertain}, Loaded{}}, 503, ""},
-		"no budget":                    {[]Input{Begin{}, Created{Refused}}, 503, ""},
+		"stored":                       {[]Input{Begin{}, RecordCreated{Stored}}, 201, Queued},
+		"known":                        {[]Input{Begin{}, RecordCreated{AlreadyExists}, RecordLoaded{OK: true, Record: rec}}, 200, Queued},
+		"known and over":               {[]Input{Begin{}, RecordCreated{AlreadyExists}, RecordLoaded{OK: true, Record: &done}}, 200, Done},
+		"answer lost, stored":          {[]Input{Begin{}, RecordCreated{Indeterminate}, RecordLoaded{OK: true, Record: rec}}, 200, Queued},
+		"answer lost, not stored yet":  {[]Input{Begin{}, RecordCreated{Indeterminate}, RecordLoaded{OK: true}}, 503, ""},
+		"answer lost, can't read back": {[]Input{Begin{}, RecordCreated{Indeterminate}, RecordLoaded{}}, 503, ""},
+		"no budget":                    {[]Input{Begin{}, RecordCreated{Rejected}}, 503, ""},
 	} {
-		a := answer(t, NewSubmit(sub, rules(), 0), c.inputs...)
-		if a.Code != c.code || a.Status.Standing != c.st {
-			t.Errorf("%s: %d %q, want %d %q", name, a.Code, a.Status.Standing, c.code, c.st)
+		a := respond(t, NewSubmitRequest(sub, testAdmissionRules(), 0), c.inputs...)
+		if a.Code != c.code || a.Status.State != c.st {
+			t.Errorf("%s: %d %q, want %d %q", name, a.Code, a.Status.State, c.code, c.st)
 		}
 		if a.Code == 503 && a.RetryAfter <= 0 {
 			t.Errorf("%s: no time to come back", name)
@@ -163,65 +163,65 @@
 	}
 }
 
-// TestKnownJobIsNeverRefused: once accepted, a job is not called impossible,
+// TestAcceptedJobIsNeverRejected: once accepted, a job is not called impossible,
 // whatever the machine types look like later.
-func TestKnownJobIsNeverRefused(t *testing.T) {
-	sub, _ := DecodeSubmission(body(map[string]any{"cpus": 64.0}))
+func TestAcceptedJobIsNeverRejected(t *testing.T) {
+	sub, _ := DecodeSubmission(submissionBody(map[string]any{"cpus": 64.0}))
 	rec := checkpoint.NewRecord(sub.Spec, 0)
-	if a := answer(t, NewSubmit(sub, rules(), 0), Begin{}, Loaded{OK: true, Record: rec}); a.Code != 200 {
+	if a := respond(t, NewSubmitRequest(sub, testAdmissionRules(), 0), Begin{}, RecordLoaded{OK: true, Record: rec}); a.Code != 200 {
 		t.Errorf("known job answered %d", a.Code)
 	}
-	if a := answer(t, NewSubmit(sub, rules(), 0), Begin{}, Loaded{OK: true}); a.Code != 422 {
+	if a := respond(t, NewSubmitRequest(sub, testAdmissionRules(), 0), Begin{}, RecordLoaded{OK: true}); a.Code != 422 {
 		t.Errorf("impossible job answered %d", a.Code)
 	}
-	if a := answer(t, NewSubmit(sub, rules(), 0), Begin{}, Loaded{}); a.Code != 503 {
+	if a := respond(t, NewSubmitRequest(sub, testAdmissionRules(), 0), Begin{}, RecordLoaded{}); a.Code != 503 {
 		t.Errorf("undecided job answered %d", a.Code)
 	}
 }
 
-func TestAsk(t *testing.T) {
+func TestQueryAndCancelRequests(t *testing.T) {
 	active := checkpoint.NewRecord(checkpoint.Spec{Tasks: 2}, 0)
 	cancelled := *active
 	cancelled.Phase = checkpoint.PhaseCancelled
 	for name, c := range map[string]struct {
-		kind   Kind
+		kind   RequestKind
 		inputs []Input
 		code   int
-		st     Standing
+		st     JobState
 	}{
-		"leader knows":                       {Poll, []Input{Begin{}, Told{Known, Status{Standing: Running}}}, 200, Running},
-		"404 only after the state was asked": {Poll, []Input{Begin{}, Told{Outcome: Absent}, Loaded{OK: true}}, 404, ""},
-		"leader behind":                      {Poll, []Input{Begin{}, Told{Outcome: Absent}, Loaded{OK: true, Record: active}}, 200, Queued},
-		"no leader, record":                  {Poll, []Input{Begin{}, Told{Outcome: NoLeader}, Loaded{OK: true, Record: &cancelled}}, 200, Cancelled},
-		"nobody answers":                     {Poll, []Input{Begin{}, Told{Outcome: NoLeader}, Loaded{}}, 503, ""},
-		"leader busy":                        {Cancel, []Input{Begin{}, Told{Outcome: Busy}}, 503, ""},
-		"cancelled":                          {Cancel, []Input{Begin{}, Told{Known, Status{Standing: Cancelled}}}, 200, Cancelled},
-		"only the leader cancels":            {Cancel, []Input{Begin{}, Told{Outcome: NoLeader}, Loaded{OK: true, Record: active}}, 503, ""},
-		"cancelled before":                   {Cancel, []Input{Begin{}, Told{Outcome: NoLeader}, Loaded{OK: true, Record: &cancelled}}, 200, Cancelled},
+		"leader knows":                       {QueryStatus, []Input{Begin{}, LeaderReplied{JobFound, Status{State: Running}}}, 200, Running},
+		"404 only after the state was asked": {QueryStatus, []Input{Begin{}, LeaderReplied{Outcome: JobNotFound}, RecordLoaded{OK: true}}, 404, ""},
+		"leader behind":                      {QueryStatus, []Input{Begin{}, LeaderReplied{Outcome: JobNotFound}, RecordLoaded{OK: true, Record: active}}, 200, Queued},
+		"no leader, record":                  {QueryStatus, []Input{Begin{}, LeaderReplied{Outcome: NoLeader}, RecordLoaded{OK: true, Record: &cancelled}}, 200, Cancelled},
+		"nobody answers":                     {QueryStatus, []Input{Begin{}, LeaderReplied{Outcome: NoLeader}, RecordLoaded{}}, 503, ""},
+		"leader busy":                        {Cancel, []Input{Begin{}, LeaderReplied{Outcome: LeaderBusy}}, 503, ""},
+		"cancelled":                          {Cancel, []Input{Begin{}, LeaderReplied{JobFound, Status{State: Cancelled}}}, 200, Cancelled},
+		"only the leader cancels":            {Cancel, []Input{Begin{}, LeaderReplied{Outcome: NoLeader}, RecordLoaded{OK: true, Record: active}}, 503, ""},
+		"cancelled before":                   {Cancel, []Input{Begin{}, LeaderReplied{Outcome: NoLeader}, RecordLoaded{OK: true, Record: &cancelled}}, 200, Cancelled},
 	} {
-		a := answer(t, NewAsk(c.kind), c.inputs...)
-		if a.Code != c.code || a.Status.Standing != c.st {
-			t.Errorf("%s: %d %q, want %d %q", name, a.Code, a.Status.Standing, c.code, c.st)
+		a := respond(t, NewJobRequest(c.kind), c.inputs...)
+		if a.Code != c.code || a.Status.State != c.st {
+			t.Errorf("%s: %d %q, want %d %q", name, a.Code, a.Status.State, c.code, c.st)
 		}
 	}
 }
 
-// TestDoneOnlyOnceStored: a job whose last task has just completed is not
+// TestDoneOnlyAfterCheckpoint: a job whose last task has just completed is not
 // called done before its checkpoint says so.
-func TestDoneOnlyOnceStored(t *testing.T) {
+func TestDoneOnlyAfterCheckpoint(t *testing.T) {
 	j := checkpoint.NewJob("wk-000001", checkpoint.NewRecord(checkpoint.Spec{Tasks: 1}, 0), 1, 0)
 	j.CompleteTask(1, 0)
-	if got := StatusOf(j); got.Standing == Done {
+	if got := StatusOfJob(j); got.State == Done {
 		t.Error("done before it is stored")
 	}
 	j.StoredPhase = j.Phase
-	if diff := cmp.Diff(Status{Standing: Done, Done: 1}, StatusOf(j)); diff != "" {
+	if diff := cmp.Diff(Status{State: Done, DoneTasks: 1}, StatusOfJob(j)); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func FuzzDecodeSubmission(f *testing.F) {
-	f.Add(body(nil))
+	f.Add(submissionBody(nil))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -231,32 +231,32 @@
 	})
 }
 
-// TestFloodIsSpreadOut: users who are refused in a flood come back at different
+// TestRetryPacerSpreadsRetries: users who are refused in a flood come back at different
 // times, well within the minute for which they try; one who is refused alone
 // comes back soon.
-func TestFloodIsSpreadOut(t *testing.T) {
+func TestRetryPacerSpreadsRetries(t *testing.T) {
 	p := NewRetryPacer(rand.New(rand.NewPCG(1, 2)))
-	if d := p.Refused(); d > time.Second || p.Flooded() {
+	if d := p.Rejected(); d > time.Second || p.Overloaded() {
 		t.Errorf("refused alone, one is told to wait %v more", d)
 	}
 	early, late := 0, 0
 	for range 400 {
-		switch d := p.Refused(); {
-		case d > paceSpread:
+		switch d := p.Rejected(); {
+		case d > maxRetrySpread:
 			t.Fatalf("told to wait %v", d)
-		case d < paceSpread/4:
+		case d < maxRetrySpread/4:
 			early++
-		case d > paceSpread*3/4:
+		case d > maxRetrySpread*3/4:
 			late++
 		}
 	}
-	if early < 50 || late < 30 || !p.Flooded() {
+	if early < 50 || late < 30 || !p.Overloaded() {
 		t.Errorf("%d come early and %d late, of 400", early, late)
 	}
 	for range 100 {
-		p.Took()
+		p.Accepted()
 	}
-	if p.Flooded() {
+	if p.Overloaded() {
 		t.Error("still flooded when all are taken")
 	}
 }
--- a/internal/userapi/wire.go
+++ b/internal/userapi/wire.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// MaxBody bounds the bodies of users' requests.
-	MaxBody  = 64 << 10
-	maxTasks = 100_000
-	maxName  = 128
-	maxList  = 32
+	// MaxBodyBytes bounds the bodies of users' requests.
+	MaxBodyBytes    = 64 << 10
+	maxTasks        = 100_000
+	maxNameBytes    = 128
+	maxMachineTypes = 32
 	// maxAmount bounds amounts, so that sums of them stay exact enough.
 	maxAmount = 1e9
 )
@@ -32,20 +32,20 @@
 // ErrMalformed says that a submission gets 400.
 var ErrMalformed = errors.New("malformed submission")
 
-var priorities = map[string]checkpoint.Priority{
+var priorityByName = map[string]checkpoint.Priority{
 	"prod": checkpoint.PriorityProd, "high": checkpoint.PriorityHigh,
 	"standard": checkpoint.PriorityStandard, "best_effort": checkpoint.PriorityBestEffort,
 }
 
-type parser struct {
-	sub  Submission
-	seen map[string]bool
+type submissionDecoder struct {
+	submission Submission
+	seen       map[string]bool
 }
 
 // DecodeSubmission reads a submission strictly: each field there, of its type,
 // sign, size and spelling.
 func DecodeSubmission(data []byte) (*Submission, error) {
-	p := &parser{seen: map[string]bool{}}
+	p := &submissionDecoder{seen: map[string]bool{}}
 	rd := bytes.NewReader(data)
 	if err := wire.DecodeMap(msgpack.NewDecoder(rd), p.fields()); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
@@ -53,29 +53,29 @@
 	if rd.Len() > 0 {
 		return nil, fmt.Errorf("%w: bytes after the map", ErrMalformed)
 	}
-	for _, name := range required {
+	for _, name := range requiredFields {
 		if !p.seen[name] {
 			return nil, fmt.Errorf("%w: %s is missing", ErrMalformed, name)
 		}
 	}
-	if s := &p.sub.Spec; s.Service {
+	if s := &p.submission.Spec; s.Service {
 		s.EstimatedRunSeconds = 0
 	}
-	return &p.sub, nil
+	return &p.submission, nil
 }
 
-var required = []string{"id", "ledgerClass", "desk", "shape", "rank", "entries", "cpus", "accelerators",
+var requiredFields = []string{"id", "ledgerClass", "desk", "shape", "rank", "entries", "cpus", "accelerators",
 	"memoryGb", "samePlace", "apart", "loaner", "bundle", "imageGb", "expectedS", "folioS", "bindS"}
 
-type reader = func(*msgpack.Decoder) error
+type fieldDecoder = func(*msgpack.Decoder) error
 
-func (p *parser) fields() map[string]reader {
-	s := &p.sub.Spec
-	return map[string]reader{
+func (p *submissionDecoder) fields() map[string]fieldDecoder {
+	s := &p.submission.Spec
+	return map[string]fieldDecoder{
 		"id":           p.text("id", p.setID),
 		"ledgerClass":  p.text("ledgerClass", func(v string) error { s.Class = unit.Class(v); return nil }),
 		"desk":         p.text("desk", func(v string) error { s.Team = unit.Team(v); return nil }),
-		"shape":        p.text("shape", p.setShape),
+		"shape":        p.text("shape", p.setKind),
 		"rank":         p.text("rank", p.setPriority),
 		"bundle":       p.text("bundle", func(v string) error { s.Image = unit.Image(v); return nil }),
 		"entries":      p.count(&s.Tasks),
@@ -91,58 +91,58 @@
 		"apart":        p.flag("apart", &s.ZoneSpread),
 		"loaner":       p.flag("loaner", &s.Spot),
 		"hall":         p.optional(p.text("hall", func(v string) error { s.Zone = unit.Zone(v); return nil })),
-		"frames":       p.optional(p.setTypes),
+		"frames":       p.optional(p.decodeMachineTypes),
 	}
 }
 
-func (p *parser) setID(v string) error {
+func (p *submissionDecoder) setID(v string) error {
 	id, err := unit.ParseJobID(v)
-	p.sub.ID = id
+	p.submission.ID = id
 	return err
 }
 
-func (p *parser) setShape(v string) error {
+func (p *submissionDecoder) setKind(v string) error {
 	switch v {
 	case "batch":
 	case "service":
-		p.sub.Spec.Service = true
+		p.submission.Spec.Service = true
 	case "group":
-		p.sub.Spec.Gang = true
+		p.submission.Spec.Gang = true
 	default:
 		return fmt.Errorf("%.32q is no shape", v)
 	}
 	return nil
 }
 
-func (p *parser) setPriority(v string) error {
-	rank, ok := priorities[v]
+func (p *submissionDecoder) setPriority(v string) error {
+	rank, ok := priorityByName[v]
 	if !ok {
 		return fmt.Errorf("%.32q is no rank", v)
 	}
-	p.sub.Spec.Priority = rank
+	p.submission.Spec.Priority = rank
 	return nil
 }
 
-func (p *parser) setTypes(d *msgpack.Decoder) error {
+func (p *submissionDecoder) decodeMachineTypes(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	if n < 1 || n > maxList {
+	if n < 1 || n > maxMachineTypes {
 		return fmt.Errorf("list of %d", n)
 	}
 	for range n {
 		v, err := wire.DecodeString(d)
-		if err != nil || v == "" || len(v) > maxName {
+		if err != nil || v == "" || len(v) > maxNameBytes {
 			return errors.New("not a list of names")
 		}
-		p.sub.Spec.MachineTypes = append(p.sub.Spec.MachineTypes, unit.MachineType(v))
+		p.submission.Spec.MachineTypes = append(p.submission.Spec.MachineTypes, unit.MachineType(v))
 	}
 	return nil
 }
 
 // optional lets a field be null, which is the same as leaving it out.
-func (p *parser) optional(read reader) reader {
+func (p *submissionDecoder) optional(read fieldDecoder) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		if null, err := wire.DecodeNil(d); null || err != nil {
 			return err
@@ -151,13 +151,13 @@
 	}
 }
 
-func (p *parser) text(name string, set func(string) error) reader {
+func (p *submissionDecoder) text(name string, set func(string) error) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeString(d)
 		if err != nil {
 			return err
 		}
-		if v == "" || len(v) > maxName || strings.ContainsFunc(v, func(r rune) bool { return r < ' ' }) {
+		if v == "" || len(v) > maxNameBytes || strings.ContainsFunc(v, func(r rune) bool { return r < ' ' }) {
 			return errors.New("empty, too long, or with control characters")
 		}
 		p.seen[name] = true
@@ -165,7 +165,7 @@
 	}
 }
 
-func (p *parser) amount(name string, to *float64, positive bool) reader {
+func (p *submissionDecoder) amount(name string, to *float64, positive bool) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
 		if err != nil {
@@ -180,7 +180,7 @@
 	}
 }
 
-func (p *parser) count(to *int) reader {
+func (p *submissionDecoder) count(to *int) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeCount(d)
 		if err != nil {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (p *parser) flag(name string, to *bool) reader {
+func (p *submissionDecoder) flag(name string, to *bool) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeBool(d)
 		if err != nil {
@@ -207,60 +207,60 @@
 	}
 }
 
-// Standing is the state of a job as its user sees it.
-type Standing string
+// JobState is the state of a job as its user sees it.
+type JobState string
 
 // Standings.
 const (
-	Queued    Standing = "queued"
-	Running   Standing = "running"
-	Done      Standing = "done"
-	Cancelled Standing = "cancelled"
+	Queued    JobState = "queued"
+	Running   JobState = "running"
+	Done      JobState = "done"
+	Cancelled JobState = "cancelled"
 )
 
 // Status is what a poll answers.
 type Status struct {
-	Standing      Standing
-	Done, Running int
+	State                   JobState
+	DoneTasks, RunningTasks int
 }
 
-type wireStatus struct {
-	ID       unit.JobID `msgpack:"id"`
-	Standing Standing   `msgpack:"standing"`
-	Done     *int       `msgpack:"done,omitempty"`
-	Running  *int       `msgpack:"running,omitempty"`
+type statusMessage struct {
+	ID           unit.JobID `msgpack:"id"`
+	State        JobState   `msgpack:"standing"`
+	DoneTasks    *int       `msgpack:"done,omitempty"`
+	RunningTasks *int       `msgpack:"running,omitempty"`
 }
 
-// StatusOf is the state of a job by its working copy. A phase counts only once
+// StatusOfJob is the state of a job by its working copy. A phase counts only once
 // it is stored.
-func StatusOf(j *checkpoint.Job) Status {
-	return status(j.StoredPhase, j.Done.Len(), j.RunningTasks())
+func StatusOfJob(j *checkpoint.Job) Status {
+	return newStatus(j.StoredPhase, j.Done.Len(), j.RunningTasks())
 }
 
 // StatusOfRecord is the state of a job by its record.
 func StatusOfRecord(r *checkpoint.Record) Status {
 	if o := r.ChunkInfo; o != nil {
-		return status(r.Phase, o.DoneTasks, o.LiveTasks)
+		return newStatus(r.Phase, o.DoneTasks, o.LiveTasks)
 	}
-	return status(r.Phase, r.Done.Len(), r.LiveTasks())
+	return newStatus(r.Phase, r.Done.Len(), r.LiveTasks())
 }
 
-func status(phase checkpoint.Phase, done, running int) Status {
-	s := Status{Standing: Queued, Done: done, Running: running}
+func newStatus(phase checkpoint.Phase, done, running int) Status {
+	s := Status{State: Queued, DoneTasks: done, RunningTasks: running}
 	switch {
 	case phase == checkpoint.PhaseDone:
-		s.Standing, s.Running = Done, 0
+		s.State, s.RunningTasks = Done, 0
 	case phase == checkpoint.PhaseCancelled:
-		s.Standing, s.Running = Cancelled, 0
+		s.State, s.RunningTasks = Cancelled, 0
 	case running > 0:
-		s.Standing = Running
+		s.State = Running
 	}
 	return s
 }
 
 // EncodeStatus makes the body of a 200 or 201.
 func EncodeStatus(id unit.JobID, s Status) ([]byte, error) {
-	w := wireStatus{ID: id, Standing: s.Standing}
-	w.Done, w.Running = &s.Done, &s.Running
+	w := statusMessage{ID: id, State: s.State}
+	w.DoneTasks, w.RunningTasks = &s.DoneTasks, &s.RunningTasks
 	return msgpack.Marshal(w)
 }
