--- a/internal/controller/acts_test.go
+++ b/internal/controller/acts_test.go
@@ -11,15 +11,15 @@
 // actOf tells what an effect of a node does that only an entitled leader may do.
 func actOf(now unit.Instant, e Effect) (fake.Act, bool) {
 	switch e := e.(type) {
-	case ReplyReport:
-		return fake.Act{What: fake.AnsweredReport}, e.Code == 200 && !e.Final && now.Before(e.Until)
-	case ReplyAsk:
-		return fake.Act{What: fake.AnsweredUser}, e.Outcome == userapi.JobFound && now.Before(e.Until)
-	case Commit:
-		return fake.Act{What: fake.WroteRecords, Round: e.Kind == CommitRound}, true
-	case Do:
+	case HeartbeatReply:
+		return fake.Act{What: fake.AnsweredReport}, e.Code == 200 && !e.Final && now.Before(e.ValidUntil)
+	case JobReply:
+		return fake.Act{What: fake.AnsweredUser}, e.Outcome == userapi.JobFound && now.Before(e.ValidUntil)
+	case CommitTransaction:
+		return fake.Act{What: fake.WroteRecords, Round: e.Kind == RoundTransaction}, true
+	case SendCommands:
 		return fake.Act{What: fake.SentCommand}, true
-	case CallHire, CallRelease:
+	case ProvisionMachines, DeprovisionMachines:
 		return fake.Act{What: fake.CalledCloud}, true
 	}
 	return fake.Act{}, false
@@ -27,7 +27,7 @@
 
 // noteActs records what a node does as leader.
 func (s *sim) noteActs(n *simNode, effects []Effect) {
-	epoch := n.core.lead.Epoch()
+	epoch := n.core.election.Epoch()
 	for _, e := range effects {
 		act, ok := actOf(n.clock(s.now), e)
 		if !ok || epoch == 0 {
@@ -44,7 +44,7 @@
 func (s *sim) entitled() []string {
 	var names []string
 	for _, n := range s.nodes {
-		if n.alive && n.core.lead.LeaseValid(n.clock(s.now)) {
+		if n.alive && n.core.election.LeaseValid(n.clock(s.now)) {
 			names = append(names, n.name)
 		}
 	}
--- a/internal/controller/ask.go
+++ b/internal/controller/ask.go
@@ -129,13 +129,13 @@
 // askCore asks the core of this node. What it answers counts only as long as
 // the node is entitled, so that is checked once more as the answer leaves.
 func (n *Node) askCore(ctx context.Context, id unit.JobID, cancelJob bool) userapi.LeaderReplied {
-	ticket := make(chan ReplyAsk, 1)
-	if !n.offer(Asked{Ticket: ticket, Job: id, Cancel: cancelJob}) {
+	ticket := make(chan JobReply, 1)
+	if !n.offer(JobRequest{Ticket: ticket, Job: id, Cancel: cancelJob}) {
 		return userapi.LeaderReplied{Outcome: userapi.LeaderBusy}
 	}
 	select {
 	case reply := <-ticket:
-		if reply.Outcome == userapi.JobFound && !n.clock.Now().Before(reply.Until) {
+		if reply.Outcome == userapi.JobFound && !n.clock.Now().Before(reply.ValidUntil) {
 			return userapi.LeaderReplied{Outcome: userapi.NoLeader}
 		}
 		return userapi.LeaderReplied{Outcome: reply.Outcome, Status: reply.Status}
--- a/internal/controller/cancelgap_test.go
+++ b/internal/controller/cancelgap_test.go
@@ -176,18 +176,18 @@
 	life := delegation.GrantDuration(simSettings().Params.Workers)
 	for _, resigns := range []bool{false, true} {
 		c, begun := newLeadingCore(t)
-		entitled := c.lead.LeaseValidUntil()
+		entitled := c.election.LeaseValidUntil()
 		now := begun.Add(time.Second)
 		if resigns {
-			c.leadStep(now, leadership.Resign{Transferee: "n1"})
-			if got := c.keeper.GrantExpiresAt(); got != now.Add(life) {
+			c.stepElection(now, leadership.Resign{Transferee: "n1"})
+			if got := c.delegate.GrantExpiresAt(); got != now.Add(life) {
 				t.Errorf("resigned at %v, keeps workers until %v", now.Sub(begun), got.Sub(begun))
 			}
 			continue
 		}
 		now = entitled.Add(3 * time.Second)
-		c.Step(now, Reported{Ticket: make(chan ReplyReport, 1), Report: &fleet.Heartbeat{Machine: "m1", Zone: "a", Session: 1, HeartbeatSeq: 1}})
-		if got := c.keeper.GrantExpiresAt(); got != entitled.Add(life) {
+		c.Step(now, HeartbeatReceived{Ticket: make(chan HeartbeatReply, 1), Heartbeat: &fleet.Heartbeat{Machine: "m1", Zone: "a", Session: 1, HeartbeatSeq: 1}})
+		if got := c.delegate.GrantExpiresAt(); got != entitled.Add(life) {
 			t.Errorf("entitled until %v, keeps workers until %v", entitled.Sub(begun), got.Sub(begun))
 		}
 	}
@@ -198,15 +198,15 @@
 func TestOutsideNode(t *testing.T) {
 	set := &config.Settings{NodeName: "n2", Zone: "a", Peers: []config.Peer{
 		{NodeName: "n0", Zone: "b"}, {NodeName: "n1", Zone: "a"}, {NodeName: "n3", Zone: "b"}}}
-	if got := outsideNode(set); got != "n0" {
+	if got := nodeOutsideZone(set); got != "n0" {
 		t.Errorf("workers of n2 try %q", got)
 	}
 	set.NodeName, set.Peers[0] = "n0", config.Peer{NodeName: "n2", Zone: "b"}
-	if got := outsideNode(set); got != "n3" {
+	if got := nodeOutsideZone(set); got != "n3" {
 		t.Errorf("workers of n0 try %q", got)
 	}
 	set.Peers = set.Peers[1:2]
-	if got := outsideNode(set); got != "" {
+	if got := nodeOutsideZone(set); got != "" {
 		t.Errorf("a node alone names %q", got)
 	}
 }
--- a/internal/controller/cloud.go
+++ b/internal/controller/cloud.go
@@ -11,7 +11,7 @@
 	"badgerbay/internal/unit"
 )
 
-func sortByAge(jobs []*checkpoint.Job) {
+func sortByDirtySince(jobs []*checkpoint.Job) {
 	sort.Slice(jobs, func(a, b int) bool {
 		if jobs[a].DirtySince != jobs[b].DirtySince {
 			return jobs[a].DirtySince < jobs[b].DirtySince
@@ -20,48 +20,50 @@
 	})
 }
 
-// callCloud sends what is due to the cloud, within its call rate: releases
+// callCloudAPI sends what is due to the cloud, within its call rate: releases
 // first, since they stop costs, then rentals, then the list.
-func (t *term) callCloud(now unit.Instant) {
-	if t.cloud.Available(now) < 1 {
+func (t *term) callCloudAPI(now unit.Instant) {
+	if t.cloudCalls.Available(now) < 1 {
 		return
 	}
-	if ids := t.rentals.NextDeprovision(now); len(ids) > 0 {
-		t.cloud.Take(now, 1, 0)
-		t.c.emit(CallRelease{Machines: ids})
+	if ids := t.provisioning.NextDeprovision(now); len(ids) > 0 {
+		t.cloudCalls.Take(now, 1, 0)
+		t.core.emit(DeprovisionMachines{Machines: ids})
 	}
-	for t.cloud.Available(now) >= 1 {
-		h := t.rentals.NextProvision(now)
+	for t.cloudCalls.Available(now) >= 1 {
+		h := t.provisioning.NextProvision(now)
 		if h == nil {
 			break
 		}
-		t.cloud.Take(now, 1, 0)
-		t.c.emit(CallHire{Name: h.Name, Offer: h.Offer, Count: h.Count})
+		t.cloudCalls.Take(now, 1, 0)
+		t.core.emit(ProvisionMachines{Name: h.Name, Offer: h.Offer, Count: h.Count})
 	}
-	if t.listing.PageDue(now) && t.cloud.Take(now, 1, t.cloudReserve()) {
-		t.c.emit(CallList{Since: t.listing.RequestPage(now)})
+	if t.listing.PageDue(now) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
+		t.core.emit(ListMachines{After: t.listing.RequestPage(now)})
 	}
-	if !now.Before(t.nextTypes) && t.cloud.Take(now, 1, t.cloudReserve()) {
-		t.nextTypes = now.Add(time.Minute)
-		t.c.emit(CallFlavors{})
+	if !now.Before(t.nextMachineTypes) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
+		t.nextMachineTypes = now.Add(time.Minute)
+		t.core.emit(ReadMachineTypes{})
 	}
 }
 
-// cloudCallRate is the part of the cloud's call rate that the leader uses.
-const cloudCallRate = 0.8
+// LeaderCloudShare is the part of the cloud's call rate that the leader uses.
+const LeaderCloudShare = 0.8
 
-// cloudBurst is how many calls to the cloud may leave at once: a second's worth.
-func cloudBurst(c config.Cloud) float64 { return max(1, c.RPS) }
+// cloudCallBurst is how many calls to the cloud may leave at once: a second's worth.
+func cloudCallBurst(c config.Cloud) float64 { return max(1, c.RPS) }
 
-// cloudReserve is how many calls reading lists leaves to rentals and releases: one,
+// reservedCloudCalls is how many calls reading lists leaves to rentals and releases: one,
 // if the rate allows more than one at a time.
-func (t *term) cloudReserve() float64 { return min(1, cloudBurst(t.c.set.Params.Cloud)-1) }
+func (t *term) reservedCloudCalls() float64 {
+	return min(1, cloudCallBurst(t.core.settings.Params.Cloud)-1)
+}
 
-func (t *term) hireDone(now unit.Instant, in HireDone) {
-	if t.rentals.FinishProvision(now, in.Name, in.Verdict, len(in.Machines)) {
-		t.ring.SettleProvision(in.Name)
+func (t *term) provisionCompleted(now unit.Instant, in ProvisionCompleted) {
+	if t.provisioning.FinishProvision(now, in.Name, in.Result, len(in.Machines)) {
+		t.roundRing.SettleProvision(in.Name)
 	}
-	t.dirty = true
+	t.replanNeeded = true
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
 			continue // a repeated rental names what it rented the first time
@@ -70,42 +72,42 @@
 		m := t.fleet.Ensure(now, id)
 		m.Confirmed = true
 		if !known {
-			m.Type, m.Zone, m.Spot, m.ProvisionedAt = in.Offer.Type, in.Offer.Zone, in.Offer.Spot, in.Sent
+			m.Type, m.Zone, m.Spot, m.ProvisionedAt = in.Offer.Type, in.Offer.Zone, in.Offer.Spot, in.SentAt
 		}
 	}
-	t.c.log.Info("rental answered", "hire", in.Name, "verdict", int(in.Verdict), "machines", len(in.Machines), "epoch", t.epoch)
+	t.core.log.Info("rental answered", "hire", in.Name, "verdict", int(in.Result), "machines", len(in.Machines), "epoch", t.epoch)
 }
 
-func (t *term) releaseDone(now unit.Instant, in ReleaseDone) {
-	t.rentals.FinishDeprovision(now, in.Machines, in.OK)
+func (t *term) deprovisionCompleted(now unit.Instant, in DeprovisionCompleted) {
+	t.provisioning.FinishDeprovision(now, in.Machines, in.OK)
 	if !in.OK {
 		return
 	}
 	for _, id := range in.Machines {
-		t.ring.SettleDeprovision(id)
-		t.ended(now, t.fleet.Remove(now, id))
+		t.roundRing.SettleDeprovision(id)
+		t.tasksEnded(now, t.fleet.Remove(now, id))
 	}
-	t.dirty = true
+	t.replanNeeded = true
 }
 
-// leastListPause is the least time between two machine lists.
-const leastListPause = 2 * time.Second
+// minListInterval is the least time between two machine lists.
+const minListInterval = 2 * time.Second
 
-// listDone takes in a page of the machine list, and the list once it is whole.
+// machinesPageListed takes in a page of the machine list, and the list once it is whole.
 // Absence proves that a machine is gone only if it was listed before, so long ago
 // that even an old list would show it.
-func (t *term) listDone(now unit.Instant, in ListDone) {
-	lag := t.c.set.Params.Cloud.ListLag()
-	machines, sent, whole := t.listing.AddPage(now, in.Page, max(lag, leastListPause))
+func (t *term) machinesPageListed(now unit.Instant, in MachinesListed) {
+	lag := t.core.settings.Params.Cloud.ListLag()
+	machines, sent, whole := t.listing.AddPage(now, in.Page, max(lag, minListInterval))
 	if !whole {
 		return
 	}
-	t.listRead = true
+	t.machinesListed = true
 	seen := map[unit.MachineID]bool{}
 	for _, l := range machines {
 		seen[l.ID] = true
 		if !t.fleet.WasRemoved(l.ID) {
-			t.listed(now, sent, l)
+			t.observeListed(now, sent, l)
 		}
 	}
 	t.fleet.PruneRemoved(now, 10*lag+10*time.Minute)
@@ -116,19 +118,19 @@
 		gone := m.ListedAt != 0 && sent.Sub(m.ListedAt) > 2*lag+3*time.Second
 		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+10*time.Second
 		if gone || never {
-			t.c.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
-			t.gone(now, m)
+			t.core.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
+			t.removeMachine(now, m)
 		}
 	}
 }
 
-func (t *term) gone(now unit.Instant, m *fleet.Machine) {
+func (t *term) removeMachine(now unit.Instant, m *fleet.Machine) {
 	id := m.ID
-	t.ended(now, t.fleet.Remove(now, id))
-	t.dirty = true
+	t.tasksEnded(now, t.fleet.Remove(now, id))
+	t.replanNeeded = true
 }
 
-func (t *term) listed(now, sent unit.Instant, l rental.Machine) {
+func (t *term) observeListed(now, sent unit.Instant, l rental.Machine) {
 	known := t.fleet.Machine(l.ID) != nil
 	m := t.fleet.Ensure(now, l.ID)
 	if m.ListedAt == 0 {
@@ -140,11 +142,11 @@
 	if m.Type == "" || !known {
 		t.fleet.SetAttributes(m, l.Type, l.Zone, l.Spot)
 		m.ProvisionedAt = sent.Add(-unit.Seconds(l.AgeSeconds))
-		t.dirty = true
+		t.replanNeeded = true
 	}
 	if l.State == rental.MachineFailed && !m.Failed {
-		t.c.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
-		t.ended(now, t.fleet.MarkFailed(now, m))
-		t.dirty = true
+		t.core.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
+		t.tasksEnded(now, t.fleet.MarkFailed(now, m))
+		t.replanNeeded = true
 	}
 }
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -11,10 +11,10 @@
 	"badgerbay/internal/unit"
 )
 
-func (n *Node) hire(ctx context.Context, e CallHire) {
+func (n *Node) hire(ctx context.Context, e ProvisionMachines) {
 	sent := n.clock.Now()
 	ids, err := n.cloud.Provision(ctx, e.Name, e.Offer, e.Count)
-	n.post(ctx, HireDone{Name: e.Name, Offer: e.Offer, Sent: sent, Machines: ids, Verdict: n.verdictOf(err)})
+	n.post(ctx, ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sent, Machines: ids, Result: n.verdictOf(err)})
 }
 
 func (n *Node) verdictOf(err error) rental.ProvisionResult {
@@ -30,7 +30,7 @@
 		n.log.Error("rental refused", "err", err)
 		return rental.ProvisionRejected
 	}
-	n.met.Uncertain.Inc()
+	n.met.UncertainOutcomes.Inc()
 	return rental.ProvisionOutcomeUnknown
 }
 
@@ -39,12 +39,12 @@
 	if err != nil {
 		n.log.Info("release not answered", "machines", ids, "err", err)
 	}
-	n.post(ctx, ReleaseDone{Machines: ids, OK: err == nil})
+	n.post(ctx, DeprovisionCompleted{Machines: ids, OK: err == nil})
 }
 
 func (n *Node) list(ctx context.Context, since unit.MachineID) {
 	machines, more, err := n.cloud.ListMachines(ctx, since)
-	n.post(ctx, ListDone{Page: rental.Page{OK: err == nil, Machines: machines, More: more}})
+	n.post(ctx, MachinesListed{Page: rental.Page{OK: err == nil, Machines: machines, More: more}})
 }
 
 func (n *Node) flavors(ctx context.Context) {
@@ -55,7 +55,7 @@
 	} else {
 		n.keepFlavors(ctx, types)
 	}
-	n.post(ctx, FlavorsDone{Types: types})
+	n.post(ctx, MachineTypesRead{Types: types})
 }
 
 // flavorsKey keeps the machine types, so that a node that starts while the
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -12,11 +12,11 @@
 // Without an answer it is sent again: its guards name the versions it changes,
 // so it is applied at most once, and a conflict after an unanswered try is
 // settled by reading back.
-func (n *Node) commit(ctx context.Context, c Commit) {
+func (n *Node) commit(ctx context.Context, c CommitTransaction) {
 	unsure := false
 	for {
 		v, err := n.store.Commit(ctx, c.Txn)
-		done := Committed{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(n.note(err)), Version: v}
+		done := TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(n.note(err)), Revision: v}
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
@@ -30,10 +30,10 @@
 			continue
 		case errors.Is(err, statestore.ErrRejected):
 			limits := n.set.Params.StateService.Strictest()
-			done.TooLarge = c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
-			n.met.TooLarge.Inc()
+			done.ExceedsNextLimits = c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
+			n.met.OversizedRecords.Inc()
 			key, size := c.Txn.LargestValue()
-			n.log.Error("transaction refused", "epoch", c.Epoch, "writes", len(c.Txn.Operations), "largest", key, "bytes", size, "beyond_next", done.TooLarge, "err", err)
+			n.log.Error("transaction refused", "epoch", c.Epoch, "writes", len(c.Txn.Operations), "largest", key, "bytes", size, "beyond_next", done.ExceedsNextLimits, "err", err)
 		}
 		n.post(ctx, done)
 		return
@@ -43,8 +43,8 @@
 // settle judges a conflict. If the leader guard failed, this node is deposed.
 // After an unanswered try, a key that has moved on was moved by that try: only
 // the leader of this epoch changes these keys.
-func (n *Node) settle(ctx context.Context, c Commit, done Committed, conflict *statestore.ConflictError, unsure bool) Committed {
-	done.Outcome, done.Failed = leadership.OutcomeRefused, conflict.FailedKeys
+func (n *Node) settle(ctx context.Context, c CommitTransaction, done TransactionCompleted, conflict *statestore.ConflictError, unsure bool) TransactionCompleted {
+	done.Outcome, done.FailedConditions = leadership.OutcomeRefused, conflict.FailedKeys
 	for _, key := range conflict.FailedKeys {
 		if key == leadership.LeaderKey {
 			done.Outcome = leadership.OutcomeGone
@@ -58,7 +58,7 @@
 		item, err := n.store.Get(ctx, c.Txn.OutcomeKey())
 		if n.note(err) == nil {
 			if c.Txn.WasApplied(item) {
-				done.Outcome, done.Version, done.Failed = leadership.OutcomeOK, item.ModRevision, nil
+				done.Outcome, done.Revision, done.FailedConditions = leadership.OutcomeOK, item.ModRevision, nil
 			}
 			return done
 		}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -37,11 +37,11 @@
 	now := unit.Instant(time.Hour)
 	c := NewCore(set, pol, stoppedClock(now), statestore.NewBudget(2, 80, 25), rand.New(rand.NewPCG(1, 2)),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), NewMetrics())
-	c.types = []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
-	c.Step(now, Lead{leadership.LeaderKeysRead{OK: true}})
-	c.Step(now, Lead{leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: now}})
-	c.Step(now, Lead{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
-	c.Step(now, Loaded{Epoch: 77, OK: true})
+	c.machineTypes = []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
+	c.Step(now, ElectionInput{leadership.LeaderKeysRead{OK: true}})
+	c.Step(now, ElectionInput{leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: now}})
+	c.Step(now, ElectionInput{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
+	c.Step(now, RecordsRead{Epoch: 77, OK: true})
 	return c, now
 }
 
@@ -51,22 +51,22 @@
 func TestNewLeaderLetsWorkersCome(t *testing.T) {
 	g := newGrown(t, 12)
 	tm := g.core.term
-	interval := g.core.set.Params.Workers.HeartbeatInterval()
-	tm.acquired, g.core.woke = g.now, 0
+	interval := g.core.settings.Params.Workers.HeartbeatInterval()
+	tm.acquiredAt, g.core.stallEnded = g.now, 0
 	hear := func() {
 		for _, m := range tm.fleet.Machines() {
-			tm.reach.RecordHeartbeat(g.now, m.ID, "n1")
+			tm.workerReach.RecordHeartbeat(g.now, m.ID, "n1")
 		}
 	}
-	for g.now.Sub(tm.acquired) < interval+interval/4 {
+	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
 		hear()
-		if tm.handOverIfMissed(g.now) {
-			t.Fatalf("handed over after %v", g.now.Sub(tm.acquired))
+		if tm.transferLeadershipIfUnreached(g.now) {
+			t.Fatalf("handed over after %v", g.now.Sub(tm.acquiredAt))
 		}
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
 	begun := g.now
-	for !tm.handOverIfMissed(g.now) && g.now.Sub(begun) < time.Minute {
+	for !tm.transferLeadershipIfUnreached(g.now) && g.now.Sub(begun) < time.Minute {
 		hear()
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
@@ -79,12 +79,12 @@
 // to a write of its last term for that of the round under way.
 func TestAnswersOfAnEarlierTerm(t *testing.T) {
 	c, now := newLeadingCore(t)
-	c.term.flight = &flight{record: &round.Record{RoundNo: 1}}
-	c.Step(now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.OutcomeOK, Version: 60})
-	if c.term.flight == nil {
+	c.term.roundInFlight = &roundInFlight{record: &round.Record{RoundNo: 1}}
+	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: leadership.OutcomeOK, Revision: 60})
+	if c.term.roundInFlight == nil {
 		t.Error("the round under way was taken for stored")
 	}
-	c.Step(now, Committed{Kind: CommitRound, Epoch: 50, Outcome: leadership.OutcomeGone})
+	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: leadership.OutcomeGone})
 	if c.term == nil {
 		t.Error("deposed by the answer to a write of an earlier term")
 	}
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -12,50 +12,50 @@
 	"badgerbay/internal/unit"
 )
 
-// keep answers a report that came to a node which is cut off: by the grant that
+// answerDelegated answers a report that came to a node which is cut off: by the grant that
 // it holds, or at once that the worker should try another node. It returns
 // false if the node is not cut off, so that the leader is to answer.
-func (c *Core) keep(now unit.Instant, in Reported) bool {
+func (c *Core) answerDelegated(now unit.Instant, in HeartbeatReceived) bool {
 	if c.term != nil {
-		c.grantSelf(now, c.lead.Epoch())
+		c.grantOwnDelegation(now, c.election.Epoch())
 	}
-	switch c.keeper.Decide(now, c.from, in.Report) {
+	switch c.delegate.Decide(now, c.isolation, in.Heartbeat) {
 	case delegation.RenewLease:
 		if c.term != nil {
 			// Should this node lead on, it must count what it did.
-			m := c.term.fleet.Ensure(now, in.Report.Machine)
+			m := c.term.fleet.Ensure(now, in.Heartbeat.Machine)
 			m.LastRenewal = max(m.LastRenewal, now)
 		}
-		c.met.Kept.Inc()
-		c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusOK, Epoch: c.keeper.GrantEpoch(), Until: c.keeper.GrantExpiresAt(), Final: true})
+		c.metrics.DelegatedRenewals.Inc()
+		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusOK, Epoch: c.delegate.GrantEpoch(), ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
 	case delegation.RedirectOutside:
-		c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Leader: c.outside, Final: true})
+		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Leader: c.probeNode, Final: true})
 	case delegation.RefuseHeartbeat:
-		c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Final: true})
+		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Final: true})
 	default:
 		return false
 	}
 	return true
 }
 
-// grantSelf grants this node, which led in the epoch, what it would have granted
+// grantOwnDelegation grants this node, which led in the epoch, what it would have granted
 // another at the last moment of its entitlement. Until then nobody else can have
 // confirmed a cancellation, and those that it confirmed itself it knows; who
 // leads next acquires the key later, and counts every grant from there. A leader
 // that resigns is not entitled from that moment on, whatever its lease allows.
-func (c *Core) grantSelf(now unit.Instant, epoch unit.Epoch) {
-	base := min(c.lead.LastLeaseDeadline(), now)
-	if !c.term.loaded || base == 0 || base == c.keeper.GrantRequestedAt() {
+func (c *Core) grantOwnDelegation(now unit.Instant, epoch unit.Epoch) {
+	base := min(c.election.LastLeaseDeadline(), now)
+	if !c.term.loaded || base == 0 || base == c.delegate.GrantRequestedAt() {
 		return
 	}
-	c.keeper.AcceptStatus(base, c.term.grant(epoch))
+	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
 }
 
-// outsideNode is the last node before this one, in the order of their names, in
+// nodeOutsideZone is the last node before this one, in the order of their names, in
 // another zone. A worker that it doesn't answer tries the nodes after it, so it
 // comes back to this zone next; without a name it would try every other node,
 // 5 s each, and be back only when the grant has ended.
-func outsideNode(set *config.Settings) string {
+func nodeOutsideZone(set *config.Settings) string {
 	labels := append(set.PeerNames(), set.NodeName)
 	slices.Sort(labels)
 	zones := map[string]string{set.NodeName: set.Zone}
@@ -72,25 +72,25 @@
 	return ""
 }
 
-// peerAsked says what this node has done by its grant and, if it leads, grants
+// handleDelegationRequest says what this node has done by its grant and, if it leads, grants
 // the one that asks the right to keep workers should it be cut off.
-func (c *Core) peerAsked(now unit.Instant, in PeerAsked) {
+func (c *Core) handleDelegationRequest(now unit.Instant, in DelegationRequest) {
 	var status delegation.Status
-	if c.term != nil && c.term.loaded && c.lead.LeaseValid(now) {
-		status = c.term.grant(c.lead.Epoch())
+	if c.term != nil && c.term.loaded && c.election.LeaseValid(now) {
+		status = c.term.delegationGrant(c.election.Epoch())
 		if status.GrantDuration > 0 {
-			status.GrantDuration = c.term.ledger.Grant(now, in.Node)
+			status.GrantDuration = c.term.delegations.Grant(now, in.Node)
 		}
 	}
-	status.IdleFor = c.keeper.IdleFor(now)
-	c.emit(ReplyPeer{Ticket: in.Ticket, Status: status})
+	status.IdleFor = c.delegate.IdleFor(now)
+	c.emit(DelegationReply{Ticket: in.Ticket, Status: status})
 }
 
-// grant is what the leader lets others do. Machines with tasks of cancelled
+// delegationGrant is what the leader lets others do. Machines with tasks of cancelled
 // jobs are left out: those must be gone in time, whatever is cut. If their names
 // do not fit into a message, nothing is granted.
-func (t *term) grant(epoch unit.Epoch) delegation.Status {
-	s := delegation.Status{Epoch: epoch, GrantDuration: delegation.GrantDuration(t.c.set.Params.Workers)}
+func (t *term) delegationGrant(epoch unit.Epoch) delegation.Status {
+	s := delegation.Status{Epoch: epoch, GrantDuration: delegation.GrantDuration(t.core.settings.Params.Workers)}
 	excluded := map[unit.MachineID]bool{}
 	for _, j := range t.jobs {
 		if j.Phase != checkpoint.PhaseCancelled {
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -25,37 +25,37 @@
 // and post what comes of them.
 func (n *Node) carryOut(ctx context.Context, e Effect) {
 	switch e := e.(type) {
-	case ReplyReport:
-		e.Ticket.(chan ReplyReport) <- e
-	case ReplyAsk:
-		e.Ticket.(chan ReplyAsk) <- e
-	case ReplyPeer:
-		e.Ticket.(chan ReplyPeer) <- e
-	case ReplyQuota:
+	case HeartbeatReply:
+		e.Ticket.(chan HeartbeatReply) <- e
+	case JobReply:
+		e.Ticket.(chan JobReply) <- e
+	case DelegationReply:
+		e.Ticket.(chan DelegationReply) <- e
+	case QuotaReply:
 		e.Ticket.(chan quota.AllocationResponse) <- e.Answer
-	case ReplyQuotas:
-		e.Ticket.(chan ReplyQuotas) <- e
-	case ReadQuota:
+	case QuotaStatusReply:
+		e.Ticket.(chan QuotaStatusReply) <- e
+	case ReadQuotaRecords:
 		go n.readQuota(ctx, e.Epoch)
-	case DoLead:
+	case ElectionEffect:
 		go n.doLead(ctx, e.Effect)
-	case LoadAll:
+	case ReadRecords:
 		go n.loadAll(ctx, e.Epoch)
-	case ReadJob:
+	case ReadJobRecord:
 		go n.readJob(ctx, e.Job)
-	case Commit:
+	case CommitTransaction:
 		go n.commit(ctx, e)
-	case Do:
+	case SendCommands:
 		go n.do(ctx, e)
-	case CallHire:
+	case ProvisionMachines:
 		go n.hire(ctx, e)
-	case CallRelease:
+	case DeprovisionMachines:
 		go n.release(ctx, e.Machines)
-	case CallList:
-		go n.list(ctx, e.Since)
-	case CallFlavors:
+	case ListMachines:
+		go n.list(ctx, e.After)
+	case ReadMachineTypes:
 		go n.flavors(ctx)
-	case Stop:
+	case StopNode:
 		select {
 		case n.stop <- e.Err:
 		default: // it stops already
@@ -73,7 +73,7 @@
 		n.met.Throttled.Inc()
 		n.log.Warn("state service throttles us")
 	case errors.Is(err, statestore.ErrOutcomeUnknown):
-		n.met.Uncertain.Inc()
+		n.met.UncertainOutcomes.Inc()
 	}
 	return err
 }
@@ -88,12 +88,12 @@
 }
 
 // do sends a direct command to a worker.
-func (n *Node) do(ctx context.Context, e Do) {
-	done := DoDone{Machine: e.Machine, Epoch: e.Epoch}
+func (n *Node) do(ctx context.Context, e SendCommands) {
+	done := CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}
 	n.doing <- struct{}{}
 	defer func() { <-n.doing }()
-	if body, err := fleet.EncodeDirectCommands(e.Epoch, e.Session, e.Orders); err == nil {
-		done.Report, err = n.sendDo(ctx, e.Addr, body)
+	if body, err := fleet.EncodeDirectCommands(e.Epoch, e.Session, e.Commands); err == nil {
+		done.Heartbeat, err = n.sendDo(ctx, e.Addr, body)
 		if err != nil {
 			n.log.Debug("direct command not answered", "machine", e.Machine, "epoch", e.Epoch, "err", err)
 		}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -8,23 +8,23 @@
 	"badgerbay/internal/unit"
 )
 
-// haltGang tells all tasks of a gang to stop, at once: those that are told late
+// stopGang tells all tasks of a gang to stop, at once: those that are told late
 // can't save.
-func (t *term) haltGang(now unit.Instant, j *checkpoint.Job, leave time.Duration) {
+func (t *term) stopGang(now unit.Instant, j *checkpoint.Job, leave time.Duration) {
 	for _, p := range j.Placements {
-		if !p.Stopping && !t.proposed(p) {
+		if !p.Stopping && !t.isProposed(p) {
 			t.fleet.StopPlacement(now, p, leave)
 		}
 	}
 }
 
-// endBroken brings gangs to an end of which some task is gone or told to stop.
+// stopBrokenGangs brings gangs to an end of which some task is gone or told to stop.
 // The tasks that are left make no progress: they wait for what does not come, or
 // have lost a peer. The gang is placed anew once the end of each is proven. One
 // whose lost tasks may still be replaced goes on waiting.
-func (t *term) endBroken(now unit.Instant) {
+func (t *term) stopBrokenGangs(now unit.Instant) {
 	for _, j := range t.jobs {
-		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.flight != nil && t.flight.jobs[j.ID] {
+		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.roundInFlight != nil && t.roundInFlight.jobs[j.ID] {
 			continue
 		}
 		stopping, leave := false, time.Duration(0)
@@ -36,8 +36,8 @@
 		if !stopping && !t.hasLostTasks(now, j) {
 			continue
 		}
-		if _, may := t.replacement(now, j); !may {
-			t.haltGang(now, j, leave)
+		if _, may := t.replacementAttempt(now, j); !may {
+			t.stopGang(now, j, leave)
 		}
 	}
 }
@@ -48,27 +48,27 @@
 	case len(j.Queue) == 0:
 		j.IncompleteSince = 0
 	case j.IncompleteSince == 0:
-		j.IncompleteSince, t.dirty = now, true
+		j.IncompleteSince, t.replanNeeded = now, true
 	}
 	return len(j.Queue) > 0
 }
 
 const (
-	// replaceWithin is how long a gang that lost a task before it began waits for
+	// gangReplacementWindow is how long a gang that lost a task before it began waits for
 	// a machine that can take the task: longer than the backoff after a refusal.
-	replaceWithin = 3 * time.Second
-	// replaceMargin is what a replacement takes beside its image: the round, the
+	gangReplacementWindow = 3 * time.Second
+	// gangReplacementMargin is what a replacement takes beside its image: the round, the
 	// command and the report.
-	replaceMargin = 3 * time.Second
+	gangReplacementMargin = 3 * time.Second
 )
 
-// replacement is the attempt under which the tasks that a gang has lost may be
+// replacementAttempt is the attempt under which the tasks that a gang has lost may be
 // started again: where none of it has begun, or is told to stop, and a replacement
 // is there before the others give up. What an earlier leader placed is left to end:
 // it is not known since when it waits.
-func (t *term) replacement(now unit.Instant, j *checkpoint.Job) (unit.Attempt, bool) {
-	wait := unit.Seconds(t.c.set.Params.Workers.GangWaitSeconds)
-	if t.cluster.Version() < rollout.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
+func (t *term) replacementAttempt(now unit.Instant, j *checkpoint.Job) (unit.Attempt, bool) {
+	wait := unit.Seconds(t.core.settings.Params.Workers.GangWaitSeconds)
+	if t.schemaCluster.Version() < rollout.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
 		return 0, false
 	}
 	attempt, placed := unit.Attempt(0), now
@@ -78,8 +78,8 @@
 		}
 		attempt, placed = p.Attempt, min(placed, p.PlacedAt)
 	}
-	begins := now.Add(t.slowestFetch(&j.Spec) + replaceMargin)
-	may := attempt > j.LastFailedAttempt && begins.Before(placed.Add(wait)) && (j.IncompleteSince == 0 || now.Sub(j.IncompleteSince) < replaceWithin)
+	begins := now.Add(t.slowestFetch(&j.Spec) + gangReplacementMargin)
+	may := attempt > j.LastFailedAttempt && begins.Before(placed.Add(wait)) && (j.IncompleteSince == 0 || now.Sub(j.IncompleteSince) < gangReplacementWindow)
 	return attempt, may
 }
 
@@ -87,7 +87,7 @@
 func (t *term) slowestFetch(s *checkpoint.Spec) time.Duration {
 	const spread = 4.0 / 3 // rates vary by a third
 	slowest := time.Duration(0)
-	for _, typ := range t.c.types {
+	for _, typ := range t.core.machineTypes {
 		if typ.FetchGBps > 0 {
 			slowest = max(slowest, unit.Seconds(spread*s.ImageGB/typ.FetchGBps))
 		}
@@ -95,14 +95,14 @@
 	return slowest
 }
 
-// replaceable lists the gangs whose lost tasks may be replaced, with the attempts.
-func (t *term) replaceable(now unit.Instant) map[unit.JobID]unit.Attempt {
+// replaceableGangs lists the gangs whose lost tasks may be replaced, with the attempts.
+func (t *term) replaceableGangs(now unit.Instant) map[unit.JobID]unit.Attempt {
 	out := map[unit.JobID]unit.Attempt{}
 	for id, j := range t.jobs {
 		if !j.Spec.Gang {
 			continue
 		}
-		if attempt, may := t.replacement(now, j); may {
+		if attempt, may := t.replacementAttempt(now, j); may {
 			out[id] = attempt
 		}
 	}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -100,7 +100,7 @@
 	before := j.Placements[0].Attempt
 	lost := j.Placements[0].Machine
 	s.take(lost)
-	tm.ended(s.now, tm.fleet.Remove(s.now, lost))
+	tm.tasksEnded(s.now, tm.fleet.Remove(s.now, lost))
 	rest := len(j.Placements)
 	if rest == 0 || rest == g.Tasks {
 		t.Fatalf("%d tasks are left", rest)
@@ -138,7 +138,7 @@
 	}
 	m := tm.fleet.Machine(j.Placements[0].Machine)
 	m.InterruptionAt = s.now.Add(10 * sec)
-	tm.drain(s.now, m)
+	tm.stopForInterruption(s.now, m)
 	for i := range unit.TaskIndex(4) {
 		if p := j.Placements[i]; !p.Stopping || p.GracePeriod != 2*sec {
 			t.Errorf("task %d: told %v with leave %v", i, p.Stopping, p.GracePeriod)
@@ -248,7 +248,7 @@
 				t.Fatalf("%s: task 0 is not placed", what)
 			}
 			s.take(p.Machine)
-			tm.core.term.ended(s.now, tm.core.term.fleet.Remove(s.now, p.Machine))
+			tm.core.term.tasksEnded(s.now, tm.core.term.fleet.Remove(s.now, p.Machine))
 		}
 		lose()
 		replaced := func() bool {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -6,24 +6,24 @@
 	"badgerbay/internal/unit"
 )
 
-// handOverIfMissed hands leadership over if another node can do the work better, and
+// transferLeadershipIfUnreached hands leadership over if another node can do the work better, and
 // rests so that this one is not elected again at once.
-func (t *term) handOverIfMissed(now unit.Instant) bool {
-	if t.flight != nil || t.fold != nil || t.c.lead.AdvancingEpoch() {
+func (t *term) transferLeadershipIfUnreached(now unit.Instant) bool {
+	if t.roundInFlight != nil || t.foldInFlight != nil || t.core.election.AdvancingEpoch() {
 		return false
 	}
-	if t.c.justWoke(now) || now.Sub(t.acquired) < t.c.set.Params.Workers.MaxHeartbeatGap() {
+	if t.core.recentlyStalled(now) || now.Sub(t.acquiredAt) < t.core.settings.Params.Workers.MaxHeartbeatGap() {
 		// It has heard nobody because it stood still itself, or because the
 		// workers have not had the time to come.
-		t.reach.ResetDelay()
+		t.workerReach.ResetDelay()
 		return false
 	}
-	heir := t.reach.Transferee(now, t.fleet.ActiveCount(), t.c.handovers.Delay(now))
+	heir := t.workerReach.Transferee(now, t.fleet.ActiveCount(), t.core.transferHistory.Delay(now))
 	if heir == "" {
 		return false
 	}
-	t.c.handovers.RecordTransfer(now)
-	t.c.log.Info("giving leadership up: the workers do not reach this node", "heir", heir, "epoch", t.epoch)
-	t.c.leadStep(now, leadership.Resign{Cooldown: handover.Cooldown, Transferee: heir})
+	t.core.transferHistory.RecordTransfer(now)
+	t.core.log.Info("giving leadership up: the workers do not reach this node", "heir", heir, "epoch", t.epoch)
+	t.core.stepElection(now, leadership.Resign{Cooldown: handover.Cooldown, Transferee: heir})
 	return true
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -44,12 +44,12 @@
 		reached := n.askPeers(ctx)
 		if now := len(reached) < len(n.peers.Names()); now != cut {
 			cut = now
-			n.post(ctx, MeshCut{On: cut})
+			n.post(ctx, PeerReachabilityChanged{Unreachable: cut})
 		}
 		if now := n.isolation(reached); now != from {
 			from = now
 			n.log.Info("cut off", "from", from, "peers_reached", len(reached))
-			n.post(ctx, Isolated{From: from})
+			n.post(ctx, IsolationChanged{Isolation: from})
 		}
 		if n.stateReachable(stateQuiet) {
 			n.health.alone.Store(false)
@@ -106,14 +106,14 @@
 	if err != nil {
 		return err
 	}
-	n.post(ctx, PeerStatus{Node: name, Sent: sent, Status: status, Form: a.Delegation.SchemaVersion, Quotas: a.Delegation.EnforcesQuotas})
+	n.post(ctx, PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
 	return nil
 }
 
 // delegationStatus answers a peer that asks, or not at all if the core is overloaded.
 func (n *Node) delegationStatus(ctx context.Context, node string) *mesh.DelegationStatus {
-	ticket := make(chan ReplyPeer, 1)
-	if !n.offer(PeerAsked{Ticket: ticket, Node: node}) {
+	ticket := make(chan DelegationReply, 1)
+	if !n.offer(DelegationRequest{Ticket: ticket, Node: node}) {
 		return nil
 	}
 	select {
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -167,7 +167,7 @@
 	}
 	answers, err := mesh.DecodeReply(reply)
 	if err != nil {
-		a.n.met.BadBatches.Inc()
+		a.n.met.MalformedBatches.Inc()
 		return nil
 	}
 	return answers.Quota
@@ -180,7 +180,7 @@
 // askQuota lets the core answer a holder; nil: it did not.
 func (n *Node) askQuota(ctx context.Context, ask *quota.AllocationRequest) *quota.AllocationResponse {
 	ticket := make(chan quota.AllocationResponse, 1)
-	if n.view.Load().epoch == 0 || !n.offer(QuotaAsked{Ticket: ticket, Ask: *ask}) {
+	if n.view.Load().epoch == 0 || !n.offer(QuotaRequest{Ticket: ticket, Request: *ask}) {
 		return nil
 	}
 	select {
@@ -198,5 +198,5 @@
 	if n.note(err) != nil {
 		n.log.Debug("quotas can't be read", "err", err)
 	}
-	n.post(ctx, QuotaRead{Epoch: epoch, OK: err == nil, Items: items})
+	n.post(ctx, QuotaRecordsRead{Epoch: epoch, OK: err == nil, Items: items})
 }
--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -60,7 +60,7 @@
 		s.crash(n, 3*time.Second)
 	}
 	s.run(25 * time.Second)
-	if l := s.leader(); l == nil || !l.core.term.ready {
+	if l := s.leader(); l == nil || !l.core.term.schedulingOpen {
 		t.Fatal("nobody leads and places 22 s after all nodes were back")
 	}
 	if lost := s.sessionsLost(); lost > 0 {
@@ -101,7 +101,7 @@
 			}
 			s.run(40 * time.Second)
 			l := s.leader()
-			if l == nil || !l.core.term.listRead {
+			if l == nil || !l.core.term.machinesListed {
 				t.Fatal("the list was not read within 40 s")
 			}
 			if n := l.core.term.fleet.Len(); n != 400 {
@@ -122,11 +122,11 @@
 		p := &checkpoint.Placement{Job: job, Task: unit.TaskIndex(i), Machine: g.machines[i].Machine, Session: 1, Attempt: 1}
 		g.core.term.fleet.Place(g.now, p)
 	}
-	status := g.core.term.grant(10)
+	status := g.core.term.delegationGrant(10)
 	if status.GrantDuration == 0 || len(status.ExcludedMachines) != largeFleet {
 		t.Errorf("a grant of %v without %d machines", status.GrantDuration, len(status.ExcludedMachines))
 	}
-	keeper := delegation.NewDelegate("a", g.core.set.Params.Workers, g.now)
+	keeper := delegation.NewDelegate("a", g.core.settings.Params.Workers, g.now)
 	grant, err := mesh.PackDelegationStatus(status).Unpack()
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				g.step(Lead{leadership.LeadershipLost{}})
+				g.step(ElectionInput{leadership.LeadershipLost{}})
 				g.lead()
 				for i := range g.machines {
 					g.report(i)
--- a/internal/controller/leaderkey.go
+++ b/internal/controller/leaderkey.go
@@ -10,18 +10,18 @@
 func (n *Node) doLead(ctx context.Context, e leadership.Effect) {
 	switch e := e.(type) {
 	case leadership.ReadLeaderKeys:
-		n.post(ctx, Lead{In: n.readLeaderKeys(ctx)})
+		n.post(ctx, ElectionInput{Input: n.readLeaderKeys(ctx)})
 	case leadership.GrantLease:
 		sent := n.clock.Now()
 		tenure, err := n.store.GrantLease(ctx, e.TTL)
-		n.post(ctx, Lead{In: leadership.LeaseGranted{OK: n.note(err) == nil, LeaseID: tenure, SentAt: sent}})
+		n.post(ctx, ElectionInput{Input: leadership.LeaseGranted{OK: n.note(err) == nil, LeaseID: tenure, SentAt: sent}})
 	case leadership.RenewLease:
 		sent := n.clock.Now()
 		err := n.note(n.store.RenewLease(ctx, e.LeaseID))
-		n.post(ctx, Lead{In: leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeOf(err), SentAt: sent}})
+		n.post(ctx, ElectionInput{Input: leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeOf(err), SentAt: sent}})
 	case leadership.AcquireLeaderKey:
 		v, err := n.store.Commit(ctx, e.Txn())
-		n.post(ctx, Lead{In: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOf(n.note(err)), Epoch: unit.Epoch(v)}})
+		n.post(ctx, ElectionInput{Input: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOf(n.note(err)), Epoch: unit.Epoch(v)}})
 	case leadership.RewriteLeaderKey:
 		n.setToken(ctx, e)
 	case leadership.TransferLeadership:
@@ -33,7 +33,7 @@
 	case leadership.WriteHeartbeat:
 		sent := n.clock.Now()
 		_, err := n.store.Commit(ctx, e.Txn())
-		n.post(ctx, Lead{In: leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(n.note(err)), SentAt: sent}})
+		n.post(ctx, ElectionInput{Input: leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(n.note(err)), SentAt: sent}})
 	case leadership.RevokeLease:
 		n.note(n.store.RevokeLease(ctx, e.LeaseID))
 	}
@@ -86,14 +86,14 @@
 			}
 			continue
 		case h != e.Leader:
-			n.post(ctx, Lead{In: leadership.LeadershipLost{}})
+			n.post(ctx, ElectionInput{Input: leadership.LeadershipLost{}})
 			return
 		case stamp > e.PrevEpoch:
 			out, v = leadership.OutcomeOK, unit.Revision(stamp)
 		default:
-			n.post(ctx, Lead{In: leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeRefused}})
+			n.post(ctx, ElectionInput{Input: leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeRefused}})
 			return
 		}
 	}
-	n.post(ctx, Lead{In: leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: unit.Epoch(v)}})
+	n.post(ctx, ElectionInput{Input: leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: unit.Epoch(v)}})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -20,7 +20,7 @@
 		n.log.Warn("records can't be read", "epoch", epoch, "err", err)
 		n.pause(ctx, retryUnsure)
 	}
-	n.post(ctx, Loaded{Epoch: epoch, OK: err == nil, Stored: stored, Machines: n.knownMachines()})
+	n.post(ctx, RecordsRead{Epoch: epoch, OK: err == nil, Stored: stored, KnownMachines: n.knownMachines()})
 	if err == nil {
 		go n.relayDown(ctx, epoch, since)
 		n.watchJobs(ctx, epoch, since)
@@ -42,11 +42,11 @@
 	}
 	if err != nil {
 		n.log.Info("replica can't be used, all records are read", "epoch", epoch, "err", err)
-		n.met.ColdTakeovers.Inc()
+		n.met.ColdFailovers.Inc()
 		return n.readStored(ctx)
 	}
 	n.log.Info("replica brought up to date", "epoch", epoch, "records", len(stored.Jobs)+len(stored.Rounds)+len(stored.Chunks), "took", n.clock.Now().Sub(begun))
-	n.met.WarmTakeovers.Inc()
+	n.met.WarmFailovers.Inc()
 	return stored, since, nil
 }
 
@@ -79,7 +79,7 @@
 			since = max(since, next)
 			for _, c := range log {
 				if c.SetKey != "" {
-					n.post(ctx, Noticed{Job: unit.JobID(c.SetKey[len(checkpoint.KeyPrefix):]), Stamp: c.ModRevision})
+					n.post(ctx, JobChanged{Job: unit.JobID(c.SetKey[len(checkpoint.KeyPrefix):]), ModRevision: c.ModRevision})
 				}
 			}
 		}
@@ -97,7 +97,7 @@
 		return since
 	}
 	for _, it := range items {
-		n.post(ctx, Noticed{Job: unit.JobID(it.Key[len(checkpoint.KeyPrefix):]), Stamp: it.ModRevision})
+		n.post(ctx, JobChanged{Job: unit.JobID(it.Key[len(checkpoint.KeyPrefix):]), ModRevision: it.ModRevision})
 	}
 	return rev
 }
@@ -120,5 +120,5 @@
 		part, err = n.store.Get(ctx, checkpoint.ChunkKey(id, k))
 		values[k] = part.Value
 	}
-	n.post(ctx, JobRead{Job: id, OK: n.note(err) == nil, Item: item, Parts: values})
+	n.post(ctx, JobRecordRead{Job: id, OK: n.note(err) == nil, Item: item, Chunks: values})
 }
--- a/internal/controller/meshserver.go
+++ b/internal/controller/meshserver.go
@@ -36,7 +36,7 @@
 func (s *meshServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
 	b, err := mesh.DecodeBatch(r.Batch)
 	if err != nil {
-		s.n.met.BadBatches.Inc()
+		s.n.met.MalformedBatches.Inc()
 		return nil, err
 	}
 	answers := &mesh.BatchReply{ID: b.ID}
@@ -63,7 +63,7 @@
 	if err != nil || s.n.view.Load().epoch == 0 {
 		return &meshpb.NoticeReply{}, nil
 	}
-	return &meshpb.NoticeReply{Taken: s.n.offer(Noticed{Job: id})}, nil
+	return &meshpb.NoticeReply{Taken: s.n.offer(JobChanged{Job: id})}, nil
 }
 
 // Accept stores a submission for a node that can't.
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -26,146 +26,146 @@
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// Lead carries an input of the leadership machine.
-	Lead struct{ In leadership.Input }
-	// Loaded answers LoadAll.
-	Loaded struct {
+	// ElectionInput carries an input of the leadership machine.
+	ElectionInput struct{ Input leadership.Input }
+	// RecordsRead answers LoadAll.
+	RecordsRead struct {
 		Epoch  unit.Epoch
 		OK     bool
 		Stored takeover.StoredRecords
-		// Machines are those that this node has listed as a standby.
-		Machines KnownMachines
+		// KnownMachines are those that this node has listed as a standby.
+		KnownMachines MachineSnapshot
 	}
-	// JobRead answers ReadJob.
-	JobRead struct {
+	// JobRecordRead answers ReadJob.
+	JobRecordRead struct {
 		Job  unit.JobID
 		OK   bool
 		Item statestore.KeyValue
-		// Parts are those of the record, read in one go with it.
-		Parts map[int][]byte
+		// Chunks are those of the record, read in one go with it.
+		Chunks map[int][]byte
 	}
-	// Committed answers Commit.
-	Committed struct {
-		Kind    CommitKind
-		Epoch   unit.Epoch
-		Outcome leadership.Outcome
-		Version unit.Revision
-		Failed  []string
-		// TooLarge: it was refused, and is beyond the limits to come.
-		TooLarge bool
+	// TransactionCompleted answers Commit.
+	TransactionCompleted struct {
+		Kind             TransactionKind
+		Epoch            unit.Epoch
+		Outcome          leadership.Outcome
+		Revision         unit.Revision
+		FailedConditions []string
+		// ExceedsNextLimits: it was refused, and is beyond the limits to come.
+		ExceedsNextLimits bool
 	}
-	// Reported is a worker's report.
-	Reported struct {
-		Ticket Ticket
-		Report *fleet.Heartbeat
-		Via    string // the node that relays it, if one does
+	// HeartbeatReceived is a worker's report.
+	HeartbeatReceived struct {
+		Ticket    Ticket
+		Heartbeat *fleet.Heartbeat
+		RelayedBy string // the node that relays it, if one does
 	}
-	// DoDone answers Do. Report is nil if nothing was answered.
-	DoDone struct {
-		Machine unit.MachineID
-		Epoch   unit.Epoch
-		Report  *fleet.Heartbeat
+	// CommandsAcknowledged answers Do. Report is nil if nothing was answered.
+	CommandsAcknowledged struct {
+		Machine   unit.MachineID
+		Epoch     unit.Epoch
+		Heartbeat *fleet.Heartbeat
 	}
-	// Asked is a poll or a cancellation.
-	Asked struct {
+	// JobRequest is a poll or a cancellation.
+	JobRequest struct {
 		Ticket Ticket
 		Job    unit.JobID
 		Cancel bool
 	}
-	// Noticed says that a job was stored, or has changed.
-	Noticed struct {
-		Job   unit.JobID
-		Stamp unit.Revision
+	// JobChanged says that a job was stored, or has changed.
+	JobChanged struct {
+		Job         unit.JobID
+		ModRevision unit.Revision
 	}
-	// HireDone answers CallHire.
-	HireDone struct {
+	// ProvisionCompleted answers CallHire.
+	ProvisionCompleted struct {
 		Name     string
 		Offer    rental.Offer
-		Sent     unit.Instant
-		Verdict  rental.ProvisionResult
+		SentAt   unit.Instant
+		Result   rental.ProvisionResult
 		Machines []unit.MachineID
 	}
-	// ReleaseDone answers CallRelease.
-	ReleaseDone struct {
+	// DeprovisionCompleted answers CallRelease.
+	DeprovisionCompleted struct {
 		Machines []unit.MachineID
 		OK       bool
 	}
-	// ListDone answers CallList.
-	ListDone struct{ Page rental.Page }
-	// PeerAsked is another node that asks for a grant, and for what this one has
+	// MachinesListed answers CallList.
+	MachinesListed struct{ Page rental.Page }
+	// DelegationRequest is another node that asks for a grant, and for what this one has
 	// done by its own.
-	PeerAsked struct {
+	DelegationRequest struct {
 		Ticket Ticket
 		Node   string
 	}
-	// PeerStatus is what another node has answered to that, asked at Sent.
-	PeerStatus struct {
-		Node   string
-		Sent   unit.Instant
-		Status delegation.Status
-		Form   rollout.Version // what that node can; 0: it does not say
-		Quotas bool            // as leader it keeps to allotments
+	// PeerStatusReceived is what another node has answered to that, asked at Sent.
+	PeerStatusReceived struct {
+		Node           string
+		SentAt         unit.Instant
+		Status         delegation.Status
+		SchemaVersion  rollout.Version // what that node can; 0: it does not say
+		EnforcesQuotas bool            // as leader it keeps to allotments
 	}
-	// QuotaRead answers ReadQuota.
-	QuotaRead struct {
+	// QuotaRecordsRead answers ReadQuota.
+	QuotaRecordsRead struct {
 		Epoch unit.Epoch
 		OK    bool
 		Items []statestore.KeyValue
 	}
-	// QuotaAsked is a holder's ask.
-	QuotaAsked struct {
-		Ticket Ticket
-		Ask    quota.AllocationRequest
+	// QuotaRequest is a holder's ask.
+	QuotaRequest struct {
+		Ticket  Ticket
+		Request quota.AllocationRequest
 	}
-	// QuotaShown is an operator who asks for the teams' quotas.
-	QuotaShown struct{ Ticket Ticket }
-	// Isolated says what this node is cut off from.
-	Isolated struct{ From delegation.Isolation }
-	// MeshCut says whether some other node is out of reach over the mesh.
-	MeshCut struct{ On bool }
-	// FlavorsDone answers CallFlavors.
-	FlavorsDone struct{ Types []*fleet.MachineType }
+	// QuotaStatusRequest is an operator who asks for the teams' quotas.
+	QuotaStatusRequest struct{ Ticket Ticket }
+	// IsolationChanged says what this node is cut off from.
+	IsolationChanged struct{ Isolation delegation.Isolation }
+	// PeerReachabilityChanged says whether some other node is out of reach over the mesh.
+	PeerReachabilityChanged struct{ Unreachable bool }
+	// MachineTypesRead answers CallFlavors.
+	MachineTypesRead struct{ Types []*fleet.MachineType }
 )
 
-func (Tick) input()        {}
-func (Lead) input()        {}
-func (Loaded) input()      {}
-func (JobRead) input()     {}
-func (Committed) input()   {}
-func (Reported) input()    {}
-func (DoDone) input()      {}
-func (Asked) input()       {}
-func (Noticed) input()     {}
-func (HireDone) input()    {}
-func (ReleaseDone) input() {}
-func (ListDone) input()    {}
-func (PeerAsked) input()   {}
-func (PeerStatus) input()  {}
-func (QuotaRead) input()   {}
-func (QuotaAsked) input()  {}
-func (QuotaShown) input()  {}
-func (Isolated) input()    {}
-func (MeshCut) input()     {}
-func (FlavorsDone) input() {}
+func (Tick) input()                    {}
+func (ElectionInput) input()           {}
+func (RecordsRead) input()             {}
+func (JobRecordRead) input()           {}
+func (TransactionCompleted) input()    {}
+func (HeartbeatReceived) input()       {}
+func (CommandsAcknowledged) input()    {}
+func (JobRequest) input()              {}
+func (JobChanged) input()              {}
+func (ProvisionCompleted) input()      {}
+func (DeprovisionCompleted) input()    {}
+func (MachinesListed) input()          {}
+func (DelegationRequest) input()       {}
+func (PeerStatusReceived) input()      {}
+func (QuotaRecordsRead) input()        {}
+func (QuotaRequest) input()            {}
+func (QuotaStatusRequest) input()      {}
+func (IsolationChanged) input()        {}
+func (PeerReachabilityChanged) input() {}
+func (MachineTypesRead) input()        {}
 
-// KnownMachines is a list of machines that was read before this node led: a hint of
+// MachineSnapshot is a list of machines that was read before this node led: a hint of
 // whom to ask.
-type KnownMachines struct {
-	At   unit.Instant // when its first page was asked for
-	List []rental.Machine
+type MachineSnapshot struct {
+	RequestedAt unit.Instant // when its first page was asked for
+	Machines    []rental.Machine
 }
 
-// CommitKind tells the leader's transactions apart; one of each is under way
+// TransactionKind tells the leader's transactions apart; one of each is under way
 // at a time.
-type CommitKind int
+type TransactionKind int
 
 // Kinds.
 const (
-	CommitRound CommitKind = iota
-	CommitFold
-	CommitForm
-	CommitStage
-	CommitQuota
+	RoundTransaction TransactionKind = iota
+	FoldTransaction
+	SchemaVersionTransaction
+	StagingTransaction
+	QuotaTransaction
 )
 
 // Effect is what the core asks for.
@@ -173,91 +173,91 @@
 
 // Effects.
 type (
-	// DoLead carries an effect of the leadership machine.
-	DoLead struct{ Effect leadership.Effect }
-	// LoadAll reads all job and round records.
-	LoadAll struct{ Epoch unit.Epoch }
-	// ReadJob reads one job record.
-	ReadJob struct{ Job unit.JobID }
-	// Commit applies a transaction of the leader.
-	Commit struct {
-		Kind  CommitKind
+	// ElectionEffect carries an effect of the leadership machine.
+	ElectionEffect struct{ Effect leadership.Effect }
+	// ReadRecords reads all job and round records.
+	ReadRecords struct{ Epoch unit.Epoch }
+	// ReadJobRecord reads one job record.
+	ReadJobRecord struct{ Job unit.JobID }
+	// CommitTransaction applies a transaction of the leader.
+	CommitTransaction struct {
+		Kind  TransactionKind
 		Epoch unit.Epoch
 		Txn   statestore.Txn
 	}
-	// Do sends a direct command.
-	Do struct {
-		Machine unit.MachineID
-		Addr    string
-		Epoch   unit.Epoch
-		Session unit.Session
-		Orders  []fleet.Command
+	// SendCommands sends a direct command.
+	SendCommands struct {
+		Machine  unit.MachineID
+		Addr     string
+		Epoch    unit.Epoch
+		Session  unit.Session
+		Commands []fleet.Command
 	}
-	// ReplyReport answers a report. With code 200 it must leave before Until.
-	ReplyReport struct {
-		Ticket Ticket
-		Code   int
-		Epoch  unit.Epoch
-		Orders []fleet.Command
-		Leader string
-		Until  unit.Instant
+	// HeartbeatReply answers a report. With code 200 it must leave before Until.
+	HeartbeatReply struct {
+		Ticket     Ticket
+		Code       int
+		Epoch      unit.Epoch
+		Commands   []fleet.Command
+		Leader     string
+		ValidUntil unit.Instant
 		// Relayed: another node has checked that it may be given.
 		Relayed bool
 		// Final: no other node is to be asked.
 		Final bool
 	}
-	// ReplyPeer answers PeerAsked.
-	ReplyPeer struct {
+	// DelegationReply answers PeerAsked.
+	DelegationReply struct {
 		Ticket Ticket
 		Status delegation.Status
 	}
-	// ReadQuota reads all records of quotas.
-	ReadQuota struct{ Epoch unit.Epoch }
-	// ReplyQuota answers QuotaAsked, and ReplyQuotas QuotaShown.
-	ReplyQuota struct {
+	// ReadQuotaRecords reads all records of quotas.
+	ReadQuotaRecords struct{ Epoch unit.Epoch }
+	// QuotaReply answers QuotaAsked, and ReplyQuotas QuotaShown.
+	QuotaReply struct {
 		Ticket Ticket
 		Answer quota.AllocationResponse
 	}
-	ReplyQuotas struct {
+	QuotaStatusReply struct {
 		Ticket Ticket
 		Teams  map[unit.Team]quota.TeamStatus
 	}
-	// ReplyAsk answers a poll or a cancellation; Known must leave before Until.
-	ReplyAsk struct {
-		Ticket  Ticket
-		Outcome userapi.QueryOutcome
-		Status  userapi.Status
-		Until   unit.Instant
+	// JobReply answers a poll or a cancellation; Known must leave before Until.
+	JobReply struct {
+		Ticket     Ticket
+		Outcome    userapi.QueryOutcome
+		Status     userapi.Status
+		ValidUntil unit.Instant
 	}
-	// CallHire rents machines.
-	CallHire struct {
+	// ProvisionMachines rents machines.
+	ProvisionMachines struct {
 		Name  string
 		Offer rental.Offer
 		Count int
 	}
-	// CallRelease returns machines.
-	CallRelease struct{ Machines []unit.MachineID }
-	// CallList reads the page of the machine list that begins after Since.
-	CallList struct{ Since unit.MachineID }
-	// CallFlavors reads the machine types.
-	CallFlavors struct{}
-	// Stop ends the node: it can't go on.
-	Stop struct{ Err error }
+	// DeprovisionMachines returns machines.
+	DeprovisionMachines struct{ Machines []unit.MachineID }
+	// ListMachines reads the page of the machine list that begins after Since.
+	ListMachines struct{ After unit.MachineID }
+	// ReadMachineTypes reads the machine types.
+	ReadMachineTypes struct{}
+	// StopNode ends the node: it can't go on.
+	StopNode struct{ Err error }
 )
 
-func (DoLead) effect()      {}
-func (LoadAll) effect()     {}
-func (ReadJob) effect()     {}
-func (Commit) effect()      {}
-func (Do) effect()          {}
-func (ReplyReport) effect() {}
-func (ReplyPeer) effect()   {}
-func (ReadQuota) effect()   {}
-func (ReplyQuota) effect()  {}
-func (ReplyQuotas) effect() {}
-func (ReplyAsk) effect()    {}
-func (CallHire) effect()    {}
-func (CallRelease) effect() {}
-func (CallList) effect()    {}
-func (CallFlavors) effect() {}
-func (Stop) effect()        {}
+func (ElectionEffect) effect()      {}
+func (ReadRecords) effect()         {}
+func (ReadJobRecord) effect()       {}
+func (CommitTransaction) effect()   {}
+func (SendCommands) effect()        {}
+func (HeartbeatReply) effect()      {}
+func (DelegationReply) effect()     {}
+func (ReadQuotaRecords) effect()    {}
+func (QuotaReply) effect()          {}
+func (QuotaStatusReply) effect()    {}
+func (JobReply) effect()            {}
+func (ProvisionMachines) effect()   {}
+func (DeprovisionMachines) effect() {}
+func (ListMachines) effect()        {}
+func (ReadMachineTypes) effect()    {}
+func (StopNode) effect()            {}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -12,40 +12,40 @@
 
 // Metrics are the signals that the paper says to watch, each on its own.
 type Metrics struct {
-	Registry      *prometheus.Registry
-	EpochChanges  prometheus.Counter
-	CASConflicts  prometheus.Counter
-	Recoveries    prometheus.Counter
-	Rounds        prometheus.Counter
-	Folds         prometheus.Counter
-	Refusals      prometheus.Counter
-	Preemptions   prometheus.Counter
-	Throttled     prometheus.Counter
-	Uncertain     prometheus.Counter
-	Relayed       prometheus.Counter
-	Kept          prometheus.Counter
-	Stood         prometheus.Counter
-	BadBatches    prometheus.Counter
-	TooLarge      prometheus.Counter
-	Unreadable    prometheus.Counter
-	NodesBehind   prometheus.Gauge
-	Submissions   *prometheus.CounterVec
-	Reports       *prometheus.CounterVec
-	CheckpointAge prometheus.Gauge
-	Pending       prometheus.Gauge
-	UnsureHires   prometheus.Gauge
-	Queued        prometheus.Gauge
-	Machines      prometheus.Gauge
-	RingFree      prometheus.Gauge
-	Tombstones    prometheus.Gauge
-	Epoch         prometheus.Gauge
-	WarmTakeovers prometheus.Counter
-	ColdTakeovers prometheus.Counter
-	StandbyReady  prometheus.Gauge
-	StandbyLag    prometheus.Gauge
-	StandbyBehind prometheus.Gauge
-	StandbySize   prometheus.Gauge
-	StandbyBytes  prometheus.Gauge
+	Registry            *prometheus.Registry
+	EpochChanges        prometheus.Counter
+	CASConflicts        prometheus.Counter
+	Recoveries          prometheus.Counter
+	Rounds              prometheus.Counter
+	Folds               prometheus.Counter
+	StartRefusals       prometheus.Counter
+	Preemptions         prometheus.Counter
+	Throttled           prometheus.Counter
+	UncertainOutcomes   prometheus.Counter
+	RelayedHeartbeats   prometheus.Counter
+	DelegatedRenewals   prometheus.Counter
+	Stalls              prometheus.Counter
+	MalformedBatches    prometheus.Counter
+	OversizedRecords    prometheus.Counter
+	UnreadableRecords   prometheus.Counter
+	OutdatedNodes       prometheus.Gauge
+	UserResponses       *prometheus.CounterVec
+	HeartbeatResponses  *prometheus.CounterVec
+	CheckpointAge       prometheus.Gauge
+	PendingPlacements   prometheus.Gauge
+	UncertainProvisions prometheus.Gauge
+	QueuedTasks         prometheus.Gauge
+	Machines            prometheus.Gauge
+	FreeRoundSlots      prometheus.Gauge
+	Tombstones          prometheus.Gauge
+	Epoch               prometheus.Gauge
+	WarmFailovers       prometheus.Counter
+	ColdFailovers       prometheus.Counter
+	StandbyReady        prometheus.Gauge
+	StandbyLag          prometheus.Gauge
+	StandbyLagRecords   prometheus.Gauge
+	StandbyRecords      prometheus.Gauge
+	StandbyBytes        prometheus.Gauge
 }
 
 // NewMetrics returns metrics on a registry of their own.
@@ -71,40 +71,40 @@
 	m.Recoveries = counter("recoveries_total", "Times this node took over and reconciled.")
 	m.Rounds = counter("rounds_total", "Rounds recorded.")
 	m.Folds = counter("folds_total", "Folds written.")
-	m.Refusals = counter("launch_refusals_total", "Launches that workers refused.")
+	m.StartRefusals = counter("launch_refusals_total", "Launches that workers refused.")
 	m.Preemptions = counter("preemptions_total", "Tasks stopped to make room.")
 	m.Throttled = counter("throttled_total", "Requests that the state service or the cloud throttled.")
-	m.Uncertain = counter("uncertain_operations_total", "Requests whose outcome had to be read back.")
-	m.BadBatches = counter("bad_batches_total", "Batches of other nodes, and answers to ours, that could not be read.")
-	m.Unreadable = counter("unreadable_records_total", "Records that a leader could not read.")
-	m.TooLarge = counter("too_large_total", "Records and transactions that were too large for the state service.")
-	m.NodesBehind = gauge("nodes_behind", "Nodes that have not said lately that they have this version; at a leader.")
-	m.Stood = counter("stood_still_total", "Times this node took no step for half a second or more.")
-	m.Kept = counter("kept_reports_total", "Reports answered by a grant while this node was cut off.")
-	m.Relayed = counter("relayed_reports_total", "Reports of cut-off workers answered through the state service.")
-	m.Submissions = vec("user_answers_total", "Answers to users by status.", "code")
-	m.Reports = vec("report_answers_total", "Answers to workers by status.", "code")
+	m.UncertainOutcomes = counter("uncertain_operations_total", "Requests whose outcome had to be read back.")
+	m.MalformedBatches = counter("bad_batches_total", "Batches of other nodes, and answers to ours, that could not be read.")
+	m.UnreadableRecords = counter("unreadable_records_total", "Records that a leader could not read.")
+	m.OversizedRecords = counter("too_large_total", "Records and transactions that were too large for the state service.")
+	m.OutdatedNodes = gauge("nodes_behind", "Nodes that have not said lately that they have this version; at a leader.")
+	m.Stalls = counter("stood_still_total", "Times this node took no step for half a second or more.")
+	m.DelegatedRenewals = counter("kept_reports_total", "Reports answered by a grant while this node was cut off.")
+	m.RelayedHeartbeats = counter("relayed_reports_total", "Reports of cut-off workers answered through the state service.")
+	m.UserResponses = vec("user_answers_total", "Answers to users by status.", "code")
+	m.HeartbeatResponses = vec("report_answers_total", "Answers to workers by status.", "code")
 	m.CheckpointAge = gauge("checkpoint_age_seconds", "Age of the oldest change that is not stored.")
-	m.Pending = gauge("pending_placements", "Placements recorded and not seen on their machine.")
-	m.UnsureHires = gauge("uncertain_hires", "Rentals whose outcome is not known.")
-	m.Queued = gauge("queued_tasks", "Tasks waiting for a place.")
+	m.PendingPlacements = gauge("pending_placements", "Placements recorded and not seen on their machine.")
+	m.UncertainProvisions = gauge("uncertain_hires", "Rentals whose outcome is not known.")
+	m.QueuedTasks = gauge("queued_tasks", "Tasks waiting for a place.")
 	m.Machines = gauge("machines", "Machines known.")
-	m.RingFree = gauge("round_slots_free", "Free slots of the ring of round records.")
+	m.FreeRoundSlots = gauge("round_slots_free", "Free slots of the ring of round records.")
 	m.Tombstones = gauge("tombstones", "Exits that wait to be reaped.")
 	m.Epoch = gauge("epoch", "Epoch of this node, 0 if it does not lead.")
-	m.WarmTakeovers = counter("warm_takeovers_total", "Times this node took over with its replica of the records.")
-	m.ColdTakeovers = counter("cold_takeovers_total", "Times a standby took over and had to read all records.")
+	m.WarmFailovers = counter("warm_takeovers_total", "Times this node took over with its replica of the records.")
+	m.ColdFailovers = counter("cold_takeovers_total", "Times a standby took over and had to read all records.")
 	m.StandbyReady = gauge("standby_ready", "1 while this node's replica of the records is complete.")
 	m.StandbyLag = gauge("standby_lag_seconds", "Time since the last whole look at the changes of the records.")
-	m.StandbyBehind = gauge("standby_lag_records", "Changes that the last look found and the replica lacked.")
-	m.StandbySize = gauge("standby_records", "Records in the replica.")
+	m.StandbyLagRecords = gauge("standby_lag_records", "Changes that the last look found and the replica lacked.")
+	m.StandbyRecords = gauge("standby_records", "Records in the replica.")
 	m.StandbyBytes = gauge("standby_bytes", "Bytes of the records in the replica.")
 	m.Registry.MustRegister(collectors.NewGoCollector()) // threads, goroutines, memory
 	return m
 }
 
-// watchConnections adds the connections of workers and users.
-func (m *Metrics) watchConnections(limited *connlimit.Listener) {
+// RegisterConnections adds the connections of workers and users.
+func (m *Metrics) RegisterConnections(limited *connlimit.Listener) {
 	watch := func(name, help string, of func(connlimit.Stats) int) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "badgerbay", Name: name, Help: help},
 			func() float64 { return float64(of(limited.Stats())) }))
@@ -116,21 +116,21 @@
 	watch("connections_refused", "Connections closed so far for want of room.", func(s connlimit.Stats) int { return s.Rejected })
 }
 
-// watchStandby sets the gauges of a standby.
-func (m *Metrics) watchStandby(s standby.Status) {
+// ObserveStandby sets the gauges of a standby.
+func (m *Metrics) ObserveStandby(s standby.Status) {
 	ready := 0.0
 	if s.State == standby.StateReady {
 		ready = 1
 	}
 	m.StandbyReady.Set(ready)
 	m.StandbyLag.Set(s.Lag.Seconds())
-	m.StandbyBehind.Set(float64(s.LagRecords))
-	m.StandbySize.Set(float64(s.Records))
+	m.StandbyLagRecords.Set(float64(s.LagRecords))
+	m.StandbyRecords.Set(float64(s.Records))
 	m.StandbyBytes.Set(float64(s.Bytes))
 }
 
-// watch sets the gauges of a leader.
-func (m *Metrics) watch(t *term, now unit.Instant) {
+// observeTerm sets the gauges of a leader.
+func (m *Metrics) observeTerm(t *term, now unit.Instant) {
 	age, pending, queued := 0.0, 0, 0
 	for _, j := range t.jobs {
 		if j.Dirty() {
@@ -144,11 +144,11 @@
 		}
 	}
 	m.CheckpointAge.Set(age)
-	m.Pending.Set(float64(pending))
-	m.Queued.Set(float64(queued))
-	m.UnsureHires.Set(float64(t.rentals.UnknownOutcomeCount()))
+	m.PendingPlacements.Set(float64(pending))
+	m.QueuedTasks.Set(float64(queued))
+	m.UncertainProvisions.Set(float64(t.provisioning.UnknownOutcomeCount()))
 	m.Machines.Set(float64(t.fleet.Len()))
-	m.RingFree.Set(float64(t.ring.FreeSlots()))
+	m.FreeRoundSlots.Set(float64(t.roundRing.FreeSlots()))
 	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
 	m.Epoch.Set(float64(t.epoch))
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -218,7 +218,7 @@
 // and the load balancer's probes, without an answer.
 func (n *Node) limitConnections(l net.Listener) *connlimit.Listener {
 	limited := connlimit.NewListener(l, connlimit.Limits{MaxConnections: sockets(n.set, listenShare), IdleTimeout: 2*n.set.Params.Workers.HeartbeatInterval() + time.Second}, n.clock.Now)
-	n.met.watchConnections(limited)
+	n.met.RegisterConnections(limited)
 	return limited
 }
 
@@ -257,7 +257,7 @@
 	effects := n.core.Step(n.clock.Now(), in)
 	n.keeperIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	old := n.view.Load()
-	if v := (view{leader: n.core.Leader(), types: n.core.Types(), epoch: n.core.Epoch(), standby: n.core.Standby()}); !v.equal(old) {
+	if v := (view{leader: n.core.Leader(), types: n.core.MachineTypes(), epoch: n.core.Epoch(), standby: n.core.Standby()}); !v.equal(old) {
 		n.view.Store(&v)
 	}
 	for _, e := range effects {
--- a/internal/controller/quota_sim_test.go
+++ b/internal/controller/quota_sim_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if n.alive && n.core.lead.Epoch() == 0 {
+	if n.alive && n.core.election.Epoch() == 0 {
 		s.holderStep(n, quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: need, Gang: spec.Gang})
 	}
 }
@@ -102,10 +102,10 @@
 	}
 	s.after(2*time.Second, func() { once(quota.ResponseReceived{}) })
 	for _, l := range s.nodes {
-		if l.name != n.core.Leader() || l != n && !s.meets(n, l) || l.core.lead.Epoch() == 0 || s.lost() {
+		if l.name != n.core.Leader() || l != n && !s.meets(n, l) || l.core.election.Epoch() == 0 || s.lost() {
 			continue
 		}
-		s.step(l, QuotaAsked{Ask: e.Request, Ticket: func(a quota.AllocationResponse) {
+		s.step(l, QuotaRequest{Request: e.Request, Ticket: func(a quota.AllocationResponse) {
 			if l == n || s.meets(n, l) {
 				once(quota.ResponseReceived{Response: &a})
 			}
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -11,65 +11,65 @@
 )
 
 const (
-	// keepsFor is how long it counts that a node said that it keeps to allotments.
-	keepsFor = 5 * time.Second
-	// unplacedFor is how long reserved tasks may wait for a place before their
+	// quotaEnforcerTTL is how long it counts that a node said that it keeps to allotments.
+	quotaEnforcerTTL = 5 * time.Second
+	// maxUnplacedReservation is how long reserved tasks may wait for a place before their
 	// reservation ends: others of the team may fit where they do not.
-	unplacedFor = 20 * time.Second
+	maxUnplacedReservation = 20 * time.Second
 )
 
-// maybeQuota lets the ledger read, change and answer.
-func (t *term) maybeQuota(now unit.Instant) {
-	if t.quota.BeginReadIfDue(now) {
-		t.c.emit(ReadQuota{Epoch: t.epoch})
+// stepQuotas lets the ledger read, change and answer.
+func (t *term) stepQuotas(now unit.Instant) {
+	if t.quotas.BeginReadIfDue(now) {
+		t.core.emit(ReadQuotaRecords{Epoch: t.epoch})
 	}
-	if t.c.lead.AdvancingEpoch() {
+	if t.core.election.AdvancingEpoch() {
 		return
 	}
 	// Two changes beside the records remove a holder.
-	most := min(t.limits().MaxTxnOps-2, t.c.budget.AvailableWrites(now, statestore.PurposeUrgentFold)-2)
+	most := min(t.storeLimits().MaxTxnOps-2, t.core.budget.AvailableWrites(now, statestore.PurposeUrgentFold)-2)
 	if most < 1 {
 		return
 	}
-	txn, replies := t.quota.Step(now, t.use(), t.allKeepQuotas(now), most)
-	t.answerHolders(replies)
+	txn, replies := t.quotas.Step(now, t.quotaUsage(), t.allEnforceQuotas(now), most)
+	t.replyToHolders(replies)
 	if txn != nil {
-		t.c.budget.ForceTakeWrites(now, len(txn.Operations))
-		t.c.emit(Commit{Kind: CommitQuota, Epoch: t.epoch, Txn: *txn})
+		t.core.budget.ForceTakeWrites(now, len(txn.Operations))
+		t.core.emit(CommitTransaction{Kind: QuotaTransaction, Epoch: t.epoch, Txn: *txn})
 	}
 }
 
-func (t *term) answerHolders(replies []quota.Reply) {
+func (t *term) replyToHolders(replies []quota.Reply) {
 	for _, r := range replies {
-		t.c.emit(ReplyQuota{Ticket: r.Ticket, Answer: r.Response})
+		t.core.emit(QuotaReply{Ticket: r.Ticket, Answer: r.Response})
 	}
 }
 
-func (t *term) quotaCommitted(now unit.Instant, in Committed) {
-	t.answerHolders(t.quota.CompleteChange(now, in.Outcome == leadership.OutcomeOK, in.Version, t.use()))
-	t.dirty = true
+func (t *term) quotaCompleted(now unit.Instant, in TransactionCompleted) {
+	t.replyToHolders(t.quotas.CompleteChange(now, in.Outcome == leadership.OutcomeOK, in.Revision, t.quotaUsage()))
+	t.replanNeeded = true
 }
 
-func (t *term) quotaRead(now unit.Instant, in QuotaRead) {
-	if err := t.quota.Load(now, in.Epoch, in.Items, in.OK); err != nil {
-		t.c.emit(Stop{Err: err})
+func (t *term) quotaRecordsRead(now unit.Instant, in QuotaRecordsRead) {
+	if err := t.quotas.Load(now, in.Epoch, in.Items, in.OK); err != nil {
+		t.core.emit(StopNode{Err: err})
 	}
 }
 
-// allKeepQuotas tells whether every node has said lately that it would keep to
+// allEnforceQuotas tells whether every node has said lately that it would keep to
 // allotments if it led: one of a version before would not.
-func (t *term) allKeepQuotas(now unit.Instant) bool {
-	for _, p := range t.c.set.Peers {
-		if last, said := t.keepsQuotas[p.NodeName]; !said || now.Sub(last) > keepsFor {
+func (t *term) allEnforceQuotas(now unit.Instant) bool {
+	for _, p := range t.core.settings.Peers {
+		if last, said := t.quotaEnforcers[p.NodeName]; !said || now.Sub(last) > quotaEnforcerTTL {
 			return false
 		}
 	}
 	return true
 }
 
-// use is what the ledger may ask of the jobs; what is placed is counted when it is
+// quotaUsage is what the ledger may ask of the jobs; what is placed is counted when it is
 // asked for first.
-func (t *term) use() quota.JobUsage {
+func (t *term) quotaUsage() quota.JobUsage {
 	var uncovered map[unit.Team]quota.Quantity
 	return quota.JobUsage{
 		Uncovered: func(team unit.Team) quota.Quantity {
@@ -85,7 +85,7 @@
 func (t *term) uncovered() map[unit.Team]quota.Quantity {
 	out := map[unit.Team]quota.Quantity{}
 	for id, j := range t.jobs {
-		if n := len(j.Placements) - t.quota.CoveredTasks(id, j.Spec.Team); n > 0 {
+		if n := len(j.Placements) - t.quotas.CoveredTasks(id, j.Spec.Team); n > 0 {
 			// A spec was checked when it was submitted.
 			if need, err := quota.DemandOf(&j.Spec); err == nil {
 				out[j.Spec.Team] = out[j.Spec.Team].Add(need.Mul(n))
@@ -106,26 +106,26 @@
 	if j.StoredPhase.Final() {
 		return len(j.Placements), true
 	}
-	waits := t.c.stepped.Sub(max(j.LastPlacedAt, j.QueuedSince, j.KnownSince))
-	if len(j.Queue) > 0 && waits > unplacedFor {
+	waits := t.core.lastStep.Sub(max(j.LastPlacedAt, j.QueuedSince, j.KnownSince))
+	if len(j.Queue) > 0 && waits > maxUnplacedReservation {
 		return len(j.Placements), true
 	}
 	return max(j.Spec.Tasks-j.StoredDoneTasks, len(j.Placements)), true
 }
 
-// held is what of the teams' limits is kept for reservations, beside what is placed
+// reservedByTeam is what of the teams' limits is kept for reservations, beside what is placed
 // of them, and how many tasks of a job they cover; nil where nothing is allotted.
-func (t *term) held() (map[unit.Team]checkpoint.Resources, func(*checkpoint.Job) int) {
+func (t *term) reservedByTeam() (map[unit.Team]checkpoint.Resources, func(*checkpoint.Job) int) {
 	allotted := map[unit.Team]quota.Quantity{}
 	for team := range t.teams {
-		if u := t.quota.Allocated(team); !u.IsZero() {
+		if u := t.quotas.Allocated(team); !u.IsZero() {
 			allotted[team] = u
 		}
 	}
 	if len(allotted) == 0 {
 		return nil, nil
 	}
-	covers := func(j *checkpoint.Job) int { return t.quota.CoveredTasks(j.ID, j.Spec.Team) }
+	covers := func(j *checkpoint.Job) int { return t.quotas.CoveredTasks(j.ID, j.Spec.Team) }
 	for _, j := range t.jobs {
 		u, any := allotted[j.Spec.Team]
 		n := min(len(j.Placements), covers(j))
@@ -141,20 +141,20 @@
 	return held, covers
 }
 
-// noteBlocked has holders give back what work found no room for.
-func (t *term) noteBlocked(now unit.Instant, blocked map[unit.Team]checkpoint.Resources) {
+// reportBlocked has holders give back what work found no room for.
+func (t *term) reportBlocked(now unit.Instant, blocked map[unit.Team]checkpoint.Resources) {
 	for team, r := range blocked {
 		if units, err := quota.DemandOf(&checkpoint.Spec{CPUs: r.CPUs, GPUs: r.GPUs}); err == nil {
-			t.quota.NoteBlocked(now, team, units)
+			t.quotas.NoteBlocked(now, team, units)
 		}
 	}
 }
 
-// showQuotas tells an operator how the teams stand, if this node leads.
-func (c *Core) showQuotas(now unit.Instant, in QuotaShown) {
-	reply := ReplyQuotas{Ticket: in.Ticket}
+// handleQuotaStatusRequest tells an operator how the teams stand, if this node leads.
+func (c *Core) handleQuotaStatusRequest(now unit.Instant, in QuotaStatusRequest) {
+	reply := QuotaStatusReply{Ticket: in.Ticket}
 	if c.term != nil && c.term.loaded {
-		reply.Teams = c.term.quota.Status(now, c.term.use())
+		reply.Teams = c.term.quotas.Status(now, c.term.quotaUsage())
 	}
 	c.emit(reply)
 }
--- a/internal/controller/quotaview.go
+++ b/internal/controller/quotaview.go
@@ -86,8 +86,8 @@
 	if n.holder != nil {
 		view.Holder = viewHolder(n.holder.published.Load())
 	}
-	ticket := make(chan ReplyQuotas, 1)
-	if n.offer(QuotaShown{Ticket: ticket}) {
+	ticket := make(chan QuotaStatusReply, 1)
+	if n.offer(QuotaStatusRequest{Ticket: ticket}) {
 		select {
 		case reply := <-ticket:
 			for team, status := range reply.Teams {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -26,8 +26,8 @@
 
 // relayReport brings a report to the leader: over the mesh, or, when that is
 // cut, through the state service.
-func (n *Node) relayReport(ctx context.Context, leader string, r *fleet.Heartbeat) ReplyReport {
-	refused := ReplyReport{Code: http.StatusServiceUnavailable}
+func (n *Node) relayReport(ctx context.Context, leader string, r *fleet.Heartbeat) HeartbeatReply {
+	refused := HeartbeatReply{Code: http.StatusServiceUnavailable}
 	if a, err := n.relayMesh(ctx, leader, r); err == nil {
 		return fromAnswer(a)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-func fromAnswer(a mesh.HeartbeatReply) ReplyReport {
-	return ReplyReport{Code: a.Code, Epoch: a.Epoch, Orders: a.UnpackCommands(), Relayed: true}
+func fromAnswer(a mesh.HeartbeatReply) HeartbeatReply {
+	return HeartbeatReply{Code: a.Code, Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
 }
 
 func (n *Node) relayMesh(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.HeartbeatReply, error) {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -49,7 +49,7 @@
 	}
 	// What can't be read is counted, and answered by nothing.
 	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
-	if bad := testutil.ToFloat64(b.n.met.BadBatches); bad != 1 {
+	if bad := testutil.ToFloat64(b.n.met.MalformedBatches); bad != 1 {
 		t.Errorf("%v bad batches counted, want 1", bad)
 	}
 	if again, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
@@ -88,7 +88,7 @@
 		t.Fatalf("%v was taken in", <-b.n.inbox)
 	}
 	b.n.attest(context.Background(), answered, &mesh.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
-	if in, ok := (<-b.n.inbox).(PeerStatus); !ok || in.Node != "n1" || in.Sent != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
+	if in, ok := (<-b.n.inbox).(PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
 		t.Errorf("taken in as %+v", in)
 	}
 }
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -54,7 +54,7 @@
 // attest takes in what a node that is out of reach over the mesh says of its grant.
 func (n *Node) attest(ctx context.Context, answered relay.AnsweredBatches, b *mesh.Batch) {
 	if a, ok := answered.Attestation(b); ok {
-		n.post(ctx, PeerStatus{Node: b.Node, Sent: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, Form: b.SchemaVersion})
+		n.post(ctx, PeerStatusReceived{Node: b.Node, SentAt: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, SchemaVersion: b.SchemaVersion})
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	b, err := mesh.DecompressBatch(c.Value)
 	if err != nil {
-		n.met.BadBatches.Inc()
+		n.met.MalformedBatches.Inc()
 		n.log.Warn("batch can't be read", "node", node, "err", err)
 		return
 	}
@@ -76,7 +76,7 @@
 		n.log.Error("batch can't be answered", "node", node, "err", err)
 		return
 	}
-	n.met.Relayed.Add(float64(len(answers.Heartbeats)))
+	n.met.RelayedHeartbeats.Add(float64(len(answers.Heartbeats)))
 	answered.Record(node, b.ID, n.clock.Now())
 	n.budget.TakeWrites(n.clock.Now(), statestore.PurposeLeadership, 1)
 	_, err = n.store.Commit(ctx, statestore.Txn{
@@ -95,14 +95,14 @@
 	ctx, cancel := context.WithTimeout(ctx, relayGather)
 	defer cancel()
 	out := &mesh.BatchReply{ID: b.ID}
-	tickets := make([]chan ReplyReport, len(b.Heartbeats))
+	tickets := make([]chan HeartbeatReply, len(b.Heartbeats))
 	if b.Node == "" {
 		b.Node = "?" // of a node that does not say
 	}
 	for i := range b.Heartbeats {
 		if r, err := b.Heartbeats[i].Unpack(); err == nil {
-			tickets[i] = make(chan ReplyReport, 1)
-			if !n.offer(Reported{Ticket: tickets[i], Report: r, Via: b.Node}) {
+			tickets[i] = make(chan HeartbeatReply, 1)
+			if !n.offer(HeartbeatReceived{Ticket: tickets[i], Heartbeat: r, RelayedBy: b.Node}) {
 				tickets[i] = nil
 			}
 		}
@@ -123,8 +123,8 @@
 		if ticket != nil {
 			select {
 			case reply := <-ticket:
-				if reply.Code == http.StatusOK && n.clock.Now().Before(reply.Until) {
-					a.Code, a.Epoch, a.Commands = http.StatusOK, reply.Epoch, mesh.PackCommands(reply.Orders)
+				if reply.Code == http.StatusOK && n.clock.Now().Before(reply.ValidUntil) {
+					a.Code, a.Epoch, a.Commands = http.StatusOK, reply.Epoch, mesh.PackCommands(reply.Commands)
 				}
 			case <-ctx.Done():
 			}
--- a/internal/controller/relayup.go
+++ b/internal/controller/relayup.go
@@ -90,7 +90,7 @@
 		for _, c := range log {
 			a, err := mesh.DecompressReply(c.Value)
 			if err != nil {
-				n.met.BadBatches.Inc()
+				n.met.MalformedBatches.Inc()
 				continue
 			}
 			if a.ID == id {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -10,144 +10,144 @@
 	"badgerbay/internal/unit"
 )
 
-// parked is a report that came before the records were read.
-type parked struct {
-	in    Reported
-	until unit.Instant
+// deferredHeartbeat is a report that came before the records were read.
+type deferredHeartbeat struct {
+	received HeartbeatReceived
+	deadline unit.Instant
 }
 
-// parkFor bounds the wait for the records: a worker waits for its answer.
-const parkFor = 1500 * time.Millisecond
+// heartbeatDeferral bounds the wait for the records: a worker waits for its answer.
+const heartbeatDeferral = 1500 * time.Millisecond
 
-// park lets a report wait for the records. Without them nobody knows what must
+// deferHeartbeat lets a report wait for the records. Without them nobody knows what must
 // end, and an answer without that order renews the lease of what a user was told
 // is cancelled: leaders that came and went before they had read anything kept
 // such tasks running for as long as they did.
-func (t *term) park(now unit.Instant, in Reported) {
-	t.parked = append(t.parked, parked{in, now.Add(parkFor)})
+func (t *term) deferHeartbeat(now unit.Instant, in HeartbeatReceived) {
+	t.deferred = append(t.deferred, deferredHeartbeat{in, now.Add(heartbeatDeferral)})
 }
 
-// refuseParked refuses the parked reports that are due to be.
-func (t *term) refuseParked(due func(parked) bool) {
-	t.parked = slices.DeleteFunc(t.parked, func(p parked) bool {
+// refuseDeferred refuses the parked reports that are due to be.
+func (t *term) refuseDeferred(due func(deferredHeartbeat) bool) {
+	t.deferred = slices.DeleteFunc(t.deferred, func(p deferredHeartbeat) bool {
 		if !due(p) {
 			return false
 		}
-		t.c.emit(ReplyReport{Ticket: p.in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Ticket: p.received.Ticket, Code: http.StatusServiceUnavailable})
 		return true
 	})
 }
 
-// answerParked takes in the reports that waited for the records.
-func (t *term) answerParked(now unit.Instant) {
-	waited := t.parked
-	t.parked = nil
+// answerDeferred takes in the reports that waited for the records.
+func (t *term) answerDeferred(now unit.Instant) {
+	waited := t.deferred
+	t.deferred = nil
 	for _, p := range waited {
-		if t.c.term != t {
+		if t.core.term != t {
 			// One of them has shown a later leader.
-			t.c.emit(ReplyReport{Ticket: p.in.Ticket, Code: http.StatusServiceUnavailable})
+			t.core.emit(HeartbeatReply{Ticket: p.received.Ticket, Code: http.StatusServiceUnavailable})
 			continue
 		}
-		t.c.reported(now, p.in)
+		t.core.handleHeartbeat(now, p.received)
 	}
 }
 
-// reported takes in a report and answers it.
-func (t *term) reported(now unit.Instant, in Reported) {
-	reply := ReplyReport{Ticket: in.Ticket, Code: http.StatusOK, Epoch: t.epoch, Until: t.c.lead.LeaseValidUntil()}
-	t.reach.RecordHeartbeat(now, in.Report.Machine, in.Via)
+// handleHeartbeat takes in a report and answers it.
+func (t *term) handleHeartbeat(now unit.Instant, in HeartbeatReceived) {
+	reply := HeartbeatReply{Ticket: in.Ticket, Code: http.StatusOK, Epoch: t.epoch, ValidUntil: t.core.election.LeaseValidUntil()}
+	t.workerReach.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
 	switch {
-	case in.Report.FencingToken > t.epoch:
+	case in.Heartbeat.FencingToken > t.epoch:
 		// Somebody else was elected, or a raise of ours came through late.
-		t.c.leadStep(now, leadership.LeadershipLost{})
-		t.c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.stepElection(now, leadership.LeadershipLost{})
+		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
 		return
 	case !t.loaded:
-		t.park(now, in)
+		t.deferHeartbeat(now, in)
 		return
 	}
-	if t.fleet.WasRemoved(in.Report.Machine) {
-		t.c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+	if t.fleet.WasRemoved(in.Heartbeat.Machine) {
+		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
 		return
 	}
-	m := t.fleet.Ensure(now, in.Report.Machine)
-	if in.Report.Session < m.Session {
+	m := t.fleet.Ensure(now, in.Heartbeat.Machine)
+	if in.Heartbeat.Session < m.Session {
 		// Its lease is surely over; the answer would be dropped.
-		t.c.emit(ReplyReport{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
 		return
 	}
-	t.noteFound(now, m)
+	t.noteRegained(now, m)
 	// A report overtaken by the answer to a direct command is stale, and the
 	// worker still waits for its answer.
-	if changes := t.fleet.ApplyHeartbeat(now, in.Report, true); !changes.Stale {
-		t.changed(now, m, changes)
+	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat, true); !changes.Stale {
+		t.applyChanges(now, m, changes)
 	}
-	reply.Orders = t.fleet.Commands(now, m, true)
-	t.c.emit(reply)
+	reply.Commands = t.fleet.Commands(now, m, true)
+	t.core.emit(reply)
 }
 
-func (t *term) doDone(now unit.Instant, in DoDone) {
-	t.fleet.FinishCommand(now, in.Machine, in.Report != nil)
-	if in.Report == nil || in.Report.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
+func (t *term) commandsAcknowledged(now unit.Instant, in CommandsAcknowledged) {
+	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
+	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
 		return
 	}
-	if in.Report.FencingToken > t.epoch && in.Epoch == t.epoch {
-		t.c.leadStep(now, leadership.LeadershipLost{})
+	if in.Heartbeat.FencingToken > t.epoch && in.Epoch == t.epoch {
+		t.core.stepElection(now, leadership.LeadershipLost{})
 		return
 	}
-	t.noteFound(now, t.fleet.Machine(in.Machine))
-	changes := t.fleet.ApplyHeartbeat(now, in.Report, false)
+	t.noteRegained(now, t.fleet.Machine(in.Machine))
+	changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat, false)
 	if !changes.Stale {
-		t.changed(now, t.fleet.Machine(in.Machine), changes)
+		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
 	}
 }
 
-// changed follows what a report brought.
-func (t *term) changed(now unit.Instant, m *fleet.Machine, ch fleet.Changes) {
+// applyChanges follows what a report brought.
+func (t *term) applyChanges(now unit.Instant, m *fleet.Machine, ch fleet.Changes) {
 	if ch.CameUp {
-		t.dirty = true
-		t.c.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "session", m.Session, "epoch", t.epoch)
+		t.replanNeeded = true
+		t.core.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "session", m.Session, "epoch", t.epoch)
 	}
 	if ch.InterruptionNoticed {
-		t.drain(now, m)
+		t.stopForInterruption(now, m)
 	}
 	for _, s := range ch.Started {
 		m.ConsecutiveFailures = 0
-		t.c.log.Debug("task running", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", m.ID, "epoch", t.epoch)
+		t.core.log.Debug("task running", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", m.ID, "epoch", t.epoch)
 	}
-	t.ended(now, ch)
+	t.tasksEnded(now, ch)
 }
 
-// drain stops what is on a machine that the cloud takes away, with leave to
+// stopForInterruption stops what is on a machine that the cloud takes away, with leave to
 // save as much as the notice allows.
-func (t *term) drain(now unit.Instant, m *fleet.Machine) {
-	t.dirty = true
+func (t *term) stopForInterruption(now unit.Instant, m *fleet.Machine) {
+	t.replanNeeded = true
 	left := m.InterruptionAt.Sub(now)
-	t.c.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
+	t.core.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
 	for _, p := range m.LivePlacements() {
 		if p.Job.Spec.Gang {
-			t.haltGang(now, p.Job, unit.Seconds(p.Job.Spec.CheckpointSeconds))
+			t.stopGang(now, p.Job, unit.Seconds(p.Job.Spec.CheckpointSeconds))
 			continue
 		}
 		t.fleet.StopPlacement(now, p, unit.Seconds(p.Job.Spec.CheckpointSeconds))
 	}
 }
 
-// probe sends commands to machines that have missed a report.
-func (t *term) probe(now unit.Instant) {
+// probeSilentMachines sends commands to machines that have missed a report.
+func (t *term) probeSilentMachines(now unit.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
-		t.c.emit(Do{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Orders: t.fleet.Commands(now, m, false)})
+		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(now, m, false)})
 	}
 }
 
-// push sends direct commands where they are due.
-func (t *term) push(now unit.Instant) {
+// pushCommands sends direct commands where they are due.
+func (t *term) pushCommands(now unit.Instant) {
 	for _, m := range t.fleet.ClaimDueCommands() {
 		orders := t.fleet.Commands(now, m, false)
 		if len(orders) == 0 {
 			t.fleet.FinishCommand(now, m.ID, true)
 			continue
 		}
-		t.c.emit(Do{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Orders: orders})
+		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: orders})
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -10,35 +10,35 @@
 	"badgerbay/internal/userapi"
 )
 
-// waiter is a cancellation whose answer waits for the checkpoint.
-type waiter struct {
-	ticket Ticket
-	until  unit.Instant
+// pendingCancel is a cancellation whose answer waits for the checkpoint.
+type pendingCancel struct {
+	ticket   Ticket
+	deadline unit.Instant
 }
 
-// waitStored bounds how long a cancellation waits for its checkpoint.
-const waitStored = 1500 * time.Millisecond
+// cancelStoreTimeout bounds how long a cancellation waits for its checkpoint.
+const cancelStoreTimeout = 1500 * time.Millisecond
 
-func (t *term) noticed(in Noticed) {
+func (t *term) jobChanged(in JobChanged) {
 	j := t.jobs[in.Job]
-	if t.reading[in.Job] || (j != nil && (in.Stamp <= j.ModRevision || j.FoldInFlight)) || !t.loaded {
+	if t.readsInFlight[in.Job] || (j != nil && (in.ModRevision <= j.ModRevision || j.FoldInFlight)) || !t.loaded {
 		return
 	}
-	if j != nil && in.Stamp == 0 {
+	if j != nil && in.ModRevision == 0 {
 		return
 	}
-	t.reading[in.Job] = true
-	t.c.emit(ReadJob{Job: in.Job})
+	t.readsInFlight[in.Job] = true
+	t.core.emit(ReadJobRecord{Job: in.Job})
 }
 
-func (t *term) jobRead(now unit.Instant, in JobRead) {
-	delete(t.reading, in.Job)
+func (t *term) jobRecordRead(now unit.Instant, in JobRecordRead) {
+	delete(t.readsInFlight, in.Job)
 	if !t.loaded || !in.OK || in.Item.ModRevision == 0 {
 		return
 	}
 	j := t.jobs[in.Job]
 	if j == nil {
-		t.takeIn(now, in)
+		t.acceptJob(now, in)
 		return
 	}
 	if j.FoldInFlight || in.Item.ModRevision <= j.ModRevision {
@@ -46,29 +46,29 @@
 	}
 	// Only we change records, under the guard of our epoch: this is a write
 	// of ours whose answer was lost. Write again, on top of it.
-	t.c.met.CASConflicts.Inc()
+	t.core.metrics.CASConflicts.Inc()
 	j.ModRevision, j.StoredChunkOffset = in.Item.ModRevision, 0
 	if r, err := checkpoint.Decode(in.Item.Value); err == nil {
-		t.storedMeanwhile(now, j, r)
+		t.adoptStoredRecord(now, j, r)
 	}
 	j.MarkDirty(now)
 }
 
-// takeIn takes in a job that was stored since this leader read the records.
-func (t *term) takeIn(now unit.Instant, in JobRead) {
-	stored, err := takeover.DecodeJob(in.Job, in.Item, func(n int) []byte { return in.Parts[n] })
+// acceptJob takes in a job that was stored since this leader read the records.
+func (t *term) acceptJob(now unit.Instant, in JobRecordRead) {
+	stored, err := takeover.DecodeJob(in.Job, in.Item, func(n int) []byte { return in.Chunks[n] })
 	if err != nil {
-		t.unreadable(takeover.UnreadableRecord{Key: in.Item.Key, Err: err})
+		t.reportUnreadable(takeover.UnreadableRecord{Key: in.Item.Key, Err: err})
 		return
 	}
 	t.addJob(now, stored)
 	spec := &stored.Record.Spec
-	t.c.log.Info("job taken in", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
+	t.core.log.Info("job taken in", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
 }
 
-// storedMeanwhile takes in what a record says, read without its parts, that a write
+// adoptStoredRecord takes in what a record says, read without its parts, that a write
 // of this leader has stored.
-func (t *term) storedMeanwhile(now unit.Instant, j *checkpoint.Job, r *checkpoint.Record) {
+func (t *term) adoptStoredRecord(now unit.Instant, j *checkpoint.Job, r *checkpoint.Record) {
 	if r.ChunkInfo != nil {
 		j.StoredChunkOffset = r.ChunkInfo.Offset
 	}
@@ -77,44 +77,44 @@
 	}
 	if !j.Phase.Final() {
 		j.Phase, j.Queue = r.Phase, nil
-		t.haltAll(now, j)
+		t.stopCancelledTasks(now, j)
 	}
 	j.StoredPhase = r.Phase
 }
 
-// asked answers a poll, or begins a cancellation.
-func (t *term) asked(now unit.Instant, in Asked) {
+// handleJobRequest answers a poll, or begins a cancellation.
+func (t *term) handleJobRequest(now unit.Instant, in JobRequest) {
 	j := t.jobs[in.Job]
 	if j == nil {
-		t.noticed(Noticed{Job: in.Job})
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
+		t.jobChanged(JobChanged{Job: in.Job})
+		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
 		return
 	}
-	if !in.Cancel && beingStored(j) {
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
+	if !in.Cancel && isFinalPhaseInFlight(j) {
+		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: userapi.JobNotFound})
 		return
 	}
 	if !in.Cancel || j.StoredPhase.Final() {
-		t.c.emit(ReplyAsk{Ticket: in.Ticket, Outcome: userapi.JobFound, Status: userapi.StatusOfJob(j), Until: t.c.lead.LeaseValidUntil()})
+		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: userapi.JobFound, Status: userapi.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
 		return
 	}
 	if !j.Phase.Final() {
-		t.c.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
+		t.core.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
 	}
 	j.Cancel(now)
-	t.haltAll(now, j)
-	t.waiting[j.ID] = append(t.waiting[j.ID], waiter{in.Ticket, now.Add(waitStored)})
-	t.dirty = true
+	t.stopCancelledTasks(now, j)
+	t.pendingCancels[j.ID] = append(t.pendingCancels[j.ID], pendingCancel{in.Ticket, now.Add(cancelStoreTimeout)})
+	t.replanNeeded = true
 }
 
-// beingStored tells whether the end of a job is being stored, and may be already:
+// isFinalPhaseInFlight tells whether the end of a job is being stored, and may be already:
 // where the answer to the write is late or lost, another node may have read it and
 // told its user. Only the record itself can tell then.
-func beingStored(j *checkpoint.Job) bool {
+func isFinalPhaseInFlight(j *checkpoint.Job) bool {
 	return j.FoldInFlight && j.Phase.Final() && !j.StoredPhase.Final()
 }
 
-func (t *term) haltAll(now unit.Instant, j *checkpoint.Job) {
+func (t *term) stopCancelledTasks(now unit.Instant, j *checkpoint.Job) {
 	if j.Phase != checkpoint.PhaseCancelled {
 		return
 	}
@@ -124,19 +124,19 @@
 	}
 	sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
 	for _, i := range ids {
-		if !t.proposed(j.Placements[i]) {
+		if !t.isProposed(j.Placements[i]) {
 			t.fleet.StopPlacement(now, j.Placements[i], 0)
 		}
 	}
 }
 
-func (t *term) answerWaiters(id unit.JobID, o userapi.QueryOutcome, until unit.Instant) {
-	for _, w := range t.waiting[id] {
-		reply := ReplyAsk{Ticket: w.ticket, Outcome: o, Until: until}
+func (t *term) answerPendingCancels(id unit.JobID, o userapi.QueryOutcome, until unit.Instant) {
+	for _, w := range t.pendingCancels[id] {
+		reply := JobReply{Ticket: w.ticket, Outcome: o, ValidUntil: until}
 		if j := t.jobs[id]; j != nil {
 			reply.Status = userapi.StatusOfJob(j)
 		}
-		t.c.emit(reply)
+		t.core.emit(reply)
 	}
-	delete(t.waiting, id)
+	delete(t.pendingCancels, id)
 }
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -167,9 +167,9 @@
 // counted, and does not keep those behind it from being written.
 func TestTooLargeKeepsNobodyWaiting(t *testing.T) {
 	g := newGrown(t, 0)
-	g.core.set.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
+	g.core.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
 	tm := g.core.term
-	tm.cluster.ObserveReducedLimits()
+	tm.schemaCluster.ObserveReducedLimits()
 	rng := rand.New(rand.NewPCG(1, 1))
 	wide := batch
 	wide.Tasks = 90_000
@@ -184,7 +184,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tm.takeIn(g.now, JobRead{Job: id, OK: true, Item: statestore.KeyValue{Key: checkpoint.Key(id), Value: data, ModRevision: 5}})
+		tm.acceptJob(g.now, JobRecordRead{Job: id, OK: true, Item: statestore.KeyValue{Key: checkpoint.Key(id), Value: data, ModRevision: 5}})
 	}
 	tm.jobs["wk-000001"].Cancel(g.now)
 	tm.jobs["wk-000002"].Cancel(g.now.Add(time.Millisecond))
@@ -194,8 +194,8 @@
 			g.core.budget.ForceTakeWrites(g.now, 1) // there is one change for one job
 		}
 		for _, e := range g.core.Step(g.now, Tick{}) {
-			c, ok := e.(Commit)
-			if !ok || c.Kind != CommitFold {
+			c, ok := e.(CommitTransaction)
+			if !ok || c.Kind != FoldTransaction {
 				continue
 			}
 			if len(c.Txn.Operations) != 1 || c.Txn.Operations[0].SetKey != "job/wk-000002" {
--- a/internal/controller/rounds_test.go
+++ b/internal/controller/rounds_test.go
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	items := []statestore.KeyValue{{Key: "job/wk-000001", Value: data, ModRevision: 3}}
-	for _, e := range g.core.Step(g.now, Loaded{Epoch: 10, OK: true, Stored: takeover.StoredRecords{Jobs: items}}) {
-		if stop, ok := e.(Stop); ok && errors.Is(stop.Err, checkpoint.ErrNewerSchema) {
+	for _, e := range g.core.Step(g.now, RecordsRead{Epoch: 10, OK: true, Stored: takeover.StoredRecords{Jobs: items}}) {
+		if stop, ok := e.(StopNode); ok && errors.Is(stop.Err, checkpoint.ErrNewerSchema) {
 			return
 		}
 	}
@@ -87,7 +87,7 @@
 func TestTornRoundIsWaitedOut(t *testing.T) {
 	g := newGrown(t, 3)
 	tm := g.core.term
-	tm.loaded, tm.ready, tm.acquired = false, false, g.now
+	tm.loaded, tm.schedulingOpen, tm.acquiredAt = false, false, g.now
 	good := &round.Record{SchemaVersion: 2, RoundNo: 5, Epoch: 4, LowWatermark: 5}
 	whole, err := msgpack.Marshal(good)
 	if err != nil {
@@ -97,21 +97,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.step(Loaded{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: []statestore.KeyValue{
+	g.step(RecordsRead{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: []statestore.KeyValue{
 		{Key: "round/5", Value: whole, ModRevision: 11}, {Key: "round/6", Value: torn, ModRevision: 12}}}})
-	if tm.ring.Revision(6) != 12 {
-		t.Errorf("the slot is written under version %d", tm.ring.Revision(6))
+	if tm.roundRing.Revision(6) != 12 {
+		t.Errorf("the slot is written under version %d", tm.roundRing.Revision(6))
 	}
 	g.submit(1, batch)
 	begun := g.now
-	for tm.ring.FreeSlots() == g.core.pol.RingSlots && g.now.Sub(begun) < 2*time.Minute {
+	for tm.roundRing.FreeSlots() == g.core.policy.RingSlots && g.now.Sub(begun) < 2*time.Minute {
 		g.pass(200 * time.Millisecond)
 	}
 	waited := g.now.Sub(begun)
-	if least := g.core.set.Params.Workers.LeaseTTL() + delegation.GrantDuration(g.core.set.Params.Workers); waited < least || waited > least+10*time.Second {
+	if least := g.core.settings.Params.Workers.LeaseTTL() + delegation.GrantDuration(g.core.settings.Params.Workers); waited < least || waited > least+10*time.Second {
 		t.Errorf("placed after %v, want a little more than %v", waited, least)
 	}
-	if next, _ := tm.ring.Next(); next <= 6+unit.RoundNo(g.core.pol.RingSlots)-1 {
+	if next, _ := tm.roundRing.Next(); next <= 6+unit.RoundNo(g.core.policy.RingSlots)-1 {
 		t.Errorf("round %d comes after one that can't be read", next)
 	}
 }
@@ -124,14 +124,14 @@
 	g.submit(1, batch)
 	const id = "wk-000001"
 	j := g.core.term.jobs[id]
-	poll := func() ReplyAsk {
-		for _, e := range g.core.Step(g.now, Asked{Job: id}) {
-			if reply, ok := e.(ReplyAsk); ok {
+	poll := func() JobReply {
+		for _, e := range g.core.Step(g.now, JobRequest{Job: id}) {
+			if reply, ok := e.(JobReply); ok {
 				return reply
 			}
 		}
 		t.Fatal("no answer")
-		return ReplyAsk{}
+		return JobReply{}
 	}
 	if got := poll(); got.Outcome != userapi.JobFound || got.Status.State != userapi.Queued {
 		t.Errorf("before its end: %+v", got)
@@ -139,11 +139,11 @@
 	for i := range batch.Tasks {
 		j.CompleteTask(g.now, unit.TaskIndex(i))
 	}
-	var write *Commit
+	var write *CommitTransaction
 	for range 40 {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for _, e := range g.core.Step(g.now, Tick{}) {
-			if c, ok := e.(Commit); ok && c.Kind == CommitFold {
+			if c, ok := e.(CommitTransaction); ok && c.Kind == FoldTransaction {
 				write = &c
 			}
 		}
@@ -157,7 +157,7 @@
 	if got := poll(); got.Outcome != userapi.JobNotFound {
 		t.Errorf("while its end is being stored: %+v, want that the record is read", got)
 	}
-	g.core.Step(g.now, Committed{Kind: CommitFold, Epoch: write.Epoch, Version: 999})
+	g.core.Step(g.now, TransactionCompleted{Kind: FoldTransaction, Epoch: write.Epoch, Revision: 999})
 	if got := poll(); got.Outcome != userapi.JobFound || got.Status.State != userapi.Done {
 		t.Errorf("after it was stored: %+v", got)
 	}
@@ -169,7 +169,7 @@
 func TestReplacementOutlivesItsLeader(t *testing.T) {
 	g := newGrown(t, 3)
 	tm := g.core.term
-	tm.loaded, tm.ready = false, false
+	tm.loaded, tm.schedulingOpen = false, false
 	spec := gang
 	spec.Tasks = 2
 	job, err := encodeRecord(checkpoint.NewRecord(spec, 0))
@@ -192,9 +192,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rounds = append(rounds, statestore.KeyValue{Key: tm.ring.Key(r.RoundNo), Value: value, ModRevision: 20 + unit.Revision(r.RoundNo)})
+		rounds = append(rounds, statestore.KeyValue{Key: tm.roundRing.Key(r.RoundNo), Value: value, ModRevision: 20 + unit.Revision(r.RoundNo)})
 	}
-	g.core.Step(g.now, Loaded{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: rounds,
+	g.core.Step(g.now, RecordsRead{Epoch: tm.epoch, OK: true, Stored: takeover.StoredRecords{Rounds: rounds,
 		Jobs: []statestore.KeyValue{{Key: "job/wk-000001", Value: job, ModRevision: 9}}}})
 	j := tm.jobs["wk-000001"]
 	if p := j.Placements[0]; p == nil || p.Machine != "m1" || p.Attempt != 5 {
@@ -206,7 +206,7 @@
 	if len(tm.fleet.Machine("m2").LivePlacements()) != 0 {
 		t.Error("the machine that lost the task still counts as having it")
 	}
-	if _, may := tm.replacement(g.now, j); may {
+	if _, may := tm.replacementAttempt(g.now, j); may {
 		t.Error("a successor replaces tasks of a gang whose wait it does not know")
 	}
 }
@@ -326,7 +326,7 @@
 func TestUnreadableJobIsPassedOver(t *testing.T) {
 	g := newGrown(t, 0)
 	item := statestore.KeyValue{Key: "job/wk-000001", Value: []byte{0xc1}, ModRevision: 9}
-	g.step(JobRead{Job: "wk-000001", OK: true, Item: item})
+	g.step(JobRecordRead{Job: "wk-000001", OK: true, Item: item})
 	if g.core.term == nil || len(g.core.term.jobs) != 0 {
 		t.Error("taken in, or the term is over")
 	}
@@ -338,27 +338,27 @@
 func TestRoomForWhatStartsFasterThanMachines(t *testing.T) {
 	g := newGrown(t, 0)
 	tm := g.core.term
-	tm.expect = map[unit.Class]round.Objectives{}
+	tm.objectives = map[unit.Class]round.Objectives{}
 	for class, within := range map[unit.Class]time.Duration{"fast": 12 * time.Second, "slow": 30 * time.Second, "small": 30 * time.Second} {
-		tm.expect[class] = round.Objectives{}.With("wait", within)
+		tm.objectives[class] = round.Objectives{}.With("wait", within)
 		spec := spread
 		spec.Class = class
 		if class == "small" {
 			spec.MachineTypes = []unit.MachineType{"small"} // 40 s, large 15 s
 		}
-		tm.lastSpec[class] = &spec
+		tm.typicalSpecs[class] = &spec
 	}
 	var kept []unit.Class
-	for _, s := range tm.spares() {
+	for _, s := range tm.spareSpecs() {
 		kept = append(kept, s.Class)
 	}
 	if !slices.Equal(kept, []unit.Class{"fast", "small"}) {
 		t.Errorf("room is kept for %v", kept)
 	}
-	for _, typ := range g.core.types {
+	for _, typ := range g.core.machineTypes {
 		typ.Zones = nil // the cloud names none: all zones
 	}
-	if again := tm.spares(); len(again) != len(kept) {
+	if again := tm.spareSpecs(); len(again) != len(kept) {
 		t.Errorf("room is kept for %d classes where types name no zones, want %d", len(again), len(kept))
 	}
 }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -44,7 +44,7 @@
 	g := &grown{now: unit.Instant(time.Hour), version: 10}
 	g.core = NewCore(set, pol, g, statestore.NewBudget(3, 150, 20), rand.New(rand.NewPCG(1, 2)),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), NewMetrics())
-	g.core.types = []*fleet.MachineType{
+	g.core.machineTypes = []*fleet.MachineType{
 		{Name: "small", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 50, FetchGBps: 0.2, HourlyPrice: 0.24, HourlySpotPrice: 0.07, BootTime: 40 * time.Second, Zones: []unit.Zone{"a", "b"}},
 		{Name: "large", Capacity: checkpoint.Resources{CPUs: 16, MemoryGB: 64}, CacheGB: 80, FetchGBps: 0.6, HourlyPrice: 1, HourlySpotPrice: 0.3, BootTime: 15 * time.Second, Zones: []unit.Zone{"a", "b"}}}
 	g.step(Tick{})
@@ -66,10 +66,10 @@
 
 // lead makes the core the leader, with nothing stored.
 func (g *grown) lead() {
-	g.step(Lead{leadership.LeaderKeysRead{OK: true}})
-	g.step(Lead{leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: g.now}})
-	g.step(Lead{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 10}})
-	g.step(Loaded{Epoch: 10, OK: true})
+	g.step(ElectionInput{leadership.LeaderKeysRead{OK: true}})
+	g.step(ElectionInput{leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: g.now}})
+	g.step(ElectionInput{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 10}})
+	g.step(RecordsRead{Epoch: 10, OK: true})
 }
 
 // step hands an input to the core and plays the state service and the workers:
@@ -79,16 +79,16 @@
 	for len(queue) > 0 {
 		for _, e := range g.core.Step(g.now, queue[0]) {
 			switch e := e.(type) {
-			case Commit:
+			case CommitTransaction:
 				g.version++
-				queue = append(queue, Committed{Kind: e.Kind, Epoch: e.Epoch, Version: g.version})
-			case Do:
+				queue = append(queue, TransactionCompleted{Kind: e.Kind, Epoch: e.Epoch, Revision: g.version})
+			case SendCommands:
 				queue = append(queue, g.do(e))
-			case ReadQuota:
-				queue = append(queue, QuotaRead{Epoch: e.Epoch, OK: true})
-			case DoLead:
+			case ReadQuotaRecords:
+				queue = append(queue, QuotaRecordsRead{Epoch: e.Epoch, OK: true})
+			case ElectionEffect:
 				if r, ok := e.Effect.(leadership.RenewLease); ok && r.LeaseID != 0 {
-					queue = append(queue, Lead{leadership.LeaseRenewed{LeaseID: r.LeaseID, SentAt: g.now}})
+					queue = append(queue, ElectionInput{leadership.LeaseRenewed{LeaseID: r.LeaseID, SentAt: g.now}})
 				}
 			}
 		}
@@ -96,23 +96,23 @@
 	}
 }
 
-func (g *grown) do(e Do) DoDone {
+func (g *grown) do(e SendCommands) CommandsAcknowledged {
 	var i int
 	fmt.Sscanf(string(e.Machine), "host-%d", &i)
 	if g.dead[i] {
-		return DoDone{Machine: e.Machine, Epoch: e.Epoch}
+		return CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}
 	}
 	r := g.machines[i]
 	next := *r
 	next.HeartbeatSeq++
 	next.Tasks = append([]fleet.TaskStatus(nil), r.Tasks...)
-	for _, o := range e.Orders {
+	for _, o := range e.Commands {
 		if o.Kind == fleet.CommandStart {
 			next.Tasks = append(next.Tasks, fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: "running"})
 		}
 	}
 	g.machines[i] = &next
-	return DoDone{Machine: e.Machine, Epoch: e.Epoch, Report: &next}
+	return CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch, Heartbeat: &next}
 }
 
 func (g *grown) report(i int) {
@@ -122,7 +122,7 @@
 	r := *g.machines[i]
 	r.HeartbeatSeq++
 	g.machines[i] = &r
-	g.step(Reported{Ticket: 0, Report: &r})
+	g.step(HeartbeatReceived{Ticket: 0, Heartbeat: &r})
 }
 
 func (g *grown) submit(i int, spec checkpoint.Spec) {
@@ -132,7 +132,7 @@
 	if err != nil {
 		panic(err)
 	}
-	g.step(JobRead{Job: id, OK: true, Item: statestore.KeyValue{Key: checkpoint.Key(id), Value: data, ModRevision: g.version}})
+	g.step(JobRecordRead{Job: id, OK: true, Item: statestore.KeyValue{Key: checkpoint.Key(id), Value: data, ModRevision: g.version}})
 }
 
 // fill submits what keeps the machines about half busy, and plays until most
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -83,7 +83,7 @@
 }
 
 func (n *Node) answer(w http.ResponseWriter, id unit.JobID, a userapi.Response) {
-	n.met.Submissions.WithLabelValues(strconv.Itoa(a.Code)).Inc()
+	n.met.UserResponses.WithLabelValues(strconv.Itoa(a.Code)).Inc()
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(userapi.RetryAfterSeconds(a.RetryAfter)))
 	}
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	types := []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
-	b.n.core.Step(b.clock.now, FlavorsDone{Types: types})
+	b.n.core.Step(b.clock.now, MachineTypesRead{Types: types})
 	b.n.view.Store(&view{types: types})
 	b.http = b.n.routes()
 	return b
@@ -77,11 +77,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	c := b.n.core
-	c.Step(b.clock.now, Lead{In: leadership.LeaderKeysRead{OK: true}})
-	c.Step(b.clock.now, Lead{In: leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
-	c.Step(b.clock.now, Lead{In: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
-	c.Step(b.clock.now, Loaded{Epoch: 77, OK: true})
-	b.n.view.Store(&view{leader: "n0", types: c.Types(), epoch: 77})
+	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeysRead{OK: true}})
+	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
+	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
+	c.Step(b.clock.now, RecordsRead{Epoch: 77, OK: true})
+	b.n.view.Store(&view{leader: "n0", types: c.MachineTypes(), epoch: 77})
 	go func() {
 		for {
 			select {
@@ -229,10 +229,10 @@
 // up to the moment the answer leaves, so that their leases really run out.
 func TestReportsOnlyWhileEntitled(t *testing.T) {
 	b := newNodeRig(t)
-	b.n.core.Step(b.clock.now, Lead{In: leadership.LeaderKeysRead{OK: true, Leader: leadership.LeaderRecord{Node: "n1"}, Epoch: 5}})
-	ticket := make(chan ReplyReport, 1)
+	b.n.core.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeysRead{OK: true, Leader: leadership.LeaderRecord{Node: "n1"}, Epoch: 5}})
+	ticket := make(chan HeartbeatReply, 1)
 	r := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
-	b.n.step(context.Background(), Reported{Ticket: ticket, Report: r})
+	b.n.step(context.Background(), HeartbeatReceived{Ticket: ticket, Heartbeat: r})
 	if got := <-ticket; got.Code != 421 || got.Leader != "n1" {
 		t.Errorf("follower answers %+v", got)
 	}
@@ -243,7 +243,7 @@
 		t.Fatalf("leader answers %d", w.Code)
 	}
 	w := httptest.NewRecorder()
-	b.n.answerReport(w, ReplyReport{Code: 200, Epoch: 77, Until: b.clock.now})
+	b.n.answerReport(w, HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
 	if w.Code != 503 {
 		t.Errorf("an answer that leaves too late has status %d", w.Code)
 	}
@@ -300,12 +300,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	types := b.n.core.Types()
+	types := b.n.core.MachineTypes()
 	b.n.view.Store(&view{leader: "n0", types: types, epoch: unit.Epoch(epoch)})
 	b.n.keepFlavors(context.Background(), types)
 	b.n.view.Store(&view{})
 	b.n.flavors(context.Background())
-	in, ok := (<-b.n.inbox).(FlavorsDone)
+	in, ok := (<-b.n.inbox).(MachineTypesRead)
 	if !ok || len(in.Types) != 1 || in.Types[0].Name != "m" || !in.Types[0].Capacity.Fits(types[0].Capacity) {
 		t.Errorf("machine types %+v", in.Types)
 	}
--- a/internal/controller/sim_nodes_test.go
+++ b/internal/controller/sim_nodes_test.go
@@ -39,7 +39,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n.core = NewCore(&set, s.pol, simClock{s, n}, statestore.NewBudget(3, 80, 25),
 		rand.New(rand.NewPCG(s.rng.Uint64(), s.rng.Uint64())), log, NewMetrics())
-	n.follower, n.holder, n.machines = nil, nil, KnownMachines{}
+	n.follower, n.holder, n.machines = nil, nil, MachineSnapshot{}
 	if s.pol.Features.TeamQuotas && !s.before[n.index] {
 		n.holder = quota.NewHolder(n.name, s.set.Params.StateService.MaxValueBytes())
 	}
@@ -68,16 +68,16 @@
 	if n.follower == nil || s.now.Before(s.frozen[n.index]) {
 		return
 	}
-	s.follow(n, standby.LeadershipChanged{Leading: n.core.lead.Epoch() != 0})
+	s.follow(n, standby.LeadershipChanged{Leading: n.core.election.Epoch() != 0})
 	s.follow(n, standby.Tick{})
-	if at := n.clock(s.now); at.Sub(n.machines.At) > standby.MachineListInterval && n.core.lead.Epoch() == 0 && !s.severed(n.zone, "") {
+	if at := n.clock(s.now); at.Sub(n.machines.RequestedAt) > standby.MachineListInterval && n.core.election.Epoch() == 0 && !s.severed(n.zone, "") {
 		if list, err := s.cloud.List(s.now); err == nil {
-			n.machines = KnownMachines{At: at, List: list}
+			n.machines = MachineSnapshot{RequestedAt: at, Machines: list}
 		}
 	}
 	if ready := n.replicaState(s.now) == standby.StateReady; ready != n.ready {
 		n.ready = ready
-		s.step(n, Lead{leadership.ReplicaState{Ready: ready}})
+		s.step(n, ElectionInput{leadership.ReplicaState{Ready: ready}})
 	}
 }
 
@@ -118,8 +118,8 @@
 				from = delegation.StateServiceOutage
 			}
 		}
-		s.step(n, Isolated{From: from})
-		s.step(n, MeshCut{On: reached < len(s.nodes)-1})
+		s.step(n, IsolationChanged{Isolation: from})
+		s.step(n, PeerReachabilityChanged{Unreachable: reached < len(s.nodes)-1})
 	}
 }
 
@@ -127,8 +127,8 @@
 	life, sent := n.life, n.clock(s.now)
 	s.after(s.latency(), func() {
 		if p.alive {
-			s.step(p, PeerAsked{Node: n.name, Ticket: func(r ReplyPeer) {
-				s.reply(n, life, PeerStatus{Node: p.name, Sent: sent, Status: r.Status, Form: s.formOf(n, p), Quotas: s.formOf(n, p) != 0})
+			s.step(p, DelegationRequest{Node: n.name, Ticket: func(r DelegationReply) {
+				s.reply(n, life, PeerStatusReceived{Node: p.name, SentAt: sent, Status: r.Status, SchemaVersion: s.formOf(n, p), EnforcesQuotas: s.formOf(n, p) != 0})
 			}})
 		}
 	})
@@ -167,14 +167,14 @@
 	effects := n.core.Step(n.clock(s.now), in)
 	s.noteActs(n, effects)
 	for _, e := range effects {
-		if _, ok := e.(DoLead); ok && s.electAt > 0 {
+		if _, ok := e.(ElectionEffect); ok && s.electAt > 0 {
 			if s.electAt--; s.electAt == 0 {
 				s.carryOut(n, e) // it left, and the answer finds another process
 				s.crash(n, time.Duration(5+s.rng.IntN(300))*time.Millisecond)
 				return
 			}
 		}
-		if n.core.lead.IsLeader() && s.crashAt > 0 && changes(e) {
+		if n.core.election.IsLeader() && s.crashAt > 0 && changes(e) {
 			if s.crashAt--; s.crashAt == 0 {
 				s.crash(n, 3*time.Second)
 				return
@@ -182,7 +182,7 @@
 		}
 		s.carryOut(n, e)
 	}
-	n.view = n.core.lead.Epoch()
+	n.view = n.core.election.Epoch()
 }
 
 // reply posts the answer to an effect, unless the process has ended.
@@ -197,27 +197,27 @@
 func (s *sim) carryOut(n *simNode, e Effect) {
 	life := n.life
 	switch e := e.(type) {
-	case ReplyReport:
-		e.Ticket.(func(ReplyReport))(e)
-	case ReplyAsk:
-		e.Ticket.(func(ReplyAsk))(e)
-	case ReplyPeer:
-		e.Ticket.(func(ReplyPeer))(e)
-	case ReplyQuota:
+	case HeartbeatReply:
+		e.Ticket.(func(HeartbeatReply))(e)
+	case JobReply:
+		e.Ticket.(func(JobReply))(e)
+	case DelegationReply:
+		e.Ticket.(func(DelegationReply))(e)
+	case QuotaReply:
 		e.Ticket.(func(quota.AllocationResponse))(e.Answer)
-	case ReadQuota:
+	case ReadQuotaRecords:
 		s.after(s.stateLatency(), func() {
 			items, _, err := s.state.List(quota.KeyPrefix)
-			s.reply(n, life, QuotaRead{Epoch: e.Epoch, OK: err == nil && !s.stateless(n) && !s.lost(), Items: items})
+			s.reply(n, life, QuotaRecordsRead{Epoch: e.Epoch, OK: err == nil && !s.stateless(n) && !s.lost(), Items: items})
 		})
-	case DoLead:
+	case ElectionEffect:
 		s.after(s.stateLatency(), func() { s.doLead(n, life, e.Effect) })
-	case LoadAll:
+	case ReadRecords:
 		s.after(s.slowLoads+s.stateLatency(), func() {
 			stored, err := s.takeRecords(n, e.Epoch)
-			s.reply(n, life, Loaded{Epoch: e.Epoch, OK: err == nil && !s.stateless(n), Stored: stored, Machines: n.machines})
+			s.reply(n, life, RecordsRead{Epoch: e.Epoch, OK: err == nil && !s.stateless(n), Stored: stored, KnownMachines: n.machines})
 		})
-	case ReadJob:
+	case ReadJobRecord:
 		s.after(s.stateLatency(), func() {
 			item, err := s.state.Get(checkpoint.Key(e.Job))
 			values := map[int][]byte{}
@@ -225,11 +225,11 @@
 				part, _ := s.state.Get(checkpoint.ChunkKey(e.Job, k))
 				values[k] = part.Value
 			}
-			s.reply(n, life, JobRead{Job: e.Job, OK: err == nil && !s.stateless(n), Item: item, Parts: values})
+			s.reply(n, life, JobRecordRead{Job: e.Job, OK: err == nil && !s.stateless(n), Item: item, Chunks: values})
 		})
-	case Commit:
+	case CommitTransaction:
 		s.after(s.stateLatency(), func() { s.commit(n, life, e, false) })
-	case Do:
+	case SendCommands:
 		s.do(n, life, e)
 	default:
 		s.callCloud(n, life, e)
@@ -331,29 +331,29 @@
 		in, unread := leadership.DecodeKeys(items)
 		in.OK = err == nil && unread == nil
 		in.Heartbeat.TTLMs -= s.understated.Milliseconds()
-		s.reply(n, life, Lead{in})
+		s.reply(n, life, ElectionInput{in})
 	case leadership.GrantLease:
 		tenure, err := s.state.Grant(s.now, e.TTL)
-		s.reply(n, life, Lead{leadership.LeaseGranted{OK: err == nil, LeaseID: tenure, SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.LeaseGranted{OK: err == nil, LeaseID: tenure, SentAt: sent}})
 	case leadership.RenewLease:
 		var err error
 		if !s.sent(func() { err = s.state.Extend(s.now, e.LeaseID) }) {
 			err = statestore.ErrOutcomeUnknown
 		}
-		s.reply(n, life, Lead{leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeOf(err), SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeOf(err), SentAt: sent}})
 	case leadership.AcquireLeaderKey:
 		v, err := s.tryCommit(e.Txn())
-		s.reply(n, life, Lead{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOf(err), Epoch: unit.Epoch(v)}})
+		s.reply(n, life, ElectionInput{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOf(err), Epoch: unit.Epoch(v)}})
 	case leadership.RewriteLeaderKey:
 		v, err := s.tryCommit(e.Txn())
 		if err == nil {
-			s.reply(n, life, Lead{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: unit.Epoch(v)}})
+			s.reply(n, life, ElectionInput{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: unit.Epoch(v)}})
 			return
 		}
 		s.after(150*time.Millisecond, func() { s.readBackToken(n, life, e) })
 	case leadership.WriteHeartbeat:
 		_, err := s.tryCommit(e.Txn())
-		s.reply(n, life, Lead{leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(err), SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.HeartbeatOutcomeOf(err), SentAt: sent}})
 	case leadership.TransferLeadership:
 		if _, err := s.tryCommit(e.Txn()); err != nil {
 			s.state.Revoke(e.LeaseID)
@@ -367,15 +367,15 @@
 func (s *sim) unanswered(n *simNode, life int, e leadership.Effect, sent unit.Instant) {
 	switch e := e.(type) {
 	case leadership.ReadLeaderKeys:
-		s.reply(n, life, Lead{leadership.LeaderKeysRead{}})
+		s.reply(n, life, ElectionInput{leadership.LeaderKeysRead{}})
 	case leadership.GrantLease:
-		s.reply(n, life, Lead{leadership.LeaseGranted{SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.LeaseGranted{SentAt: sent}})
 	case leadership.RenewLease:
-		s.reply(n, life, Lead{leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeUnknown, SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.LeaseRenewed{LeaseID: e.LeaseID, Outcome: leadership.OutcomeUnknown, SentAt: sent}})
 	case leadership.AcquireLeaderKey:
-		s.reply(n, life, Lead{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeUnknown}})
+		s.reply(n, life, ElectionInput{leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeUnknown}})
 	case leadership.WriteHeartbeat:
-		s.reply(n, life, Lead{leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.OutcomeUnknown, SentAt: sent}})
+		s.reply(n, life, ElectionInput{leadership.HeartbeatWritten{Epoch: e.Epoch, Outcome: leadership.OutcomeUnknown, SentAt: sent}})
 	case leadership.RewriteLeaderKey:
 		s.readBackToken(n, life, e)
 	}
@@ -384,15 +384,15 @@
 func (s *sim) readBackToken(n *simNode, life int, e leadership.RewriteLeaderKey) {
 	h, stamp, err := s.holder()
 	switch {
-	case !n.alive || n.life != life || n.core.lead.Epoch() != e.PrevEpoch:
+	case !n.alive || n.life != life || n.core.election.Epoch() != e.PrevEpoch:
 	case err != nil || s.stateless(n):
 		s.after(150*time.Millisecond, func() { s.readBackToken(n, life, e) })
 	case h != e.Leader:
-		s.reply(n, life, Lead{leadership.LeadershipLost{}})
+		s.reply(n, life, ElectionInput{leadership.LeadershipLost{}})
 	case stamp > e.PrevEpoch:
-		s.reply(n, life, Lead{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: stamp}})
+		s.reply(n, life, ElectionInput{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeOK, Epoch: stamp}})
 	default:
-		s.reply(n, life, Lead{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeRefused}})
+		s.reply(n, life, ElectionInput{leadership.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: leadership.OutcomeRefused}})
 	}
 }
 
@@ -420,7 +420,7 @@
 
 // commit does what Node.commit does: an unanswered transaction is sent again,
 // and a conflict after that is settled by reading back.
-func (s *sim) commit(n *simNode, life int, c Commit, unsure bool) {
+func (s *sim) commit(n *simNode, life int, c CommitTransaction, unsure bool) {
 	if !n.alive || n.life != life {
 		return
 	}
@@ -430,13 +430,13 @@
 		return
 	}
 	v, err := s.tryCommit(c.Txn)
-	done := Committed{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(err), Version: v}
+	done := TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(err), Revision: v}
 	limits := s.set.Params.StateService.Strictest()
-	done.TooLarge = errors.Is(err, statestore.ErrRejected) && c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
+	done.ExceedsNextLimits = errors.Is(err, statestore.ErrRejected) && c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
 	var conflict *statestore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		done.Failed = conflict.FailedKeys
+		done.FailedConditions = conflict.FailedKeys
 		for _, k := range conflict.FailedKeys {
 			if k == leadership.LeaderKey {
 				done.Outcome = leadership.OutcomeGone
@@ -449,7 +449,7 @@
 				return
 			}
 			if c.Txn.WasApplied(item) {
-				done.Outcome, done.Version, done.Failed = leadership.OutcomeOK, item.ModRevision, nil
+				done.Outcome, done.Revision, done.FailedConditions = leadership.OutcomeOK, item.ModRevision, nil
 			}
 		}
 	case errors.Is(err, statestore.ErrOutcomeUnknown) || err != nil && unsure:
@@ -466,7 +466,7 @@
 
 func (s *sim) leader() *simNode {
 	for _, n := range s.nodes {
-		if n.alive && n.core.lead.LeaseValid(n.clock(s.now)) {
+		if n.alive && n.core.election.LeaseValid(n.clock(s.now)) {
 			return n
 		}
 	}
@@ -476,11 +476,11 @@
 // changes tells whether an effect changes something outside the process.
 func changes(e Effect) bool {
 	switch e := e.(type) {
-	case Commit, Do, CallHire, CallRelease:
+	case CommitTransaction, SendCommands, ProvisionMachines, DeprovisionMachines:
 		return true
-	case ReplyReport:
-		return len(e.Orders) > 0
-	case DoLead:
+	case HeartbeatReply:
+		return len(e.Commands) > 0
+	case ElectionEffect:
 		_, reads := e.Effect.(leadership.ReadLeaderKeys)
 		_, renews := e.Effect.(leadership.RenewLease)
 		_, beats := e.Effect.(leadership.WriteHeartbeat)
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -86,7 +86,7 @@
 	holder   *quota.Holder     // nil: it admits nothing
 	follower *standby.Follower // nil: it has no replica
 	ready    bool              // its replica was complete when last looked at
-	machines KnownMachines     // that it has listed
+	machines MachineSnapshot   // that it has listed
 }
 
 type simJob struct {
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -184,7 +184,7 @@
 	s.every(2*time.Second, func() {
 		for _, node := range s.nodes {
 			if node.alive && j.submitted && !j.over() && !s.severed(node.zone, "") {
-				s.step(node, Noticed{Job: id})
+				s.step(node, JobChanged{Job: id})
 				s.poll(node, id, j)
 			}
 		}
@@ -200,9 +200,9 @@
 // leader can be asked, by the record if that decides.
 func (s *sim) ask(n *simNode, id unit.JobID, j *simJob, cancelJob bool) {
 	life := n.life
-	s.step(n, Asked{Job: id, Cancel: cancelJob, Ticket: func(a ReplyAsk) {
+	s.step(n, JobRequest{Job: id, Cancel: cancelJob, Ticket: func(a JobReply) {
 		switch {
-		case a.Outcome == userapi.JobFound && n.clock(s.now).Before(a.Until):
+		case a.Outcome == userapi.JobFound && n.clock(s.now).Before(a.ValidUntil):
 			s.hear(id, j, a.Status)
 		case a.Outcome == userapi.NoLeader || a.Outcome == userapi.JobNotFound:
 			s.after(s.stateLatency(), func() {
--- a/internal/controller/sim_world_test.go
+++ b/internal/controller/sim_world_test.go
@@ -13,7 +13,7 @@
 	"badgerbay/internal/unit"
 )
 
-func (s *sim) do(n *simNode, life int, e Do) {
+func (s *sim) do(n *simNode, life int, e SendCommands) {
 	var exec func() *fleet.Heartbeat
 	exec = func() *fleet.Heartbeat {
 		if until := s.hung[e.Machine]; s.now.Before(until) {
@@ -31,7 +31,7 @@
 		}
 		if h := s.cloud.Machines[e.Machine]; h != nil && h.Worker != nil && !h.Failed {
 			h.Worker.Advance(s.now)
-			return h.Worker.Do(s.now, e.Epoch, e.Session, e.Orders)
+			return h.Worker.Do(s.now, e.Epoch, e.Session, e.Commands)
 		}
 		return nil
 	}
@@ -39,10 +39,10 @@
 		var r *fleet.Heartbeat
 		if !s.sent(func() { r = exec() }) || r == nil {
 			r = nil
-			s.after(3*time.Second, func() { s.reply(n, life, DoDone{Machine: e.Machine, Epoch: e.Epoch}) })
+			s.after(3*time.Second, func() { s.reply(n, life, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}) })
 			return
 		}
-		s.reply(n, life, DoDone{Machine: e.Machine, Epoch: e.Epoch, Report: r})
+		s.reply(n, life, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch, Heartbeat: r})
 		if s.rng.Float64() < s.dup {
 			s.after(time.Duration(1+s.rng.IntN(60))*time.Second, func() { exec() })
 		}
@@ -66,19 +66,19 @@
 	}
 	s.after(50*time.Millisecond, func() {
 		switch e := e.(type) {
-		case CallHire:
-			done := HireDone{Name: e.Name, Offer: e.Offer, Sent: n.clock(s.now), Verdict: rental.ProvisionOutcomeUnknown}
+		case ProvisionMachines:
+			done := ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: n.clock(s.now), Result: rental.ProvisionOutcomeUnknown}
 			var ids []unit.MachineID
 			var err error
 			if s.sent(func() { ids, err = s.cloud.Hire(s.now, e.Name, e.Offer, e.Count) }) {
 				done.Machines = ids
-				done.Verdict = map[bool]rental.ProvisionResult{true: rental.ProvisionGranted, false: rental.ProvisionNoCapacity}[err == nil]
+				done.Result = map[bool]rental.ProvisionResult{true: rental.ProvisionGranted, false: rental.ProvisionNoCapacity}[err == nil]
 				if errors.Is(err, rental.ErrUnavailable) {
-					done.Verdict = rental.ProvisionDeferred
+					done.Result = rental.ProvisionDeferred
 				}
 			}
 			s.reply(n, life, done)
-		case CallRelease:
+		case DeprovisionMachines:
 			var err error
 			ok := s.sent(func() {
 				if err = s.cloud.Release(e.Machines); err == nil {
@@ -87,12 +87,12 @@
 					}
 				}
 			})
-			s.reply(n, life, ReleaseDone{Machines: e.Machines, OK: ok && err == nil})
-		case CallList:
-			list, more, err := s.cloud.Page(s.now, e.Since, listPage)
-			s.reply(n, life, ListDone{rental.Page{OK: err == nil, Machines: list, More: more}})
-		case CallFlavors:
-			s.reply(n, life, FlavorsDone{Types: s.cloud.Types})
+			s.reply(n, life, DeprovisionCompleted{Machines: e.Machines, OK: ok && err == nil})
+		case ListMachines:
+			list, more, err := s.cloud.Page(s.now, e.After, listPage)
+			s.reply(n, life, MachinesListed{rental.Page{OK: err == nil, Machines: list, More: more}})
+		case ReadMachineTypes:
+			s.reply(n, life, MachineTypesRead{Types: s.cloud.Types})
 		}
 	})
 }
@@ -104,14 +104,14 @@
 // cloudSilent is what comes of a call that does not reach the cloud.
 func (s *sim) cloudSilent(n *simNode, life int, e Effect) {
 	switch e := e.(type) {
-	case CallHire:
-		s.reply(n, life, HireDone{Name: e.Name, Offer: e.Offer, Sent: n.clock(s.now), Verdict: rental.ProvisionOutcomeUnknown})
-	case CallRelease:
-		s.reply(n, life, ReleaseDone{Machines: e.Machines})
-	case CallList:
-		s.reply(n, life, ListDone{})
-	case CallFlavors:
-		s.reply(n, life, FlavorsDone{})
+	case ProvisionMachines:
+		s.reply(n, life, ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: n.clock(s.now), Result: rental.ProvisionOutcomeUnknown})
+	case DeprovisionMachines:
+		s.reply(n, life, DeprovisionCompleted{Machines: e.Machines})
+	case ListMachines:
+		s.reply(n, life, MachinesListed{})
+	case ReadMachineTypes:
+		s.reply(n, life, MachineTypesRead{})
 	}
 }
 
@@ -225,7 +225,7 @@
 		// A copy that was held on its way; nobody waits for its answer.
 		s.after(time.Second+time.Duration(s.rng.Int64N(int64(s.lateBy))), func() {
 			if n.alive {
-				s.step(n, Reported{Report: r, Ticket: func(ReplyReport) {}})
+				s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: func(HeartbeatReply) {}})
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 	if s.severed(n.zone, w.Zone) {
 		s.held = append(s.held, func() {
 			if n.alive {
-				s.step(n, Reported{Report: r, Ticket: func(ReplyReport) {}})
+				s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: func(HeartbeatReply) {}})
 			}
 		})
 		return
@@ -245,8 +245,8 @@
 		if !n.alive {
 			return
 		}
-		var take func(a ReplyReport)
-		take = func(a ReplyReport) {
+		var take func(a HeartbeatReply)
+		take = func(a HeartbeatReply) {
 			if s.relayed(n, r, a, take) {
 				return
 			}
@@ -258,7 +258,7 @@
 				case a.Code == 200:
 					w.Advance(s.now)
 					before := w.Token
-					if w.Answered(s.now, sent, session, a.Epoch, a.Orders) && w.Token > before {
+					if w.Answered(s.now, sent, session, a.Epoch, a.Commands) && w.Token > before {
 						next = 500 * time.Millisecond
 					}
 					follow(node, next)
@@ -269,13 +269,13 @@
 				}
 			})
 		}
-		s.step(n, Reported{Report: r, Ticket: take})
+		s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: take})
 	})
 }
 
 // relayed hands a report over the mesh to a leader that the workers can't reach,
 // as a node does with a worker that has come back from there in vain.
-func (s *sim) relayed(n *simNode, r *fleet.Heartbeat, a ReplyReport, take func(ReplyReport)) bool {
+func (s *sim) relayed(n *simNode, r *fleet.Heartbeat, a HeartbeatReply, take func(HeartbeatReply)) bool {
 	if a.Code != 421 || a.Final || a.Leader == "" || a.Leader == n.name {
 		return false
 	}
@@ -285,9 +285,9 @@
 	}
 	s.after(s.latency(), func() {
 		if s.meets(n, l) {
-			s.step(l, Reported{Report: r, Via: n.name, Ticket: func(a ReplyReport) {
+			s.step(l, HeartbeatReceived{Heartbeat: r, RelayedBy: n.name, Ticket: func(a HeartbeatReply) {
 				if a.Code != 200 {
-					a = ReplyReport{Code: 503}
+					a = HeartbeatReply{Code: 503}
 				}
 				take(a)
 			}})
--- a/internal/controller/stage_test.go
+++ b/internal/controller/stage_test.go
@@ -99,9 +99,9 @@
 // after the next one changes nothing.
 func TestLatePartsDoNotCount(t *testing.T) {
 	g := newGrown(t, 0)
-	g.core.set.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
+	g.core.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
 	tm := g.core.term
-	tm.cluster = rollout.New(nil, rollout.Latest)
+	tm.schemaCluster = rollout.New(nil, rollout.Latest)
 	r := checkpoint.NewRecord(batch, 0)
 	r.Spec.Tasks = 8000
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -113,28 +113,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tm.takeIn(g.now, JobRead{Job: "wk-000001", OK: true, Item: statestore.KeyValue{Key: "job/wk-000001", Value: data, ModRevision: 5}})
+	tm.acceptJob(g.now, JobRecordRead{Job: "wk-000001", OK: true, Item: statestore.KeyValue{Key: "job/wk-000001", Value: data, ModRevision: 5}})
 	tm.jobs["wk-000001"].Cancel(g.now)
 	guards := map[unit.Revision]bool{}
 	version := unit.Revision(100)
 	var follow func([]Effect)
 	follow = func(effects []Effect) {
 		for _, e := range effects {
-			c, ok := e.(Commit)
-			if !ok || c.Kind != CommitStage {
+			c, ok := e.(CommitTransaction)
+			if !ok || c.Kind != StagingTransaction {
 				continue
 			}
-			if guard := c.Txn.Conditions[1]; guard.Key != stageKey || guards[guard.ModRevision] || c.Txn.Operations[0].SetKey != stageKey {
+			if guard := c.Txn.Conditions[1]; guard.Key != stagingKey || guards[guard.ModRevision] || c.Txn.Operations[0].SetKey != stagingKey {
 				t.Fatalf("parts are written under %+v, which an earlier write has seen", guard)
 			}
 			guards[c.Txn.Conditions[1].ModRevision] = true
 			version++
-			follow(g.core.Step(g.now, Committed{Kind: CommitStage, Epoch: c.Epoch, Version: version}))
+			follow(g.core.Step(g.now, TransactionCompleted{Kind: StagingTransaction, Epoch: c.Epoch, Revision: version}))
 		}
 	}
 	for range 40 {
 		g.now = g.now.Add(300 * time.Millisecond)
-		follow(g.core.Step(g.now, Lead{leadership.LeaseRenewed{LeaseID: 1, Outcome: leadership.OutcomeOK, SentAt: g.now}}))
+		follow(g.core.Step(g.now, ElectionInput{leadership.LeaseRenewed{LeaseID: 1, Outcome: leadership.OutcomeOK, SentAt: g.now}}))
 		follow(g.core.Step(g.now, Tick{}))
 	}
 	if len(guards) < 2 {
@@ -143,7 +143,7 @@
 	if !tm.jobs["wk-000001"].FoldInFlight {
 		t.Error("the record itself is not being written")
 	}
-	if parts.Key("stage", 1) == stageKey {
+	if parts.Key("stage", 1) == stagingKey {
 		t.Error("a part is stored under the key that guards them")
 	}
 }
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -25,7 +25,7 @@
 	follower  *standby.Follower
 	published atomic.Pointer[standbyView]
 	ready     bool // as the core was told last
-	machines  atomic.Pointer[KnownMachines]
+	machines  atomic.Pointer[MachineSnapshot]
 }
 
 // standbyView is what the actor publishes after each look.
@@ -43,7 +43,7 @@
 func newStandbyActor(n *Node, w *feature.WarmStandby) *standbyActor {
 	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Options{SyncInterval: w.SyncInterval}, w.ReplicaBytes())}
 	a.publish()
-	a.machines.Store(&KnownMachines{})
+	a.machines.Store(&MachineSnapshot{})
 	return a
 }
 
@@ -51,7 +51,7 @@
 // within what the leader leaves of the cloud's call rate.
 func (a *standbyActor) listMachines(ctx context.Context) {
 	cloud := a.n.set.Params.Cloud
-	calls := statestore.NewTokenBucket(cloud.RPS*(1-cloudCallRate)/float64(max(1, len(a.n.set.Peers))), 1)
+	calls := statestore.NewTokenBucket(cloud.RPS*(1-LeaderCloudShare)/float64(max(1, len(a.n.set.Peers))), 1)
 	for a.n.pause(ctx, standby.MachineListInterval) {
 		if a.n.view.Load().epoch != 0 {
 			continue
@@ -63,8 +63,8 @@
 }
 
 // readList reads all pages of the list.
-func (a *standbyActor) readList(ctx context.Context, calls *statestore.TokenBucket) (*KnownMachines, bool) {
-	known := &KnownMachines{At: a.n.clock.Now()}
+func (a *standbyActor) readList(ctx context.Context, calls *statestore.TokenBucket) (*MachineSnapshot, bool) {
+	known := &MachineSnapshot{RequestedAt: a.n.clock.Now()}
 	var since unit.MachineID
 	for {
 		for !calls.Take(a.n.clock.Now(), 1, 0) {
@@ -76,7 +76,7 @@
 		if err != nil {
 			return nil, false
 		}
-		known.List = append(known.List, page...)
+		known.Machines = append(known.Machines, page...)
 		if !more || len(page) == 0 {
 			return known, true
 		}
@@ -85,9 +85,9 @@
 }
 
 // knownMachines are those that this node has listed as a standby.
-func (n *Node) knownMachines() KnownMachines {
+func (n *Node) knownMachines() MachineSnapshot {
 	if n.standby == nil {
-		return KnownMachines{}
+		return MachineSnapshot{}
 	}
 	return *n.standby.machines.Load()
 }
@@ -148,14 +148,14 @@
 // report tells the core and the metrics how the replica is.
 func (a *standbyActor) report(ctx context.Context) {
 	status := a.follower.Status(a.n.clock.Now())
-	a.n.met.watchStandby(status)
+	a.n.met.ObserveStandby(status)
 	ready := status.State == standby.StateReady
 	if ready == a.ready {
 		return
 	}
 	a.ready = ready
 	a.n.log.Info("standby", "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
-	a.n.post(ctx, Lead{In: leadership.ReplicaState{Ready: ready}})
+	a.n.post(ctx, ElectionInput{Input: leadership.ReplicaState{Ready: ready}})
 }
 
 // standbyAnswer is what the node tells operators of itself as a standby.
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -177,7 +177,7 @@
 func (n *Node) notify(id unit.JobID) {
 	v := n.view.Load()
 	if v.epoch != 0 {
-		n.offer(Noticed{Job: id})
+		n.offer(JobChanged{Job: id})
 		return
 	}
 	if v.leader == "" || v.leader == n.set.NodeName {
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -99,7 +99,7 @@
 		if x.read == 0 && heir.loaded {
 			x.read = s.now.Sub(begun) - x.elected
 		}
-		if x.read != 0 && x.heard == 0 && heir.ready {
+		if x.read != 0 && x.heard == 0 && heir.schedulingOpen {
 			x.heard = s.now.Sub(begun) - x.elected - x.read
 		}
 		if at, ok := s.acts.RoundAfter(epoch); ok && x.heard != 0 {
@@ -183,7 +183,7 @@
 			t.Fatalf("nobody is entitled at %v", s.now)
 		}
 	}
-	if l := s.leader(); l.core.term.acquired > unit.Instant(time.Hour).Add(10*time.Second) {
+	if l := s.leader(); l.core.term.acquiredAt > unit.Instant(time.Hour).Add(10*time.Second) {
 		t.Errorf("leadership has changed since epoch %d", epoch)
 	}
 	s.slowState = 0
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -32,9 +32,9 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), reportBudget)
 	defer cancel()
-	ticket := make(chan ReplyReport, 1)
-	reply := ReplyReport{Code: http.StatusServiceUnavailable}
-	if n.offer(Reported{Ticket: ticket, Report: report}) {
+	ticket := make(chan HeartbeatReply, 1)
+	reply := HeartbeatReply{Code: http.StatusServiceUnavailable}
+	if n.offer(HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
 		select {
 		case reply = <-ticket:
 		case <-ctx.Done():
@@ -48,7 +48,7 @@
 
 // sendOn sends a worker to the leader, or relays its report if it has just
 // come back from there without having reached it.
-func (n *Node) sendOn(ctx context.Context, r *fleet.Heartbeat, reply ReplyReport) ReplyReport {
+func (n *Node) sendOn(ctx context.Context, r *fleet.Heartbeat, reply HeartbeatReply) HeartbeatReply {
 	leader := n.leader()
 	if leader == "" || leader == n.set.NodeName {
 		reply.Leader = ""
@@ -65,12 +65,12 @@
 	return n.relayReport(ctx, leader, r)
 }
 
-func (n *Node) answerReport(w http.ResponseWriter, reply ReplyReport) {
+func (n *Node) answerReport(w http.ResponseWriter, reply HeartbeatReply) {
 	var body []byte
 	var err error
 	switch reply.Code {
 	case http.StatusOK:
-		body, err = fleet.EncodeHeartbeatAnswer(reply.Epoch, reply.Orders)
+		body, err = fleet.EncodeHeartbeatAnswer(reply.Epoch, reply.Commands)
 	case http.StatusMisdirectedRequest:
 		leader := reply.Leader
 		if leader == n.set.NodeName {
@@ -80,10 +80,10 @@
 	}
 	// The last moment before the answer leaves: a process that was starved
 	// must not renew a worker's lease after its own entitlement has ended.
-	if err != nil || reply.Code == http.StatusOK && !reply.Relayed && !n.clock.Now().Before(reply.Until) {
+	if err != nil || reply.Code == http.StatusOK && !reply.Relayed && !n.clock.Now().Before(reply.ValidUntil) {
 		reply.Code, body = http.StatusServiceUnavailable, nil
 	}
-	n.met.Reports.WithLabelValues(strconv.Itoa(reply.Code)).Inc()
+	n.met.HeartbeatResponses.WithLabelValues(strconv.Itoa(reply.Code)).Inc()
 	if body != nil {
 		w.Header().Set("Content-Type", wire.ContentType)
 	}
