--- a/internal/controller/ask.go
+++ b/internal/controller/ask.go
@@ -13,43 +13,43 @@
 	"badgerbay/internal/userapi"
 )
 
-func (n *Node) ask(kind userapi.RequestKind) httprouter.Handle {
+func (n *Node) handleJobRequest(kind userapi.RequestKind) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		id, err := unit.ParseJobID(ps.ByName("id"))
 		if err != nil {
-			n.answer(w, "", userapi.Response{Code: http.StatusNotFound})
+			n.writeAnswer(w, "", userapi.Response{Code: http.StatusNotFound})
 			return
 		}
-		budget := pollBudget
+		budget := statusBudget
 		if kind == userapi.Cancel {
 			budget = submitBudget
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), budget)
 		defer cancel()
 		begun := n.clock.Now()
-		ans := n.drive(ctx, id, userapi.NewJobRequest(kind))
+		ans := n.runRequest(ctx, id, userapi.NewJobRequest(kind))
 		// A node that stood still meanwhile may hold an answer that is older
 		// than what another node has said since.
 		if n.clock.Now().Sub(begun) > budget {
 			ans = userapi.Response{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
 		}
-		n.answer(w, id, ans)
+		n.writeAnswer(w, id, ans)
 	}
 }
 
-// drive carries out what a request's machine asks for until it answers.
-func (n *Node) drive(ctx context.Context, id unit.JobID, req *userapi.Request) userapi.Response {
+// runRequest carries out what a request's machine asks for until it answers.
+func (n *Node) runRequest(ctx context.Context, id unit.JobID, req *userapi.Request) userapi.Response {
 	var in userapi.Input = userapi.Begin{}
 	for {
 		switch act := req.Step(in).(type) {
 		case userapi.Response:
 			return act
 		case userapi.CreateRecord:
-			in = userapi.RecordCreated{Result: n.create(ctx, id, req, act.Record)}
+			in = userapi.RecordCreated{Result: n.createJob(ctx, id, req, act.Record)}
 		case userapi.LoadRecord:
 			in = n.loadJob(ctx, id)
 		case userapi.QueryLeader:
-			in = n.askLeader(ctx, id, act.Cancel)
+			in = n.queryLeader(ctx, id, act.Cancel)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		return userapi.RecordLoaded{}
 	}
 	item, err := n.store.Get(ctx, checkpoint.Key(id))
-	if n.note(err) != nil {
+	if n.noteStoreResult(err) != nil {
 		return userapi.RecordLoaded{}
 	}
 	if item.ModRevision == 0 {
@@ -73,28 +73,28 @@
 	return userapi.RecordLoaded{OK: true, Record: rec}
 }
 
-// askLeader asks the core if this node leads, and the leader's node otherwise.
-func (n *Node) askLeader(ctx context.Context, id unit.JobID, cancelJob bool) userapi.LeaderReplied {
+// queryLeader asks the core if this node leads, and the leader's node otherwise.
+func (n *Node) queryLeader(ctx context.Context, id unit.JobID, cancelJob bool) userapi.LeaderReplied {
 	v := n.view.Load()
 	leader := n.leader()
 	if v.epoch != 0 {
-		t := n.askCore(ctx, id, cancelJob)
-		if t.Outcome != userapi.NoLeader || leader == n.set.NodeName {
+		t := n.queryCore(ctx, id, cancelJob)
+		if t.Outcome != userapi.NoLeader || leader == n.settings.NodeName {
 			return t
 		}
 	}
-	if leader == "" || leader == n.set.NodeName {
+	if leader == "" || leader == n.settings.NodeName {
 		return userapi.LeaderReplied{Outcome: userapi.NoLeader}
 	}
-	if n.meshWorks(leader) {
-		timeout := askTimeout
+	if n.peerReachable(leader) {
+		timeout := statusQueryTimeout
 		if cancelJob {
-			timeout = cancelTimeout
+			timeout = cancelRequestTimeout
 		}
 		reply, err := n.peers.QueryJob(ctx, leader, &meshpb.AskRequest{Job: string(id), Withdraw: cancelJob}, timeout)
-		n.noteMesh(leader, err)
+		n.notePeerResult(leader, err)
 		if err == nil {
-			return told(reply)
+			return replyOf(reply)
 		}
 		n.log.Debug("leader not reached", "leader", leader, "err", err)
 	}
@@ -107,13 +107,13 @@
 // leader is the node that leads, as far as this one knows: by the state
 // service, or by the others while that does not answer.
 func (n *Node) leader() string {
-	if hint := n.health.hint.Load().(string); hint != "" {
+	if hint := n.health.leaderHint.Load().(string); hint != "" {
 		return hint
 	}
 	return n.view.Load().leader
 }
 
-func told(r *meshpb.AskReply) userapi.LeaderReplied {
+func replyOf(r *meshpb.AskReply) userapi.LeaderReplied {
 	switch r.Outcome {
 	case meshpb.Outcome_OUTCOME_KNOWN:
 		return userapi.LeaderReplied{Outcome: userapi.JobFound, Status: userapi.Status{
@@ -126,11 +126,11 @@
 	return userapi.LeaderReplied{Outcome: userapi.NoLeader}
 }
 
-// askCore asks the core of this node. What it answers counts only as long as
+// queryCore asks the core of this node. What it answers counts only as long as
 // the node is entitled, so that is checked once more as the answer leaves.
-func (n *Node) askCore(ctx context.Context, id unit.JobID, cancelJob bool) userapi.LeaderReplied {
+func (n *Node) queryCore(ctx context.Context, id unit.JobID, cancelJob bool) userapi.LeaderReplied {
 	ticket := make(chan JobReply, 1)
-	if !n.offer(JobRequest{Ticket: ticket, Job: id, Cancel: cancelJob}) {
+	if !n.tryEnqueue(JobRequest{Ticket: ticket, Job: id, Cancel: cancelJob}) {
 		return userapi.LeaderReplied{Outcome: userapi.LeaderBusy}
 	}
 	select {
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -16,34 +16,34 @@
 	unsure := false
 	for {
 		v, err := n.store.Commit(ctx, c.Txn)
-		done := TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(n.note(err)), Revision: v}
+		done := TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(n.noteStoreResult(err)), Revision: v}
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 		case errors.As(err, &conflict):
-			done = n.settle(ctx, c, done, conflict, unsure)
+			done = n.resolveConflict(ctx, c, done, conflict, unsure)
 		case errors.Is(err, statestore.ErrOutcomeUnknown) || unsure:
 			unsure = unsure || errors.Is(err, statestore.ErrOutcomeUnknown)
-			if !n.leadsSince(c.Epoch) || !n.pause(ctx, retryUnsure) {
+			if !n.leadsInTerm(c.Epoch) || !n.sleep(ctx, uncertainRetryInterval) {
 				return
 			}
 			continue
 		case errors.Is(err, statestore.ErrRejected):
-			limits := n.set.Params.StateService.Strictest()
+			limits := n.settings.Params.StateService.Strictest()
 			done.ExceedsNextLimits = c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
-			n.met.OversizedRecords.Inc()
+			n.metrics.OversizedRecords.Inc()
 			key, size := c.Txn.LargestValue()
 			n.log.Error("transaction refused", "epoch", c.Epoch, "writes", len(c.Txn.Operations), "largest", key, "bytes", size, "beyond_next", done.ExceedsNextLimits, "err", err)
 		}
-		n.post(ctx, done)
+		n.enqueue(ctx, done)
 		return
 	}
 }
 
-// settle judges a conflict. If the leader guard failed, this node is deposed.
+// resolveConflict judges a conflict. If the leader guard failed, this node is deposed.
 // After an unanswered try, a key that has moved on was moved by that try: only
 // the leader of this epoch changes these keys.
-func (n *Node) settle(ctx context.Context, c CommitTransaction, done TransactionCompleted, conflict *statestore.ConflictError, unsure bool) TransactionCompleted {
+func (n *Node) resolveConflict(ctx context.Context, c CommitTransaction, done TransactionCompleted, conflict *statestore.ConflictError, unsure bool) TransactionCompleted {
 	done.Outcome, done.FailedConditions = leadership.OutcomeRefused, conflict.FailedKeys
 	for _, key := range conflict.FailedKeys {
 		if key == leadership.LeaderKey {
@@ -56,13 +56,13 @@
 	}
 	for {
 		item, err := n.store.Get(ctx, c.Txn.OutcomeKey())
-		if n.note(err) == nil {
+		if n.noteStoreResult(err) == nil {
 			if c.Txn.WasApplied(item) {
 				done.Outcome, done.Revision, done.FailedConditions = leadership.OutcomeOK, item.ModRevision, nil
 			}
 			return done
 		}
-		if !n.leadsSince(c.Epoch) || !n.pause(ctx, retryUnsure) {
+		if !n.leadsInTerm(c.Epoch) || !n.sleep(ctx, uncertainRetryInterval) {
 			return done
 		}
 	}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -17,43 +17,43 @@
 	"badgerbay/internal/unit"
 )
 
-// meshRest is how long a peer that did not answer is not tried again by what
+// peerRetryPause is how long a peer that did not answer is not tried again by what
 // has another way.
-const meshRest = 2 * time.Second
+const peerRetryPause = 2 * time.Second
 
-// meshWorks tells whether the peer may be tried over the mesh.
-func (n *Node) meshWorks(peer string) bool {
-	failed, ok := n.meshFailed.Load(peer)
-	return !ok || n.clock.Now().Sub(failed.(unit.Instant)) > meshRest
+// peerReachable tells whether the peer may be tried over the mesh.
+func (n *Node) peerReachable(peer string) bool {
+	failed, ok := n.peerFailures.Load(peer)
+	return !ok || n.clock.Now().Sub(failed.(unit.Instant)) > peerRetryPause
 }
 
-func (n *Node) noteMesh(peer string, err error) {
+func (n *Node) notePeerResult(peer string, err error) {
 	if err == nil {
-		n.meshFailed.Delete(peer)
+		n.peerFailures.Delete(peer)
 	} else {
-		n.meshFailed.Store(peer, n.clock.Now())
+		n.peerFailures.Store(peer, n.clock.Now())
 	}
 }
 
-// watchHealth finds out which nodes the mesh reaches and, while the state
+// watchReachability finds out which nodes the mesh reaches and, while the state
 // service does not answer this node, whether the others reach it, and who
 // leads.
-func (n *Node) watchHealth(ctx context.Context) {
+func (n *Node) watchReachability(ctx context.Context) {
 	cut, from := false, delegation.Connected
-	for n.pause(ctx, healthEvery) {
-		reached := n.askPeers(ctx)
+	for n.sleep(ctx, healthCheckInterval) {
+		reached := n.pollPeers(ctx)
 		if now := len(reached) < len(n.peers.Names()); now != cut {
 			cut = now
-			n.post(ctx, PeerReachabilityChanged{Unreachable: cut})
+			n.enqueue(ctx, PeerReachabilityChanged{Unreachable: cut})
 		}
 		if now := n.isolation(reached); now != from {
 			from = now
 			n.log.Info("cut off", "from", from, "peers_reached", len(reached))
-			n.post(ctx, IsolationChanged{Isolation: from})
+			n.enqueue(ctx, IsolationChanged{Isolation: from})
 		}
-		if n.stateReachable(stateQuiet) {
-			n.health.alone.Store(false)
-			n.health.hint.Store("")
+		if n.stateReachable(storeSilenceThreshold) {
+			n.health.storeUnreachableAlone.Store(false)
+			n.health.leaderHint.Store("")
 			continue
 		}
 		// Whoever reaches nobody at all is cut off from everything.
@@ -63,14 +63,14 @@
 				alone, hint = true, h.Leader
 			}
 		}
-		n.health.alone.Store(alone)
-		n.health.hint.Store(hint)
+		n.health.storeUnreachableAlone.Store(alone)
+		n.health.leaderHint.Store(hint)
 	}
 }
 
 // isolation tells what this node is cut off from, by what the others say.
 func (n *Node) isolation(reached []*meshpb.HealthReply) delegation.Isolation {
-	if n.stateReachable(stateQuiet) {
+	if n.stateReachable(storeSilenceThreshold) {
 		return delegation.Connected
 	}
 	for _, h := range reached {
@@ -84,10 +84,10 @@
 	return delegation.StateServiceOutage
 }
 
-// askDelegation asks a peer for a grant, and for what it has done by its own.
-func (n *Node) askDelegation(ctx context.Context, name string) error {
+// requestLeaseDelegation asks a peer for a grant, and for what it has done by its own.
+func (n *Node) requestLeaseDelegation(ctx context.Context, name string) error {
 	sent := n.clock.Now()
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, WantsDelegation: true})
+	data, err := msgpack.Marshal(mesh.Batch{Node: n.settings.NodeName, WantsDelegation: true})
 	if err != nil {
 		return fmt.Errorf("asking for a grant: %w", err)
 	}
@@ -106,14 +106,14 @@
 	if err != nil {
 		return err
 	}
-	n.post(ctx, PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
+	n.enqueue(ctx, PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
 	return nil
 }
 
-// delegationStatus answers a peer that asks, or not at all if the core is overloaded.
-func (n *Node) delegationStatus(ctx context.Context, node string) *mesh.DelegationStatus {
+// answerLeaseDelegation answers a peer that asks, or not at all if the core is overloaded.
+func (n *Node) answerLeaseDelegation(ctx context.Context, node string) *mesh.DelegationStatus {
 	ticket := make(chan DelegationReply, 1)
-	if !n.offer(DelegationRequest{Ticket: ticket, Node: node}) {
+	if !n.tryEnqueue(DelegationRequest{Ticket: ticket, Node: node}) {
 		return nil
 	}
 	select {
@@ -124,12 +124,12 @@
 	}
 }
 
-// loadEvery is how often the load of the process is logged, at debug.
-const loadEvery = 5 * time.Second
+// loadLogInterval is how often the load of the process is logged, at debug.
+const loadLogInterval = 5 * time.Second
 
-// watchLoad logs what the process holds of what its machine grants.
-func (n *Node) watchLoad(ctx context.Context, d *connlimit.Listener) {
-	for n.pause(ctx, loadEvery) {
+// logLoad logs what the process holds of what its machine grants.
+func (n *Node) logLoad(ctx context.Context, d *connlimit.Listener) {
+	for n.sleep(ctx, loadLogInterval) {
 		if !n.log.Enabled(ctx, slog.LevelDebug) {
 			return
 		}
@@ -141,20 +141,20 @@
 	}
 }
 
-// askPeers asks the others, all at once, what they can reach, and notes which
+// pollPeers asks the others, all at once, what they can reach, and notes which
 // of them the mesh reaches.
-func (n *Node) askPeers(ctx context.Context) []*meshpb.HealthReply {
+func (n *Node) pollPeers(ctx context.Context) []*meshpb.HealthReply {
 	names := n.peers.Names()
 	replies := make(chan *meshpb.HealthReply, len(names))
 	for _, name := range names {
 		go func() {
 			h, err := n.peers.Health(ctx, name)
-			n.noteMesh(name, err)
+			n.notePeerResult(name, err)
 			replies <- h
 			if err != nil {
 				return
 			}
-			if err := n.askDelegation(ctx, name); err != nil {
+			if err := n.requestLeaseDelegation(ctx, name); err != nil {
 				n.log.Debug("no grant", "peer", name, "err", err)
 			}
 		}()
--- a/internal/controller/meshserver.go
+++ b/internal/controller/meshserver.go
@@ -12,19 +12,19 @@
 	"badgerbay/internal/userapi"
 )
 
-// meshServer answers the other nodes.
-type meshServer struct {
+// peerServer answers the other nodes.
+type peerServer struct {
 	meshpb.UnimplementedMeshServer
 	n *Node
 }
 
 // Ask answers a poll or a cancellation that another node forwards.
-func (s *meshServer) Ask(ctx context.Context, r *meshpb.AskRequest) (*meshpb.AskReply, error) {
+func (s *peerServer) Ask(ctx context.Context, r *meshpb.AskRequest) (*meshpb.AskReply, error) {
 	id, err := unit.ParseJobID(r.Job)
 	if err != nil || s.n.view.Load().epoch == 0 {
 		return &meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_NOT_LEADER}, nil
 	}
-	t := s.n.askCore(ctx, id, r.Withdraw)
+	t := s.n.queryCore(ctx, id, r.Withdraw)
 	outcome := map[userapi.QueryOutcome]meshpb.Outcome{
 		userapi.JobFound: meshpb.Outcome_OUTCOME_KNOWN, userapi.JobNotFound: meshpb.Outcome_OUTCOME_ABSENT,
 		userapi.LeaderBusy: meshpb.Outcome_OUTCOME_BUSY, userapi.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
@@ -33,18 +33,18 @@
 }
 
 // Relay lets the core answer the reports of workers that can't reach this node.
-func (s *meshServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
+func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
 	b, err := mesh.DecodeBatch(r.Batch)
 	if err != nil {
-		s.n.met.MalformedBatches.Inc()
+		s.n.metrics.MalformedBatches.Inc()
 		return nil, err
 	}
 	answers := &mesh.BatchReply{ID: b.ID}
 	switch {
 	case b.Quota != nil:
-		answers.Quota = s.n.askQuota(ctx, b.Quota)
+		answers.Quota = s.n.queryCoreQuota(ctx, b.Quota)
 	case b.WantsDelegation:
-		answers.Delegation = s.n.delegationStatus(ctx, b.Node)
+		answers.Delegation = s.n.answerLeaseDelegation(ctx, b.Node)
 	default:
 		answers = s.n.serveBatch(ctx, b)
 	}
@@ -53,24 +53,24 @@
 }
 
 // Health tells what this node can reach.
-func (s *meshServer) Health(context.Context, *meshpb.HealthRequest) (*meshpb.HealthReply, error) {
-	return &meshpb.HealthReply{StateReached: s.n.stateReachable(stateQuiet), Leader: s.n.view.Load().leader}, nil
+func (s *peerServer) Health(context.Context, *meshpb.HealthRequest) (*meshpb.HealthReply, error) {
+	return &meshpb.HealthReply{StateReached: s.n.stateReachable(storeSilenceThreshold), Leader: s.n.view.Load().leader}, nil
 }
 
 // Notice takes in that a job was stored.
-func (s *meshServer) Notice(_ context.Context, r *meshpb.NoticeRequest) (*meshpb.NoticeReply, error) {
+func (s *peerServer) Notice(_ context.Context, r *meshpb.NoticeRequest) (*meshpb.NoticeReply, error) {
 	id, err := unit.ParseJobID(r.Job)
 	if err != nil || s.n.view.Load().epoch == 0 {
 		return &meshpb.NoticeReply{}, nil
 	}
-	return &meshpb.NoticeReply{Taken: s.n.offer(JobChanged{Job: id})}, nil
+	return &meshpb.NoticeReply{Taken: s.n.tryEnqueue(JobChanged{Job: id})}, nil
 }
 
 // Accept stores a submission for a node that can't.
-func (s *meshServer) Accept(ctx context.Context, r *meshpb.AcceptRequest) (*meshpb.AcceptReply, error) {
+func (s *peerServer) Accept(ctx context.Context, r *meshpb.AcceptRequest) (*meshpb.AcceptReply, error) {
 	if len(r.Submission) > userapi.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
 	}
-	_, ans := s.n.runSubmit(ctx, r.Submission, false)
+	_, ans := s.n.acceptSubmission(ctx, r.Submission, false)
 	return &meshpb.AcceptReply{Status: uint32(ans.Code), Body: []byte(ans.Status.State)}, nil
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -27,62 +27,62 @@
 	"badgerbay/internal/userapi"
 )
 
-const tickEvery = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
-// leastQueued is how many requests may wait for the core, or to be relayed, at
+// minQueuedRequests is how many requests may wait for the core, or to be relayed, at
 // least.
-const leastQueued = 1024
+const minQueuedRequests = 1024
 
-// mostQueued is how many requests of workers and users may wait for the core, or to
+// maxQueuedRequests is how many requests of workers and users may wait for the core, or to
 // be relayed. A connection has one request under way at a time, so all that can be
 // open fit, however many machines reconnect at once.
-func mostQueued(set *config.Settings) int {
-	return max(leastQueued, set.Params.MachineLimits.MaxSockets)
+func maxQueuedRequests(set *config.Settings) int {
+	return max(minQueuedRequests, set.Params.MachineLimits.MaxSockets)
 }
 
-// view is what the handlers may know of the core without asking it.
-type view struct {
-	leader string
-	types  []*fleet.MachineType
-	epoch  unit.Epoch // of this node, 0 if it does not lead
+// coreView is what the handlers may know of the core without asking it.
+type coreView struct {
+	leader       string
+	machineTypes []*fleet.MachineType
+	epoch        unit.Epoch // of this node, 0 if it does not lead
 	// standby is how this node stands to the leader.
 	standby leadership.StandbyStatus
 }
 
 // equal tells whether nothing that the handlers may know has changed.
-func (v *view) equal(o *view) bool {
-	return v.leader == o.leader && v.epoch == o.epoch && len(v.types) == len(o.types) && v.standby == o.standby
+func (v *coreView) equal(o *coreView) bool {
+	return v.leader == o.leader && v.epoch == o.epoch && len(v.machineTypes) == len(o.machineTypes) && v.standby == o.standby
 }
 
 // Node runs a core and carries out its effects.
 type Node struct {
-	set    *config.Settings
-	pol    *policy.Policy
-	log    *slog.Logger
-	met    *Metrics
-	teams  map[unit.Team]config.Team
-	clock  unit.Clock
-	budget *statestore.Budget
-	store  *statestore.Client
-	cloud  *rental.Client
-	worker *http.Client
-	doing  chan struct{} // holds one for each direct command under way
-	peers  *mesh.Clients
-	core   *Core
-	stop   chan error
-	inbox  chan Input
-	view   atomic.Pointer[view]
-	health health
-	pace   *userapi.RetryPacer
-	asked  atomic.Uint32 // submissions that others were asked to store
+	settings     *config.Settings
+	policy       *policy.Policy
+	log          *slog.Logger
+	metrics      *Metrics
+	teams        map[unit.Team]config.Team
+	clock        unit.Clock
+	budget       *statestore.Budget
+	store        *statestore.Client
+	cloud        *rental.Client
+	workerClient *http.Client
+	commandSlots chan struct{} // holds one for each direct command under way
+	peers        *mesh.Clients
+	core         *Core
+	fatal        chan error
+	inbox        chan Input
+	view         atomic.Pointer[coreView]
+	health       reachability
+	retryPacer   *userapi.RetryPacer
+	forwardCount atomic.Uint32 // submissions that others were asked to store
 
-	kept            atomic.Bool  // the machine types are stored
-	keeperIdleSince atomic.Int64 // see delegation.Keeper
-	router          relay.Router
-	relayOut        chan relay.PendingRequest
-	meshFailed      sync.Map      // peer to the Instant of its last failure
-	standby         *standbyActor // nil: there is no warm standby
-	holder          *holderActor  // nil: there are no team quotas
+	machineTypesStored atomic.Bool  // the machine types are stored
+	delegateIdleSince  atomic.Int64 // see delegation.Keeper
+	router             relay.Router
+	relayQueue         chan relay.PendingRequest
+	peerFailures       sync.Map          // peer to the Instant of its last failure
+	standby            *standbyActor     // nil: there is no warm standby
+	quotaHolder        *quotaHolderActor // nil: there are no team quotas
 }
 
 // dependencies are what a node reaches the outside with.
@@ -97,9 +97,9 @@
 func NewNode(set *config.Settings, pol *policy.Policy, log *slog.Logger) (*Node, error) {
 	return newNode(set, pol, log, dependencies{
 		clock:  unit.NewSystem(),
-		state:  transport(16),
-		cloud:  transport(4),
-		worker: workerTransport(sockets(set, idleShare)),
+		state:  newTransport(16),
+		cloud:  newTransport(4),
+		worker: newWorkerTransport(socketShare(set, idleCommandSocketShare)),
 	})
 }
 
@@ -109,25 +109,25 @@
 		return nil, err
 	}
 	p := set.Params
-	n := &Node{set: set, pol: pol, log: log, met: NewMetrics(), teams: p.TeamsByName(), clock: deps.clock, peers: peers,
-		budget: statestore.NewBudget(len(set.Peers)+1, p.StateService.RPS, p.StateService.Strictest().WriteRPS),
-		store:  statestore.NewClient(set.External.StateService, deps.state),
-		cloud:  rental.NewClient(set.External.Cloud, deps.cloud),
-		worker: &http.Client{Transport: deps.worker, Timeout: doTimeout},
-		doing:  make(chan struct{}, sockets(set, doShare)),
-		stop:   make(chan error, 1),
-		inbox:  make(chan Input, mostQueued(set)), relayOut: make(chan relay.PendingRequest, mostQueued(set))}
-	n.health.hint.Store("")
-	n.pace = userapi.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n := &Node{settings: set, policy: pol, log: log, metrics: NewMetrics(), teams: p.TeamsByName(), clock: deps.clock, peers: peers,
+		budget:       statestore.NewBudget(len(set.Peers)+1, p.StateService.RPS, p.StateService.Strictest().WriteRPS),
+		store:        statestore.NewClient(set.External.StateService, deps.state),
+		cloud:        rental.NewClient(set.External.Cloud, deps.cloud),
+		workerClient: &http.Client{Transport: deps.worker, Timeout: commandTimeout},
+		commandSlots: make(chan struct{}, socketShare(set, commandSocketShare)),
+		fatal:        make(chan error, 1),
+		inbox:        make(chan Input, maxQueuedRequests(set)), relayQueue: make(chan relay.PendingRequest, maxQueuedRequests(set))}
+	n.health.leaderHint.Store("")
+	n.retryPacer = userapi.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	n.core = NewCore(set, pol, deps.clock, n.budget, rng, log, n.met)
-	n.view.Store(&view{})
-	n.keeperIdleSince.Store(int64(n.core.DelegateIdleSince()))
+	n.core = NewCore(set, pol, deps.clock, n.budget, rng, log, n.metrics)
+	n.view.Store(&coreView{})
+	n.delegateIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	if w := pol.Features.WarmStandby; w != nil {
 		n.standby = newStandbyActor(n, w)
 	}
 	if pol.Features.TeamQuotas {
-		n.holder = newHolderActor(n)
+		n.quotaHolder = newHolderActor(n)
 	}
 	return n, nil
 }
@@ -137,26 +137,26 @@
 // one each while they are under way, and some for a while after; the rest is for
 // the other nodes, the state service and the cloud.
 const (
-	listenShare = 0.78
-	meshShare   = 0.05
-	doShare     = 0.12
-	idleShare   = 0.03
+	listenerSocketShare    = 0.78
+	peerSocketShare        = 0.05
+	commandSocketShare     = 0.12
+	idleCommandSocketShare = 0.03
 )
 
-func sockets(set *config.Settings, share float64) int {
+func socketShare(set *config.Settings, share float64) int {
 	return max(1, int(share*float64(set.Params.MachineLimits.MaxSockets)))
 }
 
-// workerTransport keeps few connections to workers, and those not for long: one
+// newWorkerTransport keeps few connections to workers, and those not for long: one
 // kept for each of 1,300 machines would take most of the sockets.
-func workerTransport(idle int) *http.Transport {
-	t := transport(1)
+func newWorkerTransport(idle int) *http.Transport {
+	t := newTransport(1)
 	t.MaxIdleConns, t.IdleConnTimeout = idle, 10*time.Second
 	return t
 }
 
-// transport returns a round tripper that keeps few connections for each host.
-func transport(perHost int) *http.Transport {
+// newTransport returns a round tripper that keeps few connections for each host.
+func newTransport(perHost int) *http.Transport {
 	return &http.Transport{
 		DialContext:           (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost:   perHost,
@@ -170,38 +170,38 @@
 
 // Run serves until the context ends or a listener fails.
 func (n *Node) Run(ctx context.Context) error {
-	users, err := net.Listen("tcp4", n.set.ClientListen)
+	users, err := net.Listen("tcp4", n.settings.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	peers, err := net.Listen("tcp4", n.set.PeerListen)
+	peers, err := net.Listen("tcp4", n.settings.PeerListen)
 	if err != nil {
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
 	limited := n.limitConnections(users)
-	server := n.newServer(limited)
+	server := n.newHTTPServer(limited)
 	failed := make(chan error, 2)
 	go func() { failed <- server.Serve(limited) }()
 	go func() {
-		failed <- mesh.Serve(netutil.LimitListener(peers, max(2*len(n.set.Peers)+2, sockets(n.set, meshShare))), &meshServer{n: n}, mostQueued(n.set))
+		failed <- mesh.Serve(netutil.LimitListener(peers, max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))), &peerServer{n: n}, maxQueuedRequests(n.settings))
 	}()
-	go n.act(ctx)
-	go n.relayUp(ctx)
-	go n.watchHealth(ctx)
-	go n.watchLoad(ctx, limited)
+	go n.runCore(ctx)
+	go n.runRelayUplink(ctx)
+	go n.watchReachability(ctx)
+	go n.logLoad(ctx, limited)
 	if n.standby != nil {
 		go n.standby.run(ctx)
 		go n.standby.listMachines(ctx)
 	}
-	if n.holder != nil {
-		go n.holder.run(ctx)
+	if n.quotaHolder != nil {
+		go n.quotaHolder.run(ctx)
 	}
-	n.log.Info("serving", "node", n.set.NodeName, "zone", n.set.Zone)
+	n.log.Info("serving", "node", n.settings.NodeName, "zone", n.settings.Zone)
 	select {
 	case <-ctx.Done():
 		server.Close()
 		return nil
-	case err := <-n.stop:
+	case err := <-n.fatal:
 		server.Close()
 		return err
 	case err := <-failed:
@@ -217,12 +217,12 @@
 // than that. A listener that stopped accepting left them, and with them users
 // and the load balancer's probes, without an answer.
 func (n *Node) limitConnections(l net.Listener) *connlimit.Listener {
-	limited := connlimit.NewListener(l, connlimit.Limits{MaxConnections: sockets(n.set, listenShare), IdleTimeout: 2*n.set.Params.Workers.HeartbeatInterval() + time.Second}, n.clock.Now)
-	n.met.RegisterConnections(limited)
+	limited := connlimit.NewListener(l, connlimit.Limits{MaxConnections: socketShare(n.settings, listenerSocketShare), IdleTimeout: 2*n.settings.Params.Workers.HeartbeatInterval() + time.Second}, n.clock.Now)
+	n.metrics.RegisterConnections(limited)
 	return limited
 }
 
-func (n *Node) newServer(limited *connlimit.Listener) *http.Server {
+func (n *Node) newHTTPServer(limited *connlimit.Listener) *http.Server {
 	return &http.Server{Handler: limited.Handler(clientKind, n.routes()), ConnContext: limited.ConnContext,
 		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 		IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
@@ -230,15 +230,15 @@
 
 // clientKind tells who makes a request.
 func clientKind(r *http.Request) connlimit.ClientKind {
-	if r.URL.Path == beatPath {
+	if r.URL.Path == heartbeatPath {
 		return connlimit.Worker
 	}
 	return connlimit.User
 }
 
-// act is the actor: it alone touches the core.
-func (n *Node) act(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+// runCore is the actor: it alone touches the core.
+func (n *Node) runCore(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	n.step(ctx, Tick{})
 	for {
@@ -255,18 +255,18 @@
 
 func (n *Node) step(ctx context.Context, in Input) {
 	effects := n.core.Step(n.clock.Now(), in)
-	n.keeperIdleSince.Store(int64(n.core.DelegateIdleSince()))
+	n.delegateIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	old := n.view.Load()
-	if v := (view{leader: n.core.Leader(), types: n.core.MachineTypes(), epoch: n.core.Epoch(), standby: n.core.Standby()}); !v.equal(old) {
+	if v := (coreView{leader: n.core.Leader(), machineTypes: n.core.MachineTypes(), epoch: n.core.Epoch(), standby: n.core.Standby()}); !v.equal(old) {
 		n.view.Store(&v)
 	}
 	for _, e := range effects {
-		n.carryOut(ctx, e)
+		n.execute(ctx, e)
 	}
 }
 
-// offer hands an input from outside to the core, unless it is overloaded.
-func (n *Node) offer(in Input) bool {
+// tryEnqueue hands an input from outside to the core, unless it is overloaded.
+func (n *Node) tryEnqueue(in Input) bool {
 	select {
 	case n.inbox <- in:
 		return true
@@ -275,9 +275,9 @@
 	}
 }
 
-// post hands the answer to an effect to the core. The core waits for it, so it
+// enqueue hands the answer to an effect to the core. The core waits for it, so it
 // is never dropped; the number of calls under way is bounded.
-func (n *Node) post(ctx context.Context, in Input) {
+func (n *Node) enqueue(ctx context.Context, in Input) {
 	select {
 	case n.inbox <- in:
 	case <-ctx.Done():
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -16,58 +16,58 @@
 )
 
 const (
-	// relayEvery is the least time between two batches through the state
+	// relayBatchInterval is the least time between two batches through the state
 	// service; relayWait bounds the wait for the answers to one, and relayGather
 	// the leader's wait for the core to answer what it holds.
-	relayEvery  = 500 * time.Millisecond
-	relayWait   = 2 * time.Second
-	relayGather = 400 * time.Millisecond
+	relayBatchInterval = 500 * time.Millisecond
+	relayAnswerTimeout = 2 * time.Second
+	relayServeTimeout  = 400 * time.Millisecond
 )
 
-// relayReport brings a report to the leader: over the mesh, or, when that is
+// relayHeartbeat brings a report to the leader: over the mesh, or, when that is
 // cut, through the state service.
-func (n *Node) relayReport(ctx context.Context, leader string, r *fleet.Heartbeat) HeartbeatReply {
+func (n *Node) relayHeartbeat(ctx context.Context, leader string, r *fleet.Heartbeat) HeartbeatReply {
 	refused := HeartbeatReply{Code: http.StatusServiceUnavailable}
-	if a, err := n.relayMesh(ctx, leader, r); err == nil {
-		return fromAnswer(a)
+	if a, err := n.relayToPeer(ctx, leader, r); err == nil {
+		return replyOfAnswer(a)
 	}
 	n.router.RecordPeerFailure(r.Machine)
-	item := relay.NewHeartbeatRequest(r, n.clock.Now().Add(reportBudget))
-	if !n.queueRelay(item) {
+	item := relay.NewHeartbeatRequest(r, n.clock.Now().Add(heartbeatBudget))
+	if !n.enqueueRelay(item) {
 		return refused
 	}
 	select {
 	case a := <-item.HeartbeatReply:
-		return fromAnswer(a)
+		return replyOfAnswer(a)
 	case <-ctx.Done():
 		return refused
 	}
 }
 
-// queueRelay hands an item to the actor that writes batches, unless too many wait.
-func (n *Node) queueRelay(item relay.PendingRequest) bool {
+// enqueueRelay hands an item to the actor that writes batches, unless too many wait.
+func (n *Node) enqueueRelay(item relay.PendingRequest) bool {
 	select {
-	case n.relayOut <- item:
+	case n.relayQueue <- item:
 		return true
 	default:
 		return false
 	}
 }
 
-func fromAnswer(a mesh.HeartbeatReply) HeartbeatReply {
+func replyOfAnswer(a mesh.HeartbeatReply) HeartbeatReply {
 	return HeartbeatReply{Code: a.Code, Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
 }
 
-func (n *Node) relayMesh(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.HeartbeatReply, error) {
-	if !n.meshWorks(leader) {
+func (n *Node) relayToPeer(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.HeartbeatReply, error) {
+	if !n.peerReachable(leader) {
 		return mesh.HeartbeatReply{}, errors.New("the leader was not reached a moment ago")
 	}
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.set.NodeName, Heartbeats: []mesh.Heartbeat{mesh.PackHeartbeat(r)}})
+	data, err := msgpack.Marshal(mesh.Batch{Node: n.settings.NodeName, Heartbeats: []mesh.Heartbeat{mesh.PackHeartbeat(r)}})
 	if err != nil {
 		return mesh.HeartbeatReply{}, err
 	}
 	reply, err := n.peers.RelayBatch(ctx, leader, data)
-	n.noteMesh(leader, err)
+	n.notePeerResult(leader, err)
 	if err != nil {
 		return mesh.HeartbeatReply{}, err
 	}
@@ -81,8 +81,8 @@
 // relayCancel cancels a job through the state service.
 func (n *Node) relayCancel(ctx context.Context, id unit.JobID) userapi.LeaderReplied {
 	unknown := userapi.LeaderReplied{Outcome: userapi.NoLeader}
-	item := relay.NewCancelRequest(id, n.clock.Now().Add(reportBudget))
-	if !n.queueRelay(item) {
+	item := relay.NewCancelRequest(id, n.clock.Now().Add(heartbeatBudget))
+	if !n.enqueueRelay(item) {
 		return unknown
 	}
 	select {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	b.n.serveStoredBatch(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
 	item, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1")
 	a, err := mesh.DecompressReply(item.Value)
 	if err != nil || a.ID != "b-1" || len(a.Heartbeats) != 1 || a.Heartbeats[0].Code != 200 || a.Heartbeats[0].Epoch != 77 {
@@ -48,8 +48,8 @@
 		t.Errorf("an unknown job was answered: %+v", a.Cancellations)
 	}
 	// What can't be read is counted, and answered by nothing.
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
-	if bad := testutil.ToFloat64(b.n.met.MalformedBatches); bad != 1 {
+	b.n.serveStoredBatch(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
+	if bad := testutil.ToFloat64(b.n.metrics.MalformedBatches); bad != 1 {
 		t.Errorf("%v bad batches counted, want 1", bad)
 	}
 	if again, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
@@ -58,7 +58,7 @@
 	// Once another leads, nothing more is written.
 	b.n.store.Commit(context.Background(), holder)
 	before := item.ModRevision
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	b.n.serveStoredBatch(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
 	if item, _ := b.n.store.Get(context.Background(), mesh.ReplyKeyPrefix+"n1"); item.ModRevision != before {
 		t.Error("a deposed leader answered")
 	}
@@ -79,15 +79,15 @@
 		t.Fatal(err)
 	}
 	left := b.clock.now
-	b.n.serveUp(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: value}, answered)
+	b.n.serveStoredBatch(context.Background(), "n1", statestore.WatchEvent{SetKey: mesh.BatchKeyPrefix + "n1", Value: value}, answered)
 	b.clock.now = b.clock.now.Add(20 * time.Second)
 	for _, bad := range []mesh.Batch{{Node: "n1"}, {Node: "n1", AckedBatchID: "y"}, {Node: "n2", AckedBatchID: "x"}, {Node: "n1", AckedBatchID: "x", IdleMs: -1}, {Node: "n1", AckedBatchID: "x", IdleMs: 1 << 60}} {
-		b.n.attest(context.Background(), answered, &bad)
+		b.n.noteAttestation(context.Background(), answered, &bad)
 	}
 	if len(b.n.inbox) != 0 {
 		t.Fatalf("%v was taken in", <-b.n.inbox)
 	}
-	b.n.attest(context.Background(), answered, &mesh.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
+	b.n.noteAttestation(context.Background(), answered, &mesh.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
 	if in, ok := (<-b.n.inbox).(PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
 		t.Errorf("taken in as %+v", in)
 	}
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -14,17 +14,17 @@
 	"badgerbay/internal/userapi"
 )
 
-// relayDown serves the batches of cut-off nodes while this node leads. The
+// serveStoredBatches serves the batches of cut-off nodes while this node leads. The
 // answers are guarded by the epoch like every write of the leader.
-func (n *Node) relayDown(ctx context.Context, epoch unit.Epoch, since unit.Revision) {
+func (n *Node) serveStoredBatches(ctx context.Context, epoch unit.Epoch, since unit.Revision) {
 	answered := relay.AnsweredBatches{}
-	for n.leadsSince(epoch) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, mesh.BatchKeyPrefix, since, watchHold)
+	for n.leadsInTerm(epoch) && ctx.Err() == nil {
+		log, next, err := n.store.Watch(ctx, mesh.BatchKeyPrefix, since, watchHoldTime)
 		if errors.Is(err, statestore.ErrCompacted) {
 			log, next, err = n.readBatches(ctx)
 		}
 		if err != nil {
-			n.pause(ctx, watchBetween)
+			n.sleep(ctx, watchPause)
 			continue
 		}
 		since = max(since, next)
@@ -35,7 +35,7 @@
 			}
 		}
 		for key, c := range latest {
-			n.serveUp(ctx, key[len(mesh.BatchKeyPrefix):], c, answered)
+			n.serveStoredBatch(ctx, key[len(mesh.BatchKeyPrefix):], c, answered)
 		}
 	}
 }
@@ -51,39 +51,39 @@
 	return changes, revision, err
 }
 
-// attest takes in what a node that is out of reach over the mesh says of its grant.
-func (n *Node) attest(ctx context.Context, answered relay.AnsweredBatches, b *mesh.Batch) {
+// noteAttestation takes in what a node that is out of reach over the mesh says of its grant.
+func (n *Node) noteAttestation(ctx context.Context, answered relay.AnsweredBatches, b *mesh.Batch) {
 	if a, ok := answered.Attestation(b); ok {
-		n.post(ctx, PeerStatusReceived{Node: b.Node, SentAt: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, SchemaVersion: b.SchemaVersion})
+		n.enqueue(ctx, PeerStatusReceived{Node: b.Node, SentAt: a.Since, Status: delegation.Status{IdleFor: a.IdleFor}, SchemaVersion: b.SchemaVersion})
 	}
 }
 
-func (n *Node) serveUp(ctx context.Context, node string, c statestore.WatchEvent, answered relay.AnsweredBatches) {
-	if node == n.set.NodeName {
+func (n *Node) serveStoredBatch(ctx context.Context, node string, c statestore.WatchEvent, answered relay.AnsweredBatches) {
+	if node == n.settings.NodeName {
 		return
 	}
 	b, err := mesh.DecompressBatch(c.Value)
 	if err != nil {
-		n.met.MalformedBatches.Inc()
+		n.metrics.MalformedBatches.Inc()
 		n.log.Warn("batch can't be read", "node", node, "err", err)
 		return
 	}
 	b.Node = node
-	n.attest(ctx, answered, b)
+	n.noteAttestation(ctx, answered, b)
 	answers := n.serveBatch(ctx, b)
-	value, err := relay.CompressReply(answers, n.relayLimit())
+	value, err := relay.CompressReply(answers, n.relayValueLimit())
 	if err != nil {
 		n.log.Error("batch can't be answered", "node", node, "err", err)
 		return
 	}
-	n.met.RelayedHeartbeats.Add(float64(len(answers.Heartbeats)))
+	n.metrics.RelayedHeartbeats.Add(float64(len(answers.Heartbeats)))
 	answered.Record(node, b.ID, n.clock.Now())
 	n.budget.TakeWrites(n.clock.Now(), statestore.PurposeLeadership, 1)
 	_, err = n.store.Commit(ctx, statestore.Txn{
 		Conditions: []statestore.Condition{{Key: leadership.LeaderKey, ModRevision: unit.Revision(n.view.Load().epoch)}},
 		Operations: []statestore.Operation{{SetKey: mesh.ReplyKeyPrefix + node, Value: value}},
 	})
-	if n.note(err) != nil {
+	if n.noteStoreResult(err) != nil {
 		n.log.Debug("relayed answers not stored", "node", node, "err", err)
 	}
 }
@@ -92,7 +92,7 @@
 // reach its worker late; that is safe, since a lease counts from when the
 // report was sent, and that was before the core took it in.
 func (n *Node) serveBatch(ctx context.Context, b *mesh.Batch) *mesh.BatchReply {
-	ctx, cancel := context.WithTimeout(ctx, relayGather)
+	ctx, cancel := context.WithTimeout(ctx, relayServeTimeout)
 	defer cancel()
 	out := &mesh.BatchReply{ID: b.ID}
 	tickets := make([]chan HeartbeatReply, len(b.Heartbeats))
@@ -102,7 +102,7 @@
 	for i := range b.Heartbeats {
 		if r, err := b.Heartbeats[i].Unpack(); err == nil {
 			tickets[i] = make(chan HeartbeatReply, 1)
-			if !n.offer(HeartbeatReceived{Ticket: tickets[i], Heartbeat: r, RelayedBy: b.Node}) {
+			if !n.tryEnqueue(HeartbeatReceived{Ticket: tickets[i], Heartbeat: r, RelayedBy: b.Node}) {
 				tickets[i] = nil
 			}
 		}
@@ -112,7 +112,7 @@
 		states[i] = make(chan mesh.CancelReply, 1)
 		go func() {
 			s := mesh.CancelReply{Job: a.Job}
-			if t := n.askCore(ctx, a.Job, true); t.Outcome == userapi.JobFound {
+			if t := n.queryCore(ctx, a.Job, true); t.Outcome == userapi.JobFound {
 				s.State, s.DoneTasks = string(t.Status.State), t.Status.DoneTasks
 			}
 			states[i] <- s
--- a/internal/controller/relayup.go
+++ b/internal/controller/relayup.go
@@ -11,40 +11,40 @@
 	"badgerbay/internal/unit"
 )
 
-// relayUp is the actor that carries what waits to the leader through the state
+// runRelayUplink is the actor that carries what waits to the leader through the state
 // service, one batch at a time.
-func (n *Node) relayUp(ctx context.Context) {
+func (n *Node) runRelayUplink(ctx context.Context) {
 	var queue []relay.PendingRequest
 	nonce := strconv.FormatInt(time.Now().UnixNano(), 36)
 	answered := ""
 	for number := 1; ; number++ {
 		if len(queue) == 0 {
 			select {
-			case item := <-n.relayOut:
+			case item := <-n.relayQueue:
 				queue = append(queue, item)
 			case <-ctx.Done():
 				return
 			}
 		}
 		begun := n.clock.Now()
-		n.pause(ctx, relayEvery/4) // for others to join
-		queue = n.drainRelay(queue)
+		n.sleep(ctx, relayBatchInterval/4) // for others to join
+		queue = n.drainRelayQueue(queue)
 		id := nonce + "-" + strconv.Itoa(number)
-		batch := n.relayBatch(id, answered, queue)
+		batch := n.nextRelayBatch(id, answered, queue)
 		queue = batch.Remaining
-		if len(batch.Sent) > 0 && n.exchange(ctx, id, batch) {
+		if len(batch.Sent) > 0 && n.exchangeBatch(ctx, id, batch) {
 			answered = id
 		}
-		if left := relayEvery - n.clock.Now().Sub(begun); left > 0 && !n.pause(ctx, left) {
+		if left := relayBatchInterval - n.clock.Now().Sub(begun); left > 0 && !n.sleep(ctx, left) {
 			return
 		}
 	}
 }
 
-func (n *Node) drainRelay(queue []relay.PendingRequest) []relay.PendingRequest {
+func (n *Node) drainRelayQueue(queue []relay.PendingRequest) []relay.PendingRequest {
 	for {
 		select {
-		case item := <-n.relayOut:
+		case item := <-n.relayQueue:
 			queue = append(queue, item)
 		default:
 			return queue
@@ -52,45 +52,45 @@
 	}
 }
 
-// relayBatch makes the next batch of the queue.
-func (n *Node) relayBatch(id, answered string, queue []relay.PendingRequest) relay.Batch {
+// nextRelayBatch makes the next batch of the queue.
+func (n *Node) nextRelayBatch(id, answered string, queue []relay.PendingRequest) relay.Batch {
 	now := n.clock.Now()
-	header := relay.BatchHeader{ID: id, Node: n.set.NodeName, AckedBatchID: answered, IdleFor: now.Sub(unit.Instant(n.keeperIdleSince.Load()))}
-	batch, err := relay.NewBatch(now, header, queue, n.relayLimit())
+	header := relay.BatchHeader{ID: id, Node: n.settings.NodeName, AckedBatchID: answered, IdleFor: now.Sub(unit.Instant(n.delegateIdleSince.Load()))}
+	batch, err := relay.NewBatch(now, header, queue, n.relayValueLimit())
 	if err != nil {
 		n.log.Error("batch can't be made", "err", err)
 	}
 	return batch
 }
 
-// relayLimit is how large a batch or its answers may be: below the limits of the
+// relayValueLimit is how large a batch or its answers may be: below the limits of the
 // state service that hold now, and below those to come.
-func (n *Node) relayLimit() int {
-	return relay.MaxBatchBytes(n.set.Params.StateService.Strictest().MaxValueBytes())
+func (n *Node) relayValueLimit() int {
+	return relay.MaxBatchBytes(n.settings.Params.StateService.Strictest().MaxValueBytes())
 }
 
-// exchange writes a batch and waits for the leader's answers to it; it tells
+// exchangeBatch writes a batch and waits for the leader's answers to it; it tells
 // whether they came.
-func (n *Node) exchange(ctx context.Context, id string, batch relay.Batch) bool {
+func (n *Node) exchangeBatch(ctx context.Context, id string, batch relay.Batch) bool {
 	if !n.budget.TakeWrites(n.clock.Now(), statestore.PurposeSubmission, 1) {
 		return false
 	}
-	key := mesh.BatchKeyPrefix + n.set.NodeName
+	key := mesh.BatchKeyPrefix + n.settings.NodeName
 	since, err := n.store.Commit(ctx, statestore.Txn{Operations: []statestore.Operation{{SetKey: key, Value: batch.Value}}})
-	if n.note(err) != nil {
+	if n.noteStoreResult(err) != nil {
 		return false
 	}
-	until := n.clock.Now().Add(relayWait)
+	until := n.clock.Now().Add(relayAnswerTimeout)
 	for n.clock.Now().Before(until) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, mesh.ReplyKeyPrefix+n.set.NodeName, since, until.Sub(n.clock.Now()))
-		if n.note(err) != nil {
+		log, next, err := n.store.Watch(ctx, mesh.ReplyKeyPrefix+n.settings.NodeName, since, until.Sub(n.clock.Now()))
+		if n.noteStoreResult(err) != nil {
 			return false
 		}
 		since = max(since, next)
 		for _, c := range log {
 			a, err := mesh.DecompressReply(c.Value)
 			if err != nil {
-				n.met.MalformedBatches.Inc()
+				n.metrics.MalformedBatches.Inc()
 				continue
 			}
 			if a.ID == id {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// askTimeout bounds the time a poll waits for the leader, so that enough
+	// statusQueryTimeout bounds the time a poll waits for the leader, so that enough
 	// of the user's two seconds is left to read the record instead.
-	askTimeout    = 500 * time.Millisecond
-	cancelTimeout = 2 * time.Second
-	pollBudget    = 1800 * time.Millisecond
-	submitBudget  = 4 * time.Second
-	reportBudget  = 3 * time.Second
+	statusQueryTimeout   = 500 * time.Millisecond
+	cancelRequestTimeout = 2 * time.Second
+	statusBudget         = 1800 * time.Millisecond
+	submitBudget         = 4 * time.Second
+	heartbeatBudget      = 3 * time.Second
 )
 
-// health tells what this node can reach.
-type health struct {
-	lastState atomic.Int64
-	alone     atomic.Bool  // the others reach the state service and we don't
-	hint      atomic.Value // string: who leads, by what the others say
+// reachability tells what this node can reach.
+type reachability struct {
+	lastStoreAnswer       atomic.Int64
+	storeUnreachableAlone atomic.Bool  // the others reach the state service and we don't
+	leaderHint            atomic.Value // string: who leads, by what the others say
 }
 
-func (h *health) stateOK(now unit.Instant) { h.lastState.Store(int64(now)) }
+func (h *reachability) noteStoreAnswer(now unit.Instant) { h.lastStoreAnswer.Store(int64(now)) }
 
 const (
-	// stateQuiet: after so long without an answer of the state service a node
+	// storeSilenceThreshold: after so long without an answer of the state service a node
 	// asks the others whether they have one.
-	stateQuiet  = 2 * time.Second
-	healthEvery = time.Second
+	storeSilenceThreshold = 2 * time.Second
+	healthCheckInterval   = time.Second
 )
 
 func (n *Node) routes() http.Handler {
@@ -49,21 +49,21 @@
 		n.log.Error("handler panicked", "panic", v)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	r.GET("/up", n.up)
-	r.POST("/submissions", n.submit)
-	r.GET("/submissions/:id", n.ask(userapi.QueryStatus))
-	r.POST("/submissions/:id/withdraw", n.ask(userapi.Cancel))
-	r.POST(beatPath, n.beat)
-	r.GET("/standby", n.showStandby)
-	r.GET("/quota", n.showQuotas)
-	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.met.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: 2}))
+	r.GET("/up", n.handleUp)
+	r.POST("/submissions", n.handleSubmit)
+	r.GET("/submissions/:id", n.handleJobRequest(userapi.QueryStatus))
+	r.POST("/submissions/:id/withdraw", n.handleJobRequest(userapi.Cancel))
+	r.POST(heartbeatPath, n.handleHeartbeat)
+	r.GET("/standby", n.handleStandby)
+	r.GET("/quota", n.handleQuotas)
+	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.metrics.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: 2}))
 	return r
 }
 
-func (n *Node) up(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (n *Node) handleUp(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	// In an outage of the state service all nodes stay up: users get their
 	// 503 at once, and no node needs to become healthy again after it.
-	if n.health.lastState.Load() == 0 || n.health.alone.Load() || n.view.Load().types == nil {
+	if n.health.lastStoreAnswer.Load() == 0 || n.health.storeUnreachableAlone.Load() || n.view.Load().machineTypes == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -79,11 +79,11 @@
 
 // stateReachable tells whether the state service has answered within d.
 func (n *Node) stateReachable(d time.Duration) bool {
-	return n.clock.Now().Sub(unit.Instant(n.health.lastState.Load())) < d
+	return n.clock.Now().Sub(unit.Instant(n.health.lastStoreAnswer.Load())) < d
 }
 
-func (n *Node) answer(w http.ResponseWriter, id unit.JobID, a userapi.Response) {
-	n.met.UserResponses.WithLabelValues(strconv.Itoa(a.Code)).Inc()
+func (n *Node) writeAnswer(w http.ResponseWriter, id unit.JobID, a userapi.Response) {
+	n.metrics.UserResponses.WithLabelValues(strconv.Itoa(a.Code)).Inc()
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(userapi.RetryAfterSeconds(a.RetryAfter)))
 	}
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -66,7 +66,7 @@
 	}
 	types := []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
 	b.n.core.Step(b.clock.now, MachineTypesRead{Types: types})
-	b.n.view.Store(&view{types: types})
+	b.n.view.Store(&coreView{machineTypes: types})
 	b.http = b.n.routes()
 	return b
 }
@@ -81,7 +81,7 @@
 	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
 	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
 	c.Step(b.clock.now, RecordsRead{Epoch: 77, OK: true})
-	b.n.view.Store(&view{leader: "n0", types: c.MachineTypes(), epoch: 77})
+	b.n.view.Store(&coreView{leader: "n0", machineTypes: c.MachineTypes(), epoch: 77})
 	go func() {
 		for {
 			select {
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go mesh.Serve(l, &meshServer{n: other.n}, leastQueued)
+	go mesh.Serve(l, &peerServer{n: other.n}, minQueuedRequests)
 	if b.n.peers, err = mesh.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 		t.Fatalf("leader answers %d", w.Code)
 	}
 	w := httptest.NewRecorder()
-	b.n.answerReport(w, HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
+	b.n.writeHeartbeatReply(w, HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
 	if w.Code != 503 {
 		t.Errorf("an answer that leaves too late has status %d", w.Code)
 	}
@@ -275,7 +275,7 @@
 	if w := b.call("GET", "/up", nil); w.Code != 503 {
 		t.Errorf("%d before the state service was reached", w.Code)
 	}
-	b.n.health.stateOK(b.clock.now)
+	b.n.health.noteStoreAnswer(b.clock.now)
 	if w := b.call("GET", "/up", nil); w.Code != 200 {
 		t.Errorf("%d, want 200", w.Code)
 	}
@@ -301,10 +301,10 @@
 		t.Fatal(err)
 	}
 	types := b.n.core.MachineTypes()
-	b.n.view.Store(&view{leader: "n0", types: types, epoch: unit.Epoch(epoch)})
-	b.n.keepFlavors(context.Background(), types)
-	b.n.view.Store(&view{})
-	b.n.flavors(context.Background())
+	b.n.view.Store(&coreView{leader: "n0", machineTypes: types, epoch: unit.Epoch(epoch)})
+	b.n.storeMachineTypes(context.Background(), types)
+	b.n.view.Store(&coreView{})
+	b.n.readMachineTypes(context.Background())
 	in, ok := (<-b.n.inbox).(MachineTypesRead)
 	if !ok || len(in.Types) != 1 || in.Types[0].Name != "m" || !in.Types[0].Capacity.Fits(types[0].Capacity) {
 		t.Errorf("machine types %+v", in.Types)
@@ -317,7 +317,7 @@
 	for _, most := range []int{32, 800, 6000} {
 		set := testSettings()
 		set.Params.MachineLimits.MaxSockets = most
-		if n := mostQueued(set); n < most || n < leastQueued {
+		if n := maxQueuedRequests(set); n < most || n < minQueuedRequests {
 			t.Errorf("%d requests may wait, with %d sockets", n, most)
 		}
 	}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -23,22 +23,22 @@
 type standbyActor struct {
 	n         *Node
 	follower  *standby.Follower
-	published atomic.Pointer[standbyView]
+	published atomic.Pointer[standbySnapshot]
 	ready     bool // as the core was told last
 	machines  atomic.Pointer[MachineSnapshot]
 }
 
-// standbyView is what the actor publishes after each look.
-type standbyView struct {
+// standbySnapshot is what the actor publishes after each look.
+type standbySnapshot struct {
 	replica *standby.Replica
 	status  func(now unit.Instant) standby.Status
 }
 
-// errNoBudget: the node's share of the requests to the state service is used up.
-var errNoBudget = errors.New("no share of the requests is left")
+// errRequestBudgetExhausted: the node's share of the requests to the state service is used up.
+var errRequestBudgetExhausted = errors.New("no share of the requests is left")
 
-// standbyTick is how often the actor looks whether something is due.
-const standbyTick = 100 * time.Millisecond
+// standbyTickInterval is how often the actor looks whether something is due.
+const standbyTickInterval = 100 * time.Millisecond
 
 func newStandbyActor(n *Node, w *feature.WarmStandby) *standbyActor {
 	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Options{SyncInterval: w.SyncInterval}, w.ReplicaBytes())}
@@ -50,9 +50,9 @@
 // listMachines reads the machine list again and again while this node does not lead,
 // within what the leader leaves of the cloud's call rate.
 func (a *standbyActor) listMachines(ctx context.Context) {
-	cloud := a.n.set.Params.Cloud
-	calls := statestore.NewTokenBucket(cloud.RPS*(1-LeaderCloudShare)/float64(max(1, len(a.n.set.Peers))), 1)
-	for a.n.pause(ctx, standby.MachineListInterval) {
+	cloud := a.n.settings.Params.Cloud
+	calls := statestore.NewTokenBucket(cloud.RPS*(1-LeaderCloudShare)/float64(max(1, len(a.n.settings.Peers))), 1)
+	for a.n.sleep(ctx, standby.MachineListInterval) {
 		if a.n.view.Load().epoch != 0 {
 			continue
 		}
@@ -68,7 +68,7 @@
 	var since unit.MachineID
 	for {
 		for !calls.Take(a.n.clock.Now(), 1, 0) {
-			if !a.n.pause(ctx, calls.Delay(a.n.clock.Now(), 1, 0)) {
+			if !a.n.sleep(ctx, calls.Delay(a.n.clock.Now(), 1, 0)) {
 				return nil, false
 			}
 		}
@@ -98,16 +98,16 @@
 // publish lets others see the follower as it is now.
 func (a *standbyActor) publish() {
 	snapshot := *a.follower
-	a.published.Store(&standbyView{replica: snapshot.Replica(), status: snapshot.Status})
+	a.published.Store(&standbySnapshot{replica: snapshot.Replica(), status: snapshot.Status})
 }
 
 // run follows until the context ends.
 func (a *standbyActor) run(ctx context.Context) {
-	for a.n.pause(ctx, standbyTick) {
+	for a.n.sleep(ctx, standbyTickInterval) {
 		a.step(ctx, standby.LeadershipChanged{Leading: a.n.view.Load().epoch != 0})
 		a.step(ctx, standby.Tick{})
 		a.publish()
-		a.report(ctx)
+		a.reportState(ctx)
 	}
 }
 
@@ -121,45 +121,45 @@
 func (a *standbyActor) read(ctx context.Context, e standby.Effect) standby.Input {
 	switch e := e.(type) {
 	case standby.List:
-		in := standby.ListDone{Prefix: e.Prefix, Err: a.allowed()}
+		in := standby.ListDone{Prefix: e.Prefix, Err: a.takeRequest()}
 		if in.Err == nil {
 			in.Items, in.Revision, in.Err = a.n.store.List(ctx, e.Prefix)
-			a.n.note(in.Err)
+			a.n.noteStoreResult(in.Err)
 		}
 		return in
 	case standby.Watch:
-		in := standby.WatchDone{Prefix: e.Prefix, Err: a.allowed()}
+		in := standby.WatchDone{Prefix: e.Prefix, Err: a.takeRequest()}
 		if in.Err == nil {
 			in.Changes, in.Revision, in.Err = a.n.store.Watch(ctx, e.Prefix, e.Since, 0)
-			a.n.note(in.Err)
+			a.n.noteStoreResult(in.Err)
 		}
 		return in
 	}
 	return standby.Tick{}
 }
 
-func (a *standbyActor) allowed() error {
+func (a *standbyActor) takeRequest() error {
 	if !a.n.budget.TakeRequest(a.n.clock.Now()) {
-		return errNoBudget
+		return errRequestBudgetExhausted
 	}
 	return nil
 }
 
-// report tells the core and the metrics how the replica is.
-func (a *standbyActor) report(ctx context.Context) {
+// reportState tells the core and the metrics how the replica is.
+func (a *standbyActor) reportState(ctx context.Context) {
 	status := a.follower.Status(a.n.clock.Now())
-	a.n.met.ObserveStandby(status)
+	a.n.metrics.ObserveStandby(status)
 	ready := status.State == standby.StateReady
 	if ready == a.ready {
 		return
 	}
 	a.ready = ready
 	a.n.log.Info("standby", "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
-	a.n.post(ctx, ElectionInput{Input: leadership.ReplicaState{Ready: ready}})
+	a.n.enqueue(ctx, ElectionInput{Input: leadership.ReplicaState{Ready: ready}})
 }
 
-// standbyAnswer is what the node tells operators of itself as a standby.
-type standbyAnswer struct {
+// standbyStatus is what the node tells operators of itself as a standby.
+type standbyStatus struct {
 	Node       string  `msgpack:"node"`
 	Enabled    bool    `msgpack:"enabled"`
 	State      string  `msgpack:"state"`
@@ -176,21 +176,21 @@
 	Rereads    int     `msgpack:"rereads"`
 }
 
-// showStandby answers an operator who asks how this node would take over.
-func (n *Node) showStandby(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+// handleStandby answers an operator who asks how this node would take over.
+func (n *Node) handleStandby(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	now, v := n.clock.Now(), n.view.Load()
-	answer := standbyAnswer{Node: n.set.NodeName, Leader: v.leader, State: "off"}
+	answer := standbyStatus{Node: n.settings.NodeName, Leader: v.leader, State: "off"}
 	if v.epoch != 0 {
-		answer.Leader, answer.State = n.set.NodeName, standby.StateLeading.String()
+		answer.Leader, answer.State = n.settings.NodeName, standby.StateLeading.String()
 	}
 	if n.standby != nil {
 		n.standby.describe(now, v, &answer)
 	}
-	writeView(w, &answer)
+	writeMsgpack(w, &answer)
 }
 
-// writeView answers an operator.
-func writeView(w http.ResponseWriter, view any) {
+// writeMsgpack answers an operator.
+func writeMsgpack(w http.ResponseWriter, view any) {
 	data, err := msgpack.Marshal(view)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -200,7 +200,7 @@
 	w.Write(data)
 }
 
-func (a *standbyActor) describe(now unit.Instant, v *view, answer *standbyAnswer) {
+func (a *standbyActor) describe(now unit.Instant, v *coreView, answer *standbyStatus) {
 	status := a.published.Load().status(now)
 	answer.Enabled = true
 	if v.epoch == 0 {
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -15,48 +15,48 @@
 	"badgerbay/internal/userapi"
 )
 
-func (n *Node) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (n *Node) handleSubmit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := readBody(w, r, userapi.MaxBodyBytes)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		n.answer(w, "", userapi.Response{Code: http.StatusBadRequest})
+		n.writeAnswer(w, "", userapi.Response{Code: http.StatusBadRequest})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitBudget)
 	defer cancel()
 	begun := n.clock.Now()
-	id, ans := n.runSubmit(ctx, data, true)
-	if took := n.clock.Now().Sub(begun); ans.Code >= http.StatusTooManyRequests || took > slowSubmit {
+	id, ans := n.acceptSubmission(ctx, data, true)
+	if took := n.clock.Now().Sub(begun); ans.Code >= http.StatusTooManyRequests || took > slowSubmissionThreshold {
 		n.log.Debug("submission not taken soon", "job", id, "status", ans.Code, "took", took, "retry", ans.RetryAfter, "state_reached", n.stateReachable(time.Second))
 	}
-	n.answer(w, id, ans)
+	n.writeAnswer(w, id, ans)
 }
 
-// hedgeAfter is how long a submission waits for the state service before
+// hedgeDelay is how long a submission waits for the state service before
 // another node is asked to store it as well.
-const hedgeAfter = 250 * time.Millisecond
+const hedgeDelay = 250 * time.Millisecond
 
-// hedgeLast is how long a submission that this node refuses waits for another
+// hedgeRefusalDelay is how long a submission that this node refuses waits for another
 // to take it, at most: a refusal must come at once.
-const hedgeLast = 400 * time.Millisecond
+const hedgeRefusalDelay = 400 * time.Millisecond
 
-// runSubmit decides a submission. One that this node can't store at once, for
+// acceptSubmission decides a submission. One that this node can't store at once, for
 // want of the state service or of its share of the writes, is handed to the
 // others too: a job is stored only if it does not exist, so whichever node
 // comes first stores it, and the rest find it there.
-func (n *Node) runSubmit(ctx context.Context, data []byte, forward bool) (unit.JobID, userapi.Response) {
+func (n *Node) acceptSubmission(ctx context.Context, data []byte, forward bool) (unit.JobID, userapi.Response) {
 	sub, err := userapi.DecodeSubmission(data)
 	if err != nil {
 		n.log.Debug("submission refused", "err", err)
 		return "", userapi.Response{Code: http.StatusBadRequest}
 	}
-	req := userapi.NewSubmitRequest(sub, n.rules(), n.clock.Wall().UnixMilli())
+	req := userapi.NewSubmitRequest(sub, n.validationRules(), n.clock.Wall().UnixMilli())
 	if !forward {
-		return sub.ID, n.drive(ctx, sub.ID, req)
+		return sub.ID, n.runRequest(ctx, sub.ID, req)
 	}
 	own := make(chan userapi.Response, 1)
-	go func() { own <- n.drive(ctx, sub.ID, req) }()
-	wait := hedgeAfter
+	go func() { own <- n.runRequest(ctx, sub.ID, req) }()
+	wait := hedgeDelay
 	if !n.stateReachable(time.Second) {
 		wait = 0
 	}
@@ -68,14 +68,14 @@
 		own <- ans
 	case <-time.After(wait):
 	}
-	return sub.ID, n.hedge(ctx, data, own)
+	return sub.ID, n.hedgeSubmission(ctx, data, own)
 }
 
-// hedge hands a submission to the others and answers with what comes first
+// hedgeSubmission hands a submission to the others and answers with what comes first
 // that accepts it; a refusal counts only once nobody is left to ask.
-func (n *Node) hedge(ctx context.Context, data []byte, own <-chan userapi.Response) userapi.Response {
+func (n *Node) hedgeSubmission(ctx context.Context, data []byte, own <-chan userapi.Response) userapi.Response {
 	others := make(chan userapi.Response, 1)
-	go func() { others <- n.handOver(ctx, data) }()
+	go func() { others <- n.forwardSubmission(ctx, data) }()
 	refusal := userapi.Response{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
 	var last <-chan time.Time
 	for range 2 {
@@ -84,7 +84,7 @@
 			if ans.Code != http.StatusServiceUnavailable {
 				return ans
 			}
-			refusal, last = ans, time.After(hedgeLast)
+			refusal, last = ans, time.After(hedgeRefusalDelay)
 		case ans := <-others:
 			if ans.Code == http.StatusOK || ans.Code == http.StatusCreated {
 				return ans
@@ -98,41 +98,41 @@
 	return refusal
 }
 
-// slowSubmit is how long a submission may take without being logged.
-const slowSubmit = 500 * time.Millisecond
+// slowSubmissionThreshold is how long a submission may take without being logged.
+const slowSubmissionThreshold = 500 * time.Millisecond
 
-// maxHandOver bounds how many others are asked to store a submission.
-const maxHandOver = 2
+// maxForwardTargets bounds how many others are asked to store a submission.
+const maxForwardTargets = 2
 
-// takers are the nodes that may store a submission that this one can't: the
+// forwardTargets are the nodes that may store a submission that this one can't: the
 // others, beginning with a different one each time, so that none gets them all.
 // In a flood only one is asked. All users may have come to one node, and what is
 // left at the others must not go to waste: some ran out of the minute for which
 // they try.
-func (n *Node) takers() []string {
+func (n *Node) forwardTargets() []string {
 	names := n.peers.Names()
 	if len(names) == 0 {
 		return nil
 	}
-	first := int(n.asked.Add(1)) % len(names)
+	first := int(n.forwardCount.Add(1)) % len(names)
 	out := append(slices.Clone(names[first:]), names[:first]...)
-	if n.pace.Overloaded() {
+	if n.retryPacer.Overloaded() {
 		return out[:1]
 	}
 	return out
 }
 
-// handOver asks others that the mesh reaches to store a submission.
-func (n *Node) handOver(ctx context.Context, data []byte) userapi.Response {
+// forwardSubmission asks others that the mesh reaches to store a submission.
+func (n *Node) forwardSubmission(ctx context.Context, data []byte) userapi.Response {
 	asked := 0
-	for _, name := range n.takers() {
-		if asked == maxHandOver || !n.meshWorks(name) {
+	for _, name := range n.forwardTargets() {
+		if asked == maxForwardTargets || !n.peerReachable(name) {
 			continue
 		}
 		asked++
 		reply, err := n.peers.ForwardSubmission(ctx, name, data)
 		if ctx.Err() == nil {
-			n.noteMesh(name, err)
+			n.notePeerResult(name, err)
 		}
 		if err == nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
 			return userapi.Response{Code: int(reply.Status), Status: userapi.Status{State: userapi.JobState(reply.Body)}}
@@ -141,28 +141,28 @@
 	return userapi.Response{Code: http.StatusServiceUnavailable}
 }
 
-func (n *Node) rules() *userapi.AdmissionRules {
-	return &userapi.AdmissionRules{Teams: n.teams, Zones: n.set.Params.Zones, MachineTypes: n.view.Load().types, StateLimits: n.set.Params.StateService.Strictest()}
+func (n *Node) validationRules() *userapi.AdmissionRules {
+	return &userapi.AdmissionRules{Teams: n.teams, Zones: n.settings.Params.Zones, MachineTypes: n.view.Load().machineTypes, StateLimits: n.settings.Params.StateService.Strictest()}
 }
 
-// create stores a job if it does not exist. Only refusals for want of changes
+// createJob stores a job if it does not exist. Only refusals for want of changes
 // count for the pace: others may store what the state service refuses this node.
-func (n *Node) create(ctx context.Context, id unit.JobID, req *userapi.Request, rec *checkpoint.Record) userapi.CreateResult {
+func (n *Node) createJob(ctx context.Context, id unit.JobID, req *userapi.Request, rec *checkpoint.Record) userapi.CreateResult {
 	if now := n.clock.Now(); !n.budget.TakeWrites(now, statestore.PurposeSubmission, 1) {
-		req.SetRetryAfter(n.budget.WriteDelay(now, statestore.PurposeSubmission) + n.pace.Rejected())
+		req.SetRetryAfter(n.budget.WriteDelay(now, statestore.PurposeSubmission) + n.retryPacer.Rejected())
 		return userapi.Rejected
 	}
-	n.pace.Accepted()
+	n.retryPacer.Accepted()
 	key := checkpoint.Key(id)
 	_, err := n.store.Commit(ctx, statestore.Txn{
 		Conditions: []statestore.Condition{{Key: key, ModRevision: 0}},
 		Operations: []statestore.Operation{{SetKey: key, Value: rec}},
 	})
 	var conflict *statestore.ConflictError
-	switch n.note(err); {
+	switch n.noteStoreResult(err); {
 	case err == nil:
-		go n.notify(id)
-		n.holder.offer(id, &rec.Spec)
+		go n.notifyLeader(id)
+		n.quotaHolder.tryEnqueue(id, &rec.Spec)
 		return userapi.Stored
 	case errors.As(err, &conflict):
 		return userapi.AlreadyExists
@@ -172,15 +172,15 @@
 	return userapi.Rejected
 }
 
-// notify tells the leader of a new job. If the notice is lost, the leader's
+// notifyLeader tells the leader of a new job. If the notice is lost, the leader's
 // watch finds the job a moment later.
-func (n *Node) notify(id unit.JobID) {
+func (n *Node) notifyLeader(id unit.JobID) {
 	v := n.view.Load()
 	if v.epoch != 0 {
-		n.offer(JobChanged{Job: id})
+		n.tryEnqueue(JobChanged{Job: id})
 		return
 	}
-	if v.leader == "" || v.leader == n.set.NodeName {
+	if v.leader == "" || v.leader == n.settings.NodeName {
 		return
 	}
 	if err := n.peers.NotifyJobChanged(context.Background(), v.leader, string(id)); err != nil {
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,11 +11,11 @@
 	"badgerbay/internal/wire"
 )
 
-// beatPath is where workers report.
-const beatPath = "/agent/beat"
+// heartbeatPath is where workers report.
+const heartbeatPath = "/agent/beat"
 
-// beat answers a worker's report.
-func (n *Node) beat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// handleHeartbeat answers a worker's report.
+func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := readBody(w, r, fleet.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -30,27 +30,27 @@
 	if report.UnreadableTasks > 0 {
 		n.log.Warn("tasks in a report can't be read", "machine", report.Machine, "tasks", report.UnreadableTasks)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), reportBudget)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatBudget)
 	defer cancel()
 	ticket := make(chan HeartbeatReply, 1)
 	reply := HeartbeatReply{Code: http.StatusServiceUnavailable}
-	if n.offer(HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
+	if n.tryEnqueue(HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
 		select {
 		case reply = <-ticket:
 		case <-ctx.Done():
 		}
 	}
-	if !reply.Final && (reply.Code == http.StatusMisdirectedRequest || reply.Code == http.StatusServiceUnavailable && n.health.hint.Load() != "") {
-		reply = n.sendOn(ctx, report, reply)
+	if !reply.Final && (reply.Code == http.StatusMisdirectedRequest || reply.Code == http.StatusServiceUnavailable && n.health.leaderHint.Load() != "") {
+		reply = n.redirectOrRelay(ctx, report, reply)
 	}
-	n.answerReport(w, reply)
+	n.writeHeartbeatReply(w, reply)
 }
 
-// sendOn sends a worker to the leader, or relays its report if it has just
+// redirectOrRelay sends a worker to the leader, or relays its report if it has just
 // come back from there without having reached it.
-func (n *Node) sendOn(ctx context.Context, r *fleet.Heartbeat, reply HeartbeatReply) HeartbeatReply {
+func (n *Node) redirectOrRelay(ctx context.Context, r *fleet.Heartbeat, reply HeartbeatReply) HeartbeatReply {
 	leader := n.leader()
-	if leader == "" || leader == n.set.NodeName {
+	if leader == "" || leader == n.settings.NodeName {
 		reply.Leader = ""
 		return reply
 	}
@@ -58,14 +58,14 @@
 	// Where the mesh does not reach the leader, the worker hardly will; but a
 	// filter that refuses connections between nodes lets workers through, and
 	// relaying them all took the changes that submissions need.
-	works := func() bool { return n.meshWorks(leader) || n.peers.ConnectionRefused(leader) }
+	works := func() bool { return n.peerReachable(leader) || n.peers.ConnectionRefused(leader) }
 	if works() && n.router.ShouldRedirect(n.clock.Now(), r.Machine, leader, works) {
 		return reply
 	}
-	return n.relayReport(ctx, leader, r)
+	return n.relayHeartbeat(ctx, leader, r)
 }
 
-func (n *Node) answerReport(w http.ResponseWriter, reply HeartbeatReply) {
+func (n *Node) writeHeartbeatReply(w http.ResponseWriter, reply HeartbeatReply) {
 	var body []byte
 	var err error
 	switch reply.Code {
@@ -73,7 +73,7 @@
 		body, err = fleet.EncodeHeartbeatAnswer(reply.Epoch, reply.Commands)
 	case http.StatusMisdirectedRequest:
 		leader := reply.Leader
-		if leader == n.set.NodeName {
+		if leader == n.settings.NodeName {
 			leader = ""
 		}
 		body, err = fleet.EncodeRedirect(leader)
@@ -83,7 +83,7 @@
 	if err != nil || reply.Code == http.StatusOK && !reply.Relayed && !n.clock.Now().Before(reply.ValidUntil) {
 		reply.Code, body = http.StatusServiceUnavailable, nil
 	}
-	n.met.HeartbeatResponses.WithLabelValues(strconv.Itoa(reply.Code)).Inc()
+	n.metrics.HeartbeatResponses.WithLabelValues(strconv.Itoa(reply.Code)).Inc()
 	if body != nil {
 		w.Header().Set("Content-Type", wire.ContentType)
 	}
