--- a/internal/statestore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -1,4 +1,4 @@
-package statestore_test
+package kvstore_test
 
 import (
 	"bytes"
@@ -12,11 +12,12 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/ident"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/kvstore"
 )
 
 //go:embed testdata/golden/exchanges.json
@@ -65,13 +66,13 @@
 }
 
 func describe(v any, err error) string {
-	var conflict *statestore.ConflictError
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return fmt.Sprintf("conflict %q", conflict.FailedKeys)
 	}
 	for name, sentinel := range map[string]error{
-		"unavailable": statestore.ErrUnavailable, "throttled": statestore.ErrThrottled, "uncertain": statestore.ErrOutcomeUnknown,
-		"no lease": statestore.ErrLeaseNotFound, "malformed": statestore.ErrRejected, "compacted": statestore.ErrCompacted,
+		"unavailable": kvstore.ErrUnavailable, "throttled": kvstore.ErrThrottled, "uncertain": kvstore.ErrOutcomeUnknown,
+		"no lease": kvstore.ErrLeaseNotFound, "malformed": kvstore.ErrRejected, "compacted": kvstore.ErrCompacted,
 	} {
 		if errors.Is(err, sentinel) {
 			return name
@@ -83,17 +84,17 @@
 	return fmt.Sprint(v)
 }
 
-func describeItem(it statestore.KeyValue) string {
+func describeItem(it kvstore.KeyValue) string {
 	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.ModRevision)
 }
 
 // calls are the client's requests, each with what became of it.
-func calls() map[string]func(context.Context, *statestore.Client) string {
-	get := func(ctx context.Context, c *statestore.Client) string {
+func calls() map[string]func(context.Context, *kvstore.Client) string {
+	get := func(ctx context.Context, c *kvstore.Client) string {
 		item, err := c.Get(ctx, "job/wk-000412")
 		return describe(describeItem(item), err)
 	}
-	list := func(ctx context.Context, c *statestore.Client) string {
+	list := func(ctx context.Context, c *kvstore.Client) string {
 		items, revision, err := c.List(ctx, "job/")
 		text := fmt.Sprint("revision ", revision)
 		for _, it := range items {
@@ -101,29 +102,29 @@
 		}
 		return describe(text, err)
 	}
-	commit := func(txn statestore.Txn) func(context.Context, *statestore.Client) string {
-		return func(ctx context.Context, c *statestore.Client) string {
+	commit := func(txn kvstore.Txn) func(context.Context, *kvstore.Client) string {
+		return func(ctx context.Context, c *kvstore.Client) string {
 			return describe(c.Commit(ctx, txn))
 		}
 	}
-	full := statestore.Txn{
-		Conditions: []statestore.Condition{{Key: "leader", ModRevision: 982}, {Key: "job/wk-000412", ModRevision: 0}},
-		Operations: []statestore.Operation{
+	full := kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: "leader", ModRevision: 982}, {Key: "job/wk-000412", ModRevision: 0}},
+		Operations: []kvstore.Operation{
 			{SetKey: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
 			{SetKey: "leader", Value: goldenRecord{Node: "n2"}, LeaseID: 17},
 			{DeleteKey: "part/wk-000412/1"},
 		},
 	}
-	grant := func(ctx context.Context, c *statestore.Client) string {
+	grant := func(ctx context.Context, c *kvstore.Client) string {
 		return describe(c.GrantLease(ctx, 6*time.Second))
 	}
-	extend := func(ctx context.Context, c *statestore.Client) string {
+	extend := func(ctx context.Context, c *kvstore.Client) string {
 		return describe("extended", c.RenewLease(ctx, 17))
 	}
-	revoke := func(ctx context.Context, c *statestore.Client) string {
+	revoke := func(ctx context.Context, c *kvstore.Client) string {
 		return describe("revoked", c.RevokeLease(ctx, 17))
 	}
-	watch := func(ctx context.Context, c *statestore.Client) string {
+	watch := func(ctx context.Context, c *kvstore.Client) string {
 		changes, revision, err := c.Watch(ctx, "job/", 1201, 1500*time.Millisecond)
 		text := fmt.Sprint("revision ", revision)
 		for _, ch := range changes {
@@ -131,14 +132,14 @@
 		}
 		return describe(text, err)
 	}
-	return map[string]func(context.Context, *statestore.Client) string{
+	return map[string]func(context.Context, *kvstore.Client) string{
 		"get": get, "get absent": get, "get throttled": get,
 		"list": list, "list in pages": list, "list unavailable": list,
-		"commit": commit(full), "commit guards only": commit(statestore.Txn{Conditions: full.Conditions}),
-		"commit refused":   commit(statestore.Txn{Conditions: full.Conditions[:1], Operations: full.Operations[2:]}),
-		"commit malformed": commit(statestore.Txn{Operations: full.Operations[:1]}),
-		"commit lost":      commit(statestore.Txn{}),
-		"commit ended":     commit(statestore.Txn{Operations: full.Operations[1:2]}),
+		"commit": commit(full), "commit guards only": commit(kvstore.Txn{Conditions: full.Conditions}),
+		"commit refused":   commit(kvstore.Txn{Conditions: full.Conditions[:1], Operations: full.Operations[2:]}),
+		"commit malformed": commit(kvstore.Txn{Operations: full.Operations[:1]}),
+		"commit lost":      commit(kvstore.Txn{}),
+		"commit ended":     commit(kvstore.Txn{Operations: full.Operations[1:2]}),
 		"grant":            grant, "extend": extend, "extend ended": extend, "revoke": revoke,
 		"watch": watch, "watch compacted": watch,
 	}
@@ -158,7 +159,7 @@
 	for name, call := range all {
 		want := golden[name]
 		server := &scripted{t: t, answers: want.Answers}
-		result := call(context.Background(), statestore.NewClient("10.2.0.1:2379", server))
+		result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
 		if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
@@ -189,11 +190,11 @@
 		{"record", goldenRecord{Node: "n1", Count: 7}, 25},
 		{"record with a share", goldenRecord{Node: "n1", Count: 7, Share: 0.5}, 35},
 		{"nested", nested{Records: []goldenRecord{{Share: 2}}, Shares: map[string]float64{"a": 1, "b": 1.5}, Next: &nested{}}, 116},
-		{"unchecked revision", unit.Revision(1 << 40), 13},
+		{"unchecked revision", ident.Revision(1 << 40), 13},
 		{"raw", msgpack.RawMessage{1, 2, 3}, 6},
 		{"not to be encoded", func() {}, 1 << 30},
 	} {
-		if n := statestore.JSONSize(s.value); n != s.want {
+		if n := kvstore.JSONSize(s.value); n != s.want {
 			t.Errorf("%s: %d bytes, want %d", s.name, n, s.want)
 		}
 	}
--- a/internal/statestore/txn.go
+++ b/internal/kvstore/txn.go
@@ -1,4 +1,4 @@
-package statestore
+package kvstore
 
 // LargestValue returns the key of the largest value that the transaction sets, and
 // that value's size in bytes of JSON. It returns "" and 0 if no value is set.
--- a/internal/handover/handover.go
+++ b/internal/leadtransfer/reachability.go
@@ -1,11 +1,12 @@
-// Package handover decides whether a leader had better leave leadership to another
+// Package leadtransfer decides whether a leader had better leave leadership to another
 // node, because the workers reach that one and not this.
-package handover
+package leadtransfer
 
 import (
 	"time"
 
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
 )
 
 const (
@@ -31,20 +32,20 @@
 // Reachability tells whether the workers reach this node themselves, or only through
 // others. The zero value is ready for use.
 type Reachability struct {
-	contacts         map[unit.MachineID]contact
-	unreachableSince unit.Instant // most have been out of reach since; 0: they are not
+	contacts         map[ident.MachineID]contact
+	unreachableSince clock.Instant // most have been out of reach since; 0: they are not
 }
 
 // contact is the last report of a worker; via is the node that it came through.
 type contact struct {
-	at  unit.Instant
+	at  clock.Instant
 	via string
 }
 
 // RecordHeartbeat takes in a report of a worker that came through the node via, or directly.
-func (r *Reachability) RecordHeartbeat(now unit.Instant, id unit.MachineID, via string) {
+func (r *Reachability) RecordHeartbeat(now clock.Instant, id ident.MachineID, via string) {
 	if r.contacts == nil {
-		r.contacts = map[unit.MachineID]contact{}
+		r.contacts = map[ident.MachineID]contact{}
 	}
 	r.contacts[id] = contact{now, via}
 }
@@ -67,7 +68,7 @@
 // that are not heard of at all count too: through the state service a node
 // relays but a part of hundreds, and a leader that waited until most were
 // relayed held on for half a minute while leases ran out.
-func (r *Reachability) Transferee(now unit.Instant, known int, delay time.Duration) string {
+func (r *Reachability) Transferee(now clock.Instant, known int, delay time.Duration) string {
 	direct, relayed := 0, 0
 	through := map[string]int{}
 	for id, c := range r.contacts {
@@ -112,11 +113,11 @@
 // leadership went to and fro six times in half a minute.
 type History struct {
 	transfers    int
-	lastTransfer unit.Instant
+	lastTransfer clock.Instant
 }
 
 // Delay is how long workers must be missing before the next handover.
-func (h *History) Delay(now unit.Instant) time.Duration {
+func (h *History) Delay(now clock.Instant) time.Duration {
 	if now.Sub(h.lastTransfer) > BackoffReset {
 		h.transfers = 0
 	}
@@ -124,6 +125,6 @@
 }
 
 // RecordTransfer takes in that this node hands leadership over.
-func (h *History) RecordTransfer(now unit.Instant) {
+func (h *History) RecordTransfer(now clock.Instant) {
 	h.transfers, h.lastTransfer = min(h.transfers+1, maxBackoffDoublings), now
 }
--- a/internal/handover/handover_test.go
+++ b/internal/leadtransfer/reachability_test.go
@@ -1,11 +1,12 @@
-package handover
+package leadtransfer
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
 )
 
 // TestPoorlyPlacedLeaderTransfersLeadership: a leader that nearly all workers don't reach,
@@ -15,7 +16,7 @@
 // because most of the others were not even relayed.
 func TestPoorlyPlacedLeaderTransfersLeadership(t *testing.T) {
 	var alone, r Reachability
-	begun := unit.Instant(time.Hour)
+	begun := clock.Instant(time.Hour)
 	for now := begun; now.Sub(begun) < 20*time.Second; now = now.Add(time.Second) {
 		recordHeartbeats(&r, now, "near", 10, "")
 		recordHeartbeats(&alone, now, "near", 10, "")
@@ -46,7 +47,7 @@
 // it leads again soon, and forgets that after a while.
 func TestTransfersBackOff(t *testing.T) {
 	var h History
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	for want := Delay; want <= Delay<<maxBackoffDoublings; want *= 2 {
 		if got := h.Delay(now); got != want {
 			t.Errorf("waits for %v, want %v", got, want)
@@ -63,8 +64,8 @@
 }
 
 // recordHeartbeats notes a report of each of n workers, through the node via if one is named.
-func recordHeartbeats(r *Reachability, now unit.Instant, name string, n int, via string) {
+func recordHeartbeats(r *Reachability, now clock.Instant, name string, n int, via string) {
 	for i := range n {
-		r.RecordHeartbeat(now, unit.MachineID(fmt.Sprintf("%s-%d", name, i)), via)
+		r.RecordHeartbeat(now, ident.MachineID(fmt.Sprintf("%s-%d", name, i)), via)
 	}
 }
--- a/internal/delegation/keeper.go
+++ b/internal/leasedelegation/delegate.go
@@ -1,15 +1,17 @@
-// Package delegation lets a node that is cut off together with its zone's workers
+// Package leasedelegation lets a node that is cut off together with its zone's workers
 // keep their leases for a while. The leader grants it the right beforehand, in
 // its epoch and for a bounded time; the node gives no orders by it. Whoever
 // leads counts a lease from the last moment at which it may have been used.
-package delegation
+package leasedelegation
 
 import (
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
 )
 
 const (
@@ -37,10 +39,10 @@
 // Status is what a node answers to another that asks it.
 type Status struct {
 	// Epoch and Life are of a grant; Life 0: none is given.
-	Epoch         unit.Epoch
+	Epoch         ident.Epoch
 	GrantDuration time.Duration
 	// ExcludedMachines are the machines that must end something: they are not kept.
-	ExcludedMachines []unit.MachineID
+	ExcludedMachines []ident.MachineID
 	// IdleFor is how long ago, at least, the node kept a worker by a grant.
 	IdleFor time.Duration
 }
@@ -87,33 +89,33 @@
 // node may keep is given up later when it does. When all nodes might keep those of
 // a zone that has none, one crash held dead machines there for 10 s more.
 type Delegate struct {
-	zone      unit.Zone // of the node: it keeps no others' workers
-	startedAt unit.Instant
+	zone      ident.Zone // of the node: it keeps no others' workers
+	startedAt clock.Instant
 	// canProbeFirst: a worker that has waited in vain for the node that it came from
 	// can bear another such wait before its lease ends.
 	canProbeFirst    bool
-	epoch            unit.Epoch
-	leaderHeardAt    unit.Instant // when the last request left that the leader answered
-	grantRequestedAt unit.Instant // when the request for the grant left
-	grantExpiresAt   unit.Instant
-	excluded         map[unit.MachineID]bool
-	lastRenewal      unit.Instant // 0: never kept a worker
-	contacts         map[unit.MachineID]contact
+	epoch            ident.Epoch
+	leaderHeardAt    clock.Instant // when the last request left that the leader answered
+	grantRequestedAt clock.Instant // when the request for the grant left
+	grantExpiresAt   clock.Instant
+	excluded         map[ident.MachineID]bool
+	lastRenewal      clock.Instant // 0: never kept a worker
+	contacts         map[ident.MachineID]contact
 }
 
 // contact is the last report of a worker during a cut.
 type contact struct {
-	at     unit.Instant
+	at     clock.Instant
 	probed bool // it has been sent to another node
 }
 
 // NewDelegate returns the keeper of a process that has started at now.
-func NewDelegate(zone unit.Zone, w config.Workers, now unit.Instant) *Delegate {
-	return &Delegate{zone: zone, startedAt: now, canProbeFirst: w.FailoverTime() > probeDuration, contacts: map[unit.MachineID]contact{}}
+func NewDelegate(zone ident.Zone, w config.Workers, now clock.Instant) *Delegate {
+	return &Delegate{zone: zone, startedAt: now, canProbeFirst: w.FailoverTime() > probeDuration, contacts: map[ident.MachineID]contact{}}
 }
 
 // AcceptStatus takes in a grant that was asked for at base.
-func (k *Delegate) AcceptStatus(base unit.Instant, s Status) {
+func (k *Delegate) AcceptStatus(base clock.Instant, s Status) {
 	if s.Epoch != 0 {
 		k.leaderHeardAt = max(k.leaderHeardAt, base)
 	}
@@ -121,27 +123,27 @@
 		return
 	}
 	k.epoch, k.grantRequestedAt, k.grantExpiresAt = s.Epoch, base, base.Add(s.GrantDuration)
-	k.excluded = make(map[unit.MachineID]bool, len(s.ExcludedMachines))
+	k.excluded = make(map[ident.MachineID]bool, len(s.ExcludedMachines))
 	for _, id := range s.ExcludedMachines {
 		k.excluded[id] = true
 	}
 }
 
 // GrantRequestedAt is when the request for the grant left.
-func (k *Delegate) GrantRequestedAt() unit.Instant { return k.grantRequestedAt }
+func (k *Delegate) GrantRequestedAt() clock.Instant { return k.grantRequestedAt }
 
 // GrantExpiresAt is when the grant ends.
-func (k *Delegate) GrantExpiresAt() unit.Instant { return k.grantExpiresAt }
+func (k *Delegate) GrantExpiresAt() clock.Instant { return k.grantExpiresAt }
 
 // GrantEpoch is the epoch of the grant.
-func (k *Delegate) GrantEpoch() unit.Epoch { return k.epoch }
+func (k *Delegate) GrantEpoch() ident.Epoch { return k.epoch }
 
 // Decide decides on a report. A worker that may reach another node probes one
 // first: the leader, if there is one, does better by it. It must be back before
 // the grant ends, or the probe would cost it the last renewal of its lease. Where
 // leases are short it is kept once before it probes: it comes from a node that did
 // not answer, and a second wait of 4 s cost it a lease of 10 s.
-func (k *Delegate) Decide(now unit.Instant, cut Isolation, r *fleet.Heartbeat) Disposition {
+func (k *Delegate) Decide(now clock.Instant, cut Isolation, r *fleet.Heartbeat) Disposition {
 	if cut == Connected || k.epoch == 0 || now.Sub(k.leaderHeardAt) < leaderLossThreshold {
 		return ForwardToLeader
 	}
@@ -166,13 +168,13 @@
 
 // canProbe tells whether a worker that looks for another node is back before the
 // grant ends if it finds none.
-func (k *Delegate) canProbe(now unit.Instant, cut Isolation) bool {
+func (k *Delegate) canProbe(now clock.Instant, cut Isolation) bool {
 	return cut != StateServiceOutage && !k.grantExpiresAt.Before(now.Add(probeDuration))
 }
 
 // IdleFor is how long ago, at least, this node kept a worker; what an earlier
 // process of it did was before this one started.
-func (k *Delegate) IdleFor(now unit.Instant) time.Duration { return now.Sub(k.IdleSince()) }
+func (k *Delegate) IdleFor(now clock.Instant) time.Duration { return now.Sub(k.IdleSince()) }
 
 // IdleSince is since when, at the latest, this node has kept no worker.
-func (k *Delegate) IdleSince() unit.Instant { return max(k.lastRenewal, k.startedAt) }
+func (k *Delegate) IdleSince() clock.Instant { return max(k.lastRenewal, k.startedAt) }
--- a/internal/delegation/keeper_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -1,17 +1,19 @@
-package delegation
+package leasedelegation
 
 import (
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
 )
 
-const now = unit.Instant(time.Hour)
+const now = clock.Instant(time.Hour)
 
-func seconds(s float64) unit.Instant { return now.Add(unit.Seconds(s)) }
+func seconds(s float64) clock.Instant { return now.Add(clock.Seconds(s)) }
 
 func settings() *config.Settings {
 	return &config.Settings{NodeName: "n0", Zone: "a",
@@ -34,7 +36,7 @@
 
 // TestDelegate follows a node through a cut: what it keeps, and for how long.
 func TestDelegate(t *testing.T) {
-	report := func(id unit.MachineID, zone unit.Zone, token unit.Epoch) *fleet.Heartbeat {
+	report := func(id ident.MachineID, zone ident.Zone, token ident.Epoch) *fleet.Heartbeat {
 		return &fleet.Heartbeat{Machine: id, Zone: zone, FencingToken: token}
 	}
 	mine := report("m1", "a", 7)
@@ -42,7 +44,7 @@
 	if k.Decide(seconds(60), NodeIsolated, mine) != ForwardToLeader {
 		t.Error("a node that never had a grant took a decision of its own")
 	}
-	k.AcceptStatus(seconds(60), Status{Epoch: 7, GrantDuration: 20 * time.Second, ExcludedMachines: []unit.MachineID{"m2"}})
+	k.AcceptStatus(seconds(60), Status{Epoch: 7, GrantDuration: 20 * time.Second, ExcludedMachines: []ident.MachineID{"m2"}})
 	k.AcceptStatus(seconds(59), Status{Epoch: 6, GrantDuration: time.Hour}) // came late, of an earlier leader
 	if k.Decide(seconds(62), NodeIsolated, mine) != ForwardToLeader || k.Decide(seconds(70), Connected, mine) != ForwardToLeader {
 		t.Error("a node that is not cut off took a decision of its own")
@@ -90,7 +92,7 @@
 	if _, ok := l.RenewalIn("a"); ok {
 		t.Error("the leader's own zone has no other node, and yet leases kept")
 	}
-	span := func(z unit.Zone) fleet.DelegatedRenewal {
+	span := func(z ident.Zone) fleet.DelegatedRenewal {
 		v, _ := l.RenewalIn(z)
 		return v
 	}
@@ -124,9 +126,9 @@
 func TestDelegatedLeaseExpiry(t *testing.T) {
 	var v fleet.DelegatedRenewal
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second}, 7, now, nil)
-	f.SetDelegatedRenewals(func(unit.Zone) (fleet.DelegatedRenewal, bool) { return v, true })
+	f.SetDelegatedRenewals(func(ident.Zone) (fleet.DelegatedRenewal, bool) { return v, true })
 	m := f.Ensure(now, "m1")
-	over := func(at float64, last, free, end unit.Instant) bool {
+	over := func(at float64, last, free, end clock.Instant) bool {
 		v = fleet.DelegatedRenewal{LastRenewal: last, NoneUntil: free, GrantsExpireAt: end}
 		return f.LeaseExpired(seconds(at), m)
 	}
--- a/internal/delegation/ledger.go
+++ b/internal/leasedelegation/grant_tracker.go
@@ -1,11 +1,13 @@
-package delegation
+package leasedelegation
 
 import (
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
 )
 
 // GrantTracker is what a leader knows of the grants that others may be using.
@@ -15,7 +17,7 @@
 }
 
 type peerGrant struct {
-	zone    unit.Zone
+	zone    ident.Zone
 	renewal fleet.DelegatedRenewal
 }
 
@@ -25,20 +27,20 @@
 // NewGrantTracker returns the ledger of a leader that acquired its epoch at acquired.
 // Grants of those before it may be in use for their whole life from then on:
 // they were given before, by a leader that was entitled then.
-func NewGrantTracker(set *config.Settings, acquired unit.Instant) *GrantTracker {
+func NewGrantTracker(set *config.Settings, acquired clock.Instant) *GrantTracker {
 	l := &GrantTracker{grantDuration: GrantDuration(set.Params.Workers), peers: map[string]*peerGrant{}}
 	for _, p := range set.Peers {
-		l.peers[p.NodeName] = &peerGrant{unit.Zone(p.Zone), fleet.DelegatedRenewal{LastRenewal: acquired, NoneUntil: acquired, GrantsExpireAt: l.expiry(acquired)}}
+		l.peers[p.NodeName] = &peerGrant{ident.Zone(p.Zone), fleet.DelegatedRenewal{LastRenewal: acquired, NoneUntil: acquired, GrantsExpireAt: l.expiry(acquired)}}
 	}
 	return l
 }
 
-func (l *GrantTracker) expiry(now unit.Instant) unit.Instant {
+func (l *GrantTracker) expiry(now clock.Instant) clock.Instant {
 	return now.Add(time.Duration(float64(l.grantDuration) * (1 + maxClockDrift)))
 }
 
 // Grant notes that a grant is given to a peer now, and returns its life.
-func (l *GrantTracker) Grant(now unit.Instant, name string) time.Duration {
+func (l *GrantTracker) Grant(now clock.Instant, name string) time.Duration {
 	p := l.peers[name]
 	if p == nil {
 		return 0
@@ -49,7 +51,7 @@
 
 // ConfirmIdle takes in that a peer, asked at sent, said at received that it has kept
 // no worker for the time quiet.
-func (l *GrantTracker) ConfirmIdle(name string, sent, received unit.Instant, quiet time.Duration) {
+func (l *GrantTracker) ConfirmIdle(name string, sent, received clock.Instant, quiet time.Duration) {
 	p := l.peers[name]
 	if p == nil {
 		return
@@ -60,7 +62,7 @@
 
 // RenewalIn sums up what may have been done by grants in a zone, or, if it is not
 // known, in any. It returns false where no grant can have been used.
-func (l *GrantTracker) RenewalIn(z unit.Zone) (fleet.DelegatedRenewal, bool) {
+func (l *GrantTracker) RenewalIn(z ident.Zone) (fleet.DelegatedRenewal, bool) {
 	var sum fleet.DelegatedRenewal
 	found := false
 	if l.grantDuration == 0 {
--- a/internal/controller/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -1,50 +1,52 @@
-package controller
+package node
 
 import (
 	"context"
 	"errors"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/cloud"
+	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/kvstore"
 )
 
-func (n *Node) provision(ctx context.Context, e ProvisionMachines) {
+func (n *Node) provision(ctx context.Context, e controller.ProvisionMachines) {
 	sent := n.clock.Now()
 	ids, err := n.cloud.Provision(ctx, e.Name, e.Offer, e.Count)
-	n.enqueue(ctx, ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sent, Machines: ids, Result: n.provisionResultOf(err)})
+	n.enqueue(ctx, controller.ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sent, Machines: ids, Result: n.provisionResultOf(err)})
 }
 
-func (n *Node) provisionResultOf(err error) rental.ProvisionResult {
+func (n *Node) provisionResultOf(err error) cloud.ProvisionResult {
 	switch {
 	case err == nil:
-		return rental.ProvisionGranted
-	case errors.Is(err, rental.ErrNoCapacity):
-		return rental.ProvisionNoCapacity
-	case errors.Is(err, rental.ErrUnavailable):
+		return cloud.ProvisionGranted
+	case errors.Is(err, cloud.ErrNoCapacity):
+		return cloud.ProvisionNoCapacity
+	case errors.Is(err, cloud.ErrUnavailable):
 		n.metrics.Throttled.Inc()
-		return rental.ProvisionDeferred
-	case errors.Is(err, rental.ErrMalformed):
+		return cloud.ProvisionDeferred
+	case errors.Is(err, cloud.ErrMalformed):
 		n.log.Error("rental refused", "err", err)
-		return rental.ProvisionRejected
+		return cloud.ProvisionRejected
 	}
 	n.metrics.UncertainOutcomes.Inc()
-	return rental.ProvisionOutcomeUnknown
+	return cloud.ProvisionOutcomeUnknown
 }
 
-func (n *Node) deprovision(ctx context.Context, ids []unit.MachineID) {
+func (n *Node) deprovision(ctx context.Context, ids []ident.MachineID) {
 	err := n.cloud.Deprovision(ctx, ids)
 	if err != nil {
 		n.log.Info("release not answered", "machines", ids, "err", err)
 	}
-	n.enqueue(ctx, DeprovisionCompleted{Machines: ids, OK: err == nil})
+	n.enqueue(ctx, controller.DeprovisionCompleted{Machines: ids, OK: err == nil})
 }
 
-func (n *Node) listMachines(ctx context.Context, since unit.MachineID) {
+func (n *Node) listMachines(ctx context.Context, since ident.MachineID) {
 	machines, more, err := n.cloud.ListMachines(ctx, since)
-	n.enqueue(ctx, MachinesListed{Page: rental.Page{OK: err == nil, Machines: machines, More: more}})
+	n.enqueue(ctx, controller.MachinesListed{Page: cloud.Page{OK: err == nil, Machines: machines, More: more}})
 }
 
 func (n *Node) readMachineTypes(ctx context.Context) {
@@ -55,7 +57,7 @@
 	} else {
 		n.storeMachineTypes(ctx, types)
 	}
-	n.enqueue(ctx, MachineTypesRead{Types: types})
+	n.enqueue(ctx, controller.MachineTypesRead{Types: types})
 }
 
 // machineTypesKey keeps the machine types, so that a node that starts while the
@@ -72,7 +74,7 @@
 	if n.noteStoreResult(err) != nil || item.ModRevision == 0 {
 		return nil
 	}
-	types, err := rental.DecodeMachineTypes(item.Value)
+	types, err := cloud.DecodeMachineTypes(item.Value)
 	if err != nil {
 		n.log.Warn("kept machine types can't be read", "err", err)
 		return nil
@@ -84,14 +86,14 @@
 // storeMachineTypes stores the machine types once a term, if this node leads.
 func (n *Node) storeMachineTypes(ctx context.Context, types []*fleet.MachineType) {
 	epoch := n.view.Load().epoch
-	value := rental.EncodeMachineTypes(types)
-	if epoch == 0 || n.machineTypesStored.Load() || statestore.JSONSize(value) > n.settings.Params.StateService.Strictest().MaxValueBytes() ||
-		!n.budget.TakeWrites(n.clock.Now(), statestore.PurposeFold, 1) {
+	value := cloud.EncodeMachineTypes(types)
+	if epoch == 0 || n.machineTypesStored.Load() || kvstore.JSONSize(value) > n.settings.Params.StateService.Strictest().MaxValueBytes() ||
+		!n.budget.TakeWrites(n.clock.Now(), kvstore.PurposeFold, 1) {
 		return
 	}
-	_, err := n.store.Commit(ctx, statestore.Txn{
-		Conditions: []statestore.Condition{{Key: leadership.LeaderKey, ModRevision: unit.Revision(epoch)}},
-		Operations: []statestore.Operation{{SetKey: machineTypesKey, Value: value}},
+	_, err := n.store.Commit(ctx, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: ident.Revision(epoch)}},
+		Operations: []kvstore.Operation{{SetKey: machineTypesKey, Value: value}},
 	})
 	if n.noteStoreResult(err) == nil {
 		n.machineTypesStored.Store(true)
--- a/internal/controller/effects.go
+++ b/internal/node/effects.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"bytes"
@@ -8,9 +8,11 @@
 	"net/http"
 	"time"
 
+	"badgerbay/internal/controller"
+
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/kvstore"
 	"badgerbay/internal/quota"
-	"badgerbay/internal/statestore"
 	"badgerbay/internal/wire"
 )
 
@@ -23,39 +25,39 @@
 
 // execute starts an effect. Answers leave at once; calls run beside the actor
 // and post what comes of them.
-func (n *Node) execute(ctx context.Context, e Effect) {
+func (n *Node) execute(ctx context.Context, e controller.Effect) {
 	switch e := e.(type) {
-	case HeartbeatReply:
-		e.Ticket.(chan HeartbeatReply) <- e
-	case JobReply:
-		e.Ticket.(chan JobReply) <- e
-	case DelegationReply:
-		e.Ticket.(chan DelegationReply) <- e
-	case QuotaReply:
+	case controller.HeartbeatReply:
+		e.Ticket.(chan controller.HeartbeatReply) <- e
+	case controller.JobReply:
+		e.Ticket.(chan controller.JobReply) <- e
+	case controller.DelegationReply:
+		e.Ticket.(chan controller.DelegationReply) <- e
+	case controller.QuotaReply:
 		e.Ticket.(chan quota.AllocationResponse) <- e.Answer
-	case QuotaStatusReply:
-		e.Ticket.(chan QuotaStatusReply) <- e
-	case ReadQuotaRecords:
+	case controller.QuotaStatusReply:
+		e.Ticket.(chan controller.QuotaStatusReply) <- e
+	case controller.ReadQuotaRecords:
 		go n.readQuotaRecords(ctx, e.Epoch)
-	case ElectionEffect:
+	case controller.ElectionEffect:
 		go n.executeElection(ctx, e.Effect)
-	case ReadRecords:
+	case controller.ReadRecords:
 		go n.loadRecords(ctx, e.Epoch)
-	case ReadJobRecord:
+	case controller.ReadJobRecord:
 		go n.readJob(ctx, e.Job)
-	case CommitTransaction:
+	case controller.CommitTransaction:
 		go n.commit(ctx, e)
-	case SendCommands:
+	case controller.SendCommands:
 		go n.sendCommands(ctx, e)
-	case ProvisionMachines:
+	case controller.ProvisionMachines:
 		go n.provision(ctx, e)
-	case DeprovisionMachines:
+	case controller.DeprovisionMachines:
 		go n.deprovision(ctx, e.Machines)
-	case ListMachines:
+	case controller.ListMachines:
 		go n.listMachines(ctx, e.After)
-	case ReadMachineTypes:
+	case controller.ReadMachineTypes:
 		go n.readMachineTypes(ctx)
-	case StopNode:
+	case controller.StopNode:
 		select {
 		case n.fatal <- e.Err:
 		default: // it stops already
@@ -65,14 +67,14 @@
 
 // noteStoreResult keeps the health and the counters of the state service.
 func (n *Node) noteStoreResult(err error) error {
-	var conflict *statestore.ConflictError
+	var conflict *kvstore.ConflictError
 	switch {
-	case err == nil, errors.As(err, &conflict), errors.Is(err, statestore.ErrLeaseNotFound):
+	case err == nil, errors.As(err, &conflict), errors.Is(err, kvstore.ErrLeaseNotFound):
 		n.health.noteStoreAnswer(n.clock.Now())
-	case errors.Is(err, statestore.ErrThrottled):
+	case errors.Is(err, kvstore.ErrThrottled):
 		n.metrics.Throttled.Inc()
 		n.log.Warn("state service throttles us")
-	case errors.Is(err, statestore.ErrOutcomeUnknown):
+	case errors.Is(err, kvstore.ErrOutcomeUnknown):
 		n.metrics.UncertainOutcomes.Inc()
 	}
 	return err
@@ -88,8 +90,8 @@
 }
 
 // sendCommands sends a direct command to a worker.
-func (n *Node) sendCommands(ctx context.Context, e SendCommands) {
-	done := CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}
+func (n *Node) sendCommands(ctx context.Context, e controller.SendCommands) {
+	done := controller.CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}
 	n.commandSlots <- struct{}{}
 	defer func() { <-n.commandSlots }()
 	if body, err := fleet.EncodeDirectCommands(e.Epoch, e.Session, e.Commands); err == nil {
--- a/internal/controller/workers.go
+++ b/internal/node/heartbeathandler.go
@@ -1,10 +1,12 @@
-package controller
+package node
 
 import (
 	"context"
 	"net/http"
 	"strconv"
 
+	"badgerbay/internal/controller"
+
 	"github.com/julienschmidt/httprouter"
 
 	"badgerbay/internal/fleet"
@@ -32,9 +34,9 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatBudget)
 	defer cancel()
-	ticket := make(chan HeartbeatReply, 1)
-	reply := HeartbeatReply{Code: http.StatusServiceUnavailable}
-	if n.tryEnqueue(HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
+	ticket := make(chan controller.HeartbeatReply, 1)
+	reply := controller.HeartbeatReply{Code: http.StatusServiceUnavailable}
+	if n.tryEnqueue(controller.HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
 		select {
 		case reply = <-ticket:
 		case <-ctx.Done():
@@ -48,7 +50,7 @@
 
 // redirectOrRelay sends a worker to the leader, or relays its report if it has just
 // come back from there without having reached it.
-func (n *Node) redirectOrRelay(ctx context.Context, r *fleet.Heartbeat, reply HeartbeatReply) HeartbeatReply {
+func (n *Node) redirectOrRelay(ctx context.Context, r *fleet.Heartbeat, reply controller.HeartbeatReply) controller.HeartbeatReply {
 	leader := n.leader()
 	if leader == "" || leader == n.settings.NodeName {
 		reply.Leader = ""
@@ -65,7 +67,7 @@
 	return n.relayHeartbeat(ctx, leader, r)
 }
 
-func (n *Node) writeHeartbeatReply(w http.ResponseWriter, reply HeartbeatReply) {
+func (n *Node) writeHeartbeatReply(w http.ResponseWriter, reply controller.HeartbeatReply) {
 	var body []byte
 	var err error
 	switch reply.Code {
--- a/internal/controller/server.go
+++ b/internal/node/httpserver.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"errors"
@@ -8,11 +8,13 @@
 	"sync/atomic"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"github.com/julienschmidt/httprouter"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"badgerbay/internal/unit"
-	"badgerbay/internal/userapi"
+	"badgerbay/internal/api"
 	"badgerbay/internal/wire"
 )
 
@@ -33,7 +35,7 @@
 	leaderHint            atomic.Value // string: who leads, by what the others say
 }
 
-func (h *reachability) noteStoreAnswer(now unit.Instant) { h.lastStoreAnswer.Store(int64(now)) }
+func (h *reachability) noteStoreAnswer(now clock.Instant) { h.lastStoreAnswer.Store(int64(now)) }
 
 const (
 	// storeSilenceThreshold: after so long without an answer of the state service a node
@@ -51,8 +53,8 @@
 	}
 	r.GET("/up", n.handleUp)
 	r.POST("/submissions", n.handleSubmit)
-	r.GET("/submissions/:id", n.handleJobRequest(userapi.QueryStatus))
-	r.POST("/submissions/:id/withdraw", n.handleJobRequest(userapi.Cancel))
+	r.GET("/submissions/:id", n.handleJobRequest(api.QueryStatus))
+	r.POST("/submissions/:id/withdraw", n.handleJobRequest(api.Cancel))
 	r.POST(heartbeatPath, n.handleHeartbeat)
 	r.GET("/standby", n.handleStandby)
 	r.GET("/quota", n.handleQuotas)
@@ -79,19 +81,19 @@
 
 // stateReachable tells whether the state service has answered within d.
 func (n *Node) stateReachable(d time.Duration) bool {
-	return n.clock.Now().Sub(unit.Instant(n.health.lastStoreAnswer.Load())) < d
+	return n.clock.Now().Sub(clock.Instant(n.health.lastStoreAnswer.Load())) < d
 }
 
-func (n *Node) writeAnswer(w http.ResponseWriter, id unit.JobID, a userapi.Response) {
+func (n *Node) writeAnswer(w http.ResponseWriter, id ident.JobID, a api.Response) {
 	n.metrics.UserResponses.WithLabelValues(strconv.Itoa(a.Code)).Inc()
 	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(userapi.RetryAfterSeconds(a.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(api.RetryAfterSeconds(a.RetryAfter)))
 	}
 	if a.Code != http.StatusOK && a.Code != http.StatusCreated {
 		w.WriteHeader(a.Code)
 		return
 	}
-	body, err := userapi.EncodeStatus(id, a.Status)
+	body, err := api.EncodeStatus(id, a.Status)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
--- a/internal/controller/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,7 @@
-package controller
+// Package node runs the controller's core as an actor and carries out its effects: it serves
+// users, workers and the other nodes, and calls the state service, the cloud and the workers.
+// What is decided, and when, is the core's.
+package node
 
 import (
 	"context"
@@ -12,19 +15,22 @@
 	"sync/atomic"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"golang.org/x/net/netutil"
 
+	"badgerbay/internal/api"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/connlimit"
+	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/mesh"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/peer"
 	"badgerbay/internal/policy"
 	"badgerbay/internal/relay"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
-	"badgerbay/internal/userapi"
 )
 
 const tickInterval = 50 * time.Millisecond
@@ -44,9 +50,9 @@
 type coreView struct {
 	leader       string
 	machineTypes []*fleet.MachineType
-	epoch        unit.Epoch // of this node, 0 if it does not lead
+	epoch        ident.Epoch // of this node, 0 if it does not lead
 	// standby is how this node stands to the leader.
-	standby leadership.StandbyStatus
+	standby election.StandbyStatus
 }
 
 // equal tells whether nothing that the handlers may know has changed.
@@ -59,21 +65,21 @@
 	settings     *config.Settings
 	policy       *policy.Policy
 	log          *slog.Logger
-	metrics      *Metrics
-	teams        map[unit.Team]config.Team
-	clock        unit.Clock
-	budget       *statestore.Budget
-	store        *statestore.Client
-	cloud        *rental.Client
+	metrics      *controller.Metrics
+	teams        map[ident.Team]config.Team
+	clock        clock.Clock
+	budget       *kvstore.Budget
+	store        *kvstore.Client
+	cloud        *cloud.Client
 	workerClient *http.Client
 	commandSlots chan struct{} // holds one for each direct command under way
-	peers        *mesh.Clients
-	core         *Core
+	peers        *peer.Clients
+	core         *controller.Core
 	fatal        chan error
-	inbox        chan Input
+	inbox        chan controller.Input
 	view         atomic.Pointer[coreView]
 	health       reachability
-	retryPacer   *userapi.RetryPacer
+	retryPacer   *api.RetryPacer
 	forwardCount atomic.Uint32 // submissions that others were asked to store
 
 	machineTypesStored atomic.Bool  // the machine types are stored
@@ -87,7 +93,7 @@
 
 // dependencies are what a node reaches the outside with.
 type dependencies struct {
-	clock  unit.Clock
+	clock  clock.Clock
 	state  http.RoundTripper // to the state service
 	cloud  http.RoundTripper
 	worker http.RoundTripper // for direct commands
@@ -96,7 +102,7 @@
 // NewNode composes a node from its settings.
 func NewNode(set *config.Settings, pol *policy.Policy, log *slog.Logger) (*Node, error) {
 	return newNode(set, pol, log, dependencies{
-		clock:  unit.NewSystem(),
+		clock:  clock.NewSystem(),
 		state:  newTransport(16),
 		cloud:  newTransport(4),
 		worker: newWorkerTransport(socketShare(set, idleCommandSocketShare)),
@@ -104,23 +110,23 @@
 }
 
 func newNode(set *config.Settings, pol *policy.Policy, log *slog.Logger, deps dependencies) (*Node, error) {
-	peers, err := mesh.Dial(set.Peers)
+	peers, err := peer.Dial(set.Peers)
 	if err != nil {
 		return nil, err
 	}
 	p := set.Params
-	n := &Node{settings: set, policy: pol, log: log, metrics: NewMetrics(), teams: p.TeamsByName(), clock: deps.clock, peers: peers,
-		budget:       statestore.NewBudget(len(set.Peers)+1, p.StateService.RPS, p.StateService.Strictest().WriteRPS),
-		store:        statestore.NewClient(set.External.StateService, deps.state),
-		cloud:        rental.NewClient(set.External.Cloud, deps.cloud),
+	n := &Node{settings: set, policy: pol, log: log, metrics: controller.NewMetrics(), teams: p.TeamsByName(), clock: deps.clock, peers: peers,
+		budget:       kvstore.NewBudget(len(set.Peers)+1, p.StateService.RPS, p.StateService.Strictest().WriteRPS),
+		store:        kvstore.NewClient(set.External.StateService, deps.state),
+		cloud:        cloud.NewClient(set.External.Cloud, deps.cloud),
 		workerClient: &http.Client{Transport: deps.worker, Timeout: commandTimeout},
 		commandSlots: make(chan struct{}, socketShare(set, commandSocketShare)),
 		fatal:        make(chan error, 1),
-		inbox:        make(chan Input, maxQueuedRequests(set)), relayQueue: make(chan relay.PendingRequest, maxQueuedRequests(set))}
+		inbox:        make(chan controller.Input, maxQueuedRequests(set)), relayQueue: make(chan relay.PendingRequest, maxQueuedRequests(set))}
 	n.health.leaderHint.Store("")
-	n.retryPacer = userapi.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.retryPacer = api.NewRetryPacer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	n.core = NewCore(set, pol, deps.clock, n.budget, rng, log, n.metrics)
+	n.core = controller.NewCore(set, pol, deps.clock, n.budget, rng, log, n.metrics)
 	n.view.Store(&coreView{})
 	n.delegateIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	if w := pol.Features.WarmStandby; w != nil {
@@ -183,7 +189,7 @@
 	failed := make(chan error, 2)
 	go func() { failed <- server.Serve(limited) }()
 	go func() {
-		failed <- mesh.Serve(netutil.LimitListener(peers, max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))), &peerServer{n: n}, maxQueuedRequests(n.settings))
+		failed <- peer.Serve(netutil.LimitListener(peers, max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))), &peerServer{n: n}, maxQueuedRequests(n.settings))
 	}()
 	go n.runCore(ctx)
 	go n.runRelayUplink(ctx)
@@ -240,7 +246,7 @@
 func (n *Node) runCore(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	n.step(ctx, Tick{})
+	n.step(ctx, controller.Tick{})
 	for {
 		select {
 		case <-ctx.Done():
@@ -248,12 +254,12 @@
 		case in := <-n.inbox:
 			n.step(ctx, in)
 		case <-tick.C:
-			n.step(ctx, Tick{})
+			n.step(ctx, controller.Tick{})
 		}
 	}
 }
 
-func (n *Node) step(ctx context.Context, in Input) {
+func (n *Node) step(ctx context.Context, in controller.Input) {
 	effects := n.core.Step(n.clock.Now(), in)
 	n.delegateIdleSince.Store(int64(n.core.DelegateIdleSince()))
 	old := n.view.Load()
@@ -266,7 +272,7 @@
 }
 
 // tryEnqueue hands an input from outside to the core, unless it is overloaded.
-func (n *Node) tryEnqueue(in Input) bool {
+func (n *Node) tryEnqueue(in controller.Input) bool {
 	select {
 	case n.inbox <- in:
 		return true
@@ -277,7 +283,7 @@
 
 // enqueue hands the answer to an effect to the core. The core waits for it, so it
 // is never dropped; the number of calls under way is bounded.
-func (n *Node) enqueue(ctx context.Context, in Input) {
+func (n *Node) enqueue(ctx context.Context, in controller.Input) {
 	select {
 	case n.inbox <- in:
 	case <-ctx.Done():
--- a/internal/controller/meshserver.go
+++ b/internal/node/peerserver.go
@@ -1,15 +1,17 @@
-package controller
+package node
 
 import (
 	"context"
 	"net/http"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/mesh/meshpb"
-	"badgerbay/internal/unit"
-	"badgerbay/internal/userapi"
+	"badgerbay/internal/api"
+	"badgerbay/internal/peer"
+	"badgerbay/internal/peer/meshpb"
 )
 
 // peerServer answers the other nodes.
@@ -20,26 +22,26 @@
 
 // Ask answers a poll or a cancellation that another node forwards.
 func (s *peerServer) Ask(ctx context.Context, r *meshpb.AskRequest) (*meshpb.AskReply, error) {
-	id, err := unit.ParseJobID(r.Job)
+	id, err := ident.ParseJobID(r.Job)
 	if err != nil || s.n.view.Load().epoch == 0 {
 		return &meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_NOT_LEADER}, nil
 	}
 	t := s.n.queryCore(ctx, id, r.Withdraw)
-	outcome := map[userapi.QueryOutcome]meshpb.Outcome{
-		userapi.JobFound: meshpb.Outcome_OUTCOME_KNOWN, userapi.JobNotFound: meshpb.Outcome_OUTCOME_ABSENT,
-		userapi.LeaderBusy: meshpb.Outcome_OUTCOME_BUSY, userapi.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
+	outcome := map[api.QueryOutcome]meshpb.Outcome{
+		api.JobFound: meshpb.Outcome_OUTCOME_KNOWN, api.JobNotFound: meshpb.Outcome_OUTCOME_ABSENT,
+		api.LeaderBusy: meshpb.Outcome_OUTCOME_BUSY, api.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
 	return &meshpb.AskReply{Outcome: outcome, Standing: string(t.Status.State),
 		Done: uint32(t.Status.DoneTasks), Running: uint32(t.Status.RunningTasks)}, nil
 }
 
 // Relay lets the core answer the reports of workers that can't reach this node.
 func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
-	b, err := mesh.DecodeBatch(r.Batch)
+	b, err := peer.DecodeBatch(r.Batch)
 	if err != nil {
 		s.n.metrics.MalformedBatches.Inc()
 		return nil, err
 	}
-	answers := &mesh.BatchReply{ID: b.ID}
+	answers := &peer.BatchReply{ID: b.ID}
 	switch {
 	case b.Quota != nil:
 		answers.Quota = s.n.queryCoreQuota(ctx, b.Quota)
@@ -59,16 +61,16 @@
 
 // Notice takes in that a job was stored.
 func (s *peerServer) Notice(_ context.Context, r *meshpb.NoticeRequest) (*meshpb.NoticeReply, error) {
-	id, err := unit.ParseJobID(r.Job)
+	id, err := ident.ParseJobID(r.Job)
 	if err != nil || s.n.view.Load().epoch == 0 {
 		return &meshpb.NoticeReply{}, nil
 	}
-	return &meshpb.NoticeReply{Taken: s.n.tryEnqueue(JobChanged{Job: id})}, nil
+	return &meshpb.NoticeReply{Taken: s.n.tryEnqueue(controller.JobChanged{Job: id})}, nil
 }
 
 // Accept stores a submission for a node that can't.
 func (s *peerServer) Accept(ctx context.Context, r *meshpb.AcceptRequest) (*meshpb.AcceptReply, error) {
-	if len(r.Submission) > userapi.MaxBodyBytes {
+	if len(r.Submission) > api.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
 	}
 	_, ans := s.n.acceptSubmission(ctx, r.Submission, false)
--- a/internal/controller/holder.go
+++ b/internal/node/quotaholder.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"context"
@@ -6,13 +6,15 @@
 	"sync/atomic"
 	"time"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/mesh"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/peer"
 	"badgerbay/internal/quota"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
 )
 
 // quotaHolderActor lets this node admit work within its allotments while it does not lead.
@@ -45,7 +47,7 @@
 
 // tryEnqueue hands a job to the actor that this node has stored. The leader admits by
 // itself.
-func (a *quotaHolderActor) tryEnqueue(id unit.JobID, s *checkpoint.Spec) {
+func (a *quotaHolderActor) tryEnqueue(id ident.JobID, s *jobs.Spec) {
 	need, err := quota.DemandOf(s)
 	if a == nil || err != nil || a.n.view.Load().epoch != 0 {
 		return
@@ -89,7 +91,7 @@
 // register sets the holder key anew, under the stamp that it has.
 func (a *quotaHolderActor) register(ctx context.Context, e quota.Register) quota.RegistrationDone {
 	key := quota.HolderKey(e.Node)
-	if !a.n.budget.TakeWrites(a.n.clock.Now(), statestore.PurposeSubmission, 1) {
+	if !a.n.budget.TakeWrites(a.n.clock.Now(), kvstore.PurposeSubmission, 1) {
 		return quota.RegistrationDone{}
 	}
 	item, err := a.n.store.Get(ctx, key)
@@ -106,19 +108,19 @@
 // storeReservations writes the reservations, and finds out what became of it. Its guards name the
 // versions it changes, so it is carried out at most once.
 func (a *quotaHolderActor) storeReservations(ctx context.Context, e quota.StoreReservations) quota.StoreDone {
-	if !a.n.budget.TakeWrites(a.n.clock.Now(), statestore.PurposeSubmission, 1) {
+	if !a.n.budget.TakeWrites(a.n.clock.Now(), kvstore.PurposeSubmission, 1) {
 		return quota.StoreDone{Outcome: quota.StoreFailed}
 	}
 	txn := e.Txn()
 	for unsure := false; ; {
 		stamp, err := a.n.store.Commit(ctx, txn)
-		var conflict *statestore.ConflictError
+		var conflict *kvstore.ConflictError
 		switch {
 		case a.n.noteStoreResult(err) == nil:
 			return quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: stamp}
 		case errors.As(err, &conflict):
 			return a.resolveConflict(ctx, e, conflict, unsure)
-		case errors.Is(err, statestore.ErrOutcomeUnknown) || unsure:
+		case errors.Is(err, kvstore.ErrOutcomeUnknown) || unsure:
 			unsure = true
 			if !a.n.sleep(ctx, uncertainRetryInterval) {
 				return quota.StoreDone{Outcome: quota.StoreFenced}
@@ -131,7 +133,7 @@
 
 // resolveConflict judges a conflict. After an unanswered try, reservations that have moved on
 // were moved by that try, unless a leader has removed them with the holder key.
-func (a *quotaHolderActor) resolveConflict(ctx context.Context, e quota.StoreReservations, conflict *statestore.ConflictError, unsure bool) quota.StoreDone {
+func (a *quotaHolderActor) resolveConflict(ctx context.Context, e quota.StoreReservations, conflict *kvstore.ConflictError, unsure bool) quota.StoreDone {
 	for unsure {
 		item, err := a.n.store.Get(ctx, e.Key)
 		if a.n.noteStoreResult(err) == nil {
@@ -156,7 +158,7 @@
 	if leader == "" || leader == a.n.settings.NodeName || !a.n.peerReachable(leader) {
 		return nil
 	}
-	data, err := msgpack.Marshal(mesh.Batch{Node: a.n.settings.NodeName, Quota: &ask})
+	data, err := msgpack.Marshal(peer.Batch{Node: a.n.settings.NodeName, Quota: &ask})
 	if err != nil {
 		return nil
 	}
@@ -165,7 +167,7 @@
 	if err != nil {
 		return nil
 	}
-	answers, err := mesh.DecodeReply(reply)
+	answers, err := peer.DecodeReply(reply)
 	if err != nil {
 		a.n.metrics.MalformedBatches.Inc()
 		return nil
@@ -180,7 +182,7 @@
 // queryCoreQuota lets the core answer a holder; nil: it did not.
 func (n *Node) queryCoreQuota(ctx context.Context, ask *quota.AllocationRequest) *quota.AllocationResponse {
 	ticket := make(chan quota.AllocationResponse, 1)
-	if n.view.Load().epoch == 0 || !n.tryEnqueue(QuotaRequest{Ticket: ticket, Request: *ask}) {
+	if n.view.Load().epoch == 0 || !n.tryEnqueue(controller.QuotaRequest{Ticket: ticket, Request: *ask}) {
 		return nil
 	}
 	select {
@@ -193,10 +195,10 @@
 }
 
 // readQuotaRecords reads all records of quotas for the leader.
-func (n *Node) readQuotaRecords(ctx context.Context, epoch unit.Epoch) {
+func (n *Node) readQuotaRecords(ctx context.Context, epoch ident.Epoch) {
 	items, _, err := n.store.List(ctx, quota.KeyPrefix)
 	if n.noteStoreResult(err) != nil {
 		n.log.Debug("quotas can't be read", "err", err)
 	}
-	n.enqueue(ctx, QuotaRecordsRead{Epoch: epoch, OK: err == nil, Items: items})
+	n.enqueue(ctx, controller.QuotaRecordsRead{Epoch: epoch, OK: err == nil, Items: items})
 }
--- a/internal/controller/quotaview.go
+++ b/internal/node/quotastatus.go
@@ -1,31 +1,33 @@
-package controller
+package node
 
 import (
 	"net/http"
 	"time"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/julienschmidt/httprouter"
 
 	"badgerbay/internal/quota"
-	"badgerbay/internal/unit"
 )
 
 // quotaStatus is what a node tells operators of quotas.
 type quotaStatus struct {
-	Node    string                   `msgpack:"node"`
-	Enabled bool                     `msgpack:"enabled"`
-	Leads   bool                     `msgpack:"leads"`
-	Holder  *holderStatus            `msgpack:"holder,omitempty"`
-	Teams   map[unit.Team]teamStatus `msgpack:"teams,omitempty"`
+	Node    string                    `msgpack:"node"`
+	Enabled bool                      `msgpack:"enabled"`
+	Leads   bool                      `msgpack:"leads"`
+	Holder  *holderStatus             `msgpack:"holder,omitempty"`
+	Teams   map[ident.Team]teamStatus `msgpack:"teams,omitempty"`
 }
 
 // holderStatus is what this node holds.
 type holderStatus struct {
-	Stamp    unit.Revision             `msgpack:"stamp"`
-	Jobs     int                       `msgpack:"jobs"`
-	Admitted int                       `msgpack:"admitted"`
-	Left     int                       `msgpack:"left_to_the_leader"`
-	Teams    map[unit.Team]shareStatus `msgpack:"teams,omitempty"`
+	Stamp    ident.Revision             `msgpack:"stamp"`
+	Jobs     int                        `msgpack:"jobs"`
+	Admitted int                        `msgpack:"admitted"`
+	Left     int                        `msgpack:"left_to_the_leader"`
+	Teams    map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
 }
 
 type shareStatus struct {
@@ -63,7 +65,7 @@
 }
 
 func holderStatusOf(s *quota.HolderStatus) *holderStatus {
-	v := &holderStatus{Stamp: s.ModRevision, Jobs: s.Jobs, Admitted: s.Admitted, Left: s.Refused, Teams: map[unit.Team]shareStatus{}}
+	v := &holderStatus{Stamp: s.ModRevision, Jobs: s.Jobs, Admitted: s.Admitted, Left: s.Refused, Teams: map[ident.Team]shareStatus{}}
 	for team, share := range s.Teams {
 		v.Teams[team] = shareStatus{amountsOf(share.Allocated), amountsOf(share.Reserved)}
 	}
@@ -82,12 +84,12 @@
 // handleQuotas answers an operator: what this node holds, and, at the leader, how the
 // teams stand.
 func (n *Node) handleQuotas(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	view := quotaStatus{Node: n.settings.NodeName, Enabled: n.quotaHolder != nil, Leads: n.view.Load().epoch != 0, Teams: map[unit.Team]teamStatus{}}
+	view := quotaStatus{Node: n.settings.NodeName, Enabled: n.quotaHolder != nil, Leads: n.view.Load().epoch != 0, Teams: map[ident.Team]teamStatus{}}
 	if n.quotaHolder != nil {
 		view.Holder = holderStatusOf(n.quotaHolder.published.Load())
 	}
-	ticket := make(chan QuotaStatusReply, 1)
-	if n.tryEnqueue(QuotaStatusRequest{Ticket: ticket}) {
+	ticket := make(chan controller.QuotaStatusReply, 1)
+	if n.tryEnqueue(controller.QuotaStatusRequest{Ticket: ticket}) {
 		select {
 		case reply := <-ticket:
 			for team, status := range reply.Teams {
--- a/internal/controller/health.go
+++ b/internal/node/reachability.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"context"
@@ -8,13 +8,15 @@
 	"runtime/pprof"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/controller"
+
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/connlimit"
-	"badgerbay/internal/delegation"
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/mesh/meshpb"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/leasedelegation"
+	"badgerbay/internal/peer"
+	"badgerbay/internal/peer/meshpb"
 )
 
 // peerRetryPause is how long a peer that did not answer is not tried again by what
@@ -24,7 +26,7 @@
 // peerReachable tells whether the peer may be tried over the mesh.
 func (n *Node) peerReachable(peer string) bool {
 	failed, ok := n.peerFailures.Load(peer)
-	return !ok || n.clock.Now().Sub(failed.(unit.Instant)) > peerRetryPause
+	return !ok || n.clock.Now().Sub(failed.(clock.Instant)) > peerRetryPause
 }
 
 func (n *Node) notePeerResult(peer string, err error) {
@@ -39,17 +41,17 @@
 // service does not answer this node, whether the others reach it, and who
 // leads.
 func (n *Node) watchReachability(ctx context.Context) {
-	cut, from := false, delegation.Connected
+	cut, from := false, leasedelegation.Connected
 	for n.sleep(ctx, healthCheckInterval) {
 		reached := n.pollPeers(ctx)
 		if now := len(reached) < len(n.peers.Names()); now != cut {
 			cut = now
-			n.enqueue(ctx, PeerReachabilityChanged{Unreachable: cut})
+			n.enqueue(ctx, controller.PeerReachabilityChanged{Unreachable: cut})
 		}
 		if now := n.isolation(reached); now != from {
 			from = now
 			n.log.Info("cut off", "from", from, "peers_reached", len(reached))
-			n.enqueue(ctx, IsolationChanged{Isolation: from})
+			n.enqueue(ctx, controller.IsolationChanged{Isolation: from})
 		}
 		if n.stateReachable(storeSilenceThreshold) {
 			n.health.storeUnreachableAlone.Store(false)
@@ -69,25 +71,25 @@
 }
 
 // isolation tells what this node is cut off from, by what the others say.
-func (n *Node) isolation(reached []*meshpb.HealthReply) delegation.Isolation {
+func (n *Node) isolation(reached []*meshpb.HealthReply) leasedelegation.Isolation {
 	if n.stateReachable(storeSilenceThreshold) {
-		return delegation.Connected
+		return leasedelegation.Connected
 	}
 	for _, h := range reached {
 		if h.StateReached {
-			return delegation.NodeIsolated
+			return leasedelegation.NodeIsolated
 		}
 	}
 	if len(reached) < len(n.peers.Names()) {
-		return delegation.NodeIsolated
+		return leasedelegation.NodeIsolated
 	}
-	return delegation.StateServiceOutage
+	return leasedelegation.StateServiceOutage
 }
 
 // requestLeaseDelegation asks a peer for a grant, and for what it has done by its own.
 func (n *Node) requestLeaseDelegation(ctx context.Context, name string) error {
 	sent := n.clock.Now()
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.settings.NodeName, WantsDelegation: true})
+	data, err := msgpack.Marshal(peer.Batch{Node: n.settings.NodeName, WantsDelegation: true})
 	if err != nil {
 		return fmt.Errorf("asking for a grant: %w", err)
 	}
@@ -95,7 +97,7 @@
 	if err != nil {
 		return fmt.Errorf("asking for a grant: %w", err)
 	}
-	a, err := mesh.DecodeReply(reply)
+	a, err := peer.DecodeReply(reply)
 	switch {
 	case err != nil:
 		return fmt.Errorf("grant of %s can't be read: %w", name, err)
@@ -106,19 +108,19 @@
 	if err != nil {
 		return err
 	}
-	n.enqueue(ctx, PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
+	n.enqueue(ctx, controller.PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
 	return nil
 }
 
 // answerLeaseDelegation answers a peer that asks, or not at all if the core is overloaded.
-func (n *Node) answerLeaseDelegation(ctx context.Context, node string) *mesh.DelegationStatus {
-	ticket := make(chan DelegationReply, 1)
-	if !n.tryEnqueue(DelegationRequest{Ticket: ticket, Node: node}) {
+func (n *Node) answerLeaseDelegation(ctx context.Context, node string) *peer.DelegationStatus {
+	ticket := make(chan controller.DelegationReply, 1)
+	if !n.tryEnqueue(controller.DelegationRequest{Ticket: ticket, Node: node}) {
 		return nil
 	}
 	select {
 	case r := <-ticket:
-		return mesh.PackDelegationStatus(r.Status)
+		return peer.PackDelegationStatus(r.Status)
 	case <-ctx.Done():
 		return nil
 	}
--- a/internal/controller/relay.go
+++ b/internal/node/relay.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"context"
@@ -6,13 +6,15 @@
 	"net/http"
 	"time"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/api"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh"
+	"badgerbay/internal/peer"
 	"badgerbay/internal/relay"
-	"badgerbay/internal/unit"
-	"badgerbay/internal/userapi"
 )
 
 const (
@@ -26,8 +28,8 @@
 
 // relayHeartbeat brings a report to the leader: over the mesh, or, when that is
 // cut, through the state service.
-func (n *Node) relayHeartbeat(ctx context.Context, leader string, r *fleet.Heartbeat) HeartbeatReply {
-	refused := HeartbeatReply{Code: http.StatusServiceUnavailable}
+func (n *Node) relayHeartbeat(ctx context.Context, leader string, r *fleet.Heartbeat) controller.HeartbeatReply {
+	refused := controller.HeartbeatReply{Code: http.StatusServiceUnavailable}
 	if a, err := n.relayToPeer(ctx, leader, r); err == nil {
 		return replyOfAnswer(a)
 	}
@@ -54,33 +56,33 @@
 	}
 }
 
-func replyOfAnswer(a mesh.HeartbeatReply) HeartbeatReply {
-	return HeartbeatReply{Code: a.Code, Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
+func replyOfAnswer(a peer.HeartbeatReply) controller.HeartbeatReply {
+	return controller.HeartbeatReply{Code: a.Code, Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
 }
 
-func (n *Node) relayToPeer(ctx context.Context, leader string, r *fleet.Heartbeat) (mesh.HeartbeatReply, error) {
+func (n *Node) relayToPeer(ctx context.Context, leader string, r *fleet.Heartbeat) (peer.HeartbeatReply, error) {
 	if !n.peerReachable(leader) {
-		return mesh.HeartbeatReply{}, errors.New("the leader was not reached a moment ago")
+		return peer.HeartbeatReply{}, errors.New("the leader was not reached a moment ago")
 	}
-	data, err := msgpack.Marshal(mesh.Batch{Node: n.settings.NodeName, Heartbeats: []mesh.Heartbeat{mesh.PackHeartbeat(r)}})
+	data, err := msgpack.Marshal(peer.Batch{Node: n.settings.NodeName, Heartbeats: []peer.Heartbeat{peer.PackHeartbeat(r)}})
 	if err != nil {
-		return mesh.HeartbeatReply{}, err
+		return peer.HeartbeatReply{}, err
 	}
 	reply, err := n.peers.RelayBatch(ctx, leader, data)
 	n.notePeerResult(leader, err)
 	if err != nil {
-		return mesh.HeartbeatReply{}, err
+		return peer.HeartbeatReply{}, err
 	}
-	answers, err := mesh.DecodeReply(reply)
+	answers, err := peer.DecodeReply(reply)
 	if err != nil || len(answers.Heartbeats) != 1 {
-		return mesh.HeartbeatReply{}, errors.New("no answer")
+		return peer.HeartbeatReply{}, errors.New("no answer")
 	}
 	return answers.Heartbeats[0], nil
 }
 
 // relayCancel cancels a job through the state service.
-func (n *Node) relayCancel(ctx context.Context, id unit.JobID) userapi.LeaderReplied {
-	unknown := userapi.LeaderReplied{Outcome: userapi.NoLeader}
+func (n *Node) relayCancel(ctx context.Context, id ident.JobID) api.LeaderReplied {
+	unknown := api.LeaderReplied{Outcome: api.NoLeader}
 	item := relay.NewCancelRequest(id, n.clock.Now().Add(heartbeatBudget))
 	if !n.enqueueRelay(item) {
 		return unknown
@@ -90,7 +92,7 @@
 		if s.State == "" {
 			return unknown
 		}
-		return userapi.LeaderReplied{Outcome: userapi.JobFound, Status: userapi.Status{State: userapi.JobState(s.State), DoneTasks: s.DoneTasks}}
+		return api.LeaderReplied{Outcome: api.JobFound, Status: api.Status{State: api.JobState(s.State), DoneTasks: s.DoneTasks}}
 	case <-ctx.Done():
 		return unknown
 	}
--- a/internal/controller/relayup.go
+++ b/internal/node/relayuplink.go
@@ -1,14 +1,15 @@
-package controller
+package node
 
 import (
 	"context"
 	"strconv"
 	"time"
 
-	"badgerbay/internal/mesh"
+	"badgerbay/internal/clock"
+
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/peer"
 	"badgerbay/internal/relay"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
 )
 
 // runRelayUplink is the actor that carries what waits to the leader through the state
@@ -55,7 +56,7 @@
 // nextRelayBatch makes the next batch of the queue.
 func (n *Node) nextRelayBatch(id, answered string, queue []relay.PendingRequest) relay.Batch {
 	now := n.clock.Now()
-	header := relay.BatchHeader{ID: id, Node: n.settings.NodeName, AckedBatchID: answered, IdleFor: now.Sub(unit.Instant(n.delegateIdleSince.Load()))}
+	header := relay.BatchHeader{ID: id, Node: n.settings.NodeName, AckedBatchID: answered, IdleFor: now.Sub(clock.Instant(n.delegateIdleSince.Load()))}
 	batch, err := relay.NewBatch(now, header, queue, n.relayValueLimit())
 	if err != nil {
 		n.log.Error("batch can't be made", "err", err)
@@ -72,23 +73,23 @@
 // exchangeBatch writes a batch and waits for the leader's answers to it; it tells
 // whether they came.
 func (n *Node) exchangeBatch(ctx context.Context, id string, batch relay.Batch) bool {
-	if !n.budget.TakeWrites(n.clock.Now(), statestore.PurposeSubmission, 1) {
+	if !n.budget.TakeWrites(n.clock.Now(), kvstore.PurposeSubmission, 1) {
 		return false
 	}
-	key := mesh.BatchKeyPrefix + n.settings.NodeName
-	since, err := n.store.Commit(ctx, statestore.Txn{Operations: []statestore.Operation{{SetKey: key, Value: batch.Value}}})
+	key := peer.BatchKeyPrefix + n.settings.NodeName
+	since, err := n.store.Commit(ctx, kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: batch.Value}}})
 	if n.noteStoreResult(err) != nil {
 		return false
 	}
 	until := n.clock.Now().Add(relayAnswerTimeout)
 	for n.clock.Now().Before(until) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, mesh.ReplyKeyPrefix+n.settings.NodeName, since, until.Sub(n.clock.Now()))
+		log, next, err := n.store.Watch(ctx, peer.ReplyKeyPrefix+n.settings.NodeName, since, until.Sub(n.clock.Now()))
 		if n.noteStoreResult(err) != nil {
 			return false
 		}
 		since = max(since, next)
 		for _, c := range log {
-			a, err := mesh.DecompressReply(c.Value)
+			a, err := peer.DecompressReply(c.Value)
 			if err != nil {
 				n.metrics.MalformedBatches.Inc()
 				continue
--- a/internal/controller/server_test.go
+++ b/internal/node/server_test.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"bytes"
@@ -13,27 +13,30 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
 	"badgerbay/internal/config"
+	"badgerbay/internal/election"
 	"badgerbay/internal/fake"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/mesh"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/peer"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
 )
 
 // manualClock is a clock that a test turns.
-type manualClock struct{ now unit.Instant }
+type manualClock struct{ now clock.Instant }
 
-func (c *manualClock) Now() unit.Instant { return c.now }
-func (c *manualClock) Wall() time.Time   { return time.UnixMilli(1_700_000_000_000) }
+func (c *manualClock) Now() clock.Instant { return c.now }
+func (c *manualClock) Wall() time.Time    { return time.UnixMilli(1_700_000_000_000) }
 
 func testSettings() *config.Settings {
-	return &config.Settings{NodeName: "n0", Params: config.Params{Nodes: 3, Zones: []unit.Zone{"a", "b"},
+	return &config.Settings{NodeName: "n0", Params: config.Params{Nodes: 3, Zones: []ident.Zone{"a", "b"},
 		Teams:        []config.Team{{Name: "red", CPUGuarantee: 16, CPULimit: 40}, {Name: "blue", CPUGuarantee: 16, CPULimit: 24}},
 		Objectives:   []config.Objective{{Kind: "wait", Class: "svc", WithinSeconds: 5}},
 		Workers:      config.Workers{HeartbeatSeconds: 3, LeaseSeconds: 27, CancelSeconds: 50, GangWaitSeconds: 20, GangPeerSeconds: 8},
@@ -58,14 +61,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &nodeFixture{srv: &fake.KVServer{Store: fake.NewKVStore()}, clock: &manualClock{now: unit.Instant(time.Hour)}}
+	b := &nodeFixture{srv: &fake.KVServer{Store: fake.NewKVStore()}, clock: &manualClock{now: clock.Instant(time.Hour)}}
 	b.n, err = newNode(set, pol, slog.New(slog.NewTextHandler(io.Discard, nil)),
 		dependencies{clock: b.clock, state: b.srv, cloud: unavailableCloud{}, worker: unavailableCloud{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	types := []*fleet.MachineType{{Name: "m", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, Zones: []unit.Zone{"a"}}}
-	b.n.core.Step(b.clock.now, MachineTypesRead{Types: types})
+	types := []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}
+	b.n.core.Step(b.clock.now, controller.MachineTypesRead{Types: types})
 	b.n.view.Store(&coreView{machineTypes: types})
 	b.http = b.n.routes()
 	return b
@@ -77,10 +80,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	c := b.n.core
-	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeysRead{OK: true}})
-	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
-	c.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeyAcquired{Outcome: leadership.OutcomeOK, Epoch: 77}})
-	c.Step(b.clock.now, RecordsRead{Epoch: 77, OK: true})
+	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true}})
+	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
+	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeyAcquired{Outcome: election.OutcomeOK, Epoch: 77}})
+	c.Step(b.clock.now, controller.RecordsRead{Epoch: 77, OK: true})
 	b.n.view.Store(&coreView{leader: "n0", machineTypes: c.MachineTypes(), epoch: 77})
 	go func() {
 		for {
@@ -120,7 +123,7 @@
 		"loaner": true, "expectedS": 10.0, "folioS": 0.0, "bindS": 0.0}
 }
 
-func heartbeatBody(token unit.Epoch) map[string]any {
+func heartbeatBody(token ident.Epoch) map[string]any {
 	return map[string]any{"shamba": "host-000001", "addr": "127.0.0.1:1", "frame": "m", "hall": "a", "loaner": false,
 		"shift": 1, "tally": 1, "seal": token, "entries": []any{}}
 }
@@ -178,8 +181,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go mesh.Serve(l, &peerServer{n: other.n}, minQueuedRequests)
-	if b.n.peers, err = mesh.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
+	go peer.Serve(l, &peerServer{n: other.n}, minQueuedRequests)
+	if b.n.peers, err = peer.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.n.peers.Close)
@@ -193,10 +196,10 @@
 	if took := time.Since(begun); took > 2*time.Second {
 		t.Errorf("taken after %v", took)
 	}
-	if item, err := other.srv.Store.Get(checkpoint.Key("wk-000001")); err != nil || item.ModRevision == 0 {
+	if item, err := other.srv.Store.Get(jobs.Key("wk-000001")); err != nil || item.ModRevision == 0 {
 		t.Errorf("accepted and not stored: %v", err)
 	}
-	for b.n.budget.TakeWrites(b.clock.now, statestore.PurposeSubmission, 1) {
+	for b.n.budget.TakeWrites(b.clock.now, kvstore.PurposeSubmission, 1) {
 	}
 	if w := b.call("POST", "/submissions", submissionBody("wk-000002")); w.Code != 201 {
 		t.Errorf("%d with no changes left here, and some there", w.Code)
@@ -229,10 +232,10 @@
 // up to the moment the answer leaves, so that their leases really run out.
 func TestHeartbeatsAnsweredOnlyWhileEntitled(t *testing.T) {
 	b := newNodeFixture(t)
-	b.n.core.Step(b.clock.now, ElectionInput{Input: leadership.LeaderKeysRead{OK: true, Leader: leadership.LeaderRecord{Node: "n1"}, Epoch: 5}})
-	ticket := make(chan HeartbeatReply, 1)
+	b.n.core.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
+	ticket := make(chan controller.HeartbeatReply, 1)
 	r := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
-	b.n.step(context.Background(), HeartbeatReceived{Ticket: ticket, Heartbeat: r})
+	b.n.step(context.Background(), controller.HeartbeatReceived{Ticket: ticket, Heartbeat: r})
 	if got := <-ticket; got.Code != 421 || got.Leader != "n1" {
 		t.Errorf("follower answers %+v", got)
 	}
@@ -243,7 +246,7 @@
 		t.Fatalf("leader answers %d", w.Code)
 	}
 	w := httptest.NewRecorder()
-	b.n.writeHeartbeatReply(w, HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
+	b.n.writeHeartbeatReply(w, controller.HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
 	if w.Code != 503 {
 		t.Errorf("an answer that leaves too late has status %d", w.Code)
 	}
@@ -295,17 +298,17 @@
 // takes the machine types that a leader has kept, and can validate.
 func TestMachineTypesOutliveCloudOutage(t *testing.T) {
 	b := newNodeFixture(t)
-	holder := statestore.Txn{Operations: []statestore.Operation{{SetKey: leadership.LeaderKey, Value: leadership.LeaderRecord{Node: "n0"}}}}
+	holder := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	epoch, err := b.srv.Store.Commit(holder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	types := b.n.core.MachineTypes()
-	b.n.view.Store(&coreView{leader: "n0", machineTypes: types, epoch: unit.Epoch(epoch)})
+	b.n.view.Store(&coreView{leader: "n0", machineTypes: types, epoch: ident.Epoch(epoch)})
 	b.n.storeMachineTypes(context.Background(), types)
 	b.n.view.Store(&coreView{})
 	b.n.readMachineTypes(context.Background())
-	in, ok := (<-b.n.inbox).(MachineTypesRead)
+	in, ok := (<-b.n.inbox).(controller.MachineTypesRead)
 	if !ok || len(in.Types) != 1 || in.Types[0].Name != "m" || !in.Types[0].Capacity.Fits(types[0].Capacity) {
 		t.Errorf("machine types %+v", in.Types)
 	}
--- a/internal/controller/standby.go
+++ b/internal/node/standby.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"context"
@@ -7,14 +7,17 @@
 	"sync/atomic"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/julienschmidt/httprouter"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/feature"
-	"badgerbay/internal/leadership"
+	"badgerbay/internal/election"
+	"badgerbay/internal/featuregate"
+	"badgerbay/internal/kvstore"
 	"badgerbay/internal/standby"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
 	"badgerbay/internal/wire"
 )
 
@@ -25,13 +28,13 @@
 	follower  *standby.Follower
 	published atomic.Pointer[standbySnapshot]
 	ready     bool // as the core was told last
-	machines  atomic.Pointer[MachineSnapshot]
+	machines  atomic.Pointer[controller.MachineSnapshot]
 }
 
 // standbySnapshot is what the actor publishes after each look.
 type standbySnapshot struct {
 	replica *standby.Replica
-	status  func(now unit.Instant) standby.Status
+	status  func(now clock.Instant) standby.Status
 }
 
 // errRequestBudgetExhausted: the node's share of the requests to the state service is used up.
@@ -40,10 +43,10 @@
 // standbyTickInterval is how often the actor looks whether something is due.
 const standbyTickInterval = 100 * time.Millisecond
 
-func newStandbyActor(n *Node, w *feature.WarmStandby) *standbyActor {
+func newStandbyActor(n *Node, w *featuregate.WarmStandby) *standbyActor {
 	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Options{SyncInterval: w.SyncInterval}, w.ReplicaBytes())}
 	a.publish()
-	a.machines.Store(&MachineSnapshot{})
+	a.machines.Store(&controller.MachineSnapshot{})
 	return a
 }
 
@@ -51,7 +54,7 @@
 // within what the leader leaves of the cloud's call rate.
 func (a *standbyActor) listMachines(ctx context.Context) {
 	cloud := a.n.settings.Params.Cloud
-	calls := statestore.NewTokenBucket(cloud.RPS*(1-LeaderCloudShare)/float64(max(1, len(a.n.settings.Peers))), 1)
+	calls := kvstore.NewTokenBucket(cloud.RPS*(1-controller.LeaderCloudShare)/float64(max(1, len(a.n.settings.Peers))), 1)
 	for a.n.sleep(ctx, standby.MachineListInterval) {
 		if a.n.view.Load().epoch != 0 {
 			continue
@@ -63,9 +66,9 @@
 }
 
 // readList reads all pages of the list.
-func (a *standbyActor) readList(ctx context.Context, calls *statestore.TokenBucket) (*MachineSnapshot, bool) {
-	known := &MachineSnapshot{RequestedAt: a.n.clock.Now()}
-	var since unit.MachineID
+func (a *standbyActor) readList(ctx context.Context, calls *kvstore.TokenBucket) (*controller.MachineSnapshot, bool) {
+	known := &controller.MachineSnapshot{RequestedAt: a.n.clock.Now()}
+	var since ident.MachineID
 	for {
 		for !calls.Take(a.n.clock.Now(), 1, 0) {
 			if !a.n.sleep(ctx, calls.Delay(a.n.clock.Now(), 1, 0)) {
@@ -85,9 +88,9 @@
 }
 
 // knownMachines are those that this node has listed as a standby.
-func (n *Node) knownMachines() MachineSnapshot {
+func (n *Node) knownMachines() controller.MachineSnapshot {
 	if n.standby == nil {
-		return MachineSnapshot{}
+		return controller.MachineSnapshot{}
 	}
 	return *n.standby.machines.Load()
 }
@@ -155,7 +158,7 @@
 	}
 	a.ready = ready
 	a.n.log.Info("standby", "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
-	a.n.enqueue(ctx, ElectionInput{Input: leadership.ReplicaState{Ready: ready}})
+	a.n.enqueue(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
 }
 
 // standbyStatus is what the node tells operators of itself as a standby.
@@ -200,7 +203,7 @@
 	w.Write(data)
 }
 
-func (a *standbyActor) describe(now unit.Instant, v *coreView, answer *standbyStatus) {
+func (a *standbyActor) describe(now clock.Instant, v *coreView, answer *standbyStatus) {
 	status := a.published.Load().status(now)
 	answer.Enabled = true
 	if v.epoch == 0 {
--- a/internal/controller/submit.go
+++ b/internal/node/submissions.go
@@ -1,4 +1,4 @@
-package controller
+package node
 
 import (
 	"context"
@@ -7,19 +7,21 @@
 	"slices"
 	"time"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+
 	"github.com/julienschmidt/httprouter"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
-	"badgerbay/internal/userapi"
+	"badgerbay/internal/api"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 )
 
 func (n *Node) handleSubmit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	data, err := readBody(w, r, userapi.MaxBodyBytes)
+	data, err := readBody(w, r, api.MaxBodyBytes)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		n.writeAnswer(w, "", userapi.Response{Code: http.StatusBadRequest})
+		n.writeAnswer(w, "", api.Response{Code: http.StatusBadRequest})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitBudget)
@@ -44,17 +46,17 @@
 // want of the state service or of its share of the writes, is handed to the
 // others too: a job is stored only if it does not exist, so whichever node
 // comes first stores it, and the rest find it there.
-func (n *Node) acceptSubmission(ctx context.Context, data []byte, forward bool) (unit.JobID, userapi.Response) {
-	sub, err := userapi.DecodeSubmission(data)
+func (n *Node) acceptSubmission(ctx context.Context, data []byte, forward bool) (ident.JobID, api.Response) {
+	sub, err := api.DecodeSubmission(data)
 	if err != nil {
 		n.log.Debug("submission refused", "err", err)
-		return "", userapi.Response{Code: http.StatusBadRequest}
+		return "", api.Response{Code: http.StatusBadRequest}
 	}
-	req := userapi.NewSubmitRequest(sub, n.validationRules(), n.clock.Wall().UnixMilli())
+	req := api.NewSubmitRequest(sub, n.validationRules(), n.clock.Wall().UnixMilli())
 	if !forward {
 		return sub.ID, n.runRequest(ctx, sub.ID, req)
 	}
-	own := make(chan userapi.Response, 1)
+	own := make(chan api.Response, 1)
 	go func() { own <- n.runRequest(ctx, sub.ID, req) }()
 	wait := hedgeDelay
 	if !n.stateReachable(time.Second) {
@@ -73,10 +75,10 @@
 
 // hedgeSubmission hands a submission to the others and answers with what comes first
 // that accepts it; a refusal counts only once nobody is left to ask.
-func (n *Node) hedgeSubmission(ctx context.Context, data []byte, own <-chan userapi.Response) userapi.Response {
-	others := make(chan userapi.Response, 1)
+func (n *Node) hedgeSubmission(ctx context.Context, data []byte, own <-chan api.Response) api.Response {
+	others := make(chan api.Response, 1)
 	go func() { others <- n.forwardSubmission(ctx, data) }()
-	refusal := userapi.Response{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
+	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: time.Second}
 	var last <-chan time.Time
 	for range 2 {
 		select {
@@ -123,7 +125,7 @@
 }
 
 // forwardSubmission asks others that the mesh reaches to store a submission.
-func (n *Node) forwardSubmission(ctx context.Context, data []byte) userapi.Response {
+func (n *Node) forwardSubmission(ctx context.Context, data []byte) api.Response {
 	asked := 0
 	for _, name := range n.forwardTargets() {
 		if asked == maxForwardTargets || !n.peerReachable(name) {
@@ -135,49 +137,49 @@
 			n.notePeerResult(name, err)
 		}
 		if err == nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
-			return userapi.Response{Code: int(reply.Status), Status: userapi.Status{State: userapi.JobState(reply.Body)}}
+			return api.Response{Code: int(reply.Status), Status: api.Status{State: api.JobState(reply.Body)}}
 		}
 	}
-	return userapi.Response{Code: http.StatusServiceUnavailable}
+	return api.Response{Code: http.StatusServiceUnavailable}
 }
 
-func (n *Node) validationRules() *userapi.AdmissionRules {
-	return &userapi.AdmissionRules{Teams: n.teams, Zones: n.settings.Params.Zones, MachineTypes: n.view.Load().machineTypes, StateLimits: n.settings.Params.StateService.Strictest()}
+func (n *Node) validationRules() *api.AdmissionRules {
+	return &api.AdmissionRules{Teams: n.teams, Zones: n.settings.Params.Zones, MachineTypes: n.view.Load().machineTypes, StateLimits: n.settings.Params.StateService.Strictest()}
 }
 
 // createJob stores a job if it does not exist. Only refusals for want of changes
 // count for the pace: others may store what the state service refuses this node.
-func (n *Node) createJob(ctx context.Context, id unit.JobID, req *userapi.Request, rec *checkpoint.Record) userapi.CreateResult {
-	if now := n.clock.Now(); !n.budget.TakeWrites(now, statestore.PurposeSubmission, 1) {
-		req.SetRetryAfter(n.budget.WriteDelay(now, statestore.PurposeSubmission) + n.retryPacer.Rejected())
-		return userapi.Rejected
+func (n *Node) createJob(ctx context.Context, id ident.JobID, req *api.Request, rec *jobs.Record) api.CreateResult {
+	if now := n.clock.Now(); !n.budget.TakeWrites(now, kvstore.PurposeSubmission, 1) {
+		req.SetRetryAfter(n.budget.WriteDelay(now, kvstore.PurposeSubmission) + n.retryPacer.Rejected())
+		return api.Rejected
 	}
 	n.retryPacer.Accepted()
-	key := checkpoint.Key(id)
-	_, err := n.store.Commit(ctx, statestore.Txn{
-		Conditions: []statestore.Condition{{Key: key, ModRevision: 0}},
-		Operations: []statestore.Operation{{SetKey: key, Value: rec}},
+	key := jobs.Key(id)
+	_, err := n.store.Commit(ctx, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: key, ModRevision: 0}},
+		Operations: []kvstore.Operation{{SetKey: key, Value: rec}},
 	})
-	var conflict *statestore.ConflictError
+	var conflict *kvstore.ConflictError
 	switch n.noteStoreResult(err); {
 	case err == nil:
 		go n.notifyLeader(id)
 		n.quotaHolder.tryEnqueue(id, &rec.Spec)
-		return userapi.Stored
+		return api.Stored
 	case errors.As(err, &conflict):
-		return userapi.AlreadyExists
-	case errors.Is(err, statestore.ErrOutcomeUnknown):
-		return userapi.Indeterminate
+		return api.AlreadyExists
+	case errors.Is(err, kvstore.ErrOutcomeUnknown):
+		return api.Indeterminate
 	}
-	return userapi.Rejected
+	return api.Rejected
 }
 
 // notifyLeader tells the leader of a new job. If the notice is lost, the leader's
 // watch finds the job a moment later.
-func (n *Node) notifyLeader(id unit.JobID) {
+func (n *Node) notifyLeader(id ident.JobID) {
 	v := n.view.Load()
 	if v.epoch != 0 {
-		n.tryEnqueue(JobChanged{Job: id})
+		n.tryEnqueue(controller.JobChanged{Job: id})
 		return
 	}
 	if v.leader == "" || v.leader == n.settings.NodeName {
--- a/internal/controller/commit.go
+++ b/internal/node/transactions.go
@@ -1,34 +1,36 @@
-package controller
+package node
 
 import (
 	"context"
 	"errors"
 
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/statestore"
+	"badgerbay/internal/controller"
+
+	"badgerbay/internal/election"
+	"badgerbay/internal/kvstore"
 )
 
 // commit applies a transaction of the leader and finds out what became of it.
 // Without an answer it is sent again: its guards name the versions it changes,
 // so it is applied at most once, and a conflict after an unanswered try is
 // settled by reading back.
-func (n *Node) commit(ctx context.Context, c CommitTransaction) {
+func (n *Node) commit(ctx context.Context, c controller.CommitTransaction) {
 	unsure := false
 	for {
 		v, err := n.store.Commit(ctx, c.Txn)
-		done := TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: leadership.OutcomeOf(n.noteStoreResult(err)), Revision: v}
-		var conflict *statestore.ConflictError
+		done := controller.TransactionCompleted{Kind: c.Kind, Epoch: c.Epoch, Outcome: election.OutcomeOf(n.noteStoreResult(err)), Revision: v}
+		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
 		case errors.As(err, &conflict):
 			done = n.resolveConflict(ctx, c, done, conflict, unsure)
-		case errors.Is(err, statestore.ErrOutcomeUnknown) || unsure:
-			unsure = unsure || errors.Is(err, statestore.ErrOutcomeUnknown)
+		case errors.Is(err, kvstore.ErrOutcomeUnknown) || unsure:
+			unsure = unsure || errors.Is(err, kvstore.ErrOutcomeUnknown)
 			if !n.leadsInTerm(c.Epoch) || !n.sleep(ctx, uncertainRetryInterval) {
 				return
 			}
 			continue
-		case errors.Is(err, statestore.ErrRejected):
+		case errors.Is(err, kvstore.ErrRejected):
 			limits := n.settings.Params.StateService.Strictest()
 			done.ExceedsNextLimits = c.Txn.Exceeds(limits.MaxValueBytes(), limits.MaxTxnOps)
 			n.metrics.OversizedRecords.Inc()
@@ -43,11 +45,11 @@
 // resolveConflict judges a conflict. If the leader guard failed, this node is deposed.
 // After an unanswered try, a key that has moved on was moved by that try: only
 // the leader of this epoch changes these keys.
-func (n *Node) resolveConflict(ctx context.Context, c CommitTransaction, done TransactionCompleted, conflict *statestore.ConflictError, unsure bool) TransactionCompleted {
-	done.Outcome, done.FailedConditions = leadership.OutcomeRefused, conflict.FailedKeys
+func (n *Node) resolveConflict(ctx context.Context, c controller.CommitTransaction, done controller.TransactionCompleted, conflict *kvstore.ConflictError, unsure bool) controller.TransactionCompleted {
+	done.Outcome, done.FailedConditions = election.OutcomeRefused, conflict.FailedKeys
 	for _, key := range conflict.FailedKeys {
-		if key == leadership.LeaderKey {
-			done.Outcome = leadership.OutcomeGone
+		if key == election.LeaderKey {
+			done.Outcome = election.OutcomeGone
 			return done
 		}
 	}
@@ -58,7 +60,7 @@
 		item, err := n.store.Get(ctx, c.Txn.OutcomeKey())
 		if n.noteStoreResult(err) == nil {
 			if c.Txn.WasApplied(item) {
-				done.Outcome, done.Revision, done.FailedConditions = leadership.OutcomeOK, item.ModRevision, nil
+				done.Outcome, done.Revision, done.FailedConditions = election.OutcomeOK, item.ModRevision, nil
 			}
 			return done
 		}
--- a/internal/mesh/relay.go
+++ b/internal/peer/batch.go
@@ -1,17 +1,20 @@
-package mesh
+package peer
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/delegation"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/quota"
-	"badgerbay/internal/rollout"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/schemaversion"
 	"badgerbay/internal/wire"
 )
 
@@ -36,38 +39,38 @@
 	AckedBatchID string `msgpack:"e,omitempty" json:"e,omitempty"`
 	IdleMs       int64  `msgpack:"q,omitempty" json:"q,omitempty"`
 	// SchemaVersion is what the node can; see package rollout.
-	SchemaVersion rollout.Version `msgpack:"f,omitempty" json:"f,omitempty"`
+	SchemaVersion schemaversion.Version `msgpack:"f,omitempty" json:"f,omitempty"`
 	// Quota is what a holder of team quotas asks; see package quota.
 	Quota *quota.AllocationRequest `msgpack:"qa,omitempty" json:"-"`
 }
 
 // CancelRequest is a cancellation on its way to the leader.
 type CancelRequest struct {
-	Job unit.JobID `msgpack:"j" json:"j"`
+	Job ident.JobID `msgpack:"j" json:"j"`
 }
 
 // Heartbeat is a worker's report with its tasks in groups.
 type Heartbeat struct {
-	Machine           unit.MachineID              `msgpack:"m" json:"m"`
+	Machine           ident.MachineID             `msgpack:"m" json:"m"`
 	Addr              string                      `msgpack:"a" json:"a"`
-	Type              unit.MachineType            `msgpack:"t" json:"t"`
-	Zone              unit.Zone                   `msgpack:"z" json:"z"`
+	Type              ident.MachineType           `msgpack:"t" json:"t"`
+	Zone              ident.Zone                  `msgpack:"z" json:"z"`
 	Spot              bool                        `msgpack:"s,omitempty" json:"s,omitempty"`
-	Session           unit.Session                `msgpack:"h" json:"h"`
-	HeartbeatSeq      unit.HeartbeatSeq           `msgpack:"y" json:"y"`
-	FencingToken      unit.Epoch                  `msgpack:"e" json:"e"`
+	Session           ident.Session               `msgpack:"h" json:"h"`
+	HeartbeatSeq      ident.HeartbeatSeq          `msgpack:"y" json:"y"`
+	FencingToken      ident.Epoch                 `msgpack:"e" json:"e"`
 	SpotNoticeSeconds *float64                    `msgpack:"n,omitempty" json:"n,omitempty"`
 	TaskGroups        wire.BoundedList[TaskGroup] `msgpack:"g,omitempty" json:"g,omitempty"`
 }
 
 // TaskGroup are tasks of one job and attempt in one state.
 type TaskGroup struct {
-	Job     unit.JobID      `msgpack:"j" json:"j"`
-	Attempt unit.Attempt    `msgpack:"a" json:"a"`
+	Job     ident.JobID     `msgpack:"j" json:"j"`
+	Attempt ident.Attempt   `msgpack:"a" json:"a"`
 	State   fleet.TaskState `msgpack:"s" json:"s"`
 	Cause   fleet.ExitCause `msgpack:"c,omitempty" json:"c,omitempty"`
 	Stored  bool            `msgpack:"d,omitempty" json:"d,omitempty"`
-	Indexes unit.Set        `msgpack:"i" json:"i"`
+	Indexes indexset.Set    `msgpack:"i" json:"i"`
 }
 
 // BatchReply is what the leader hands back for a batch.
@@ -81,52 +84,52 @@
 
 // DelegationStatus is what a node says of grants; see package delegation.
 type DelegationStatus struct {
-	Epoch         unit.Epoch                       `msgpack:"e" json:"e"`
-	TTLMs         int64                            `msgpack:"l" json:"l"`
-	IdleMs        int64                            `msgpack:"q" json:"q"`
-	Excluded      wire.BoundedList[unit.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
-	SchemaVersion rollout.Version                  `msgpack:"f,omitempty" json:"f,omitempty"`
+	Epoch         ident.Epoch                       `msgpack:"e" json:"e"`
+	TTLMs         int64                             `msgpack:"l" json:"l"`
+	IdleMs        int64                             `msgpack:"q" json:"q"`
+	Excluded      wire.BoundedList[ident.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
+	SchemaVersion schemaversion.Version             `msgpack:"f,omitempty" json:"f,omitempty"`
 	// EnforcesQuotas: as leader the node keeps to what was allotted of teams' limits.
 	EnforcesQuotas bool `msgpack:"k,omitempty" json:"k,omitempty"`
 }
 
 // PackDelegationStatus makes the form of it that travels.
-func PackDelegationStatus(s delegation.Status) *DelegationStatus {
-	return &DelegationStatus{Epoch: s.Epoch, TTLMs: s.GrantDuration.Milliseconds(), IdleMs: s.IdleFor.Milliseconds(), Excluded: s.ExcludedMachines, SchemaVersion: rollout.Latest, EnforcesQuotas: true}
+func PackDelegationStatus(s leasedelegation.Status) *DelegationStatus {
+	return &DelegationStatus{Epoch: s.Epoch, TTLMs: s.GrantDuration.Milliseconds(), IdleMs: s.IdleFor.Milliseconds(), Excluded: s.ExcludedMachines, SchemaVersion: schemaversion.Latest, EnforcesQuotas: true}
 }
 
 // Unpack undoes PackDelegation. What can't be is taken for no grant.
-func (v *DelegationStatus) Unpack() (delegation.Status, error) {
+func (v *DelegationStatus) Unpack() (leasedelegation.Status, error) {
 	const most = 1 << 40 // milliseconds: some decades
 	if v.TTLMs < 0 || v.TTLMs > most || v.IdleMs < 0 || v.IdleMs > most {
-		return delegation.Status{}, errors.New("a grant with an impossible time")
+		return leasedelegation.Status{}, errors.New("a grant with an impossible time")
 	}
-	return delegation.Status{Epoch: v.Epoch, GrantDuration: time.Duration(v.TTLMs) * time.Millisecond,
+	return leasedelegation.Status{Epoch: v.Epoch, GrantDuration: time.Duration(v.TTLMs) * time.Millisecond,
 		IdleFor: time.Duration(v.IdleMs) * time.Millisecond, ExcludedMachines: v.Excluded}, nil
 }
 
 // HeartbeatReply answers one report.
 type HeartbeatReply struct {
-	Machine  unit.MachineID                 `msgpack:"m" json:"m"`
+	Machine  ident.MachineID                `msgpack:"m" json:"m"`
 	Code     int                            `msgpack:"c" json:"c"`
-	Epoch    unit.Epoch                     `msgpack:"e" json:"e"`
+	Epoch    ident.Epoch                    `msgpack:"e" json:"e"`
 	Commands wire.BoundedList[CommandGroup] `msgpack:"o,omitempty" json:"o,omitempty"`
 }
 
 // CommandGroup are the same order for tasks of one job and attempt.
 type CommandGroup struct {
 	Kind               fleet.CommandKind `msgpack:"v" json:"v"`
-	Job                unit.JobID        `msgpack:"j" json:"j"`
-	Attempt            unit.Attempt      `msgpack:"a" json:"a"`
+	Job                ident.JobID       `msgpack:"j" json:"j"`
+	Attempt            ident.Attempt     `msgpack:"a" json:"a"`
 	GracePeriodSeconds float64           `msgpack:"l,omitempty" json:"l,omitempty"`
-	Indexes            unit.Set          `msgpack:"i" json:"i"`
+	Indexes            indexset.Set      `msgpack:"i" json:"i"`
 }
 
 // CancelReply answers an ask.
 type CancelReply struct {
-	Job       unit.JobID `msgpack:"j" json:"j"`
-	State     string     `msgpack:"s" json:"s"` // empty: ask again
-	DoneTasks int        `msgpack:"d,omitempty" json:"d,omitempty"`
+	Job       ident.JobID `msgpack:"j" json:"j"`
+	State     string      `msgpack:"s" json:"s"` // empty: ask again
+	DoneTasks int         `msgpack:"d,omitempty" json:"d,omitempty"`
 }
 
 // PackHeartbeat makes the compact form of a report.
@@ -153,8 +156,8 @@
 
 // taskGroupKey tells groups of tasks apart.
 type taskGroupKey struct {
-	job     unit.JobID
-	attempt unit.Attempt
+	job     ident.JobID
+	attempt ident.Attempt
 	state   fleet.TaskState
 	cause   fleet.ExitCause
 	stored  bool
@@ -171,14 +174,14 @@
 	out := &fleet.Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
 		Session: r.Session, HeartbeatSeq: r.HeartbeatSeq, FencingToken: r.FencingToken}
 	if r.SpotNoticeSeconds != nil {
-		out.InterruptionNoticed, out.InterruptionIn = true, unit.Seconds(*r.SpotNoticeSeconds)
+		out.InterruptionNoticed, out.InterruptionIn = true, clock.Seconds(*r.SpotNoticeSeconds)
 	}
 	for _, g := range r.TaskGroups {
 		if !g.Indexes.Valid(1<<20) || len(out.Tasks)+g.Indexes.Len() > maxTasksPerHeartbeat {
 			return nil, errors.New("relayed report with impossible tasks")
 		}
-		g.Indexes.Each(func(i unit.TaskIndex) bool {
-			out.Tasks = append(out.Tasks, fleet.TaskStatus{Task: unit.TaskID{Job: g.Job, Index: i},
+		g.Indexes.Each(func(i ident.TaskIndex) bool {
+			out.Tasks = append(out.Tasks, fleet.TaskStatus{Task: ident.TaskID{Job: g.Job, Index: i},
 				Attempt: g.Attempt, State: g.State, Cause: g.Cause, CheckpointStored: g.Stored})
 			return true
 		})
@@ -208,8 +211,8 @@
 		if !g.Indexes.Valid(1<<20) || len(out)+g.Indexes.Len() > maxTasksPerHeartbeat {
 			continue
 		}
-		g.Indexes.Each(func(i unit.TaskIndex) bool {
-			out = append(out, fleet.Command{Kind: g.Kind, Task: unit.TaskID{Job: g.Job, Index: i}, Attempt: g.Attempt,
+		g.Indexes.Each(func(i ident.TaskIndex) bool {
+			out = append(out, fleet.Command{Kind: g.Kind, Task: ident.TaskID{Job: g.Job, Index: i}, Attempt: g.Attempt,
 				GracePeriod: time.Duration(g.GracePeriodSeconds * float64(time.Second))})
 			return true
 		})
--- a/internal/mesh/relay_test.go
+++ b/internal/peer/batch_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"net"
@@ -6,17 +6,18 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/ident"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
 	"badgerbay/internal/wire"
 )
 
-func testTask(i unit.TaskIndex) unit.TaskID { return unit.TaskID{Job: "wk-000001", Index: i} }
+func testTask(i ident.TaskIndex) ident.TaskID { return ident.TaskID{Job: "wk-000001", Index: i} }
 
 // TestHeartbeatRoundTrip: what a worker said must reach the leader as it
 // was, and the leader's orders the worker in their sequence.
--- a/internal/mesh/mesh.go
+++ b/internal/peer/clients.go
@@ -1,5 +1,5 @@
-// Package mesh carries what the controller nodes say to one another over gRPC.
-package mesh
+// Package peer carries what the controller nodes say to one another over gRPC.
+package peer
 
 import (
 	"context"
@@ -10,14 +10,15 @@
 	"syscall"
 	"time"
 
+	"badgerbay/internal/ident"
+
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
 	"badgerbay/internal/config"
-	"badgerbay/internal/mesh/meshpb"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/peer/meshpb"
 )
 
 const (
@@ -154,7 +155,7 @@
 
 // MachineIDsFit tells whether the names of machines fit into one message, beside what
 // else it holds.
-func MachineIDsFit(names []unit.MachineID) bool {
+func MachineIDsFit(names []ident.MachineID) bool {
 	const head = 3 // of a text of up to 64 KiB
 	size := 0
 	for _, name := range names {
--- a/internal/mesh/versions_test.go
+++ b/internal/peer/compatibility_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh/meshpb"
+	"badgerbay/internal/peer/meshpb"
 	"badgerbay/internal/wire"
 )
 
--- a/internal/mesh/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bytes"
@@ -10,17 +10,19 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"badgerbay/internal/delegation"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh/meshpb"
+	"badgerbay/internal/leasedelegation"
+	"badgerbay/internal/peer/meshpb"
 	"badgerbay/internal/quota"
-	"badgerbay/internal/unit"
 	"badgerbay/internal/wire"
 )
 
@@ -49,16 +51,16 @@
 		ID: "k3v9-17", Node: "n0", WantsDelegation: true, AckedBatchID: "k3v9-16", IdleMs: 2500, SchemaVersion: 3,
 		Heartbeats: []Heartbeat{
 			{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 88, FencingToken: 41,
-				TaskGroups: []TaskGroup{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: unit.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
+				TaskGroups: []TaskGroup{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: indexset.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
 			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, HeartbeatSeq: 12, FencingToken: 40, SpotNoticeSeconds: &notice,
 				TaskGroups: []TaskGroup{
-					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, Stored: true, Indexes: unit.Set{{First: 2, Last: 2}}},
-					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.ExitDone, Indexes: unit.Set{{First: 300, Last: 70000}}}}},
+					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, Stored: true, Indexes: indexset.Set{{First: 2, Last: 2}}},
+					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.ExitDone, Indexes: indexset.Set{{First: 300, Last: 70000}}}}},
 		},
 		CancelRequests: []CancelRequest{{Job: "wk-000398"}},
 		Quota: &quota.AllocationRequest{Holder: quota.HolderID{Node: "n0", ModRevision: 515},
 			Teams: []quota.TeamRequest{{Team: "red", ReleaseSeq: 4, Ceiling: quota.Quantity{MilliCPU: 64000, MilliGPU: 2000}, Desired: quota.Quantity{MilliCPU: 96500, MilliGPU: 1}}},
-			Jobs:  []unit.JobID{"wk-000001", "wk-000002"}},
+			Jobs:  []ident.JobID{"wk-000001", "wk-000002"}},
 	}
 }
 
@@ -68,12 +70,12 @@
 		ID: "k3v9-17",
 		Heartbeats: []HeartbeatReply{
 			{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []CommandGroup{
-				{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
-				{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
-				{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
+				{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: indexset.Set{{First: 0, Last: 1}}},
+				{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: indexset.Set{{First: 3, Last: 3}}},
+				{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: indexset.Set{{First: 2, Last: 2}}}}},
 			{Machine: "host-000002", Code: 503, Epoch: 77}},
 		Cancellations: []CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}, {Job: "wk-000399"}},
-		Delegation:    &DelegationStatus{Epoch: 77, TTLMs: 30000, IdleMs: 1500, Excluded: []unit.MachineID{"host-000007"}, SchemaVersion: 3, EnforcesQuotas: true},
+		Delegation:    &DelegationStatus{Epoch: 77, TTLMs: 30000, IdleMs: 1500, Excluded: []ident.MachineID{"host-000007"}, SchemaVersion: 3, EnforcesQuotas: true},
 		Quota: &quota.AllocationResponse{Holder: quota.HolderID{Node: "n0", ModRevision: 515}, Epoch: 77, Revoked: true,
 			Teams:   []quota.TeamAllocation{{Team: "red", ReleaseSeq: 5, Allocated: quota.Quantity{MilliCPU: 32000, MilliGPU: 1000}, Recall: quota.Quantity{MilliCPU: 500}}},
 			JobCaps: []quota.JobCap{{Job: "wk-000001", MaxTasks: 17}}},
@@ -107,7 +109,7 @@
 		{"answers-empty", &BatchReply{}, msgpack.Marshal, func(d []byte) (any, error) { return DecodeReply(d) }, nil},
 		{"answers-squeezed", goldenReply(), encodeValue, func(d []byte) (any, error) { return DecompressReply(d) }, nil},
 		{"answers-json", goldenReply(), json.Marshal, func(d []byte) (any, error) { a := new(BatchReply); return a, json.Unmarshal(d, a) }, ignoreQuota},
-		{"delegation", PackDelegationStatus(delegation.Status{Epoch: 9, GrantDuration: 7 * time.Second, IdleFor: 40 * time.Millisecond, ExcludedMachines: []unit.MachineID{"m1", "m2"}}),
+		{"delegation", PackDelegationStatus(leasedelegation.Status{Epoch: 9, GrantDuration: 7 * time.Second, IdleFor: 40 * time.Millisecond, ExcludedMachines: []ident.MachineID{"m1", "m2"}}),
 			msgpack.Marshal, func(d []byte) (any, error) { v := new(DelegationStatus); return v, msgpack.Unmarshal(d, v) }, nil},
 	}
 	for _, tt := range tests {
@@ -122,7 +124,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		}
-		if diff := cmp.Diff(tt.message, got, append(tt.options, cmpopts.EquateComparable(unit.Span{}))...); diff != "" {
+		if diff := cmp.Diff(tt.message, got, append(tt.options, cmpopts.EquateComparable(indexset.Span{}))...); diff != "" {
 			t.Errorf("%s: decoded otherwise: %s", tt.name, diff)
 		}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -12,11 +12,12 @@
 	"slices"
 	"time"
 
+	"badgerbay/internal/clock"
+
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"badgerbay/internal/feature"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/featuregate"
 )
 
 //go:embed default.star
@@ -53,7 +54,7 @@
 	PreferSpot           bool          `star:"prefer_spot"`
 
 	// Features are the sections of package feature, each a dictionary.
-	Features feature.Features
+	Features featuregate.Features
 }
 
 // Error names the setting that is wrong.
@@ -106,7 +107,7 @@
 		if key[0] == '_' {
 			continue
 		}
-		if slices.Contains(feature.SectionNames(), key) {
+		if slices.Contains(featuregate.SectionNames(), key) {
 			section, err := jsonValue(globals[key])
 			if err != nil {
 				return &Error{key, err.Error()}
@@ -145,8 +146,8 @@
 	if len(sections) == 0 {
 		return nil
 	}
-	features, err := feature.Decode(sections)
-	var wrong *feature.Error
+	features, err := featuregate.Decode(sections)
+	var wrong *featuregate.Error
 	if errors.As(err, &wrong) {
 		return &Error{wrong.Field, wrong.Reason}
 	}
@@ -155,7 +156,7 @@
 }
 
 func knownNames(fields map[string]int) []string {
-	return slices.Sorted(slices.Values(append(feature.SectionNames(), slices.Collect(maps.Keys(fields))...)))
+	return slices.Sorted(slices.Values(append(featuregate.SectionNames(), slices.Collect(maps.Keys(fields))...)))
 }
 
 func evaluate(name, script string) (starlark.StringDict, error) {
@@ -200,7 +201,7 @@
 	}
 	switch field.Interface().(type) {
 	case time.Duration:
-		field.SetInt(int64(unit.Seconds(x)))
+		field.SetInt(int64(clock.Seconds(x)))
 	case int:
 		if x != float64(int(x)) {
 			return &Error{key, "must be a whole number"}
--- a/internal/quota/ledger.go
+++ b/internal/quota/allocator.go
@@ -7,10 +7,12 @@
 	"slices"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/election"
+	"badgerbay/internal/kvstore"
 )
 
 const (
@@ -27,24 +29,24 @@
 	holderTimeout = 5 * time.Second
 )
 
-func leaderCondition(epoch unit.Epoch) statestore.Condition {
-	return statestore.Condition{Key: leadership.LeaderKey, ModRevision: unit.Revision(epoch)}
+func leaderCondition(epoch ident.Epoch) kvstore.Condition {
+	return kvstore.Condition{Key: election.LeaderKey, ModRevision: ident.Revision(epoch)}
 }
 
 // teamAccount is what the leader knows of a team.
 type teamAccount struct {
 	limit, guarantee Quantity
 	record           TeamRecord
-	revision         unit.Revision // of the stored record; 0: there is none
-	blockedDemand    Quantity      // what found no room in what is not allotted
-	blockedAt        unit.Instant
+	revision         ident.Revision // of the stored record; 0: there is none
+	blockedDemand    Quantity       // what found no room in what is not allotted
+	blockedAt        clock.Instant
 	damaged          bool // the stored record can't be read
 }
 
 // nodeReservations are those of one node, as they were last read.
 type nodeReservations struct {
-	holderRevision unit.Revision
-	revision       unit.Revision
+	holderRevision ident.Revision
+	revision       ident.Revision
 	jobs           []Reservation
 }
 
@@ -52,12 +54,12 @@
 type pendingRequest struct {
 	request    AllocationRequest
 	ticket     any
-	receivedAt unit.Instant
+	receivedAt clock.Instant
 }
 
 // pendingChange is a transaction of the ledger that is under way.
 type pendingChange struct {
-	records        map[unit.Team]TeamRecord
+	records        map[ident.Team]TeamRecord
 	removedHolders []string // nodes whose keys and reservations are removed
 	requesters     []string // nodes whose asks it answers
 }
@@ -65,40 +67,40 @@
 // JobUsage is what the ledger must know of the leader's jobs.
 type JobUsage struct {
 	// Uncovered is what is placed of a team and no reservation covers.
-	Uncovered func(unit.Team) Quantity
+	Uncovered func(ident.Team) Quantity
 	// RemainingTasks is how many tasks of a job may still be under way; false: the job
 	// is not known.
-	RemainingTasks func(unit.JobID) (int, bool)
+	RemainingTasks func(ident.JobID) (int, bool)
 }
 
 // Allocator is the leader's side: the state machine of one term. What is not allotted is
 // the leader's own.
 type Allocator struct {
-	enabled         bool       // it may allot; else it only honours what earlier leaders have
-	firstEpoch      unit.Epoch // of the term
-	epoch           unit.Epoch
-	teams           map[unit.Team]*teamAccount
-	holderRevisions map[string]unit.Revision // holder keys
+	enabled         bool        // it may allot; else it only honours what earlier leaders have
+	firstEpoch      ident.Epoch // of the term
+	epoch           ident.Epoch
+	teams           map[ident.Team]*teamAccount
+	holderRevisions map[string]ident.Revision // holder keys
 	reservations    map[string]nodeReservations
-	covered         map[unit.JobID]Reservation // what reservations cover
-	jobCaps         map[unit.JobID]int         // what was told to holders in this term
-	lastRequest     map[string]unit.Instant    // when a holder last asked, or was first seen
+	covered         map[ident.JobID]Reservation // what reservations cover
+	jobCaps         map[ident.JobID]int         // what was told to holders in this term
+	lastRequest     map[string]clock.Instant    // when a holder last asked, or was first seen
 	pendingRequests map[string]pendingRequest
 
 	loaded                  bool
 	readInFlight            bool
-	readStarted, loadedFrom unit.Instant // when the present look, and the last whole one, began
+	readStarted, loadedFrom clock.Instant // when the present look, and the last whole one, began
 	nextRead,
-	nextChange unit.Instant
+	nextChange clock.Instant
 	inFlight *pendingChange
 	revoked  int
 }
 
 // NewAllocator returns the ledger of a term that began in the epoch. With allots it gives
 // holders what they ask for.
-func NewAllocator(teams map[unit.Team]config.Team, allots bool, epoch unit.Epoch) (*Allocator, error) {
-	l := &Allocator{enabled: allots, firstEpoch: epoch, epoch: epoch, teams: map[unit.Team]*teamAccount{}, holderRevisions: map[string]unit.Revision{}, reservations: map[string]nodeReservations{},
-		covered: map[unit.JobID]Reservation{}, jobCaps: map[unit.JobID]int{}, lastRequest: map[string]unit.Instant{}, pendingRequests: map[string]pendingRequest{}}
+func NewAllocator(teams map[ident.Team]config.Team, allots bool, epoch ident.Epoch) (*Allocator, error) {
+	l := &Allocator{enabled: allots, firstEpoch: epoch, epoch: epoch, teams: map[ident.Team]*teamAccount{}, holderRevisions: map[string]ident.Revision{}, reservations: map[string]nodeReservations{},
+		covered: map[ident.JobID]Reservation{}, jobCaps: map[ident.JobID]int{}, lastRequest: map[string]clock.Instant{}, pendingRequests: map[string]pendingRequest{}}
 	for name, t := range teams {
 		limit, err := LimitOf(t)
 		if err != nil {
@@ -117,7 +119,7 @@
 }
 
 // SetEpoch takes in a raised token.
-func (l *Allocator) SetEpoch(e unit.Epoch) { l.epoch = e }
+func (l *Allocator) SetEpoch(e ident.Epoch) { l.epoch = e }
 
 // Ready tells whether the records have been read: before, nobody knows what is
 // allotted, and nothing may be placed.
@@ -127,7 +129,7 @@
 func (l *Allocator) ChangeInFlight() bool { return l.inFlight != nil }
 
 // BeginReadIfDue tells whether the records should be read now, and notes that they are.
-func (l *Allocator) BeginReadIfDue(now unit.Instant) bool {
+func (l *Allocator) BeginReadIfDue(now clock.Instant) bool {
 	active := !l.loaded || len(l.holderRevisions)+len(l.reservations)+len(l.pendingRequests) > 0 || l.hasAllocations()
 	if l.readInFlight || now.Before(l.nextRead) || !active {
 		return false
@@ -147,7 +149,7 @@
 
 // Load takes in all records, as they were read in the epoch. An error is of a record
 // that a later version has written: this one must not decide.
-func (l *Allocator) Load(now unit.Instant, epoch unit.Epoch, items []statestore.KeyValue, ok bool) error {
+func (l *Allocator) Load(now clock.Instant, epoch ident.Epoch, items []kvstore.KeyValue, ok bool) error {
 	if epoch < l.firstEpoch {
 		return nil // of an earlier term: holders may have changed them since
 	}
@@ -155,7 +157,7 @@
 	if !ok || l.inFlight != nil {
 		return nil // what is being changed is read again
 	}
-	holders, reserved := map[string]unit.Revision{}, map[string]nodeReservations{}
+	holders, reserved := map[string]ident.Revision{}, map[string]nodeReservations{}
 	for _, item := range items {
 		if err := l.loadItem(now, item, holders, reserved); err != nil {
 			return err
@@ -171,7 +173,7 @@
 	return nil
 }
 
-func (l *Allocator) loadItem(now unit.Instant, item statestore.KeyValue, holders map[string]unit.Revision, reserved map[string]nodeReservations) error {
+func (l *Allocator) loadItem(now clock.Instant, item kvstore.KeyValue, holders map[string]ident.Revision, reserved map[string]nodeReservations) error {
 	if node, ok := nameFromKey(item.Key, holderPrefix); ok {
 		holders[node] = item.ModRevision
 		if _, known := l.lastRequest[node]; !known {
@@ -190,12 +192,12 @@
 		}
 	}
 	if team, ok := nameFromKey(item.Key, teamPrefix); ok {
-		return l.loadTeam(unit.Team(team), item)
+		return l.loadTeam(ident.Team(team), item)
 	}
 	return nil
 }
 
-func (l *Allocator) loadTeam(team unit.Team, item statestore.KeyValue) error {
+func (l *Allocator) loadTeam(team ident.Team, item kvstore.KeyValue) error {
 	a := l.teams[team]
 	if a == nil {
 		// Of a team that the settings do not name any more. It can submit nothing.
@@ -224,7 +226,7 @@
 func (l *Allocator) updateCovered() {
 	clear(l.covered)
 	for node, r := range l.reservations {
-		sums := map[unit.Team]Quantity{}
+		sums := map[ident.Team]Quantity{}
 		for i := range r.jobs {
 			one := &r.jobs[i]
 			if most, told := l.jobCaps[one.Job]; told {
@@ -247,7 +249,7 @@
 }
 
 // CoveredTasks is how many tasks of a team's job reservations cover.
-func (l *Allocator) CoveredTasks(job unit.JobID, team unit.Team) int {
+func (l *Allocator) CoveredTasks(job ident.JobID, team ident.Team) int {
 	if r, ok := l.covered[job]; ok && r.Team == team {
 		return r.Tasks
 	}
@@ -255,7 +257,7 @@
 }
 
 // Allocated is what is allotted of a team's limit.
-func (l *Allocator) Allocated(team unit.Team) Quantity {
+func (l *Allocator) Allocated(team ident.Team) Quantity {
 	if a := l.teams[team]; a != nil {
 		return a.record.Allocated()
 	}
@@ -263,14 +265,14 @@
 }
 
 // NoteBlocked notes that work of a team found no room for so much in what is not allotted.
-func (l *Allocator) NoteBlocked(now unit.Instant, team unit.Team, units Quantity) {
+func (l *Allocator) NoteBlocked(now clock.Instant, team ident.Team, units Quantity) {
 	if a := l.teams[team]; a != nil {
 		a.blockedDemand, a.blockedAt = units, now
 	}
 }
 
 // recallTarget tells what is wanted back of a team.
-func (a *teamAccount) recallTarget(now unit.Instant) Quantity {
+func (a *teamAccount) recallTarget(now clock.Instant) Quantity {
 	over := a.record.Allocated().Sub(a.limit).Max(Quantity{})
 	if a.blockedAt != 0 && now.Sub(a.blockedAt) <= blockedDemandTTL {
 		return over.Max(a.blockedDemand)
@@ -279,7 +281,7 @@
 }
 
 // Receive takes in a holder's ask; its answer comes with Answers.
-func (l *Allocator) Receive(now unit.Instant, ask AllocationRequest, ticket any) {
+func (l *Allocator) Receive(now clock.Instant, ask AllocationRequest, ticket any) {
 	if !ask.valid() {
 		return
 	}
@@ -299,7 +301,7 @@
 
 // Step decides what to change and whom to answer. may tells whether every node keeps
 // to allotments; teams bounds the records of one change.
-func (l *Allocator) Step(now unit.Instant, use JobUsage, may bool, teams int) (*statestore.Txn, []Reply) {
+func (l *Allocator) Step(now clock.Instant, use JobUsage, may bool, teams int) (*kvstore.Txn, []Reply) {
 	if !l.loaded || l.inFlight != nil || now.Before(l.nextChange) {
 		return nil, nil
 	}
@@ -307,7 +309,7 @@
 		l.nextChange = now.Add(minChangeInterval)
 		return txn, nil
 	}
-	c := &pendingChange{records: map[unit.Team]TeamRecord{}}
+	c := &pendingChange{records: map[ident.Team]TeamRecord{}}
 	var replies []Reply
 	for _, node := range slices.Sorted(maps.Keys(l.pendingRequests)) {
 		p := l.pendingRequests[node]
@@ -335,7 +337,7 @@
 
 // changeAllocations works out the allotments that a holder's ask changes, and tells whether it
 // changes any.
-func (l *Allocator) changeAllocations(now unit.Instant, c *pendingChange, ask AllocationRequest, use JobUsage, may bool, most int) bool {
+func (l *Allocator) changeAllocations(now clock.Instant, c *pendingChange, ask AllocationRequest, use JobUsage, may bool, most int) bool {
 	changed := false
 	for _, t := range ask.Teams {
 		a := l.teams[t.Team]
@@ -362,7 +364,7 @@
 // adjustAllocation changes a holder's allotment in a record as it asks: down to what it has
 // promised, and up to what it wants, as far as there is any. At most half of what is
 // left goes to one holder at a time, so that others find some too.
-func (l *Allocator) adjustAllocation(now unit.Instant, a *teamAccount, record *TeamRecord, holder HolderID, t TeamRequest, use JobUsage, may bool) bool {
+func (l *Allocator) adjustAllocation(now clock.Instant, a *teamAccount, record *TeamRecord, holder HolderID, t TeamRequest, use JobUsage, may bool) bool {
 	own := record.allocationOf(holder.Node)
 	if own != nil && own.Holder != holder {
 		return false // of an earlier incarnation, which is revoked first
@@ -395,7 +397,7 @@
 }
 
 // responseTo answers an ask with what is stored.
-func (l *Allocator) responseTo(now unit.Instant, p pendingRequest, use JobUsage) Reply {
+func (l *Allocator) responseTo(now clock.Instant, p pendingRequest, use JobUsage) Reply {
 	answer := AllocationResponse{Holder: p.request.Holder, Epoch: l.epoch}
 	for _, t := range p.request.Teams {
 		a := l.teams[t.Team]
@@ -419,7 +421,7 @@
 }
 
 // capJob notes what a holder was told of a job: it may free the rest from now on.
-func (l *Allocator) capJob(id unit.JobID, n int) {
+func (l *Allocator) capJob(id ident.JobID, n int) {
 	if old, told := l.jobCaps[id]; told && old <= n {
 		return
 	}
@@ -434,7 +436,7 @@
 
 // revokeNext takes everything from a holder that is gone or silent: in one transaction with
 // its key, where there is one, so that nothing which it has not stored can follow.
-func (l *Allocator) revokeNext(now unit.Instant, most int) *statestore.Txn {
+func (l *Allocator) revokeNext(now clock.Instant, most int) *kvstore.Txn {
 	if txn := l.replaceDamaged(most); txn != nil {
 		return txn
 	}
@@ -443,7 +445,7 @@
 		silent := stamp != 0 && now.Sub(l.lastRequest[node]) > holderTimeout
 		r, stored := l.reservations[node]
 		stale := stored && (silent || r.holderRevision != stamp)
-		c := &pendingChange{records: map[unit.Team]TeamRecord{}}
+		c := &pendingChange{records: map[ident.Team]TeamRecord{}}
 		for team, a := range l.teams {
 			if own := a.record.allocationOf(node); own != nil && (silent || own.Holder.ModRevision != stamp) && len(c.records) < most {
 				c.records[team] = a.record.without(node)
@@ -468,21 +470,21 @@
 }
 
 // appendRemoval adds the removal of a key to a transaction.
-func appendRemoval(txn *statestore.Txn, key string, stamp unit.Revision) {
-	txn.Conditions = append(txn.Conditions, statestore.Condition{Key: key, ModRevision: stamp})
-	txn.Operations = append(txn.Operations, statestore.Operation{DeleteKey: key})
+func appendRemoval(txn *kvstore.Txn, key string, stamp ident.Revision) {
+	txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: key, ModRevision: stamp})
+	txn.Operations = append(txn.Operations, kvstore.Operation{DeleteKey: key})
 }
 
 // replaceDamaged replaces a team's record that can't be read by one without
 // allotments, with the last of the transactions that remove all holder keys: whoever
 // had an allotment by it can store nothing more.
-func (l *Allocator) replaceDamaged(most int) *statestore.Txn {
+func (l *Allocator) replaceDamaged(most int) *kvstore.Txn {
 	for team, a := range l.teams {
 		if !a.damaged {
 			continue
 		}
 		holders := slices.Sorted(maps.Keys(l.holderRevisions))
-		c := &pendingChange{records: map[unit.Team]TeamRecord{}}
+		c := &pendingChange{records: map[ident.Team]TeamRecord{}}
 		if len(holders) <= most {
 			c.records[team] = TeamRecord{}
 		}
@@ -517,21 +519,21 @@
 
 // transaction stores a change, under the epoch and the versions of the records. Its first
 // write and its second guard are of the same record.
-func (l *Allocator) transaction(c *pendingChange) *statestore.Txn {
-	txn := &statestore.Txn{Conditions: []statestore.Condition{leaderCondition(l.epoch)}}
+func (l *Allocator) transaction(c *pendingChange) *kvstore.Txn {
+	txn := &kvstore.Txn{Conditions: []kvstore.Condition{leaderCondition(l.epoch)}}
 	for _, team := range slices.Sorted(maps.Keys(c.records)) {
 		a, record := l.teams[team], c.records[team]
 		record.SchemaVersion, record.Limit, record.Guarantee = recordSchemaVersion, a.limit, a.guarantee
 		c.records[team] = record
-		txn.Conditions = append(txn.Conditions, statestore.Condition{Key: TeamKey(team), ModRevision: a.revision})
-		txn.Operations = append(txn.Operations, statestore.Operation{SetKey: TeamKey(team), Value: &record})
+		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: TeamKey(team), ModRevision: a.revision})
+		txn.Operations = append(txn.Operations, kvstore.Operation{SetKey: TeamKey(team), Value: &record})
 	}
 	return txn
 }
 
 // CompleteChange takes in what became of the change under way, and answers whose asks it
 // was for. A change that was not stored is made anew once the records were read again.
-func (l *Allocator) CompleteChange(now unit.Instant, stored bool, version unit.Revision, use JobUsage) []Reply {
+func (l *Allocator) CompleteChange(now clock.Instant, stored bool, version ident.Revision, use JobUsage) []Reply {
 	c := l.inFlight
 	l.inFlight = nil
 	if c == nil {
@@ -569,8 +571,8 @@
 }
 
 // Status tells how the teams with limits are.
-func (l *Allocator) Status(now unit.Instant, use JobUsage) map[unit.Team]TeamStatus {
-	out := map[unit.Team]TeamStatus{}
+func (l *Allocator) Status(now clock.Instant, use JobUsage) map[ident.Team]TeamStatus {
+	out := map[ident.Team]TeamStatus{}
 	for team, a := range l.teams {
 		if !a.limit.IsLimited() {
 			continue
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -7,11 +7,12 @@
 	"strings"
 	"testing"
 
+	"badgerbay/internal/ident"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/quota"
-	"badgerbay/internal/unit"
 )
 
 // goldenCase is a stored record or a message between nodes.
@@ -57,7 +58,7 @@
 				{Team: "red", ReleaseSeq: 9, Ceiling: quota.Quantity{MilliCPU: 2000, MilliGPU: 1}, Desired: quota.Quantity{MilliCPU: 3000, MilliGPU: 2}},
 				{Team: "blue"},
 			},
-			Jobs: []unit.JobID{"wk-000412", "wk-000413"},
+			Jobs: []ident.JobID{"wk-000412", "wk-000413"},
 		}, decode: decodeAs[quota.AllocationRequest]},
 		"ask for nothing": {value: &quota.AllocationRequest{Holder: goldenHolder}, decode: decodeAs[quota.AllocationRequest]},
 		"answer": {value: &quota.AllocationResponse{
@@ -88,7 +89,7 @@
 			return diff, nil
 		}
 		if err == nil && r.TeamTotals == nil {
-			r.TeamTotals = map[unit.Team]quota.Quantity{} // nothing reserved is left out
+			r.TeamTotals = map[ident.Team]quota.Quantity{} // nothing reserved is left out
 		}
 		return r, err
 	}
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -5,8 +5,10 @@
 	"slices"
 	"time"
 
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/kvstore"
 )
 
 const (
@@ -31,18 +33,18 @@
 	Tick struct{}
 	// JobSubmitted is a job that this node has just stored, and nobody else has.
 	JobSubmitted struct {
-		Job        unit.JobID
-		Team       unit.Team
+		Job        ident.JobID
+		Team       ident.Team
 		Tasks      int
 		TaskDemand Quantity
 		Gang       bool // is admitted whole or not at all
 	}
 	// RegistrationDone answers Register. Stamp 0: it failed.
-	RegistrationDone struct{ ModRevision unit.Revision }
+	RegistrationDone struct{ ModRevision ident.Revision }
 	// StoreDone answers Store.
 	StoreDone struct {
 		Outcome     StoreOutcome
-		ModRevision unit.Revision // of the reservations
+		ModRevision ident.Revision // of the reservations
 	}
 	// ResponseReceived answers SendAsk; nil: nothing came.
 	ResponseReceived struct{ Response *AllocationResponse }
@@ -81,7 +83,7 @@
 	StoreReservations struct {
 		Key        string
 		Record     *ReservationRecord
-		Conditions []statestore.Condition
+		Conditions []kvstore.Condition
 	}
 	// SendRequest asks the leader.
 	SendRequest struct{ Request AllocationRequest }
@@ -101,14 +103,14 @@
 
 // demandSample is what a submission would have taken.
 type demandSample struct {
-	at       unit.Instant
+	at       clock.Instant
 	quantity Quantity
 }
 
 // reservationState is a reservation as the holder knows it. It counts for the larger of what is
 // stored and what is to be stored.
 type reservationState struct {
-	team          unit.Team
+	team          ident.Team
 	taskDemand    Quantity
 	targetTasks   int // that are to be stored
 	storedTasks   int // that are, or may be
@@ -123,23 +125,23 @@
 type Holder struct {
 	node         string
 	maxJobs      int
-	modRevision  unit.Revision // of the holder key; 0: not a holder
-	teams        map[unit.Team]*teamState
-	reservations map[unit.JobID]*reservationState
+	modRevision  ident.Revision // of the holder key; 0: not a holder
+	teams        map[ident.Team]*teamState
+	reservations map[ident.JobID]*reservationState
 
 	registering      bool
-	nextRegistration unit.Instant
-	lastDemand       unit.Instant
+	nextRegistration clock.Instant
+	lastDemand       clock.Instant
 	requestInFlight  bool
-	nextRequest      unit.Instant
-	lastQueriedJob   unit.JobID // the last job that was asked about
-	leaderEpoch      unit.Epoch // of the last answer
+	nextRequest      clock.Instant
+	lastQueriedJob   ident.JobID // the last job that was asked about
+	leaderEpoch      ident.Epoch // of the last answer
 
 	storeInFlight  bool
 	dirty          bool // the stored reservations differ
-	nextStore      unit.Instant
-	recordRevision unit.Revision // of the stored reservations
-	refused        int           // submissions that could not be admitted here
+	nextStore      clock.Instant
+	recordRevision ident.Revision // of the stored reservations
+	refused        int            // submissions that could not be admitted here
 	admitted       int
 }
 
@@ -150,11 +152,11 @@
 // NewHolder returns the holder of a node whose reservations may take so many bytes.
 func NewHolder(node string, valueBytes int) *Holder {
 	const head = 512 // of the record, with its sums
-	return &Holder{node: node, maxJobs: max(0, (valueBytes-head)/maxBytesPerReservation), teams: map[unit.Team]*teamState{}, reservations: map[unit.JobID]*reservationState{}}
+	return &Holder{node: node, maxJobs: max(0, (valueBytes-head)/maxBytesPerReservation), teams: map[ident.Team]*teamState{}, reservations: map[ident.JobID]*reservationState{}}
 }
 
 // Step takes one input at now and returns what to do.
-func (h *Holder) Step(now unit.Instant, in HolderInput) []HolderEffect {
+func (h *Holder) Step(now clock.Instant, in HolderInput) []HolderEffect {
 	switch in := in.(type) {
 	case Tick:
 		return h.tick(now)
@@ -170,7 +172,7 @@
 	return nil
 }
 
-func (h *Holder) team(team unit.Team) *teamState {
+func (h *Holder) team(team ident.Team) *teamState {
 	s := h.teams[team]
 	if s == nil {
 		s = &teamState{}
@@ -180,7 +182,7 @@
 }
 
 // reservedQuantity is what is reserved of a team's limit.
-func (h *Holder) reservedQuantity(team unit.Team) Quantity {
+func (h *Holder) reservedQuantity(team ident.Team) Quantity {
 	var sum Quantity
 	for _, r := range h.reservations {
 		if r.team == team {
@@ -191,7 +193,7 @@
 }
 
 // admit admits what fits of a job. What does not is the leader's to admit.
-func (h *Holder) admit(now unit.Instant, in JobSubmitted) {
+func (h *Holder) admit(now clock.Instant, in JobSubmitted) {
 	s := h.team(in.Team)
 	s.recentDemand = append(s.recentDemand, demandSample{now, in.TaskDemand.Mul(in.Tasks)})
 	h.lastDemand = now
@@ -209,7 +211,7 @@
 	h.admitted++
 }
 
-func (h *Holder) tick(now unit.Instant) []HolderEffect {
+func (h *Holder) tick(now clock.Instant) []HolderEffect {
 	var out []HolderEffect
 	if h.modRevision == 0 {
 		return h.register(now)
@@ -224,7 +226,7 @@
 }
 
 // register makes this node a holder, once anything is submitted to it.
-func (h *Holder) register(now unit.Instant) []HolderEffect {
+func (h *Holder) register(now clock.Instant) []HolderEffect {
 	if h.registering || now.Before(h.nextRegistration) || h.lastDemand == 0 || now.Sub(h.lastDemand) > demandWindow {
 		return nil
 	}
@@ -232,7 +234,7 @@
 	return []HolderEffect{Register{Node: h.node}}
 }
 
-func (h *Holder) registrationDone(now unit.Instant, in RegistrationDone) {
+func (h *Holder) registrationDone(now clock.Instant, in RegistrationDone) {
 	h.registering = false
 	h.nextRegistration = now.Add(registrationRetryDelay)
 	h.modRevision = in.ModRevision
@@ -240,9 +242,9 @@
 
 // dropAll gives up everything: the holder key is gone, so nothing that is stored under
 // it can follow.
-func (h *Holder) dropAll(now unit.Instant) {
+func (h *Holder) dropAll(now clock.Instant) {
 	h.modRevision, h.recordRevision, h.dirty, h.storeInFlight = 0, 0, false, false
-	h.reservations = map[unit.JobID]*reservationState{}
+	h.reservations = map[ident.JobID]*reservationState{}
 	for _, s := range h.teams {
 		s.allocated, s.releaseSeq, s.confirmedSeq = Quantity{}, 0, 0
 	}
@@ -252,7 +254,7 @@
 // storeReservations writes the reservations as they are to be. Freeing some is guarded by the
 // epoch of the leader that has allowed it: a later one may have read the stored ones,
 // and places by them.
-func (h *Holder) storeReservations(now unit.Instant) []HolderEffect {
+func (h *Holder) storeReservations(now clock.Instant) []HolderEffect {
 	var all []Reservation
 	for _, id := range slices.Sorted(maps.Keys(h.reservations)) {
 		r := h.reservations[id]
@@ -265,7 +267,7 @@
 		h.dropAll(now)
 		return nil
 	}
-	guards := []statestore.Condition{{Key: HolderKey(h.node), ModRevision: h.modRevision}, {Key: ReservationKey(h.node), ModRevision: h.recordRevision}}
+	guards := []kvstore.Condition{{Key: HolderKey(h.node), ModRevision: h.modRevision}, {Key: ReservationKey(h.node), ModRevision: h.recordRevision}}
 	lowering := false
 	for _, r := range h.reservations {
 		lowering = lowering || r.targetTasks < r.storedTasks
@@ -278,7 +280,7 @@
 	return []HolderEffect{StoreReservations{Key: ReservationKey(h.node), Record: record, Conditions: guards}}
 }
 
-func (h *Holder) storeDone(now unit.Instant, in StoreDone) {
+func (h *Holder) storeDone(now clock.Instant, in StoreDone) {
 	if !h.storeInFlight {
 		return
 	}
@@ -318,7 +320,7 @@
 
 // sendRequest tells the leader what this holder has and wants. What it wants less it has given
 // up before it says so.
-func (h *Holder) sendRequest(now unit.Instant) []HolderEffect {
+func (h *Holder) sendRequest(now clock.Instant) []HolderEffect {
 	ask := AllocationRequest{Holder: HolderID{h.node, h.modRevision}, Jobs: h.nextJobsToQuery()}
 	for _, team := range slices.Sorted(maps.Keys(h.teams)) {
 		s := h.teams[team]
@@ -341,10 +343,10 @@
 
 // desired is what a holder wants of a team's limit: what it has reserved, and as much
 // again as was submitted in the last seconds. What it has it keeps for a while.
-func (h *Holder) desired(now unit.Instant, team unit.Team, s *teamState) Quantity {
+func (h *Holder) desired(now clock.Instant, team ident.Team, s *teamState) Quantity {
 	recent := s.recentDemand[:0]
 	var sum Quantity
-	last := unit.Instant(0)
+	last := clock.Instant(0)
 	for _, d := range s.recentDemand {
 		if now.Sub(d.at) <= idleReleaseDelay {
 			recent = append(recent, d)
@@ -363,7 +365,7 @@
 }
 
 // nextJobsToQuery lists some jobs with reservations, others each time.
-func (h *Holder) nextJobsToQuery() []unit.JobID {
+func (h *Holder) nextJobsToQuery() []ident.JobID {
 	ids := slices.Sorted(maps.Keys(h.reservations))
 	from, _ := slices.BinarySearch(ids, h.lastQueriedJob+"\x00")
 	out := append(ids[from:len(ids):len(ids)], ids[:from]...)
@@ -375,7 +377,7 @@
 }
 
 // responseReceived takes in what the leader answers.
-func (h *Holder) responseReceived(now unit.Instant, in ResponseReceived) {
+func (h *Holder) responseReceived(now clock.Instant, in ResponseReceived) {
 	h.requestInFlight = false
 	a := in.Response
 	if a == nil || h.modRevision == 0 || a.Holder != (HolderID{h.node, h.modRevision}) {
@@ -410,7 +412,7 @@
 
 // release gives back what is wanted, as far as nothing is reserved of it, and says so
 // at once.
-func (h *Holder) release(now unit.Instant, team unit.Team, s *teamState, recall Quantity) {
+func (h *Holder) release(now clock.Instant, team ident.Team, s *teamState, recall Quantity) {
 	if recall.IsZero() || !recall.valid() {
 		return
 	}
@@ -425,10 +427,10 @@
 
 // HolderStatus is what an operator may know of a holder.
 type HolderStatus struct {
-	ModRevision       unit.Revision
+	ModRevision       ident.Revision
 	Jobs              int
 	Admitted, Refused int
-	Teams             map[unit.Team]TeamUsage
+	Teams             map[ident.Team]TeamUsage
 }
 
 // TeamUsage is what a holder has of a team's limit.
@@ -436,7 +438,7 @@
 
 // Status tells how the holder is.
 func (h *Holder) Status() HolderStatus {
-	out := HolderStatus{ModRevision: h.modRevision, Jobs: len(h.reservations), Admitted: h.admitted, Refused: h.refused, Teams: map[unit.Team]TeamUsage{}}
+	out := HolderStatus{ModRevision: h.modRevision, Jobs: len(h.reservations), Admitted: h.admitted, Refused: h.refused, Teams: map[ident.Team]TeamUsage{}}
 	for team, s := range h.teams {
 		out.Teams[team] = TeamUsage{s.allocated, h.reservedQuantity(team)}
 	}
--- a/internal/quota/check.go
+++ b/internal/quota/invariants.go
@@ -3,17 +3,18 @@
 import (
 	"fmt"
 
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/kvstore"
 )
 
 // CheckInvariants checks the records as they are stored at one revision: that no team's
 // allotments exceed its limit, and that no holder whose key is there has reserved more
 // than it was allotted.
-func CheckInvariants(items []statestore.KeyValue, teams map[unit.Team]config.Team) error {
-	holders := map[string]unit.Revision{}
-	records := map[unit.Team]*TeamRecord{}
+func CheckInvariants(items []kvstore.KeyValue, teams map[ident.Team]config.Team) error {
+	holders := map[string]ident.Revision{}
+	records := map[ident.Team]*TeamRecord{}
 	reserved := map[string]*ReservationRecord{}
 	for _, item := range items {
 		if node, ok := nameFromKey(item.Key, holderPrefix); ok {
@@ -24,7 +25,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", item.Key, err)
 			}
-			records[unit.Team(team)] = r
+			records[ident.Team(team)] = r
 		}
 		if node, ok := nameFromKey(item.Key, reservationPrefix); ok {
 			r, _, err := DecodeReservationRecord(item.Value)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,7 +1,7 @@
 package quota
 
 import (
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/wire"
 )
 
@@ -12,13 +12,13 @@
 	Teams  wire.BoundedList[TeamRequest] `msgpack:"t,omitempty"`
 	// Jobs are some of those that it has reservations for: it asks how many of
 	// their tasks may still be under way.
-	Jobs wire.BoundedList[unit.JobID] `msgpack:"j,omitempty"`
+	Jobs wire.BoundedList[ident.JobID] `msgpack:"j,omitempty"`
 }
 
 // TeamRequest is what a holder has, and wants, of a team's limit.
 type TeamRequest struct {
-	Team       unit.Team `msgpack:"t"`
-	ReleaseSeq uint64    `msgpack:"p"`
+	Team       ident.Team `msgpack:"t"`
+	ReleaseSeq uint64     `msgpack:"p"`
 	// Ceiling is what the holder does not go beyond from now on, in the promise.
 	Ceiling Quantity `msgpack:"c"`
 	Desired Quantity `msgpack:"w"` // in all
@@ -27,7 +27,7 @@
 // AllocationResponse is what the leader answers. What it says is stored.
 type AllocationResponse struct {
 	Holder  HolderID                         `msgpack:"h"`
-	Epoch   unit.Epoch                       `msgpack:"e"`
+	Epoch   ident.Epoch                      `msgpack:"e"`
 	Teams   wire.BoundedList[TeamAllocation] `msgpack:"t,omitempty"`
 	JobCaps wire.BoundedList[JobCap]         `msgpack:"j,omitempty"`
 	// Revoked: the holder key is gone, and with it all that it held.
@@ -36,17 +36,17 @@
 
 // TeamAllocation is a holder's allotment, as of a promise.
 type TeamAllocation struct {
-	Team       unit.Team `msgpack:"t"`
-	ReleaseSeq uint64    `msgpack:"p"`
-	Allocated  Quantity  `msgpack:"u"`
+	Team       ident.Team `msgpack:"t"`
+	ReleaseSeq uint64     `msgpack:"p"`
+	Allocated  Quantity   `msgpack:"u"`
 	// Recall is what is wanted back, as far as nothing is reserved of it.
 	Recall Quantity `msgpack:"r"`
 }
 
 // JobCap says how many tasks of a job a reservation may still cover.
 type JobCap struct {
-	Job      unit.JobID `msgpack:"j"`
-	MaxTasks int        `msgpack:"n"`
+	Job      ident.JobID `msgpack:"j"`
+	MaxTasks int         `msgpack:"n"`
 }
 
 // Bounds of messages from other nodes.
--- a/internal/quota/units.go
+++ b/internal/quota/quantity.go
@@ -10,8 +10,8 @@
 	"fmt"
 	"math"
 
-	"badgerbay/internal/checkpoint"
 	"badgerbay/internal/config"
+	"badgerbay/internal/jobs"
 )
 
 // Quantity are an amount of what a team's limit counts, in thousandths of a CPU and of
@@ -44,7 +44,7 @@
 }
 
 // DemandOf is what one task takes, rounded up.
-func DemandOf(s *checkpoint.Spec) (Quantity, error) {
+func DemandOf(s *jobs.Spec) (Quantity, error) {
 	cpu, err := checkedMillis(math.Ceil(s.CPUs*milliPerUnit - roundingTolerance))
 	gpu, err2 := checkedMillis(math.Ceil(s.GPUs*milliPerUnit - roundingTolerance))
 	return Quantity{cpu, gpu}, errors.Join(err, err2)
@@ -116,6 +116,6 @@
 }
 
 // Resources is the amount as the planner counts it.
-func (u Quantity) Resources() checkpoint.Resources {
-	return checkpoint.Resources{CPUs: float64(u.MilliCPU) / milliPerUnit, GPUs: float64(u.MilliGPU) / milliPerUnit}
+func (u Quantity) Resources() jobs.Resources {
+	return jobs.Resources{CPUs: float64(u.MilliCPU) / milliPerUnit, GPUs: float64(u.MilliGPU) / milliPerUnit}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,26 +10,28 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
 	"badgerbay/internal/config"
+	"badgerbay/internal/election"
 	"badgerbay/internal/fake"
-	"badgerbay/internal/leadership"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 )
 
-var oneTeam = map[unit.Team]config.Team{"red": {Name: "red", CPUGuarantee: 2, CPULimit: 4}}
+var oneTeam = map[ident.Team]config.Team{"red": {Name: "red", CPUGuarantee: 2, CPULimit: 4}}
 
 // cluster is holders and a leader around one state service. Its lock stands for that of
 // the service; every change is checked as it is made.
 type cluster struct {
 	mu           sync.Mutex
 	store        *fake.KVStore
-	teams        map[unit.Team]config.Team
-	now          unit.Instant
-	finishedJobs map[unit.JobID]bool // jobs that are over
+	teams        map[ident.Team]config.Team
+	now          clock.Instant
+	finishedJobs map[ident.JobID]bool // jobs that are over
 	violation    error
 	holders      []*testHolder
 	allocator    *Allocator
@@ -41,8 +43,8 @@
 	holder *Holder
 }
 
-func newCluster(holders int, teams map[unit.Team]config.Team) *cluster {
-	g := &cluster{store: fake.NewKVStore(), teams: teams, now: unit.Instant(time.Hour), finishedJobs: map[unit.JobID]bool{}, responses: map[string]*AllocationResponse{}}
+func newCluster(holders int, teams map[ident.Team]config.Team) *cluster {
+	g := &cluster{store: fake.NewKVStore(), teams: teams, now: clock.Instant(time.Hour), finishedJobs: map[ident.JobID]bool{}, responses: map[string]*AllocationResponse{}}
 	for i := range holders {
 		g.holders = append(g.holders, &testHolder{node: fmt.Sprintf("n%d", i)})
 		g.restart(i)
@@ -57,8 +59,8 @@
 
 // elect lets a new leader begin.
 func (g *cluster) elect() {
-	epoch, _ := g.commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: leadership.LeaderKey, Value: "leader"}}})
-	ledger, err := NewAllocator(g.teams, true, unit.Epoch(epoch))
+	epoch, _ := g.commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: "leader"}}})
+	ledger, err := NewAllocator(g.teams, true, ident.Epoch(epoch))
 	if err != nil {
 		panic(err)
 	}
@@ -66,7 +68,7 @@
 }
 
 // commit carries out a transaction and checks what is stored then.
-func (g *cluster) commit(t statestore.Txn) (unit.Revision, error) {
+func (g *cluster) commit(t kvstore.Txn) (ident.Revision, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v, err := g.store.Commit(t)
@@ -77,14 +79,14 @@
 	return v, err
 }
 
-func (g *cluster) list() []statestore.KeyValue {
+func (g *cluster) list() []kvstore.KeyValue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	items, _, _ := g.store.List(KeyPrefix)
 	return items
 }
 
-func (g *cluster) revisionOf(key string) unit.Revision {
+func (g *cluster) revisionOf(key string) ident.Revision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	item, _ := g.store.Get(key)
@@ -93,20 +95,20 @@
 
 // stepHolder gives a holder an input and carries out what it asks for, but for asks, which
 // are returned.
-func (g *cluster) stepHolder(m *testHolder, now unit.Instant, in HolderInput) (asks []AllocationRequest) {
+func (g *cluster) stepHolder(m *testHolder, now clock.Instant, in HolderInput) (asks []AllocationRequest) {
 	for _, e := range m.holder.Step(now, in) {
 		switch e := e.(type) {
 		case Register:
 			key := HolderKey(e.Node)
-			v, _ := g.commit(statestore.Txn{Conditions: []statestore.Condition{{Key: key, ModRevision: g.revisionOf(key)}}, Operations: []statestore.Operation{{SetKey: key, Value: e.Node}}})
+			v, _ := g.commit(kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, ModRevision: g.revisionOf(key)}}, Operations: []kvstore.Operation{{SetKey: key, Value: e.Node}}})
 			asks = append(asks, g.stepHolder(m, now, RegistrationDone{ModRevision: v})...)
 		case StoreReservations:
-			v, err := g.commit(statestore.Txn{Conditions: e.Conditions, Operations: []statestore.Operation{{SetKey: e.Key, Value: e.Record}}})
+			v, err := g.commit(kvstore.Txn{Conditions: e.Conditions, Operations: []kvstore.Operation{{SetKey: e.Key, Value: e.Record}}})
 			out := StoreDone{ModRevision: v}
-			if conflict := (*statestore.ConflictError)(nil); errors.As(err, &conflict) {
+			if conflict := (*kvstore.ConflictError)(nil); errors.As(err, &conflict) {
 				out.Outcome = StoreFailed
 				for _, key := range conflict.FailedKeys {
-					if key == leadership.LeaderKey && out.Outcome != StoreFenced {
+					if key == election.LeaderKey && out.Outcome != StoreFenced {
 						out.Outcome = StoreLeaderChanged
 					}
 					if key == e.Conditions[0].Key {
@@ -123,7 +125,7 @@
 }
 
 func (g *cluster) usage() JobUsage {
-	return JobUsage{Uncovered: func(unit.Team) Quantity { return Quantity{} }, RemainingTasks: func(id unit.JobID) (int, bool) {
+	return JobUsage{Uncovered: func(ident.Team) Quantity { return Quantity{} }, RemainingTasks: func(id ident.JobID) (int, bool) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.finishedJobs[id] {
@@ -134,7 +136,7 @@
 }
 
 // stepLeader lets the leader do what is due.
-func (g *cluster) stepLeader(now unit.Instant, answer func(Reply)) {
+func (g *cluster) stepLeader(now clock.Instant, answer func(Reply)) {
 	if g.allocator.BeginReadIfDue(now) {
 		if err := g.allocator.Load(now, g.allocator.epoch, g.list(), true); err != nil {
 			panic(err)
@@ -201,7 +203,7 @@
 func TestCheckInvariantsFindsOvershoot(t *testing.T) {
 	found := 0
 	eachOrder(2, 4, func(order int, g *cluster) {
-		g.teams = map[unit.Team]config.Team{"red": {Name: "red", CPULimit: 1}} // the leader has 4
+		g.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}} // the leader has 4
 		g.play(order, 6, 4)
 		if g.violation != nil {
 			found++
@@ -231,9 +233,9 @@
 }
 
 func admitForAMinute(holders, teams int) (admitted, submitted, changes int) {
-	limits := map[unit.Team]config.Team{}
+	limits := map[ident.Team]config.Team{}
 	for i := range teams {
-		name := unit.Team(fmt.Sprintf("team %d", i))
+		name := ident.Team(fmt.Sprintf("team %d", i))
 		limits[name] = config.Team{Name: name, CPULimit: 400}
 	}
 	g, rng := newCluster(holders, limits), rand.New(rand.NewPCG(1, 1))
@@ -242,7 +244,7 @@
 		for i, m := range g.holders {
 			if step%2 == 0 {
 				submitted++
-				g.stepHolder(m, g.now, JobSubmitted{Job: unit.JobID(fmt.Sprintf("wk-%02d%06d", i, step)), Team: unit.Team(fmt.Sprintf("team %d", rng.IntN(teams))), Tasks: 1 + rng.IntN(4), TaskDemand: Quantity{MilliCPU: 1000}})
+				g.stepHolder(m, g.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, step)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(teams))), Tasks: 1 + rng.IntN(4), TaskDemand: Quantity{MilliCPU: 1000}})
 			}
 			for _, ask := range g.stepHolder(m, g.now, Tick{}) {
 				g.allocator.Receive(g.now, ask, m.node)
@@ -263,7 +265,7 @@
 	var old []*AllocationResponse
 	asks := map[string]AllocationRequest{}
 	for i, m := range g.holders {
-		g.stepHolder(m, g.now, JobSubmitted{Job: unit.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 4, TaskDemand: Quantity{MilliCPU: 1000}})
+		g.stepHolder(m, g.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 4, TaskDemand: Quantity{MilliCPU: 1000}})
 		g.stepHolder(m, g.now, Tick{})
 	}
 	for range steps {
@@ -296,7 +298,7 @@
 			} else {
 				g.stepHolder(m, g.now, ResponseReceived{})
 			}
-			job := unit.JobID(fmt.Sprintf("wk-%06d", 100+int(g.now.Sub(0)/time.Millisecond)))
+			job := ident.JobID(fmt.Sprintf("wk-%06d", 100+int(g.now.Sub(0)/time.Millisecond)))
 			g.stepHolder(m, g.now, JobSubmitted{Job: job, Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
 			for _, ask := range g.stepHolder(m, g.now, Tick{}) {
 				asks[m.node] = ask
@@ -311,9 +313,9 @@
 // back.
 func TestConcurrentAdmission(t *testing.T) {
 	const holders, rounds = 10, 1500
-	teams := map[unit.Team]config.Team{}
+	teams := map[ident.Team]config.Team{}
 	for i := range 6 {
-		name := unit.Team(fmt.Sprintf("team %d", i))
+		name := ident.Team(fmt.Sprintf("team %d", i))
 		teams[name] = config.Team{Name: name, CPULimit: 20, GPULimit: float64(i)}
 	}
 	g := newCluster(holders, teams)
@@ -348,7 +350,7 @@
 			t.Errorf("%s: %v are left", item.Key, r.Allocated())
 		}
 	}
-	t.Logf("%d jobs admitted, between %d and %v a holder, in %v of simulated time; %d changes", sum, least, admitted, g.now.Sub(unit.Instant(time.Hour)), g.store.OperationCount)
+	t.Logf("%d jobs admitted, between %d and %v a holder, in %v of simulated time; %d changes", sum, least, admitted, g.now.Sub(clock.Instant(time.Hour)), g.store.OperationCount)
 }
 
 // runHolder submits jobs, dies now and then, and returns what it has admitted.
@@ -363,7 +365,7 @@
 		}
 		now := g.advance(0)
 		if round < rounds && rng.IntN(4) == 0 {
-			job := JobSubmitted{Job: unit.JobID(fmt.Sprintf("wk-%02d%06d", i, round)), Team: unit.Team(fmt.Sprintf("team %d", rng.IntN(6))),
+			job := JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, round)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(6))),
 				Tasks: 1 + rng.IntN(8), TaskDemand: Quantity{MilliCPU: 250 * rng.Int64N(8), MilliGPU: 250 * rng.Int64N(2)}, Gang: rng.IntN(5) == 0}
 			before := m.holder.admitted
 			g.stepHolder(m, now, job)
@@ -392,7 +394,7 @@
 }
 
 // advance lets time pass, and returns what time it is.
-func (g *cluster) advance(d time.Duration) unit.Instant {
+func (g *cluster) advance(d time.Duration) clock.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = g.now.Add(d)
@@ -512,7 +514,7 @@
 	g.stepHolder(m, g.now, JobSubmitted{Job: "wk-000001", Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
 	g.stepHolder(m, g.now, Tick{})
 	stamp := m.holder.modRevision
-	g.store.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: TeamKey("red"), Value: "damaged"}}})
+	g.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: TeamKey("red"), Value: "damaged"}}})
 	for range 4 {
 		g.now = g.now.Add(time.Second)
 		g.stepLeader(g.now, func(Reply) {})
@@ -530,7 +532,7 @@
 	if m.holder.modRevision == stamp {
 		t.Error("the holder was not told")
 	}
-	g.store.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: TeamKey("red"), Value: TeamRecord{SchemaVersion: 2}}}})
+	g.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: TeamKey("red"), Value: TeamRecord{SchemaVersion: 2}}}})
 	if err := g.allocator.Load(g.now, g.allocator.epoch, g.list(), true); !errors.Is(err, ErrNewerSchema) {
 		t.Errorf("a later schema: %v", err)
 	}
@@ -552,13 +554,13 @@
 		}
 	}
 	for i := range 4 {
-		g.stepHolder(m, g.now, JobSubmitted{Job: unit.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
+		g.stepHolder(m, g.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
 		work(2)
 	}
 	if got := g.allocator.Allocated("red"); got.MilliCPU < 3000 {
 		t.Fatalf("%v allotted of 4 CPUs", got)
 	}
-	g.teams = map[unit.Team]config.Team{"red": {Name: "red", CPULimit: 1}}
+	g.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}}
 	g.elect()
 	g.violation = nil // what is stored is beyond the new limit
 	work(20)
@@ -571,7 +573,7 @@
 }
 
 func TestQuantityRounding(t *testing.T) {
-	need, err := DemandOf(&checkpoint.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
+	need, err := DemandOf(&jobs.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
 	if err != nil || need != (Quantity{250, 1}) {
 		t.Errorf("%v, %v", need, err)
 	}
@@ -580,7 +582,7 @@
 		t.Errorf("%v, %v", limit, err)
 	}
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
-		if _, err := DemandOf(&checkpoint.Spec{CPUs: bad}); !errors.Is(err, ErrOutOfRange) {
+		if _, err := DemandOf(&jobs.Spec{CPUs: bad}); !errors.Is(err, ErrOutOfRange) {
 			t.Errorf("%v CPUs: %v", bad, err)
 		}
 	}
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -6,9 +6,10 @@
 	"net/url"
 	"strings"
 
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/unit"
 	"badgerbay/internal/wire"
 )
 
@@ -29,7 +30,7 @@
 const MaxHolders = 64
 
 // TeamKey is the key of a team's record.
-func TeamKey(team unit.Team) string { return teamPrefix + url.PathEscape(string(team)) }
+func TeamKey(team ident.Team) string { return teamPrefix + url.PathEscape(string(team)) }
 
 // HolderKey is the key by which a node is a holder.
 func HolderKey(node string) string { return holderPrefix + url.PathEscape(node) }
@@ -45,8 +46,8 @@
 
 // HolderID names one incarnation of a holder.
 type HolderID struct {
-	Node        string        `msgpack:"n" json:"n"`
-	ModRevision unit.Revision `msgpack:"s" json:"s"` // of its holder key
+	Node        string         `msgpack:"n" json:"n"`
+	ModRevision ident.Revision `msgpack:"s" json:"s"` // of its holder key
 }
 
 // Allocation is what a holder may reserve of a team's limit.
@@ -127,24 +128,24 @@
 // Reservation is what a holder has admitted of a job: so many tasks may be under way
 // at a time on units of its allotment.
 type Reservation struct {
-	Job        unit.JobID
-	Team       unit.Team
+	Job        ident.JobID
+	Team       ident.Team
 	Tasks      int
 	TaskDemand Quantity // of a task
 }
 
 // ReservationRecord is the value of a node's reservations.
 type ReservationRecord struct {
-	SchemaVersion  int           `msgpack:"v" json:"v"`
-	HolderRevision unit.Revision `msgpack:"h" json:"h"` // stamp of its holder key
+	SchemaVersion  int            `msgpack:"v" json:"v"`
+	HolderRevision ident.Revision `msgpack:"h" json:"h"` // stamp of its holder key
 	// TeamTotals are the sums by team, for those who do not read the jobs.
-	TeamTotals map[unit.Team]Quantity `msgpack:"u,omitempty" json:"u,omitempty"`
-	Packed     wire.Packed            `msgpack:"pk,omitempty" json:"pk,omitempty"`
+	TeamTotals map[ident.Team]Quantity `msgpack:"u,omitempty" json:"u,omitempty"`
+	Packed     wire.Packed             `msgpack:"pk,omitempty" json:"pk,omitempty"`
 }
 
 // NewReservationRecord packs reservations.
-func NewReservationRecord(holder unit.Revision, all []Reservation) (*ReservationRecord, error) {
-	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holder, TeamTotals: map[unit.Team]Quantity{}}
+func NewReservationRecord(holder ident.Revision, all []Reservation) (*ReservationRecord, error) {
+	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holder, TeamTotals: map[ident.Team]Quantity{}}
 	for _, r := range all {
 		out.TeamTotals[r.Team] = out.TeamTotals[r.Team].Add(r.TaskDemand.Mul(r.Tasks))
 	}
@@ -186,7 +187,7 @@
 			return err
 		}
 	}
-	r.Job, r.Team, r.Tasks = unit.JobID(job), unit.Team(team), int(min(numbers[0], uint64(maxMillis)))
+	r.Job, r.Team, r.Tasks = ident.JobID(job), ident.Team(team), int(min(numbers[0], uint64(maxMillis)))
 	r.TaskDemand = Quantity{int64(min(numbers[1], uint64(maxMillis)+1)), int64(min(numbers[2], uint64(maxMillis)+1))}
 	return nil
 }
@@ -219,7 +220,7 @@
 // check compares the sums with the reservations.
 func (r *ReservationRecord) check(all []Reservation) error {
 	const mostTasks = 100_000
-	sums := map[unit.Team]Quantity{}
+	sums := map[ident.Team]Quantity{}
 	for _, one := range all {
 		if one.Tasks < 1 || one.Tasks > mostTasks || !one.TaskDemand.valid() || one.Job == "" {
 			return fmt.Errorf("%w: reservation %+v", ErrMalformedRecord, one)
--- a/internal/takeover/records.go
+++ b/internal/recovery/records.go
@@ -1,46 +1,47 @@
-// Package takeover is what a new leader does before it decides anything: it reads
+// Package recovery is what a new leader does before it decides anything: it reads
 // the records that earlier leaders have left, and waits until nearly all machines
 // have reported to it. It does no I/O and changes nothing.
-package takeover
+package recovery
 
 import (
 	"errors"
 	"fmt"
 	"strings"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/rollout"
-	"badgerbay/internal/round"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/schemaversion"
 )
 
 // StoredRecords is everything that the state service holds, still encoded.
 type StoredRecords struct {
-	Jobs, Rounds    []statestore.KeyValue
-	Chunks          []statestore.KeyValue // of records of both kinds
-	SchemaAgreement statestore.KeyValue   // the form of records that was agreed on
+	Jobs, Rounds    []kvstore.KeyValue
+	Chunks          []kvstore.KeyValue // of records of both kinds
+	SchemaAgreement kvstore.KeyValue   // the form of records that was agreed on
 }
 
 // Records are what could be read of it.
 type Records struct {
 	Jobs   []JobRecord
-	Rounds []round.StoredRecord
+	Rounds []roundlog.StoredRecord
 	// LostRounds are the slots whose rounds can't be read.
-	LostRounds      []statestore.KeyValue
-	SchemaAgreement rollout.Agreement
+	LostRounds      []kvstore.KeyValue
+	SchemaAgreement schemaversion.Agreement
 	// Versions of the keys by which staged records and the agreement are guarded.
-	StageRevision, SchemaRevision unit.Revision
+	StageRevision, SchemaRevision ident.Revision
 	UnreadableRecords             []UnreadableRecord
 }
 
 // JobRecord is a job's record and its version.
 type JobRecord struct {
-	ID       unit.JobID
-	Record   *checkpoint.Record
-	Revision unit.Revision
+	ID       ident.JobID
+	Record   *jobs.Record
+	Revision ident.Revision
 }
 
 // UnreadableRecord is a record that can't be read.
@@ -52,7 +53,7 @@
 // FromNewerSchema tells whether a newer program has written the record: this one must not
 // decide without knowing what that one has decided.
 func (u UnreadableRecord) FromNewerSchema() bool {
-	return errors.Is(u.Err, checkpoint.ErrNewerSchema) || errors.Is(u.Err, round.ErrNewerSchema)
+	return errors.Is(u.Err, jobs.ErrNewerSchema) || errors.Is(u.Err, roundlog.ErrNewerSchema)
 }
 
 // DecodeRecords decodes all records. stageKey is the key that guards staged records.
@@ -75,10 +76,10 @@
 	return out
 }
 
-func (r *Records) decodeJobs(items []statestore.KeyValue, parts map[string][]byte) {
+func (r *Records) decodeJobs(items []kvstore.KeyValue, parts map[string][]byte) {
 	for _, item := range items {
-		id := unit.JobID(strings.TrimPrefix(item.Key, checkpoint.KeyPrefix))
-		job, err := DecodeJob(id, item, func(n int) []byte { return parts[checkpoint.ChunkKey(id, n)] })
+		id := ident.JobID(strings.TrimPrefix(item.Key, jobs.KeyPrefix))
+		job, err := DecodeJob(id, item, func(n int) []byte { return parts[jobs.ChunkKey(id, n)] })
 		if err != nil {
 			r.addUnreadable(item.Key, err)
 			continue
@@ -88,24 +89,24 @@
 }
 
 // DecodeJob decodes the record of one job; part returns its parts.
-func DecodeJob(id unit.JobID, item statestore.KeyValue, part func(n int) []byte) (JobRecord, error) {
-	record, err := checkpoint.DecodeWithChunks(item.Value, part)
+func DecodeJob(id ident.JobID, item kvstore.KeyValue, part func(n int) []byte) (JobRecord, error) {
+	record, err := jobs.DecodeWithChunks(item.Value, part)
 	if err != nil {
 		return JobRecord{}, fmt.Errorf("job %s: %w", id, err)
 	}
 	return JobRecord{ID: id, Record: record, Revision: item.ModRevision}, nil
 }
 
-func (r *Records) decodeRounds(items []statestore.KeyValue, parts map[string][]byte) {
+func (r *Records) decodeRounds(items []kvstore.KeyValue, parts map[string][]byte) {
 	for _, item := range items {
-		part := func(n int) []byte { return parts[round.ChunkKey(item.Key, n)] }
-		record, err := round.Decode(item.Value, part)
+		part := func(n int) []byte { return parts[roundlog.ChunkKey(item.Key, n)] }
+		record, err := roundlog.Decode(item.Value, part)
 		if err != nil {
 			r.addUnreadable(item.Key, err)
 			r.LostRounds = append(r.LostRounds, item)
 			continue
 		}
-		r.Rounds = append(r.Rounds, round.StoredRecord{Key: item.Key, Record: record, Revision: item.ModRevision})
+		r.Rounds = append(r.Rounds, roundlog.StoredRecord{Key: item.Key, Record: record, Revision: item.ModRevision})
 	}
 }
 
--- a/internal/takeover/gate.go
+++ b/internal/recovery/scheduling_gate.go
@@ -1,18 +1,20 @@
-package takeover
+package recovery
 
 import (
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
-	"badgerbay/internal/delegation"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/leasedelegation"
 )
 
 // SchedulingGate decides when a new leader may place tasks: "reconcile before create".
 type SchedulingGate struct {
-	AcquiredAt unit.Instant // the epoch
-	Epoch      unit.Epoch
+	AcquiredAt clock.Instant // the epoch
+	Epoch      ident.Epoch
 	Workers    config.Workers
 	// LostRounds: some round can't be read, so a task of it may run anywhere.
 	LostRounds bool
@@ -29,7 +31,7 @@
 // Open tells whether nearly all machines with placements have reported under the
 // epoch, or a report interval has passed and the quarter by which reports may be
 // late.
-func (g *SchedulingGate) Open(now unit.Instant, machines []*fleet.Machine) bool {
+func (g *SchedulingGate) Open(now clock.Instant, machines []*fleet.Machine) bool {
 	since := now.Sub(g.AcquiredAt)
 	if g.LostRounds && since < g.maxPlacementLifetime() {
 		return false
@@ -42,7 +44,7 @@
 // its end.
 func (g *SchedulingGate) maxPlacementLifetime() time.Duration {
 	const margin = 2 * time.Second
-	return g.Workers.LeaseTTL() + delegation.GrantDuration(g.Workers) + margin
+	return g.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.Workers) + margin
 }
 
 func (g *SchedulingGate) nearlyAllReported(machines []*fleet.Machine) bool {
--- a/internal/takeover/takeover_test.go
+++ b/internal/recovery/scheduling_gate_test.go
@@ -1,37 +1,39 @@
-package takeover
+package recovery
 
 import (
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 )
 
 const (
-	acquired = unit.Instant(time.Hour)
-	epoch    = unit.Epoch(10)
+	acquired = clock.Instant(time.Hour)
+	epoch    = ident.Epoch(10)
 )
 
 // machines are n that report and hold a task each, of which silent have not
 // reported under the epoch.
 func machines(t *testing.T, n, silent int) []*fleet.Machine {
 	t.Helper()
-	job := checkpoint.NewJob("wk-000001", checkpoint.NewRecord(checkpoint.Spec{Tasks: n, CPUs: 1}, 0), 1, acquired)
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second}, epoch, acquired, func(unit.JobID) *checkpoint.Job { return job })
+	job := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: n, CPUs: 1}, 0), 1, acquired)
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second}, epoch, acquired, func(ident.JobID) *jobs.Job { return job })
 	for i := range n {
-		id := unit.MachineID(rune('a' + i))
+		id := ident.MachineID(rune('a' + i))
 		token := epoch
 		if i < silent {
 			token = epoch - 1
 		}
 		f.ApplyHeartbeat(acquired, &fleet.Heartbeat{Machine: id, Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1, FencingToken: token}, true)
-		f.Place(acquired, &checkpoint.Placement{Job: job, Task: unit.TaskIndex(i), Machine: id, Session: 1, Attempt: 1})
+		f.Place(acquired, &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: id, Session: 1, Attempt: 1})
 	}
 	return f.Machines()
 }
@@ -80,9 +82,9 @@
 		{"some do not answer", 5, true, answerTimeout, true},
 		{"most do not answer", 11, true, answerTimeout, false},
 	} {
-		f := fleet.New(fleet.Timing{}, epoch, acquired, func(unit.JobID) *checkpoint.Job { return nil })
+		f := fleet.New(fleet.Timing{}, epoch, acquired, func(ident.JobID) *jobs.Job { return nil })
 		for i := range 20 {
-			f.Ensure(acquired, unit.MachineID(rune('a'+i))).Addr = "127.0.0.1:1"
+			f.Ensure(acquired, ident.MachineID(rune('a'+i))).Addr = "127.0.0.1:1"
 		}
 		var asking HeartbeatPoll
 		asked := f.ClaimHeartbeatRequests(20)
@@ -102,7 +104,7 @@
 // TestDecodeRecordsNamesUnreadable: a record that can't be read is named, and the
 // others are read all the same.
 func TestDecodeRecordsNamesUnreadable(t *testing.T) {
-	good, err := msgpack.Marshal(checkpoint.NewRecord(checkpoint.Spec{Tasks: 2, CPUs: 1}, 0))
+	good, err := msgpack.Marshal(jobs.NewRecord(jobs.Spec{Tasks: 2, CPUs: 1}, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,9 +113,9 @@
 		t.Fatal(err)
 	}
 	r := DecodeRecords(StoredRecords{
-		Jobs:   []statestore.KeyValue{{Key: "job/wk-000001", Value: good, ModRevision: 3}, {Key: "job/wk-000002", Value: []byte{0xc1}, ModRevision: 4}},
-		Rounds: []statestore.KeyValue{{Key: "round/1", Value: later, ModRevision: 5}},
-		Chunks: []statestore.KeyValue{{Key: "part/stage", Value: good, ModRevision: 6}},
+		Jobs:   []kvstore.KeyValue{{Key: "job/wk-000001", Value: good, ModRevision: 3}, {Key: "job/wk-000002", Value: []byte{0xc1}, ModRevision: 4}},
+		Rounds: []kvstore.KeyValue{{Key: "round/1", Value: later, ModRevision: 5}},
+		Chunks: []kvstore.KeyValue{{Key: "part/stage", Value: good, ModRevision: 6}},
 	}, "part/stage")
 	if len(r.Jobs) != 1 || r.Jobs[0].ID != "wk-000001" || r.Jobs[0].Revision != 3 || r.StageRevision != 6 {
 		t.Errorf("read %+v", r)
--- a/internal/relay/attest.go
+++ b/internal/relay/attestation.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+
+	"badgerbay/internal/peer"
 )
 
 // AnsweredBatches holds, for each node, the last batch that was answered through the state
@@ -13,15 +14,15 @@
 
 type answeredBatch struct {
 	id         string
-	answeredAt unit.Instant
+	answeredAt clock.Instant
 }
 
 // Record takes in that the answers to a node's batch leave.
-func (a AnsweredBatches) Record(node, id string, at unit.Instant) { a[node] = answeredBatch{id, at} }
+func (a AnsweredBatches) Record(node, id string, at clock.Instant) { a[node] = answeredBatch{id, at} }
 
 // Attestation is what a node says of the workers that it keeps by a grant.
 type Attestation struct {
-	Since   unit.Instant // it said so after this
+	Since   clock.Instant // it said so after this
 	IdleFor time.Duration
 }
 
@@ -31,7 +32,7 @@
 // Attestation returns what a node that is out of reach over the mesh says of its grant.
 // It said so after it had seen the answers that it names, so that counts from when
 // these left; a batch itself may be long on its way.
-func (a AnsweredBatches) Attestation(b *mesh.Batch) (Attestation, bool) {
+func (a AnsweredBatches) Attestation(b *peer.Batch) (Attestation, bool) {
 	last := a[b.Node]
 	if b.AckedBatchID == "" || last.id != b.AckedBatchID || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
 		return Attestation{}, false
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -6,10 +6,12 @@
 	"slices"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/rollout"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/peer"
+	"badgerbay/internal/schemaversion"
 	"badgerbay/internal/wire"
 )
 
@@ -17,21 +19,21 @@
 // or, if Report is nil, the cancellation of a job.
 type PendingRequest struct {
 	Heartbeat *fleet.Heartbeat
-	Job       unit.JobID
-	Deadline  unit.Instant // nobody waits for the answer any longer
+	Job       ident.JobID
+	Deadline  clock.Instant // nobody waits for the answer any longer
 	// HeartbeatReply receives the answer to a report, State that to a cancellation.
-	HeartbeatReply chan mesh.HeartbeatReply
-	CancelReply    chan mesh.CancelReply
+	HeartbeatReply chan peer.HeartbeatReply
+	CancelReply    chan peer.CancelReply
 }
 
 // NewHeartbeatRequest returns an item for a worker's report.
-func NewHeartbeatRequest(r *fleet.Heartbeat, until unit.Instant) PendingRequest {
-	return PendingRequest{Heartbeat: r, Deadline: until, HeartbeatReply: make(chan mesh.HeartbeatReply, 1)}
+func NewHeartbeatRequest(r *fleet.Heartbeat, until clock.Instant) PendingRequest {
+	return PendingRequest{Heartbeat: r, Deadline: until, HeartbeatReply: make(chan peer.HeartbeatReply, 1)}
 }
 
 // NewCancelRequest returns an item for the cancellation of a job.
-func NewCancelRequest(id unit.JobID, until unit.Instant) PendingRequest {
-	return PendingRequest{Job: id, Deadline: until, CancelReply: make(chan mesh.CancelReply, 1)}
+func NewCancelRequest(id ident.JobID, until clock.Instant) PendingRequest {
+	return PendingRequest{Job: id, Deadline: until, CancelReply: make(chan peer.CancelReply, 1)}
 }
 
 // sendOrder sorts what users ask before reports.
@@ -60,7 +62,7 @@
 // NewBatch compresses as much of the queue as a value of limit bytes holds, users'
 // requests first, and drops what has waited too long, and a single report that is
 // too large: it is of no use.
-func NewBatch(now unit.Instant, h BatchHeader, queue []PendingRequest, limit int) (Batch, error) {
+func NewBatch(now clock.Instant, h BatchHeader, queue []PendingRequest, limit int) (Batch, error) {
 	waiting := slices.DeleteFunc(slices.Clone(queue), func(i PendingRequest) bool { return !now.Before(i.Deadline) })
 	slices.SortStableFunc(waiting, func(a, b PendingRequest) int { return cmp.Compare(a.sendOrder(), b.sendOrder()) })
 	for count := len(waiting); count > 0; {
@@ -78,25 +80,25 @@
 	return Batch{}, nil
 }
 
-func newMessage(h BatchHeader, items []PendingRequest) *mesh.Batch {
-	b := &mesh.Batch{ID: h.ID, Node: h.Node, AckedBatchID: h.AckedBatchID, IdleMs: h.IdleFor.Milliseconds(), SchemaVersion: rollout.Latest}
+func newMessage(h BatchHeader, items []PendingRequest) *peer.Batch {
+	b := &peer.Batch{ID: h.ID, Node: h.Node, AckedBatchID: h.AckedBatchID, IdleMs: h.IdleFor.Milliseconds(), SchemaVersion: schemaversion.Latest}
 	for _, item := range items {
 		if item.Heartbeat != nil {
-			b.Heartbeats = append(b.Heartbeats, mesh.PackHeartbeat(item.Heartbeat))
+			b.Heartbeats = append(b.Heartbeats, peer.PackHeartbeat(item.Heartbeat))
 		} else {
-			b.CancelRequests = append(b.CancelRequests, mesh.CancelRequest{Job: item.Job})
+			b.CancelRequests = append(b.CancelRequests, peer.CancelRequest{Job: item.Job})
 		}
 	}
 	return b
 }
 
 // DeliverReplies hands the answers of a batch to those who wait for them.
-func DeliverReplies(a *mesh.BatchReply, sent []PendingRequest) {
-	reports := make(map[unit.MachineID]mesh.HeartbeatReply, len(a.Heartbeats))
+func DeliverReplies(a *peer.BatchReply, sent []PendingRequest) {
+	reports := make(map[ident.MachineID]peer.HeartbeatReply, len(a.Heartbeats))
 	for _, r := range a.Heartbeats {
 		reports[r.Machine] = r
 	}
-	asks := make(map[unit.JobID]mesh.CancelReply, len(a.Cancellations))
+	asks := make(map[ident.JobID]peer.CancelReply, len(a.Cancellations))
 	for _, s := range a.Cancellations {
 		asks[s.Job] = s
 	}
@@ -115,7 +117,7 @@
 
 // CompressReply compresses the answers to a batch into a value of limit bytes. What
 // does not fit is left out, and answered by the next batch.
-func CompressReply(a *mesh.BatchReply, limit int) (wire.Packed, error) {
+func CompressReply(a *peer.BatchReply, limit int) (wire.Packed, error) {
 	value, err := wire.CompressMessage(a)
 	for err == nil && len(a.Heartbeats) > 0 && len(value) > limit {
 		a.Heartbeats = a.Heartbeats[:len(a.Heartbeats)/2]
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -6,27 +6,30 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/peer"
 )
 
 // TestGoldenBatch: the values that nodes and leader exchange through the state
 // service stay as other versions write and read them.
 func TestGoldenBatch(t *testing.T) {
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	reports := []*fleet.Heartbeat{
 		{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 88, FencingToken: 41, Tasks: []fleet.TaskStatus{
-			{Task: unit.TaskID{Job: "wk-000412", Index: 0}, Attempt: 7, State: "running"},
-			{Task: unit.TaskID{Job: "wk-000412", Index: 1}, Attempt: 7, State: "running"},
-			{Task: unit.TaskID{Job: "wk-000412", Index: 4}, Attempt: 7, State: "fetching"}}},
+			{Task: ident.TaskID{Job: "wk-000412", Index: 0}, Attempt: 7, State: "running"},
+			{Task: ident.TaskID{Job: "wk-000412", Index: 1}, Attempt: 7, State: "running"},
+			{Task: ident.TaskID{Job: "wk-000412", Index: 4}, Attempt: 7, State: "fetching"}}},
 		{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m", Zone: "a", Spot: true, Session: 3, HeartbeatSeq: 12, FencingToken: 40,
 			InterruptionNoticed: true, InterruptionIn: 12500 * time.Millisecond, Tasks: []fleet.TaskStatus{
-				{Task: unit.TaskID{Job: "wk-000412", Index: 2}, Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}},
+				{Task: ident.TaskID{Job: "wk-000412", Index: 2}, Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}},
 	}
 	queue := []PendingRequest{NewHeartbeatRequest(reports[0], now.Add(time.Second)), NewHeartbeatRequest(reports[1], now.Add(time.Second)), NewCancelRequest("wk-000398", now.Add(time.Second))}
 	header := BatchHeader{ID: "k3v9-17", Node: "n0", AckedBatchID: "k3v9-16", IdleFor: 2500 * time.Millisecond}
@@ -37,11 +40,11 @@
 	if want := goldenValue(t, "batch.txt"); string(batch.Value) != want {
 		t.Errorf("batch %s, want %s", batch.Value, want)
 	}
-	got, err := mesh.DecompressBatch(encoded(t, goldenValue(t, "batch.txt")))
+	got, err := peer.DecompressBatch(encoded(t, goldenValue(t, "batch.txt")))
 	if err != nil || got.ID != header.ID || got.Node != header.Node || got.AckedBatchID != header.AckedBatchID || got.IdleMs != 2500 || got.SchemaVersion != 3 {
 		t.Fatalf("batch read as %+v, %v", got, err)
 	}
-	if diff := cmp.Diff([]mesh.CancelRequest{{Job: "wk-000398"}}, []mesh.CancelRequest(got.CancelRequests)); diff != "" {
+	if diff := cmp.Diff([]peer.CancelRequest{{Job: "wk-000398"}}, []peer.CancelRequest(got.CancelRequests)); diff != "" {
 		t.Error(diff)
 	}
 	for i, r := range reports {
@@ -57,15 +60,15 @@
 
 // TestGoldenReply: likewise for what the leader answers.
 func TestGoldenReply(t *testing.T) {
-	answers := func() *mesh.BatchReply {
-		return &mesh.BatchReply{ID: "k3v9-17",
-			Heartbeats: []mesh.HeartbeatReply{
-				{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []mesh.CommandGroup{
-					{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: unit.Set{{First: 0, Last: 1}}},
-					{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: unit.Set{{First: 3, Last: 3}}},
-					{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: unit.Set{{First: 2, Last: 2}}}}},
+	answers := func() *peer.BatchReply {
+		return &peer.BatchReply{ID: "k3v9-17",
+			Heartbeats: []peer.HeartbeatReply{
+				{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []peer.CommandGroup{
+					{Kind: fleet.CommandStop, Job: "wk-000412", Attempt: 7, GracePeriodSeconds: 10.5, Indexes: indexset.Set{{First: 0, Last: 1}}},
+					{Kind: fleet.CommandStart, Job: "wk-000500", Attempt: 9, Indexes: indexset.Set{{First: 3, Last: 3}}},
+					{Kind: fleet.CommandForget, Job: "wk-000412", Attempt: 6, Indexes: indexset.Set{{First: 2, Last: 2}}}}},
 				{Machine: "host-000002", Code: 503, Epoch: 77}},
-			Cancellations: []mesh.CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}},
+			Cancellations: []peer.CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}},
 		}
 	}
 	value, err := CompressReply(answers(), MaxBatchBytes(8192))
@@ -76,11 +79,11 @@
 	if string(value) != want {
 		t.Errorf("answers %s, want %s", value, want)
 	}
-	got, err := mesh.DecompressReply(encoded(t, want))
+	got, err := peer.DecompressReply(encoded(t, want))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(answers(), got, cmpopts.EquateComparable(unit.Span{})); diff != "" {
+	if diff := cmp.Diff(answers(), got, cmpopts.EquateComparable(indexset.Span{})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -6,18 +6,20 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/mesh"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/peer"
 )
 
 // TestRouterRelaysReturningWorkers: a worker is sent to the leader first; one
 // that comes back soon could not reach it, and is relayed for a while.
 func TestRouterRelaysReturningWorkers(t *testing.T) {
 	d := &Router{}
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	works := func() bool { return true }
 	if !d.ShouldRedirect(now, "host-1", "n1", works) {
 		t.Fatal("relayed at first sight")
@@ -43,12 +45,12 @@
 // the size of a value, and who does not fit goes with the next.
 func TestBatchFitsValue(t *testing.T) {
 	const valueBytes = 8192
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	var queue []PendingRequest
 	for i := range 200 {
-		r := &fleet.Heartbeat{Machine: unit.MachineID(fmt.Sprintf("host-%06d", i)), Addr: "10.1.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1}
-		for k := range unit.TaskIndex(8) {
-			r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: unit.TaskID{Job: "wk-000001", Index: 2 * k}, Attempt: unit.Attempt(100 + k), State: "running"})
+		r := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", i)), Addr: "10.1.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1}
+		for k := range ident.TaskIndex(8) {
+			r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: ident.TaskID{Job: "wk-000001", Index: 2 * k}, Attempt: ident.Attempt(100 + k), State: "running"})
 		}
 		queue = append(queue, NewHeartbeatRequest(r, now.Add(time.Second)))
 	}
@@ -64,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := mesh.DecompressBatch(value); err != nil || len(got.Heartbeats) != len(batch.Sent) {
+	if got, err := peer.DecompressBatch(value); err != nil || len(got.Heartbeats) != len(batch.Sent) {
 		t.Errorf("%d reports come through, %v", len(got.Heartbeats), err)
 	}
 	if len(data) > valueBytes || len(batch.Sent) == 0 || len(batch.Sent)+len(batch.Remaining) != 200 {
@@ -82,16 +84,16 @@
 // by the node's grant, or try another node.
 func TestBatchesCoverTwoThousandWorkers(t *testing.T) {
 	const workers, valueBytes, mostBatches = 2000, 8192, 60
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	var queue []PendingRequest
 	for i := range workers {
-		r := &fleet.Heartbeat{Machine: unit.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
-			Type: "m", Zone: "a", Session: 1, HeartbeatSeq: unit.HeartbeatSeq(i)}
-		r.Tasks = []fleet.TaskStatus{{Task: unit.TaskID{Job: "wk-000001", Index: unit.TaskIndex(i)}, Attempt: unit.Attempt(i), State: "running"}}
+		r := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
+			Type: "m", Zone: "a", Session: 1, HeartbeatSeq: ident.HeartbeatSeq(i)}
+		r.Tasks = []fleet.TaskStatus{{Task: ident.TaskID{Job: "wk-000001", Index: ident.TaskIndex(i)}, Attempt: ident.Attempt(i), State: "running"}}
 		queue = append(queue, NewHeartbeatRequest(r, now.Add(time.Hour)))
 	}
 	queue = append(queue, NewCancelRequest("wk-000002", now.Add(time.Hour)))
-	sent := map[unit.MachineID]int{}
+	sent := map[ident.MachineID]int{}
 	for number := 1; len(queue) > 0; number++ {
 		batch, err := NewBatch(now, BatchHeader{ID: fmt.Sprint(number), Node: "n1"}, queue, MaxBatchBytes(valueBytes))
 		if err != nil || len(batch.Value) > valueBytes || len(batch.Sent) == 0 || number > mostBatches {
@@ -119,11 +121,11 @@
 
 // TestDeliverReplies hands each answer to who waits for it, and nothing to the others.
 func TestDeliverReplies(t *testing.T) {
-	now := unit.Instant(time.Hour)
+	now := clock.Instant(time.Hour)
 	answered := NewHeartbeatRequest(&fleet.Heartbeat{Machine: "m1"}, now)
 	left := NewHeartbeatRequest(&fleet.Heartbeat{Machine: "m2"}, now)
 	cancelled := NewCancelRequest("wk-000001", now)
-	DeliverReplies(&mesh.BatchReply{Heartbeats: []mesh.HeartbeatReply{{Machine: "m1", Code: 200, Epoch: 7}}, Cancellations: []mesh.CancelReply{{Job: "wk-000001", State: "cancelled"}}},
+	DeliverReplies(&peer.BatchReply{Heartbeats: []peer.HeartbeatReply{{Machine: "m1", Code: 200, Epoch: 7}}, Cancellations: []peer.CancelReply{{Job: "wk-000001", State: "cancelled"}}},
 		[]PendingRequest{answered, left, cancelled})
 	if a := <-answered.HeartbeatReply; a.Epoch != 7 {
 		t.Errorf("answered %+v", a)
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -8,7 +8,8 @@
 	"sync"
 	"time"
 
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
 )
 
 const (
@@ -27,23 +28,23 @@
 // the zero value is ready for use.
 type Router struct {
 	mu     sync.Mutex
-	routes map[unit.MachineID]*route
+	routes map[ident.MachineID]*route
 }
 
 type route struct {
 	leader       string
-	redirectedAt unit.Instant // to the leader
-	relayedSince unit.Instant // relayed since; 0: not
-	peerFailed   bool         // the leader could not be reached over the mesh either
+	redirectedAt clock.Instant // to the leader
+	relayedSince clock.Instant // relayed since; 0: not
+	peerFailed   bool          // the leader could not be reached over the mesh either
 }
 
 // ShouldRedirect tells whether a worker should be sent to the leader rather than be
 // relayed. meshWorks tells whether the leader is reached over the mesh.
-func (r *Router) ShouldRedirect(now unit.Instant, id unit.MachineID, leader string, meshWorks func() bool) bool {
+func (r *Router) ShouldRedirect(now clock.Instant, id ident.MachineID, leader string, meshWorks func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routes == nil || len(r.routes) > maxTrackedWorkers {
-		r.routes = map[unit.MachineID]*route{}
+		r.routes = map[ident.MachineID]*route{}
 	}
 	w := r.routes[id]
 	switch {
@@ -64,7 +65,7 @@
 }
 
 // RecordPeerFailure notes that a worker's report did not reach the leader over the mesh.
-func (r *Router) RecordPeerFailure(id unit.MachineID) {
+func (r *Router) RecordPeerFailure(id ident.MachineID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if w := r.routes[id]; w != nil {
--- a/internal/round/record.go
+++ b/internal/roundlog/record.go
@@ -1,18 +1,20 @@
-// Package round makes the leader's decisions in rounds. A round is planned
+// Package roundlog makes the leader's decisions in rounds. A round is planned
 // from what is known, recorded whole before any of its effects is sent, and
 // folded into the checkpoints of its jobs later.
-package round
+package roundlog
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/parts"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/wire"
 )
 
@@ -31,42 +33,42 @@
 
 // Start is a group of tasks of one job to be started on one machine.
 type Start struct {
-	Job     unit.JobID     `msgpack:"j" json:"j"`
-	Machine unit.MachineID `msgpack:"m" json:"m"`
-	Session unit.Session   `msgpack:"s" json:"s"`
-	Tasks   unit.Set       `msgpack:"t" json:"t"`
+	Job     ident.JobID     `msgpack:"j" json:"j"`
+	Machine ident.MachineID `msgpack:"m" json:"m"`
+	Session ident.Session   `msgpack:"s" json:"s"`
+	Tasks   indexset.Set    `msgpack:"t" json:"t"`
 	// Attempt is that of a gang which waits for these tasks; 0: the number of the
 	// round.
-	Attempt unit.Attempt `msgpack:"-" json:"-"`
+	Attempt ident.Attempt `msgpack:"-" json:"-"`
 }
 
 // AttemptInRound is the attempt of the start in round no.
-func (s *Start) AttemptInRound(no unit.RoundNo) unit.Attempt {
+func (s *Start) AttemptInRound(no ident.RoundNo) ident.Attempt {
 	if s.Attempt != 0 {
 		return s.Attempt
 	}
-	return unit.Attempt(no)
+	return ident.Attempt(no)
 }
 
 // Provision is a rental under a name of its own.
 type Provision struct {
-	Name  string       `msgpack:"n" json:"n"`
-	Offer rental.Offer `msgpack:"o" json:"o"`
-	Count int          `msgpack:"c" json:"c"`
+	Name  string      `msgpack:"n" json:"n"`
+	Offer cloud.Offer `msgpack:"o" json:"o"`
+	Count int         `msgpack:"c" json:"c"`
 }
 
 // Record is the value of round/SLOT: effects that are pending until folded.
 // Every round below Low has been settled.
 type Record struct {
-	SchemaVersion int                              `msgpack:"v" json:"v"`
-	RoundNo       unit.RoundNo                     `msgpack:"no" json:"no"`
-	Epoch         unit.Epoch                       `msgpack:"e" json:"e"`
-	LowWatermark  unit.RoundNo                     `msgpack:"lo" json:"lo"`
-	Starts        wire.BoundedList[Start]          `msgpack:"st,omitempty" json:"-"`
-	Packed        wire.Packed                      `msgpack:"pk,omitempty" json:"pk,omitempty"`
-	Provisions    wire.BoundedList[Provision]      `msgpack:"hi,omitempty" json:"hi,omitempty"`
-	Deprovisions  wire.BoundedList[unit.MachineID] `msgpack:"re,omitempty" json:"re,omitempty"`
-	ChunkInfo     *ChunkInfo                       `msgpack:"ov,omitempty" json:"ov,omitempty"`
+	SchemaVersion int                               `msgpack:"v" json:"v"`
+	RoundNo       ident.RoundNo                     `msgpack:"no" json:"no"`
+	Epoch         ident.Epoch                       `msgpack:"e" json:"e"`
+	LowWatermark  ident.RoundNo                     `msgpack:"lo" json:"lo"`
+	Starts        wire.BoundedList[Start]           `msgpack:"st,omitempty" json:"-"`
+	Packed        wire.Packed                       `msgpack:"pk,omitempty" json:"pk,omitempty"`
+	Provisions    wire.BoundedList[Provision]       `msgpack:"hi,omitempty" json:"hi,omitempty"`
+	Deprovisions  wire.BoundedList[ident.MachineID] `msgpack:"re,omitempty" json:"re,omitempty"`
+	ChunkInfo     *ChunkInfo                        `msgpack:"ov,omitempty" json:"ov,omitempty"`
 }
 
 // ChunkInfo is what a record says of its parts.
@@ -104,7 +106,7 @@
 
 func (r *Record) readStarts(part func(n int) []byte) error {
 	if o := r.ChunkInfo; o != nil {
-		text, err := parts.Join(r.Packed, o.Chunks, o.Checksum, part)
+		text, err := chunk.Join(r.Packed, o.Chunks, o.Checksum, part)
 		if err != nil {
 			return err
 		}
@@ -140,7 +142,7 @@
 // Split returns the record as it is stored where a value holds limit bytes in
 // JSON and at most values may be written, the record's own included. size measures
 // a value. With one value only, the record is one that the version before reads.
-func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*parts.Value, error) {
+func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
 	if err != nil || values <= 1 || r.fitsPlainSchema() && size(plain) <= limit {
 		return plain, nil, err
@@ -151,8 +153,8 @@
 	}
 	out := *plain
 	out.SchemaVersion, out.Packed = schemaChunked, text[:1] // for its name to be counted
-	out.ChunkInfo = &ChunkInfo{Chunks: parts.MaxChunks, Checksum: parts.Checksum(text)}
-	head, rest, err := parts.Split(text, limit-size(&out), limit, values-1, schemaChunked)
+	out.ChunkInfo = &ChunkInfo{Chunks: chunk.MaxChunks, Checksum: chunk.Checksum(text)}
+	head, rest, err := chunk.Split(text, limit-size(&out), limit, values-1, schemaChunked)
 	if err != nil {
 		return nil, nil, fmt.Errorf("round record: %w", err)
 	}
@@ -166,7 +168,7 @@
 	if err := e.EncodeArrayLen(len(r.Starts)); err != nil {
 		return err
 	}
-	last := unit.JobID("")
+	last := ident.JobID("")
 	for _, s := range r.Starts {
 		job := s.Job
 		if job == last {
@@ -187,7 +189,7 @@
 
 func (r *Record) decodeStarts(d *msgpack.Decoder, attempts bool) error {
 	n, err := wire.DecodeArrayLen(d)
-	last := unit.JobID("")
+	last := ident.JobID("")
 	for ; n > 0 && err == nil; n-- {
 		var s Start
 		if err = s.decode(d, last, attempts); err == nil {
@@ -198,7 +200,7 @@
 	return err
 }
 
-func (s *Start) decode(d *msgpack.Decoder, last unit.JobID, attempts bool) error {
+func (s *Start) decode(d *msgpack.Decoder, last ident.JobID, attempts bool) error {
 	job, err := wire.DecodeString(d)
 	if err != nil {
 		return err
@@ -211,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	s.Job, s.Machine, s.Session = unit.JobID(job), unit.MachineID(machine), unit.Session(session)
+	s.Job, s.Machine, s.Session = ident.JobID(job), ident.MachineID(machine), ident.Session(session)
 	if job == "" {
 		s.Job = last
 	}
@@ -219,7 +221,7 @@
 		return err
 	}
 	attempt, err := wire.DecodeCount(d)
-	s.Attempt = unit.Attempt(attempt)
+	s.Attempt = ident.Attempt(attempt)
 	return err
 }
 
@@ -230,7 +232,7 @@
 
 // ProvisionName is the name of the n-th rental of a round. It holds the epoch, so
 // that a round number lost with its leader can't bring a name back.
-func ProvisionName(epoch unit.Epoch, no unit.RoundNo, n int) string {
+func ProvisionName(epoch ident.Epoch, no ident.RoundNo, n int) string {
 	return fmt.Sprintf("r-%d-%d-%d", epoch, no, n)
 }
 
--- a/internal/round/record_golden_test.go
+++ b/internal/roundlog/record_golden_test.go
@@ -1,4 +1,4 @@
-package round
+package roundlog
 
 import (
 	"encoding/hex"
@@ -8,15 +8,17 @@
 	"strings"
 	"testing"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 	"badgerbay/internal/wire"
 )
 
@@ -31,21 +33,21 @@
 }
 
 func goldenRecords() []goldenRecord {
-	span := func(first, last unit.TaskIndex) unit.Span { return unit.Span{First: first, Last: last} }
+	span := func(first, last ident.TaskIndex) indexset.Span { return indexset.Span{First: first, Last: last} }
 	starts := wire.BoundedList[Start]{
-		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Set{span(0, 3), span(70_000, 70_001)}},
-		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: unit.Set{span(9, 9)}},
-		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: unit.Set{span(0, 0)}},
+		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: indexset.Set{span(0, 3), span(70_000, 70_001)}},
+		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: indexset.Set{span(9, 9)}},
+		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: indexset.Set{span(0, 0)}},
 	}
 	replaced := append(wire.BoundedList[Start](nil), starts...)
 	replaced[1].Attempt = 70_000
-	hires := wire.BoundedList[Provision]{{Name: ProvisionName(991, 4711, 0), Offer: rental.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
-		{Name: ProvisionName(991, 4711, 1), Offer: rental.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
-	releases := wire.BoundedList[unit.MachineID]{"host-000007", "host-000008"}
+	hires := wire.BoundedList[Provision]{{Name: ProvisionName(991, 4711, 0), Offer: cloud.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
+		{Name: ProvisionName(991, 4711, 1), Offer: cloud.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
+	releases := wire.BoundedList[ident.MachineID]{"host-000007", "host-000008"}
 	var wide wire.BoundedList[Start]
-	for i := range unit.TaskIndex(60) {
-		wide = append(wide, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
-			Session: unit.Session(i%9 + 1), Tasks: unit.Set{span(i, i)}})
+	for i := range ident.TaskIndex(60) {
+		wide = append(wide, Start{Job: "wk-000412", Machine: ident.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
+			Session: ident.Session(i%9 + 1), Tasks: indexset.Set{span(i, i)}})
 	}
 	return []goldenRecord{
 		{"lists", 1, 0, 0, &Record{SchemaVersion: 1, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: starts, Provisions: hires, Deprovisions: releases}},
@@ -64,7 +66,7 @@
 		lists.SchemaVersion = g.schema
 		return []any{&lists}
 	}
-	head, rest, err := r.Split(g.limit, g.values, statestore.JSONSize)
+	head, rest, err := r.Split(g.limit, g.values, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +119,7 @@
 			t.Errorf("%s: %v", g.name, err)
 			continue
 		}
-		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "SchemaVersion"), cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "SchemaVersion"), cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%s is read as another record:\n%s", g.name, diff)
 		}
 		if again, _ := g.lines(t, read); strings.Join(again, "\n")+"\n" != text {
@@ -174,7 +176,7 @@
 		{config.State{MaxValueKB: 0.5, MaxTxnOps: 64}, 1, 555},
 		{config.State{MaxValueKB: 32, MaxTxnOps: 64}, 4, 1723},
 	} {
-		spec := checkpoint.Spec{Tasks: 1, Gang: true}
+		spec := jobs.Spec{Tasks: 1, Gang: true}
 		for GangRecordsFit(&spec, c.perMachine, 300, c.limits) {
 			spec.Tasks++
 		}
--- a/internal/round/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -1,4 +1,4 @@
-package round
+package roundlog
 
 import (
 	"bytes"
@@ -7,22 +7,24 @@
 	"os"
 	"testing"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/parts"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/kvstore"
 	"badgerbay/internal/wire"
 )
 
 func sampleRecord() *Record {
 	return &Record{SchemaVersion: SchemaPlain, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: wire.BoundedList[Start]{
-		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: unit.Set{{First: 0, Last: 3}, {First: 70_000, Last: 70_001}}},
-		{Job: "wk-000001", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 9, Last: 9}}},
-		{Job: "wk-000002", Machine: "host-000002", Session: 1, Tasks: unit.Set{{First: 0, Last: 0}}}},
-		Deprovisions: wire.BoundedList[unit.MachineID]{"host-000007"}}
+		{Job: "wk-000001", Machine: "host-000001", Session: 2, Tasks: indexset.Set{{First: 0, Last: 3}, {First: 70_000, Last: 70_001}}},
+		{Job: "wk-000001", Machine: "host-000002", Session: 1, Tasks: indexset.Set{{First: 9, Last: 9}}},
+		{Job: "wk-000002", Machine: "host-000002", Session: 1, Tasks: indexset.Set{{First: 0, Last: 0}}}},
+		Deprovisions: wire.BoundedList[ident.MachineID]{"host-000007"}}
 }
 
 // TestRecordRoundTrip: what a successor reads is what was decided, from
@@ -45,7 +47,7 @@
 			t.Fatal(err)
 		}
 		got.SchemaVersion = want.SchemaVersion
-		if diff := cmp.Diff(want, got, cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(want, got, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -98,8 +100,8 @@
 func wideRecord(n int) *Record {
 	r := &Record{SchemaVersion: SchemaPlain, RoundNo: 4711, Epoch: 991, LowWatermark: 4700}
 	for i := range n {
-		r.Starts = append(r.Starts, Start{Job: "wk-000412", Machine: unit.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
-			Session: unit.Session(i%9 + 1), Tasks: unit.Set{{First: unit.TaskIndex(i), Last: unit.TaskIndex(i)}}})
+		r.Starts = append(r.Starts, Start{Job: "wk-000412", Machine: ident.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
+			Session: ident.Session(i%9 + 1), Tasks: indexset.Set{{First: ident.TaskIndex(i), Last: ident.TaskIndex(i)}}})
 	}
 	return r
 }
@@ -110,12 +112,12 @@
 func TestRecordInChunks(t *testing.T) {
 	const limit, values = 2048, 4
 	want := wideRecord(600)
-	head, rest, err := want.Split(limit, values, statestore.JSONSize)
+	head, rest, err := want.Split(limit, values, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rest) == 0 || head.SchemaVersion != schemaChunked || statestore.JSONSize(head) > limit {
-		t.Fatalf("%d parts, a head of %d bytes in schema %d", len(rest), statestore.JSONSize(head), head.SchemaVersion)
+	if len(rest) == 0 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > limit {
+		t.Fatalf("%d parts, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
 	}
 	stored := func(v any) []byte {
 		data, err := msgpack.Marshal(v)
@@ -125,7 +127,7 @@
 		return data
 	}
 	for _, p := range rest {
-		if n := statestore.JSONSize(p); n > limit {
+		if n := kvstore.JSONSize(p); n > limit {
 			t.Errorf("a part of %d bytes", n)
 		}
 	}
@@ -134,7 +136,7 @@
 		t.Fatal(err)
 	}
 	got.SchemaVersion = want.SchemaVersion
-	if diff := cmp.Diff(want, got, cmp.AllowUnexported(unit.Span{}), cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 	torn := *rest[0]
@@ -144,17 +146,17 @@
 		"of another time": func(int) []byte { return stored(torn) },
 		"surplus":         func(n int) []byte { return stored(rest[len(rest)-n]) },
 	} {
-		if _, err := Decode(stored(head), part); what != "surplus" && !errors.Is(err, parts.ErrTorn) || what == "surplus" && len(rest) > 1 && err == nil {
+		if _, err := Decode(stored(head), part); what != "surplus" && !errors.Is(err, chunk.ErrTorn) || what == "surplus" && len(rest) > 1 && err == nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if small, none, err := wideRecord(3).Split(limit, values, statestore.JSONSize); err != nil || len(none) > 0 || small.SchemaVersion != SchemaPlain {
+	if small, none, err := wideRecord(3).Split(limit, values, kvstore.JSONSize); err != nil || len(none) > 0 || small.SchemaVersion != SchemaPlain {
 		t.Errorf("a small round: %d parts, schema %d, %v", len(none), small.SchemaVersion, err)
 	}
-	if plain, none, err := want.Split(8192, 1, statestore.JSONSize); err != nil || len(none) > 0 || plain.SchemaVersion != SchemaPlain {
+	if plain, none, err := want.Split(8192, 1, kvstore.JSONSize); err != nil || len(none) > 0 || plain.SchemaVersion != SchemaPlain {
 		t.Errorf("where the version before may serve: %d parts, schema %d, %v", len(none), plain.SchemaVersion, err)
 	}
-	if _, _, err := wideRecord(9000).Split(limit, values, statestore.JSONSize); !errors.Is(err, parts.ErrTooLarge) {
+	if _, _, err := wideRecord(9000).Split(limit, values, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
 		t.Errorf("9,000 starts: %v", err)
 	}
 }
@@ -164,7 +166,7 @@
 func TestReplacementKeepsAttempt(t *testing.T) {
 	r := wideRecord(2)
 	r.Starts[1].Attempt = 4700
-	head, rest, err := r.Split(2048, 4, statestore.JSONSize)
+	head, rest, err := r.Split(2048, 4, kvstore.JSONSize)
 	if err != nil || len(rest) > 0 || head.SchemaVersion != schemaChunked {
 		t.Fatalf("%d parts, schema %d, %v", len(rest), head.SchemaVersion, err)
 	}
