--- a/internal/round/ring.go
+++ b/internal/roundlog/ring.go
@@ -1,20 +1,21 @@
-package round
+package roundlog
 
 import (
 	"sort"
 	"strconv"
 	"strings"
 
-	"badgerbay/internal/parts"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/chunk"
 )
 
 type slot struct {
-	revision            unit.Revision
-	roundNo             unit.RoundNo
-	pendingJobs         map[unit.JobID]bool
+	revision            ident.Revision
+	roundNo             ident.RoundNo
+	pendingJobs         map[ident.JobID]bool
 	pendingProvisions   map[string]bool
-	pendingDeprovisions map[unit.MachineID]bool
+	pendingDeprovisions map[ident.MachineID]bool
 }
 
 func (s *slot) isOpen() bool {
@@ -25,35 +26,35 @@
 // its round decided is settled elsewhere.
 type Ring struct {
 	slots []slot
-	next  unit.RoundNo
+	next  ident.RoundNo
 }
 
 // NewRing returns an empty ring of n slots.
 func NewRing(n int) *Ring { return &Ring{slots: make([]slot, n), next: 1} }
 
 // Key is the key of the slot that round no goes to.
-func (g *Ring) Key(no unit.RoundNo) string {
-	return KeyPrefix + strconv.Itoa(int(no%unit.RoundNo(len(g.slots))))
+func (g *Ring) Key(no ident.RoundNo) string {
+	return KeyPrefix + strconv.Itoa(int(no%ident.RoundNo(len(g.slots))))
 }
 
 // ChunkKey is the key of part n of the record in the slot with a key. The keys of
 // slots name no job, so they don't meet those of jobs' parts.
-func ChunkKey(slot string, n int) string { return parts.Key(slot, n) }
+func ChunkKey(slot string, n int) string { return chunk.Key(slot, n) }
 
-func (g *Ring) slotOf(no unit.RoundNo) *slot { return &g.slots[no%unit.RoundNo(len(g.slots))] }
+func (g *Ring) slotOf(no ident.RoundNo) *slot { return &g.slots[no%ident.RoundNo(len(g.slots))] }
 
 // Next is the number of the next round, and whether its slot is free.
-func (g *Ring) Next() (unit.RoundNo, bool) { return g.next, !g.slotOf(g.next).isOpen() }
+func (g *Ring) Next() (ident.RoundNo, bool) { return g.next, !g.slotOf(g.next).isOpen() }
 
 // IsUnused tells whether no round was ever recorded: nothing has been rented or
 // placed by anybody.
 func (g *Ring) IsUnused() bool { return g.next == 1 }
 
 // Revision is the version of the slot that round no goes to.
-func (g *Ring) Revision(no unit.RoundNo) unit.Revision { return g.slotOf(no).revision }
+func (g *Ring) Revision(no ident.RoundNo) ident.Revision { return g.slotOf(no).revision }
 
 // LowWatermark is the lowest round that is not settled.
-func (g *Ring) LowWatermark() unit.RoundNo {
+func (g *Ring) LowWatermark() ident.RoundNo {
 	low := g.next
 	for i := range g.slots {
 		if g.slots[i].isOpen() {
@@ -75,8 +76,8 @@
 }
 
 // Add takes in a record that is stored with the version.
-func (g *Ring) Add(r *Record, v unit.Revision) {
-	s := slot{revision: v, roundNo: r.RoundNo, pendingJobs: map[unit.JobID]bool{}, pendingProvisions: map[string]bool{}, pendingDeprovisions: map[unit.MachineID]bool{}}
+func (g *Ring) Add(r *Record, v ident.Revision) {
+	s := slot{revision: v, roundNo: r.RoundNo, pendingJobs: map[ident.JobID]bool{}, pendingProvisions: map[string]bool{}, pendingDeprovisions: map[ident.MachineID]bool{}}
 	for _, st := range r.Starts {
 		s.pendingJobs[st.Job] = true
 	}
@@ -93,20 +94,20 @@
 // SkipUnreadable takes in that the record under a key can't be read. Its slot may be used
 // again under that version, and its number, whatever it was, is passed over: a
 // number names attempts, and must not come twice.
-func (g *Ring) SkipUnreadable(key string, v unit.Revision) {
+func (g *Ring) SkipUnreadable(key string, v ident.Revision) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, KeyPrefix))
 	if err != nil || n < 0 || n >= len(g.slots) {
 		return
 	}
 	g.slots[n].revision = v
-	g.next += unit.RoundNo(len(g.slots))
+	g.next += ident.RoundNo(len(g.slots))
 }
 
 // StoredRecord is a record read back with its version.
 type StoredRecord struct {
 	Key      string
 	Record   *Record
-	Revision unit.Revision
+	Revision ident.Revision
 }
 
 // RestoreRing makes a ring from what a successor reads: records in the order of
@@ -115,7 +116,7 @@
 	g := NewRing(n)
 	sort.Slice(stored, func(a, b int) bool { return stored[a].Record.RoundNo < stored[b].Record.RoundNo })
 	var open []*Record
-	low := unit.RoundNo(0)
+	low := ident.RoundNo(0)
 	for _, s := range stored {
 		low = max(low, s.Record.LowWatermark)
 	}
@@ -131,7 +132,7 @@
 }
 
 // JobFolded notes that the checkpoint of a job holds all rounds up to through.
-func (g *Ring) JobFolded(job unit.JobID, through unit.RoundNo) {
+func (g *Ring) JobFolded(job ident.JobID, through ident.RoundNo) {
 	for i := range g.slots {
 		if s := &g.slots[i]; s.roundNo <= through {
 			delete(s.pendingJobs, job)
@@ -147,14 +148,14 @@
 }
 
 // SettleDeprovision notes that a machine is gone.
-func (g *Ring) SettleDeprovision(m unit.MachineID) {
+func (g *Ring) SettleDeprovision(m ident.MachineID) {
 	for i := range g.slots {
 		delete(g.slots[i].pendingDeprovisions, m)
 	}
 }
 
 // OldestOpenJobs returns the jobs that keep the oldest open slot open.
-func (g *Ring) OldestOpenJobs() []unit.JobID {
+func (g *Ring) OldestOpenJobs() []ident.JobID {
 	var s *slot
 	for i := range g.slots {
 		if g.slots[i].isOpen() && (s == nil || g.slots[i].roundNo < s.roundNo) {
@@ -164,7 +165,7 @@
 	if s == nil {
 		return nil
 	}
-	var out []unit.JobID
+	var out []ident.JobID
 	for j := range s.pendingJobs {
 		out = append(out, j)
 	}
--- a/internal/round/ring_test.go
+++ b/internal/roundlog/ring_test.go
@@ -1,12 +1,12 @@
-package round
+package roundlog
 
 import (
 	"fmt"
 	"testing"
 
-	"pgregory.net/rapid"
+	"badgerbay/internal/ident"
 
-	"badgerbay/internal/unit"
+	"pgregory.net/rapid"
 )
 
 // TestRingReusesSettledSlots draws rounds, folds and takeovers: a record is
@@ -17,8 +17,8 @@
 		const slots = 4
 		ring := NewRing(slots)
 		stored := map[string]StoredRecord{}
-		open := map[unit.RoundNo]unit.JobID{}
-		version := unit.Revision(0)
+		open := map[ident.RoundNo]ident.JobID{}
+		version := ident.Revision(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
@@ -29,14 +29,14 @@
 				if old, ok := stored[ring.Key(no)]; ok && open[old.Record.RoundNo] != "" {
 					t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.RoundNo)
 				}
-				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "job")))
+				job := ident.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "job")))
 				r := &Record{RoundNo: no, LowWatermark: min(ring.LowWatermark(), no), Starts: []Start{{Job: job}}}
 				version++
 				ring.Add(r, version)
 				stored[ring.Key(no)] = StoredRecord{ring.Key(no), r, version}
 				open[no] = job
 			case 1:
-				job := unit.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "folded")))
+				job := ident.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "folded")))
 				no, _ := ring.Next()
 				ring.JobFolded(job, no-1)
 				for r, j := range open {
@@ -54,7 +54,7 @@
 				if got, _ := again.Next(); got != next {
 					t.Fatalf("a successor goes on at round %d, not %d", got, next)
 				}
-				seen := map[unit.RoundNo]bool{}
+				seen := map[ident.RoundNo]bool{}
 				for _, r := range found {
 					seen[r.RoundNo] = true
 				}
--- a/internal/round/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -1,11 +1,12 @@
-package round
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/jobs"
 )
 
 // minReplicaAgeSeconds: a replica is moved only after so long, in seconds, since a start
@@ -39,7 +40,7 @@
 		}
 	}
 	slices.SortStableFunc(from, func(x, y *candidateMachine) int { return cmp.Compare(x.replicaShare(), y.replicaShare()) })
-	v := &consolidation{planner: p, free: map[*candidateMachine]checkpoint.Resources{}, moved: map[*checkpoint.Job]int{}}
+	v := &consolidation{planner: p, free: map[*candidateMachine]jobs.Resources{}, moved: map[*jobs.Job]int{}}
 	for _, b := range inUse {
 		v.free[b] = b.free
 	}
@@ -72,8 +73,8 @@
 // consolidation is the emptying of some machines in one plan.
 type consolidation struct {
 	planner *planner
-	free    map[*candidateMachine]checkpoint.Resources // of the machines in use that stay
-	moved   map[*checkpoint.Job]int
+	free    map[*candidateMachine]jobs.Resources // of the machines in use that stay
+	moved   map[*jobs.Job]int
 	// reservations is the room that the replicas of the machine at hand have been given,
 	// to be given back if not all of them find some. A copy of all machines for
 	// each one that was tried cost 77 MB a plan at 4,000.
@@ -83,7 +84,7 @@
 // reservation is room that was set aside on a bin.
 type reservation struct {
 	machine *candidateMachine
-	need    checkpoint.Resources
+	need    jobs.Resources
 }
 
 // drain stops the replicas of a machine if they fit on others in use, with the
@@ -110,7 +111,7 @@
 }
 
 // fitReplicas finds a place for each of the replicas.
-func (v *consolidation) fitReplicas(live []*checkpoint.Placement, leaves unit.Zone) bool {
+func (v *consolidation) fitReplicas(live []*jobs.Placement, leaves ident.Zone) bool {
 	for _, r := range live {
 		if !v.fitReplica(r.Job, leaves) {
 			return false
@@ -126,8 +127,8 @@
 	}
 }
 
-func replicasOf(b *candidateMachine) []*checkpoint.Placement {
-	var out []*checkpoint.Placement
+func replicasOf(b *candidateMachine) []*jobs.Placement {
+	var out []*jobs.Placement
 	for _, v := range b.livePlacements() {
 		if v.Job.Spec.Service {
 			out = append(out, v)
@@ -136,9 +137,9 @@
 	return out
 }
 
-func (p *planner) replicasMovable(live []*checkpoint.Placement) bool {
+func (p *planner) replicasMovable(live []*jobs.Placement) bool {
 	for _, v := range live {
-		if v.State != checkpoint.PlacementRunning || v.Stopping || p.snapshot.Now.Sub(v.RunningSince).Seconds() < minReplicaAgeSeconds {
+		if v.State != jobs.PlacementRunning || v.Stopping || p.snapshot.Now.Sub(v.RunningSince).Seconds() < minReplicaAgeSeconds {
 			return false
 		}
 	}
@@ -147,8 +148,8 @@
 
 // leavesHeadroom tells whether the machines that stay keep the headroom for replicas
 // like these, and the room kept free for the classes that must start fast.
-func (v *consolidation) leavesHeadroom(spec *checkpoint.Spec) bool {
-	var free, all checkpoint.Resources
+func (v *consolidation) leavesHeadroom(spec *jobs.Spec) bool {
+	var free, all jobs.Resources
 	for b, room := range v.free {
 		if spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
 			free = free.Add(room)
@@ -174,7 +175,7 @@
 
 // fitReplica finds a place for a replica that leaves the zone. Of a job only one
 // replica is moved in a plan, so that its own place in the zone is free again.
-func (v *consolidation) fitReplica(j *checkpoint.Job, leaves unit.Zone) bool {
+func (v *consolidation) fitReplica(j *jobs.Job, leaves ident.Zone) bool {
 	if v.moved[j] > 0 {
 		return false
 	}
--- a/internal/round/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,22 +1,24 @@
-package round
+package scheduler
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/parts"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
 	"badgerbay/internal/wire"
 )
 
 // gangAssignment is what of a gang goes to one machine.
 type gangAssignment struct {
 	machine *candidateMachine
-	tasks   []unit.TaskIndex
+	tasks   []ident.TaskIndex
 }
 
 // placeGang starts a gang whole, or not at all. One that does not fit holds what
@@ -52,7 +54,7 @@
 // replaceGangTasks starts the tasks again that a gang lost before it began, under the
 // attempt that the others wait in. What is left of any other attempt must be over
 // first: it stays on its machines, and in its zone.
-func (p *planner) replaceGangTasks(j *checkpoint.Job) {
+func (p *planner) replaceGangTasks(j *jobs.Job) {
 	attempt, may := p.snapshot.ReplacementAttempts[j.ID]
 	if !may || p.tasksWithinQuota(j) < j.Queue.Len() {
 		return
@@ -67,9 +69,9 @@
 // startGang records the starts of a gang in an attempt; 0: that of the round. If
 // the round has no room left for them, a new one takes them: in one value where
 // they fit into one, else in as many as a transaction holds.
-func (p *planner) startGang(j *checkpoint.Job, found []gangAssignment, attempt unit.Attempt) {
-	size := wire.PackedLen(len(j.ID)) + 2*MaxProvisionJSONSize
-	var starts []Start
+func (p *planner) startGang(j *jobs.Job, found []gangAssignment, attempt ident.Attempt) {
+	size := wire.PackedLen(len(j.ID)) + 2*roundlog.MaxProvisionJSONSize
+	var starts []roundlog.Start
 	for _, part := range found {
 		st := newStart(j, part.machine, part.tasks)
 		st.Attempt = attempt
@@ -91,12 +93,12 @@
 
 // candidateZones are the zones that a gang may be in, one for each choice; "" stands
 // for all together.
-func (p *planner) candidateZones(j *checkpoint.Job) []unit.Zone {
+func (p *planner) candidateZones(j *jobs.Job) []ident.Zone {
 	switch {
 	case !j.Spec.ZoneAffinity:
-		return []unit.Zone{""}
+		return []ident.Zone{""}
 	case j.Spec.Zone != "":
-		return []unit.Zone{j.Spec.Zone}
+		return []ident.Zone{j.Spec.Zone}
 	}
 	return p.snapshot.Zones
 }
@@ -106,7 +108,7 @@
 // none. bins are in the order of preference; the zone of the first that holds the
 // gang is taken. Where the records don't hold that many machines, those that take
 // most tasks are tried first.
-func (p *planner) fitGang(j *checkpoint.Job, bins []*candidateMachine) []gangAssignment {
+func (p *planner) fitGang(j *jobs.Job, bins []*candidateMachine) []gangAssignment {
 	if found := p.fitGangInAnyZone(j, bins); found != nil {
 		return found
 	}
@@ -116,8 +118,8 @@
 	return p.fitGangInAnyZone(j, roomiest)
 }
 
-func (p *planner) fitGangInAnyZone(j *checkpoint.Job, bins []*candidateMachine) []gangAssignment {
-	zones := []unit.Zone{""}
+func (p *planner) fitGangInAnyZone(j *jobs.Job, bins []*candidateMachine) []gangAssignment {
+	zones := []ident.Zone{""}
 	if j.Spec.ZoneAffinity {
 		zones = nil
 		for _, b := range bins {
@@ -134,11 +136,11 @@
 	return nil
 }
 
-func (p *planner) fitGangInZone(j *checkpoint.Job, bins []*candidateMachine, zone unit.Zone) []gangAssignment {
-	var tasks []unit.TaskIndex
-	j.Queue.Each(func(i unit.TaskIndex) bool { tasks = append(tasks, i); return true })
+func (p *planner) fitGangInZone(j *jobs.Job, bins []*candidateMachine, zone ident.Zone) []gangAssignment {
+	var tasks []ident.TaskIndex
+	j.Queue.Each(func(i ident.TaskIndex) bool { tasks = append(tasks, i); return true })
 	var found []gangAssignment
-	room, size, used := p.recordRoom(j), p.plan.Record.MaxHeadJSONSize()+2*MaxProvisionJSONSize, map[unit.Zone]int{}
+	room, size, used := p.recordRoom(j), p.plan.Record.MaxHeadJSONSize()+2*roundlog.MaxProvisionJSONSize, map[ident.Zone]int{}
 	for _, b := range bins {
 		if zone != "" && b.zone != zone {
 			continue
@@ -165,12 +167,12 @@
 
 // maxGangRecordSize is how large the record of a round may be that starts a gang: as large
 // as all values that one transaction holds, where nodes know parts.
-func maxGangRecordSize(limit, values int) int { return limit + parts.Capacity(limit, values-1) }
+func maxGangRecordSize(limit, values int) int { return limit + chunk.Capacity(limit, values-1) }
 
 // reserveZoneForGang picks the zone that lacks least for a gang and keeps what is free
 // and coming there for it. It returns for how many tasks machines are missing,
 // and notes that these must be rented in that zone.
-func (p *planner) reserveZoneForGang(j *checkpoint.Job, n int, guaranteed bool) int {
+func (p *planner) reserveZoneForGang(j *jobs.Job, n int, guaranteed bool) int {
 	zones := p.feasibleZones(j, n)
 	if len(zones) == 0 {
 		return 0
@@ -191,14 +193,14 @@
 
 // zoneRoom is a zone with the number of a gang's tasks that it has room for.
 type zoneRoom struct {
-	zone  unit.Zone
+	zone  ident.Zone
 	tasks int
 }
 
 // feasibleZones lists the zones that can come to hold n tasks of a gang, the one
 // that lacks least first. A zone that can't be completed holds nothing, unless the
 // machines that others use now are enough for the gang.
-func (p *planner) feasibleZones(j *checkpoint.Job, n int) []zoneRoom {
+func (p *planner) feasibleZones(j *jobs.Job, n int) []zoneRoom {
 	var out []zoneRoom
 	for _, z := range p.candidateZones(j) {
 		room := p.gangTasksFitting(j, z)
@@ -212,7 +214,7 @@
 
 // eachGangMachine calls f for the machines of a zone that the gang may use, those
 // that are up first.
-func (p *planner) eachGangMachine(j *checkpoint.Job, zone unit.Zone, f func(*candidateMachine)) {
+func (p *planner) eachGangMachine(j *jobs.Job, zone ident.Zone, f func(*candidateMachine)) {
 	for _, bins := range [][]*candidateMachine{p.machines, p.pending} {
 		for _, b := range bins {
 			if (zone == "" || b.zone == zone) && p.allows(j, b) && (b.machine == nil || p.mayUseMachine(j, b)) {
@@ -223,8 +225,8 @@
 }
 
 // gangTasksFitting is for how many tasks of a gang a zone has, or will have, free room.
-func (p *planner) gangTasksFitting(j *checkpoint.Job, zone unit.Zone) int {
-	in := map[unit.Zone]int{}
+func (p *planner) gangTasksFitting(j *jobs.Job, zone ident.Zone) int {
+	in := map[ident.Zone]int{}
 	p.eachGangMachine(j, zone, func(b *candidateMachine) {
 		in[b.zone] = min(p.zoneRoom(j, b.zone), in[b.zone]+b.free.MaxCopies(j.Spec.TaskResources()))
 	})
@@ -236,16 +238,16 @@
 }
 
 // gangTasksIfEmpty is how many tasks of a gang a zone would hold if it were empty.
-func (p *planner) gangTasksIfEmpty(j *checkpoint.Job, zone unit.Zone) int {
+func (p *planner) gangTasksIfEmpty(j *jobs.Job, zone ident.Zone) int {
 	sum := 0
 	p.eachGangMachine(j, zone, func(b *candidateMachine) { sum += b.machineType.Capacity.MaxCopies(j.Spec.TaskResources()) })
 	return sum
 }
 
 // canProvisionForGang tells whether a machine for the gang may be rented in the zone.
-func (p *planner) canProvisionForGang(j *checkpoint.Job, zone unit.Zone) bool {
+func (p *planner) canProvisionForGang(j *jobs.Job, zone ident.Zone) bool {
 	can := false
-	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) {
+	p.eachOffer(j, func(o cloud.Offer, t *fleet.MachineType) {
 		can = can || (zone == "" || o.Zone == zone) && !p.snapshot.OfferUnavailable(o) && t.Capacity.Fits(j.Spec.TaskResources()) && p.worthProvisioning(j, t, o.Spot)
 	})
 	return can
@@ -253,7 +255,7 @@
 
 // reserveRoomForGang keeps room for up to n tasks of a gang from what is planned after
 // it. It starts nothing.
-func (p *planner) reserveRoomForGang(j *checkpoint.Job, zone unit.Zone, n int) {
+func (p *planner) reserveRoomForGang(j *jobs.Job, zone ident.Zone, n int) {
 	p.eachGangMachine(j, zone, func(b *candidateMachine) {
 		if k := min(n, b.free.MaxCopies(j.Spec.TaskResources())); k > 0 {
 			n -= k
@@ -265,7 +267,7 @@
 // preemptForGang stops what yields to a gang in one zone, if that makes room for
 // all n tasks there with what is free, and tells whether it does. A part would be
 // stopped for nothing; machines that are coming may never come, and don't count.
-func (p *planner) preemptForGang(j *checkpoint.Job, zone unit.Zone, n int) bool {
+func (p *planner) preemptForGang(j *jobs.Job, zone ident.Zone, n int) bool {
 	there := *j // the same gang, bound to the zone
 	if zone != "" {
 		there.Spec.Zone = zone
@@ -281,11 +283,11 @@
 // savedState is what making room changes of a plan.
 type savedState struct {
 	evictions    int
-	evicted      map[*checkpoint.Placement]bool
-	usage        map[unit.Team]checkpoint.Resources
-	evictedUsage map[unit.Team]checkpoint.Resources
-	free         []checkpoint.Resources // of each bin
-	freeing      []checkpoint.Resources
+	evicted      map[*jobs.Placement]bool
+	usage        map[ident.Team]jobs.Resources
+	evictedUsage map[ident.Team]jobs.Resources
+	free         []jobs.Resources // of each bin
+	freeing      []jobs.Resources
 }
 
 func (p *planner) saveState() savedState {
--- a/internal/round/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -1,29 +1,31 @@
-package round
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 )
 
-func gangSpec(n int, cpus float64) checkpoint.Spec {
-	s := taskSpec("red", checkpoint.PriorityStandard, n, cpus)
+func gangSpec(n int, cpus float64) jobs.Spec {
+	s := taskSpec("red", jobs.PriorityStandard, n, cpus)
 	s.Gang, s.ZoneAffinity = true, true
 	return s
 }
 
-func newGangFixture(t *testing.T, zones ...unit.Zone) *fixture {
+func newGangFixture(t *testing.T, zones ...ident.Zone) *fixture {
 	s := newFixture(t)
-	s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 40}, "blue": {CPULimit: 40}}
+	s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 40}, "blue": {CPULimit: 40}}
 	for i, z := range zones {
-		s.addMachine(unit.MachineID("host-"+string(rune('1'+i))), z, false)
+		s.addMachine(ident.MachineID("host-"+string(rune('1'+i))), z, false)
 	}
 	return s
 }
@@ -33,7 +35,7 @@
 func TestGangInOneZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(4, 2))
-	starts := map[unit.MachineID]int{}
+	starts := map[ident.MachineID]int{}
 	for _, st := range s.plan().Record.Starts {
 		starts[st.Machine] += st.Tasks.Len()
 	}
@@ -43,8 +45,8 @@
 	s = newGangFixture(t, "a", "b")
 	s.snapshot.MayProvision = false
 	s.addJob("wk-000001", gangSpec(4, 2))
-	s.snapshot.OfferUnavailable = func(rental.Offer) bool { return true } // and no zone can be given more
-	later := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 2, 2))
+	s.snapshot.OfferUnavailable = func(cloud.Offer) bool { return true } // and no zone can be given more
+	later := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 2, 2))
 	later.AcceptedAtMs = 1
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
@@ -61,7 +63,7 @@
 func TestGangReservesItsZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(6, 2)) // three machines
-	later := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 6, 2))
+	later := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 6, 2))
 	later.AcceptedAtMs = 1
 	plan := s.plan()
 	for _, st := range plan.Record.Starts {
@@ -98,10 +100,10 @@
 func TestGangWithinItsLimit(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
-	old := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
+	old := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	s.place(old, 0, "host-3").Stopping = true
 	s.addJob("wk-000002", gangSpec(4, 2))
-	later := s.addJob("wk-000003", taskSpec("blue", checkpoint.PriorityStandard, 4, 2))
+	later := s.addJob("wk-000003", taskSpec("blue", jobs.PriorityStandard, 4, 2))
 	later.AcceptedAtMs = 1
 	n := 0
 	for _, st := range s.plan().Record.Starts {
@@ -120,9 +122,9 @@
 func TestGangReservesItsQuota(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
-	s.place(s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4)), 0, "host-3")
+	s.place(s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4)), 0, "host-3")
 	s.addJob("wk-000002", gangSpec(4, 2))
-	later := s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 3, 2))
+	later := s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 3, 2))
 	later.AcceptedAtMs = 1
 	if starts := s.plan().Record.Starts; len(starts) > 0 {
 		t.Errorf("starts %+v of what the gang waits for", starts)
@@ -132,19 +134,19 @@
 // TestGangIsEvictedWholeOrNot: a gang that is in the way of higher work is stopped
 // with all its tasks, on whatever machine, and none of equal priority is.
 func TestGangIsEvictedWholeOrNot(t *testing.T) {
-	for _, priority := range []checkpoint.Priority{checkpoint.PriorityBestEffort, checkpoint.PriorityProd} {
+	for _, priority := range []jobs.Priority{jobs.PriorityBestEffort, jobs.PriorityProd} {
 		s := newGangFixture(t, "a", "a")
 		low := gangSpec(2, 4)
 		low.Priority = priority
 		j := s.addJob("wk-000001", low)
 		s.place(j, 0, "host-1")
 		s.place(j, 1, "host-2")
-		s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 2))
-		stopped := map[unit.TaskIndex]bool{}
+		s.addJob("wk-000002", taskSpec("blue", jobs.PriorityProd, 1, 2))
+		stopped := map[ident.TaskIndex]bool{}
 		for _, stop := range s.plan().Evictions {
 			stopped[stop.Placement.Task] = true
 		}
-		if want := 2 * int(checkpoint.PriorityProd-priority) / int(checkpoint.PriorityProd); len(stopped) != want {
+		if want := 2 * int(jobs.PriorityProd-priority) / int(jobs.PriorityProd); len(stopped) != want {
 			t.Errorf("priority %d: %d tasks of a gang of two are stopped, want %d", priority, len(stopped), want)
 		}
 	}
@@ -160,12 +162,12 @@
 	}{{"one free machine and two tasks stopped", 4, 2}, {"more than the zone holds", 7, 0}} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		s.snapshot.MayProvision = false
-		low := s.addJob("wk-000001", taskSpec("blue", checkpoint.PriorityBestEffort, 5, 2))
-		for i, m := range []unit.MachineID{"host-1", "host-1", "host-2", "host-2", "host-4"} {
-			s.place(low, unit.TaskIndex(i), m)
+		low := s.addJob("wk-000001", taskSpec("blue", jobs.PriorityBestEffort, 5, 2))
+		for i, m := range []ident.MachineID{"host-1", "host-1", "host-2", "host-2", "host-4"} {
+			s.place(low, ident.TaskIndex(i), m)
 		}
 		high := gangSpec(c.tasks, 2)
-		high.Priority = checkpoint.PriorityHigh
+		high.Priority = jobs.PriorityHigh
 		s.addJob("wk-000002", high)
 		plan := s.plan()
 		if len(plan.Evictions) != c.stops || len(plan.Record.Starts) > 0 {
@@ -190,17 +192,17 @@
 	s.snapshot.Teams["blue"] = config.Team{CPULimit: 40}
 	for i := range 2 {
 		low := gangSpec(4, 2)
-		low.Team, low.Priority = "blue", checkpoint.PriorityBestEffort
-		j := s.addJob(unit.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
-		for k := range unit.TaskIndex(4) {
+		low.Team, low.Priority = "blue", jobs.PriorityBestEffort
+		j := s.addJob(ident.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
+		for k := range ident.TaskIndex(4) {
 			// Each lies on two machines, next to no other.
-			s.place(j, k, unit.MachineID(fmt.Sprintf("host-%d", 2*i+1+int(k)/2)))
+			s.place(j, k, ident.MachineID(fmt.Sprintf("host-%d", 2*i+1+int(k)/2)))
 		}
 	}
 	high := gangSpec(3, 2)
-	high.Priority = checkpoint.PriorityHigh
+	high.Priority = jobs.PriorityHigh
 	s.addJob("wk-000009", high)
-	stopped := map[unit.JobID]int{}
+	stopped := map[ident.JobID]int{}
 	for _, stop := range s.plan().Evictions {
 		stopped[stop.Placement.Job.ID]++
 	}
@@ -216,14 +218,14 @@
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
 		s := newGangFixture(t, "a", "a")
 		s.snapshot.MayProvision = false
-		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
+		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
 		holds := gangSpec(4, 2)
 		holds.Team = "blue"
 		j := s.addJob("wk-000001", holds)
-		for k := range unit.TaskIndex(4) {
-			s.place(j, k, unit.MachineID(fmt.Sprintf("host-%d", 1+int(k)/2)))
+		for k := range ident.TaskIndex(4) {
+			s.place(j, k, ident.MachineID(fmt.Sprintf("host-%d", 1+int(k)/2)))
 		}
-		for _, m := range []unit.MachineID{"host-1", "host-2"} {
+		for _, m := range []ident.MachineID{"host-1", "host-2"} {
 			s.sendHeartbeat(m, j)
 		}
 		s.addJob("wk-000002", gangSpec(4, 2))
@@ -240,12 +242,12 @@
 	for _, may := range []bool{true, false} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		j := s.addJob("wk-000001", gangSpec(3, 4))
-		for i, m := range []unit.MachineID{"host-1", "host-2"} {
-			s.place(j, unit.TaskIndex(i), m).State = checkpoint.PlacementFetching
+		for i, m := range []ident.MachineID{"host-1", "host-2"} {
+			s.place(j, ident.TaskIndex(i), m).State = jobs.PlacementFetching
 		}
 		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is reaped
 		if may {
-			s.snapshot.ReplacementAttempts = map[unit.JobID]unit.Attempt{j.ID: 1}
+			s.snapshot.ReplacementAttempts = map[ident.JobID]ident.Attempt{j.ID: 1}
 		}
 		starts := s.plan().Record.Starts
 		if !may {
@@ -271,10 +273,10 @@
 func TestGangBeyondOneValue(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
 		s := newFixture(t)
-		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
+		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}}
 		s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, values, 4
 		for i := range 80 {
-			s.addMachine(unit.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
+			s.addMachine(ident.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
 		}
 		s.addJob("wk-000001", gangSpec(80, 3)) // one to a machine
 		plan := s.plan()
@@ -282,7 +284,7 @@
 			t.Errorf("%d values: %d starts, want %d", values, n, want)
 		}
 		if values > 1 {
-			if _, _, err := plan.Record.Split(2048, values, statestore.JSONSize); err != nil {
+			if _, _, err := plan.Record.Split(2048, values, kvstore.JSONSize); err != nil {
 				t.Error(err)
 			}
 		}
@@ -294,30 +296,30 @@
 func TestLargestGangIsPlaced(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
+	for spec.Tasks = 1; roundlog.GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
 	}
 	spec.Tasks--
 	if spec.Tasks < 100 {
 		t.Errorf("the largest gang has %d tasks", spec.Tasks)
 	}
 	s := newFixture(t)
-	s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}}
+	s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}}
 	s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, 4, 4
 	for i := range spec.Tasks {
-		s.addMachine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
+		s.addMachine(ident.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 	}
 	j := s.addJob("wk-000001", spec)
 	plan := s.plan()
 	if n := len(plan.Record.Starts); n != spec.Tasks {
 		t.Fatalf("%d of %d tasks start", n, spec.Tasks)
 	}
-	if _, _, err := plan.Record.Split(2048, 4, statestore.JSONSize); err != nil {
+	if _, _, err := plan.Record.Split(2048, 4, kvstore.JSONSize); err != nil {
 		t.Error(err)
 	}
 	for _, st := range plan.Record.Starts {
 		s.place(j, st.Tasks[0].First, st.Machine)
 	}
-	if _, _, err := j.Record(9).Split(2048, 4, statestore.JSONSize); err != nil {
+	if _, _, err := j.Record(9).Split(2048, 4, kvstore.JSONSize); err != nil {
 		t.Error(err)
 	}
 }
@@ -327,18 +329,18 @@
 func TestLargeGangBesideOthers(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
+	for spec.Tasks = 1; roundlog.GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
 	}
 	spec.Tasks--
 	for _, others := range []int{5, 20} {
 		s := newFixture(t)
-		s.snapshot.Teams = map[unit.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
+		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
 		s.snapshot.ValueBytes, s.snapshot.MaxRoundValues, s.snapshot.MaxJobValues = 2048, 4, 4
 		for i := range spec.Tasks + others {
-			s.addMachine(unit.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
+			s.addMachine(ident.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 		}
 		gang := s.addJob("wk-000001", spec)
-		first := taskSpec("blue", checkpoint.PriorityProd, others, 3)
+		first := taskSpec("blue", jobs.PriorityProd, others, 3)
 		first.Service = true
 		s.addJob("wk-000002", first)
 		plan := s.plan()
@@ -351,7 +353,7 @@
 		if starts != spec.Tasks {
 			t.Errorf("beside %d others %d of %d tasks start", others, starts, spec.Tasks)
 		}
-		if _, _, err := plan.Record.Split(2048, 4, statestore.JSONSize); err != nil {
+		if _, _, err := plan.Record.Split(2048, 4, kvstore.JSONSize); err != nil {
 			t.Error(err)
 		}
 	}
@@ -366,14 +368,14 @@
 	j := s.addJob("wk-000001", saves)
 	s.place(j, 0, "host-1")
 	s.place(j, 1, "host-1")
-	array := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 2, 2))
+	array := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 2, 2))
 	s.place(array, 0, "host-2")
 	s.place(array, 1, "host-2")
 	s.snapshot.Now = s.snapshot.Now.Add(40 * time.Second)
-	for m, held := range map[unit.MachineID]*checkpoint.Job{"host-1": j, "host-2": array} {
+	for m, held := range map[ident.MachineID]*jobs.Job{"host-1": j, "host-2": array} {
 		s.sendHeartbeat(m, held)
 	}
-	s.addJob("wk-000003", taskSpec("blue", checkpoint.PriorityProd, 1, 2))
+	s.addJob("wk-000003", taskSpec("blue", jobs.PriorityProd, 1, 2))
 	stops := s.plan().Evictions
 	if len(stops) != 1 || stops[0].Placement.Job != array {
 		t.Errorf("stopped: %+v, want a task of the array", stops)
--- a/internal/round/waits_test.go
+++ b/internal/scheduler/machine_choice_test.go
@@ -1,25 +1,26 @@
-package round
+package scheduler
 
 import (
 	"testing"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/config"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
 )
 
 // newCostlyFixture has one free machine that is dear, since cheap ones exist and can't
 // be had, and no guarantees.
 func newCostlyFixture(t *testing.T) *fixture {
 	s := newFixture(t)
-	s.snapshot.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
+	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
 	s.addMachine("host-1", "a", false)
 	return s
 }
 
-func startedJob(s *fixture, id unit.JobID, idle time.Duration) *checkpoint.Job {
-	spec := taskSpec("red", checkpoint.PriorityStandard, 6, 1)
+func startedJob(s *fixture, id ident.JobID, idle time.Duration) *jobs.Job {
+	spec := taskSpec("red", jobs.PriorityStandard, 6, 1)
 	spec.Spot = true
 	j := s.addJob(id, spec)
 	j.CompleteTask(s.snapshot.Now, 0) // some of it has run already
--- a/internal/round/machines.go
+++ b/internal/scheduler/machines.go
@@ -1,31 +1,32 @@
-package round
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
 )
 
 type candidateMachine struct {
 	machine     *fleet.Machine // nil: coming
 	machineType *fleet.MachineType
-	zone        unit.Zone
+	zone        ident.Zone
 	spot        bool
-	free        checkpoint.Resources
+	free        jobs.Resources
 	// freeing is room that stops are making and nobody is promised yet. Nothing
 	// may start in it before their exits are seen.
-	freeing    checkpoint.Resources
-	placements []*checkpoint.Placement // see running
+	freeing    jobs.Resources
+	placements []*jobs.Placement // see running
 	// receivesTasks: this plan starts tasks here.
 	receivesTasks bool
 }
 
 // livePlacements lists the placements on the bin's machine. A plan changes none, so
 // they are listed once.
-func (b *candidateMachine) livePlacements() []*checkpoint.Placement {
+func (b *candidateMachine) livePlacements() []*jobs.Placement {
 	if b.placements == nil {
 		b.placements = b.machine.LivePlacements()
 	}
@@ -33,10 +34,10 @@
 }
 
 // reserveTask keeps room for one task: what is being made first, then what is free.
-func (b *candidateMachine) reserveTask(need checkpoint.Resources) {
+func (b *candidateMachine) reserveTask(need jobs.Resources) {
 	rest := b.freeing.Sub(need)
-	b.freeing = rest.Max(checkpoint.Resources{})
-	b.free = b.free.Add(rest.Sub(b.freeing)).Max(checkpoint.Resources{})
+	b.freeing = rest.Max(jobs.Resources{})
+	b.free = b.free.Add(rest.Sub(b.freeing)).Max(jobs.Resources{})
 }
 
 func (p *planner) listMachines() {
@@ -57,7 +58,7 @@
 }
 
 // allows tells whether the bin may take the job's tasks.
-func (p *planner) allows(j *checkpoint.Job, b *candidateMachine) bool {
+func (p *planner) allows(j *jobs.Job, b *candidateMachine) bool {
 	if !j.Spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
 		return false
 	}
@@ -68,7 +69,7 @@
 }
 
 // avoids tells whether the job has just failed on the bin's machine.
-func (p *planner) avoids(j *checkpoint.Job, b *candidateMachine) bool {
+func (p *planner) avoids(j *jobs.Job, b *candidateMachine) bool {
 	until, bad := j.AvoidUntil[b.machine.ID]
 	return bad && !until.Before(p.snapshot.Now)
 }
@@ -83,7 +84,7 @@
 
 // rankMachines returns the bins for the job, best first: those that hold the image,
 // then spot machines for tasks that may use them, then the most free room.
-func (p *planner) rankMachines(j *checkpoint.Job) []*candidateMachine {
+func (p *planner) rankMachines(j *jobs.Job) []*candidateMachine {
 	need, shape := j.Spec.TaskResources(), shapeOf(&j.Spec)
 	if p.unplaceable[shape] {
 		return nil
@@ -116,7 +117,7 @@
 	return out
 }
 
-func (p *planner) compareMachines(j *checkpoint.Job, x, y rankedMachine) int {
+func (p *planner) compareMachines(j *jobs.Job, x, y rankedMachine) int {
 	switch {
 	case x.hasImage != y.hasImage:
 		return preferTrue(x.hasImage)
@@ -146,13 +147,13 @@
 // placementShape is what decides on which machines a task may go, leaving aside where
 // the job's other tasks are.
 type placementShape struct {
-	need         checkpoint.Resources
-	zone         unit.Zone
+	need         jobs.Resources
+	zone         ident.Zone
 	spot         bool
 	machineTypes string
 }
 
-func shapeOf(s *checkpoint.Spec) placementShape {
+func shapeOf(s *jobs.Spec) placementShape {
 	types := ""
 	for _, t := range s.MachineTypes {
 		types += string(t) + " "
--- a/internal/round/place.go
+++ b/internal/scheduler/place.go
@@ -1,19 +1,21 @@
-package round
+package scheduler
 
 import (
 	"math"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/jobs"
 )
 
-func (p *planner) zoneCount(j *checkpoint.Job, z unit.Zone) int {
+func (p *planner) zoneCount(j *jobs.Job, z ident.Zone) int {
 	return j.PlacementsByZone[z] + p.plannedByZone[j][z]
 }
 
 // zoneRoom tells how many more tasks of the job may be in the zone, given
 // where its other tasks are or are about to be.
-func (p *planner) zoneRoom(j *checkpoint.Job, z unit.Zone) int {
+func (p *planner) zoneRoom(j *jobs.Job, z ident.Zone) int {
 	// A machine whose zone is not known yet may be in any.
 	if j.PlacementsByZone[""] > 0 && (j.Spec.ZoneAffinity || j.Spec.ZoneSpread) {
 		return 0
@@ -90,17 +92,17 @@
 
 // fetchTooSlow tells whether the job must start sooner than the bin's machine could
 // fetch its image.
-func (p *planner) fetchTooSlow(j *checkpoint.Job, b *candidateMachine) bool {
+func (p *planner) fetchTooSlow(j *jobs.Job, b *candidateMachine) bool {
 	within := p.snapshot.Objectives[j.Spec.Class].StartWithin.Seconds()
-	return within > 0 && j.Spec.Priority >= checkpoint.PriorityHigh && b.machineType.FetchGBps > 0 && j.Spec.ImageGB/b.machineType.FetchGBps > within
+	return within > 0 && j.Spec.Priority >= jobs.PriorityHigh && b.machineType.FetchGBps > 0 && j.Spec.ImageGB/b.machineType.FetchGBps > within
 }
 
 // startTasks adds a group to the record, as far as the record has room, and
 // returns how many tasks it took.
-func (p *planner) startTasks(j *checkpoint.Job, b *candidateMachine, tasks []unit.TaskIndex) int {
+func (p *planner) startTasks(j *jobs.Job, b *candidateMachine, tasks []ident.TaskIndex) int {
 	st := newStart(j, b, tasks)
 	// Room is kept for one rental.
-	if p.recordSize+st.MaxJSONSize()+2*MaxProvisionJSONSize > p.snapshot.ValueBytes {
+	if p.recordSize+st.MaxJSONSize()+2*roundlog.MaxProvisionJSONSize > p.snapshot.ValueBytes {
 		p.recordFull = true
 		return 0
 	}
@@ -109,7 +111,7 @@
 }
 
 // addStart adds a start of n tasks to the record.
-func (p *planner) addStart(j *checkpoint.Job, b *candidateMachine, st Start, n int) {
+func (p *planner) addStart(j *jobs.Job, b *candidateMachine, st roundlog.Start, n int) {
 	p.recordSize += st.MaxJSONSize()
 	p.plan.Record.Starts = append(p.plan.Record.Starts, st)
 	b.receivesTasks = true
@@ -118,8 +120,8 @@
 	p.allocate(j, b, n)
 }
 
-func newStart(j *checkpoint.Job, b *candidateMachine, tasks []unit.TaskIndex) Start {
-	st := Start{Job: j.ID, Machine: b.machine.ID, Session: b.machine.Session}
+func newStart(j *jobs.Job, b *candidateMachine, tasks []ident.TaskIndex) roundlog.Start {
+	st := roundlog.Start{Job: j.ID, Machine: b.machine.ID, Session: b.machine.Session}
 	for _, i := range tasks {
 		st.Tasks.Add(i)
 	}
@@ -127,7 +129,7 @@
 }
 
 // recordRoom is what the job's record still holds, with what this plan has started.
-func (p *planner) recordRoom(j *checkpoint.Job) checkpoint.SpareBytes {
+func (p *planner) recordRoom(j *jobs.Job) jobs.SpareBytes {
 	r, ok := p.recordRooms[j]
 	if !ok {
 		r = j.SpareBytes(p.snapshot.ValueBytes, p.snapshot.MaxJobValues, p.snapshot.SpecJSONSize(j))
@@ -136,7 +138,7 @@
 	return r
 }
 
-func (p *planner) allocate(j *checkpoint.Job, b *candidateMachine, n int) {
+func (p *planner) allocate(j *jobs.Job, b *candidateMachine, n int) {
 	b.free = b.free.Sub(j.Spec.TaskResources().Multiply(n))
 	if j.Spec.Service {
 		p.plannedReplicas[b] += n
@@ -145,11 +147,11 @@
 }
 
 // countPlaced counts n tasks of the job as being on the bin's machine.
-func (p *planner) countPlaced(j *checkpoint.Job, b *candidateMachine, n int) {
+func (p *planner) countPlaced(j *jobs.Job, b *candidateMachine, n int) {
 	p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(n))
 	p.useReservation(j, n)
 	if p.plannedByZone[j] == nil {
-		p.plannedByZone[j] = map[unit.Zone]int{}
+		p.plannedByZone[j] = map[ident.Zone]int{}
 	}
 	p.plannedByZone[j][b.zone] += n
 }
@@ -157,7 +159,7 @@
 // handleUnplaced handles tasks that fit no free machine: room is made for them by
 // stopping others where the rules allow it; else they wait for machines that
 // are coming. It returns how many need a machine rented.
-func (p *planner) handleUnplaced(j *checkpoint.Job, n int, guaranteed bool) int {
+func (p *planner) handleUnplaced(j *jobs.Job, n int, guaranteed bool) int {
 	p.plan.UnplacedTasks += n
 	p.demand[j.Spec.Class] += n
 	if guaranteed || p.mayPreempt(j) {
--- a/internal/round/plan_golden_test.go
+++ b/internal/scheduler/plan_golden_test.go
@@ -1,4 +1,4 @@
-package round
+package scheduler
 
 import (
 	"crypto/sha256"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/jobs"
 )
 
 // goldenPlans is how many seeds testdata/golden/plans.txt holds, one a line:
@@ -89,12 +89,12 @@
 		has["gang-preempted"] = has["gang-preempted"] || victim.Spec.Gang
 		has["gang-preempts"] = has["gang-preempts"] || winner.Spec.Gang
 	}
-	lowestBefore := checkpoint.PriorityProd
+	lowestBefore := jobs.PriorityProd
 	for _, start := range plan.Record.Starts {
 		spec := &s.jobs[start.Job].Spec
 		has["replacement"] = has["replacement"] || start.Attempt != 0
 		has["gang-start"] = has["gang-start"] || spec.Gang && start.Attempt == 0
-		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < checkpoint.PriorityHigh
+		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < jobs.PriorityHigh
 		lowestBefore = min(lowestBefore, spec.Priority)
 	}
 	return slices.DeleteFunc(slices.Clone(allKinds), func(kind string) bool { return !has[kind] })
--- a/internal/round/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -1,15 +1,17 @@
-package round
+package scheduler
 
 import (
 	"fmt"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
 )
 
 // generator is SplitMix64. The golden plans depend on each of its numbers, so it
@@ -54,10 +56,10 @@
 // snapshotNow is when the snapshots are taken; the fleet's leader began an hour
 // after the zero instant.
 const (
-	leaderBegan   = unit.Instant(time.Hour)
-	snapshotNow   = leaderBegan + unit.Instant(15*time.Minute)
+	leaderBegan   = clock.Instant(time.Hour)
+	snapshotNow   = leaderBegan + clock.Instant(15*time.Minute)
 	snapshotWall  = 1_700_000_000_000 // ms
-	snapshotEpoch = unit.Epoch(10)
+	snapshotEpoch = ident.Epoch(10)
 )
 
 // snapshotGenerator draws what a plan is made from, from a seed. All CPUs are multiples
@@ -66,26 +68,26 @@
 	generator
 	profile  profile
 	world    *Snapshot
-	jobs     map[unit.JobID]*checkpoint.Job
-	zones    []unit.Zone
+	jobs     map[ident.JobID]*jobs.Job
+	zones    []ident.Zone
 	types    []*fleet.MachineType
 	machines []*fleet.Machine
-	beats    map[unit.MachineID]unit.HeartbeatSeq
+	beats    map[ident.MachineID]ident.HeartbeatSeq
 }
 
 func newSnapshot(seed uint64) *snapshotGenerator {
 	s := &snapshotGenerator{generator: generator{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profiles)),
-		jobs: map[unit.JobID]*checkpoint.Job{}, beats: map[unit.MachineID]unit.HeartbeatSeq{}}
-	s.zones = []unit.Zone{"a", "b", "c"}[:s.between(1, 3)]
+		jobs: map[ident.JobID]*jobs.Job{}, beats: map[ident.MachineID]ident.HeartbeatSeq{}}
+	s.zones = []ident.Zone{"a", "b", "c"}[:s.between(1, 3)]
 	s.types = s.drawTypes()
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, snapshotEpoch, leaderBegan,
-		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
+		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(s.types)
-	s.world = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: unit.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
+	s.world = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: ident.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
 		Fleet: f, MachineTypes: s.types, Zones: s.zones, Teams: s.drawTeams(), Objectives: s.drawExpectations(),
 		MayDrain: s.percent(80), MayProvision: s.percent(85), Policy: s.drawPolicy(),
 		ValueBytes: pick(&s.generator, 8192, 65536), MaxJobValues: 1, MaxRoundValues: 1,
-		SpecJSONSize: func(*checkpoint.Job) int { return 300 }, ReplacementAttempts: map[unit.JobID]unit.Attempt{}}
+		SpecJSONSize: func(*jobs.Job) int { return 300 }, ReplacementAttempts: map[ident.JobID]ident.Attempt{}}
 	if s.profile == sparse {
 		s.world.MayDrain, s.world.Policy.SpareTasks = true, s.below(3)
 	}
@@ -105,13 +107,13 @@
 
 func (s *snapshotGenerator) drawTypes() []*fleet.MachineType {
 	all := []*fleet.MachineType{
-		{Name: "m4", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20, FetchGBps: 1,
+		{Name: "m4", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20, FetchGBps: 1,
 			HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second},
-		{Name: "c16", Capacity: checkpoint.Resources{CPUs: 16, MemoryGB: 32}, CacheGB: 60, FetchGBps: 0.5,
+		{Name: "c16", Capacity: jobs.Resources{CPUs: 16, MemoryGB: 32}, CacheGB: 60, FetchGBps: 0.5,
 			HourlyPrice: 1.3, HourlySpotPrice: 0.5, BootTime: 30 * time.Second, Zones: s.zones},
-		{Name: "g8", Capacity: checkpoint.Resources{CPUs: 8, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.25,
+		{Name: "g8", Capacity: jobs.Resources{CPUs: 8, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.25,
 			HourlyPrice: 4, HourlySpotPrice: 1, BootTime: 45 * time.Second, Zones: s.zones[:1]},
-		{Name: "x64", Capacity: checkpoint.Resources{CPUs: 64, MemoryGB: 256},
+		{Name: "x64", Capacity: jobs.Resources{CPUs: 64, MemoryGB: 256},
 			HourlyPrice: 5, HourlySpotPrice: 2.5, BootTime: 60 * time.Second},
 	}
 	if s.profile == large {
@@ -120,9 +122,9 @@
 	return all[:s.between(1, len(all))]
 }
 
-func (s *snapshotGenerator) drawTeams() map[unit.Team]config.Team {
-	teams := map[unit.Team]config.Team{}
-	for _, name := range []unit.Team{"red", "blue", "green"} {
+func (s *snapshotGenerator) drawTeams() map[ident.Team]config.Team {
+	teams := map[ident.Team]config.Team{}
+	for _, name := range []ident.Team{"red", "blue", "green"} {
 		var team config.Team
 		if s.profile == guaranteed || s.percent(25) {
 			team.CPUGuarantee, team.GPUGuarantee = float64(pick(&s.generator, 0, 8, 16, 32)), float64(pick(&s.generator, 0, 2, 4))
@@ -141,10 +143,10 @@
 	return teams
 }
 
-var classes = []unit.Class{"web", "batch", "train", "report"}
+var classes = []ident.Class{"web", "batch", "train", "report"}
 
-func (s *snapshotGenerator) drawExpectations() map[unit.Class]Objectives {
-	expect := map[unit.Class]Objectives{}
+func (s *snapshotGenerator) drawExpectations() map[ident.Class]Objectives {
+	expect := map[ident.Class]Objectives{}
 	for _, class := range classes {
 		var e Objectives
 		if s.percent(40) {
@@ -168,17 +170,17 @@
 // drawAvailability draws which offers the cloud has none of, and which teams have
 // work.
 func (s *snapshotGenerator) drawAvailability() {
-	out := map[rental.Offer]bool{}
+	out := map[cloud.Offer]bool{}
 	for _, t := range s.types {
 		for _, z := range s.zones {
 			for _, spot := range []bool{true, false} {
-				out[rental.Offer{Type: t.Name, Zone: z, Spot: spot}] = s.percent(15)
+				out[cloud.Offer{Type: t.Name, Zone: z, Spot: spot}] = s.percent(15)
 			}
 		}
 	}
-	s.world.OfferUnavailable = func(o rental.Offer) bool { return out[o] }
-	active := map[unit.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
-	s.world.TeamActive = func(team unit.Team) bool { return active[team] }
+	s.world.OfferUnavailable = func(o cloud.Offer) bool { return out[o] }
+	active := map[ident.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
+	s.world.TeamActive = func(team ident.Team) bool { return active[team] }
 }
 
 func (s *snapshotGenerator) drawMachines() {
@@ -195,18 +197,18 @@
 	}
 	for i := range n {
 		t := pick(&s.generator, s.types...)
-		r := &fleet.Heartbeat{Machine: unit.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
+		r := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
 			Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(40)}
-		at := snapshotNow - unit.Instant(s.between(0, 3000))*unit.Instant(time.Millisecond)
+		at := snapshotNow - clock.Instant(s.between(0, 3000))*clock.Instant(time.Millisecond)
 		if s.percent(4) {
-			at -= unit.Instant(10 * time.Second) // it has missed heartbeats
+			at -= clock.Instant(10 * time.Second) // it has missed heartbeats
 		}
 		s.machines = append(s.machines, s.report(at, r))
 	}
 }
 
 // report has a machine report for the first time, or again.
-func (s *snapshotGenerator) report(at unit.Instant, r *fleet.Heartbeat) *fleet.Machine {
+func (s *snapshotGenerator) report(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
 	s.beats[r.Machine]++
 	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.beats[r.Machine], snapshotEpoch
 	s.world.Fleet.ApplyHeartbeat(at, r, true)
@@ -214,7 +216,7 @@
 }
 
 // reportAgain has a machine report what it holds, in a state.
-func (s *snapshotGenerator) reportAgain(m *fleet.Machine, state fleet.TaskState, placements ...*checkpoint.Placement) {
+func (s *snapshotGenerator) reportAgain(m *fleet.Machine, state fleet.TaskState, placements ...*jobs.Placement) {
 	r := &fleet.Heartbeat{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	for _, p := range placements {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: state, Cause: fleet.ExitStopped})
@@ -223,12 +225,12 @@
 }
 
 // drawSpec draws what a job asks for.
-func (s *snapshotGenerator) drawSpec() checkpoint.Spec {
+func (s *snapshotGenerator) drawSpec() jobs.Spec {
 	g := &s.generator
-	spec := checkpoint.Spec{Class: pick(g, classes...), Team: pick(g, unit.Team("red"), "blue", "green"),
-		Priority: pick(g, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard, checkpoint.PriorityStandard, checkpoint.PriorityHigh, checkpoint.PriorityProd),
+	spec := jobs.Spec{Class: pick(g, classes...), Team: pick(g, ident.Team("red"), "blue", "green"),
+		Priority: pick(g, jobs.PriorityBestEffort, jobs.PriorityStandard, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd),
 		Tasks:    pick(g, 1, 2, 3, 5, 8, 20), CPUs: pick(g, 0.25, 0.5, 1, 1, 2, 4), MemoryGB: pick(g, 0.3, 1, 1.7, 4),
-		Image: pick(g, unit.Image("img-1"), "img-2", "img-3"), ImageGB: pick(g, 0.5, 2, 9), EstimatedRunSeconds: pick(g, 0.0, 20, 50, 120),
+		Image: pick(g, ident.Image("img-1"), "img-2", "img-3"), ImageGB: pick(g, 0.5, 2, 9), EstimatedRunSeconds: pick(g, 0.0, 20, 50, 120),
 		Spot: s.percent(60), ZoneAffinity: s.percent(15), ZoneSpread: s.percent(15)}
 	spec.Service = s.percent(25)
 	if s.percent(10) && len(s.types) > 2 { // the third type has GPUs
@@ -252,7 +254,7 @@
 	return spec
 }
 
-func asGang(g *generator, spec checkpoint.Spec) checkpoint.Spec {
+func asGang(g *generator, spec jobs.Spec) jobs.Spec {
 	spec.Gang, spec.Service, spec.ZoneSpread = true, false, false
 	spec.ZoneAffinity = g.percent(70)
 	spec.Tasks = g.between(2, 6)
@@ -260,10 +262,10 @@
 }
 
 // addJob adds a job that was submitted so many seconds ago.
-func (s *snapshotGenerator) addJob(spec checkpoint.Spec, agoS int) *checkpoint.Job {
-	id := unit.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
-	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, snapshotWall-int64(agoS)*1000), 1, leaderBegan)
-	j.QueuedSince = snapshotNow - unit.Instant(s.between(0, min(agoS, 800)))*unit.Instant(time.Second)
+func (s *snapshotGenerator) addJob(spec jobs.Spec, agoS int) *jobs.Job {
+	id := ident.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
+	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(agoS)*1000), 1, leaderBegan)
+	j.QueuedSince = snapshotNow - clock.Instant(s.between(0, min(agoS, 800)))*clock.Instant(time.Second)
 	s.jobs[id] = j
 	return j
 }
@@ -286,19 +288,19 @@
 		spec := s.drawSpec()
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard)
+			spec.Priority = pick(&s.generator, jobs.PriorityBestEffort, jobs.PriorityStandard)
 			spec.Tasks = s.between(3, 12)
 		case sparse:
 			spec.Service, spec.Gang = s.percent(85), false
 			spec.Tasks, spec.CPUs = s.between(1, 4), pick(&s.generator, 0.25, 0.5, 1)
-			spec.Priority = checkpoint.PriorityHigh
-			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.generator, unit.Image("img-1"), "img-1", "img-2")
+			spec.Priority = jobs.PriorityHigh
+			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.generator, ident.Image("img-1"), "img-1", "img-2")
 		case gangsLost:
 			if s.percent(60) {
 				spec = asGang(&s.generator, spec)
 			}
 		case guaranteed:
-			spec.Team = pick(&s.generator, unit.Team("red"), "red", "blue")
+			spec.Team = pick(&s.generator, ident.Team("red"), "red", "blue")
 			spec.Tasks = s.between(4, 16)
 		}
 		j := s.addJob(spec, s.between(20, 400))
@@ -310,10 +312,10 @@
 }
 
 // placeSome places tasks of a job where they fit; a gang comes whole or not at all.
-func (s *snapshotGenerator) placeSome(j *checkpoint.Job) {
-	attempt := unit.Attempt(s.between(1, 15))
+func (s *snapshotGenerator) placeSome(j *jobs.Job) {
+	attempt := ident.Attempt(s.between(1, 15))
 	chance := s.between(30, 100)
-	var placed []*checkpoint.Placement
+	var placed []*jobs.Placement
 	for j.Queue.Len() > 0 {
 		m := s.roomFor(j)
 		if s.percent(1) {
@@ -323,8 +325,8 @@
 		if m == nil || !j.Spec.Gang && !s.percent(chance) {
 			break
 		}
-		p := &checkpoint.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
-			FencingToken: snapshotEpoch, PlacedAt: snapshotNow - unit.Instant(s.between(0, 300))*unit.Instant(time.Second)}
+		p := &jobs.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
+			FencingToken: snapshotEpoch, PlacedAt: snapshotNow - clock.Instant(s.between(0, 300))*clock.Instant(time.Second)}
 		s.world.Fleet.Place(p.PlacedAt, p)
 		placed = append(placed, p)
 	}
@@ -341,7 +343,7 @@
 
 // loseTask ends a task of a gang. Its machine may still know the exit, and the
 // task may be replaced or not.
-func (s *snapshotGenerator) loseTask(j *checkpoint.Job, placed []*checkpoint.Placement) {
+func (s *snapshotGenerator) loseTask(j *jobs.Job, placed []*jobs.Placement) {
 	lost := pick(&s.generator, placed...)
 	if s.percent(50) {
 		s.world.Fleet.Retract(snapshotNow, lost)
@@ -355,7 +357,7 @@
 }
 
 // roomFor picks a machine that may run a task of the job.
-func (s *snapshotGenerator) roomFor(j *checkpoint.Job) *fleet.Machine {
+func (s *snapshotGenerator) roomFor(j *jobs.Job) *fleet.Machine {
 	if len(s.machines) == 0 {
 		return nil
 	}
@@ -383,7 +385,7 @@
 		spec, agoS := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, checkpoint.PriorityStandard, checkpoint.PriorityHigh, checkpoint.PriorityProd)
+			spec.Priority = pick(&s.generator, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd)
 		case gangsQueued, large:
 			if s.percent(75) {
 				spec = asGang(&s.generator, spec)
@@ -393,10 +395,10 @@
 				spec.MachineTypes, spec.Zone, spec.GPUs = nil, "", 0
 			}
 		case guaranteed:
-			spec.Team = pick(&s.generator, unit.Team("blue"), "green")
+			spec.Team = pick(&s.generator, ident.Team("blue"), "green")
 		case neglectedWork:
 			spec.Gang, spec.Service = false, s.percent(10)
-			spec.Priority = pick(&s.generator, checkpoint.PriorityBestEffort, checkpoint.PriorityStandard)
+			spec.Priority = pick(&s.generator, jobs.PriorityBestEffort, jobs.PriorityStandard)
 			agoS = pick(&s.generator, 20, 130, 145, 175, 190, 600)
 		}
 		s.drawHistory(s.addJob(spec, agoS))
@@ -404,18 +406,18 @@
 }
 
 // drawHistory draws what has happened to a job that waits.
-func (s *snapshotGenerator) drawHistory(j *checkpoint.Job) {
+func (s *snapshotGenerator) drawHistory(j *jobs.Job) {
 	if !j.Spec.Gang && j.Spec.Tasks > 2 && s.percent(25) {
-		j.CompleteTask(snapshotNow, unit.TaskIndex(s.below(j.Spec.Tasks)))
+		j.CompleteTask(snapshotNow, ident.TaskIndex(s.below(j.Spec.Tasks)))
 	}
 	if !j.Spec.Gang && s.percent(20) {
-		j.StartedTasks.Add(unit.TaskIndex(s.below(j.Spec.Tasks)))
+		j.StartedTasks.Add(ident.TaskIndex(s.below(j.Spec.Tasks)))
 	}
 	if s.percent(20) {
-		j.LastPlacedAt = snapshotNow - unit.Instant(s.between(1, 120))*unit.Instant(time.Second)
+		j.LastPlacedAt = snapshotNow - clock.Instant(s.between(1, 120))*clock.Instant(time.Second)
 	}
 	if len(s.machines) > 0 && s.percent(15) {
-		j.AvoidUntil = map[unit.MachineID]unit.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + unit.Instant(pick(&s.generator, -1, 5))*unit.Instant(time.Second)}
+		j.AvoidUntil = map[ident.MachineID]clock.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + clock.Instant(pick(&s.generator, -1, 5))*clock.Instant(time.Second)}
 	}
 }
 
@@ -438,21 +440,21 @@
 	if !s.percent(30) {
 		return
 	}
-	s.world.Reserved = map[unit.Team]checkpoint.Resources{}
-	for _, team := range []unit.Team{"red", "blue", "green"} {
+	s.world.Reserved = map[ident.Team]jobs.Resources{}
+	for _, team := range []ident.Team{"red", "blue", "green"} {
 		if s.percent(60) {
-			s.world.Reserved[team] = checkpoint.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
+			s.world.Reserved[team] = jobs.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
 		}
 	}
 	covered := s.between(0, 4)
-	s.world.ReservedTasks = func(j *checkpoint.Job) int { return min(covered, j.Spec.Tasks) }
+	s.world.ReservedTasks = func(j *jobs.Job) int { return min(covered, j.Spec.Tasks) }
 }
 
 func (s *snapshotGenerator) drawComing() {
 	for range s.between(0, 5) {
 		if s.percent(50) {
 			t := pick(&s.generator, s.types...)
-			s.world.PendingMachines = append(s.world.PendingMachines, PendingMachine{Offer: rental.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
+			s.world.PendingMachines = append(s.world.PendingMachines, PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
 		}
 	}
 }
@@ -465,7 +467,7 @@
 		switch {
 		case !s.percent(8):
 		case s.percent(25):
-			m.InterruptionAt = snapshotNow + unit.Instant(20*time.Second)
+			m.InterruptionAt = snapshotNow + clock.Instant(20*time.Second)
 		case s.percent(33):
 			m.Quarantined = true
 		case s.percent(50):
@@ -475,7 +477,7 @@
 		}
 	}
 	for i := range len(s.jobs) {
-		j := s.jobs[unit.JobID(fmt.Sprintf("wk-%06d", i+1))]
+		j := s.jobs[ident.JobID(fmt.Sprintf("wk-%06d", i+1))]
 		if len(j.Placements) > 0 {
 			s.world.PlacedJobs = append(s.world.PlacedJobs, j)
 		}
@@ -486,10 +488,10 @@
 }
 
 func (s *snapshotGenerator) drawPlacementStates(m *fleet.Machine) {
-	var running []*checkpoint.Placement
+	var running []*jobs.Placement
 	live := m.LivePlacements()
 	for _, p := range live {
-		p.State = checkpoint.PlacementFetching
+		p.State = jobs.PlacementFetching
 		if s.percent(85) {
 			running = append(running, p)
 		}
@@ -498,8 +500,8 @@
 		s.reportAgain(m, "running", running...)
 	}
 	for _, p := range live {
-		if p.State == checkpoint.PlacementRunning {
-			p.RunningSince = snapshotNow - unit.Instant(s.between(0, 400))*unit.Instant(time.Second)
+		if p.State == jobs.PlacementRunning {
+			p.RunningSince = snapshotNow - clock.Instant(s.between(0, 400))*clock.Instant(time.Second)
 		}
 		if s.percent(6) {
 			s.world.Fleet.StopPlacement(snapshotNow, p, 0)
--- a/internal/round/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -1,52 +1,54 @@
-package round
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"pgregory.net/rapid"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
 )
 
 // fixture builds a world to plan in.
 type fixture struct {
 	snapshot *Snapshot
-	jobs     map[unit.JobID]*checkpoint.Job
+	jobs     map[ident.JobID]*jobs.Job
 }
 
-const leaderStart = unit.Instant(time.Hour)
+const leaderStart = clock.Instant(time.Hour)
 
 func newFixture(t interface{ Fatal(...any) }) *fixture {
 	pol, err := policy.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fixture{jobs: map[unit.JobID]*checkpoint.Job{}}
-	types := []*fleet.MachineType{{Name: "m4", Capacity: checkpoint.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20,
-		HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second, Zones: []unit.Zone{"a", "b"}}}
+	s := &fixture{jobs: map[ident.JobID]*jobs.Job{}}
+	types := []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20,
+		HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second, Zones: []ident.Zone{"a", "b"}}}
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, 10, leaderStart,
-		func(id unit.JobID) *checkpoint.Job { return s.jobs[id] })
+		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(types)
-	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []unit.Zone{"a", "b"},
-		Teams:            map[unit.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
-		OfferUnavailable: func(rental.Offer) bool { return false }, TeamActive: func(unit.Team) bool { return true }, MayProvision: true, Policy: pol, ValueBytes: 8192,
-		SpecJSONSize: func(*checkpoint.Job) int { return 300 }}
+	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []ident.Zone{"a", "b"},
+		Teams:            map[ident.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
+		OfferUnavailable: func(cloud.Offer) bool { return false }, TeamActive: func(ident.Team) bool { return true }, MayProvision: true, Policy: pol, ValueBytes: 8192,
+		SpecJSONSize: func(*jobs.Job) int { return 300 }}
 	return s
 }
 
-func (s *fixture) addMachine(id unit.MachineID, zone unit.Zone, spot bool) {
+func (s *fixture) addMachine(id ident.MachineID, zone ident.Zone, spot bool) {
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10}, true)
 }
 
 // sendHeartbeat has a machine report what it holds of a job, all running.
-func (s *fixture) sendHeartbeat(id unit.MachineID, j *checkpoint.Job) {
+func (s *fixture) sendHeartbeat(id ident.MachineID, j *jobs.Job) {
 	r := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
 	for _, v := range s.snapshot.Fleet.Machine(id).LivePlacements() {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: v.ID(), Attempt: v.Attempt, State: "running"})
@@ -54,14 +56,14 @@
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, r, true)
 }
 
-func (s *fixture) addJob(id unit.JobID, spec checkpoint.Spec) *checkpoint.Job {
-	j := checkpoint.NewJob(id, checkpoint.NewRecord(spec, 0), 1, leaderStart)
+func (s *fixture) addJob(id ident.JobID, spec jobs.Spec) *jobs.Job {
+	j := jobs.NewJob(id, jobs.NewRecord(spec, 0), 1, leaderStart)
 	s.jobs[id] = j
 	return j
 }
 
-func (s *fixture) place(j *checkpoint.Job, i unit.TaskIndex, m unit.MachineID) *checkpoint.Placement {
-	p := &checkpoint.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: checkpoint.PlacementRunning, RunningSince: leaderStart}
+func (s *fixture) place(j *jobs.Job, i ident.TaskIndex, m ident.MachineID) *jobs.Placement {
+	p := &jobs.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: jobs.PlacementRunning, RunningSince: leaderStart}
 	s.snapshot.Fleet.Place(s.snapshot.Now, p)
 	return p
 }
@@ -79,8 +81,8 @@
 	return PlanRound(s.snapshot)
 }
 
-func taskSpec(team unit.Team, prio checkpoint.Priority, n int, cpus float64) checkpoint.Spec {
-	return checkpoint.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
+func taskSpec(team ident.Team, prio jobs.Priority, n int, cpus float64) jobs.Spec {
+	return jobs.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
 }
 
 // TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told
@@ -91,12 +93,12 @@
 	s.addMachine("host-1", "a", false)
 	s.addMachine("host-2", "b", false)
 	s.addMachine("host-3", "b", false)
-	low := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityBestEffort, 2, 4))
+	low := s.addJob("wk-000001", taskSpec("red", jobs.PriorityBestEffort, 2, 4))
 	s.place(low, 0, "host-1")
 	s.place(low, 1, "host-2") // red is at its limit of 8
-	blue := s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 4))
+	blue := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityProd, 1, 4))
 	blue.Spec.Zone = "a"
-	s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
+	s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	plan := s.plan()
 	if len(plan.Evictions) == 0 {
 		t.Fatal("no room was made for the prod job")
@@ -112,12 +114,12 @@
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	s.addMachine("host-2", "a", false)
-	old := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 1))
+	old := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 1))
 	p := s.place(old, 0, "host-2")
-	p.State = checkpoint.PlacementFetching
+	p.State = jobs.PlacementFetching
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2,
 		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: "running"}}}, true)
-	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 1, 1))
+	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 1))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Machine != "host-2" {
 		t.Errorf("starts %+v, want one on the machine that holds the image", plan.Record.Starts)
@@ -127,8 +129,8 @@
 func TestHigherPriorityFirst(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
-	s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
-	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityProd, 1, 4))
+	s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4))
+	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityProd, 1, 4))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != "wk-000002" {
 		t.Errorf("starts %+v, want the prod job", plan.Record.Starts)
@@ -140,15 +142,15 @@
 func TestNoPreemptionAmongEquals(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
-	low := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 1, 4)) // within red's guarantee
+	low := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4)) // within red's guarantee
 	s.place(low, 0, "host-1")
-	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityStandard, 1, 4))
+	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 4))
 	if plan := s.plan(); len(plan.Evictions) != 0 {
 		t.Errorf("stopped %v", plan.Evictions[0].Placement.ID())
 	}
 	// Beyond its guarantee, red must give back what blue is guaranteed.
 	s.addMachine("host-2", "a", false)
-	more := s.addJob("wk-000003", taskSpec("red", checkpoint.PriorityStandard, 1, 4))
+	more := s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	s.place(more, 0, "host-2")
 	if plan := s.plan(); len(plan.Evictions) != 1 {
 		t.Errorf("%d stops, want 1 to give blue its guarantee", len(plan.Evictions))
@@ -158,7 +160,7 @@
 func TestGangWholeOrNotAtAll(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
-	spec := taskSpec("blue", checkpoint.PriorityStandard, 2, 4)
+	spec := taskSpec("blue", jobs.PriorityStandard, 2, 4)
 	spec.Gang = true
 	s.addJob("wk-000001", spec)
 	if plan := s.plan(); len(plan.Record.Starts) != 0 || len(plan.Record.Provisions) != 1 {
@@ -176,14 +178,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFixture(t)
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			s.addMachine(unit.MachineID(fmt.Sprintf("host-%d", i)), rapid.SampledFrom([]unit.Zone{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			s.addMachine(ident.MachineID(fmt.Sprintf("host-%d", i)), rapid.SampledFrom([]ident.Zone{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
 		}
 		for i := range rapid.IntRange(0, 8).Draw(t, "jobs") {
-			spec := taskSpec(rapid.SampledFrom([]unit.Team{"red", "blue"}).Draw(t, "team"),
-				checkpoint.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
+			spec := taskSpec(rapid.SampledFrom([]ident.Team{"red", "blue"}).Draw(t, "team"),
+				jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"), rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
 			spec.ZoneSpread, spec.ZoneAffinity, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "one"), rapid.Bool().Draw(t, "spot")
-			j := s.addJob(unit.JobID(fmt.Sprintf("wk-%06d", i)), spec)
+			j := s.addJob(ident.JobID(fmt.Sprintf("wk-%06d", i)), spec)
 			for _, m := range s.snapshot.Fleet.Machines() {
 				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.snapshot.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
 					spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() && (!spec.ZoneAffinity || len(j.Placements) == 0) &&
@@ -196,7 +198,7 @@
 	})
 }
 
-func (s *fixture) used(team unit.Team) float64 {
+func (s *fixture) used(team ident.Team) float64 {
 	sum := 0.0
 	for _, j := range s.jobs {
 		if j.Spec.Team == team {
@@ -215,7 +217,7 @@
 		if !j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%v may not run on %s", st, m.ID)
 		}
-		st.Tasks.Each(func(i unit.TaskIndex) bool {
+		st.Tasks.Each(func(i ident.TaskIndex) bool {
 			if !j.Queue.Contains(i) {
 				t.Fatalf("task %d of %s is not queued", i, j.ID)
 			}
@@ -224,7 +226,7 @@
 		})
 	}
 	for _, m := range s.snapshot.Fleet.Machines() {
-		if !s.snapshot.Fleet.FreeCapacity(m).Fits(checkpoint.Resources{}) {
+		if !s.snapshot.Fleet.FreeCapacity(m).Fits(jobs.Resources{}) {
 			t.Fatalf("%s is overfull: %+v", m.ID, s.snapshot.Fleet.FreeCapacity(m))
 		}
 	}
@@ -255,16 +257,16 @@
 // minutes.
 func TestAgedJobsGetWholeMachines(t *testing.T) {
 	s := newFixture(t)
-	s.snapshot.Teams = map[unit.Team]config.Team{"red": {}, "blue": {}}
+	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
 	for i := range 4 {
-		s.addMachine(unit.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
+		s.addMachine(ident.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
 	}
-	small := s.addJob("wk-000001", taskSpec("red", checkpoint.PriorityStandard, 12, 2))
+	small := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 12, 2))
 	for i := range 4 { // half of each machine is taken
-		s.place(small, unit.TaskIndex(i), unit.MachineID(fmt.Sprintf("host-%d", i)))
+		s.place(small, ident.TaskIndex(i), ident.MachineID(fmt.Sprintf("host-%d", i)))
 	}
 	small.AcceptedAtMs = 300_000
-	s.addJob("wk-000002", taskSpec("blue", checkpoint.PriorityBestEffort, 1, 4))
+	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityBestEffort, 1, 4))
 	s.snapshot.WallMs = 320_000
 	left := 4
 	for _, st := range s.plan().Record.Starts {
--- a/internal/round/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,15 +1,16 @@
-package round
+package scheduler
 
 import (
 	"container/heap"
 	"sort"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/jobs"
 )
 
-func (p *planner) mayPreempt(j *checkpoint.Job) bool {
-	if j.Spec.Priority >= checkpoint.PriorityHigh || p.slackSeconds(j) < 2*urgentSlackSeconds {
+func (p *planner) mayPreempt(j *jobs.Job) bool {
+	if j.Spec.Priority >= jobs.PriorityHigh || p.slackSeconds(j) < 2*urgentSlackSeconds {
 		return true
 	}
 	return p.snapshot.Now.Sub(j.QueuedSince) >= p.snapshot.Policy.PreemptionDelay
@@ -18,7 +19,7 @@
 // preemptionSite is where room for one task can be made, and what that costs.
 type preemptionSite struct {
 	machine *candidateMachine
-	victims []*checkpoint.Placement
+	victims []*jobs.Placement
 	cost    float64
 }
 
@@ -26,7 +27,7 @@
 // work, by stopping what is in their way, and returns for how many it did. Room
 // that is already being made, or is left there, is kept for the job. With
 // holders only machines that hold the image count.
-func (p *planner) preempt(j *checkpoint.Job, n int, holders bool) int {
+func (p *planner) preempt(j *jobs.Job, n int, holders bool) int {
 	if n <= 0 {
 		return 0
 	}
@@ -53,7 +54,7 @@
 }
 
 // preemptionSites lists where room for one task of the job can be made.
-func (p *planner) preemptionSites(j *checkpoint.Job, holders bool) *siteHeap {
+func (p *planner) preemptionSites(j *jobs.Job, holders bool) *siteHeap {
 	out := &siteHeap{}
 	borrowed := p.mayReclaimGuarantee(j)
 	p.plan.Examined += len(p.machines)
@@ -72,14 +73,14 @@
 }
 
 // mayYield tells whether the bin can hold a task of the job at all after stops.
-func (b *candidateMachine) mayYield(j *checkpoint.Job, borrowed bool) bool {
+func (b *candidateMachine) mayYield(j *jobs.Job, borrowed bool) bool {
 	l := b.machine.Load()
 	return borrowed || l.Stopping > 0 || l.TasksBelow(j.Spec.Priority) > 0 || b.free.Add(b.freeing).Fits(j.Spec.TaskResources())
 }
 
 // mayReclaimGuarantee tells whether work of any priority may be stopped for the job:
 // its team is within its guarantee, and another beyond its own.
-func (p *planner) mayReclaimGuarantee(j *checkpoint.Job) bool {
+func (p *planner) mayReclaimGuarantee(j *jobs.Job) bool {
 	if !p.hasGuarantees || !p.withinGuarantee(j) {
 		return false
 	}
@@ -91,7 +92,7 @@
 	return false
 }
 
-func (p *planner) preemptionSiteAt(j *checkpoint.Job, b *candidateMachine) (preemptionSite, bool) {
+func (p *planner) preemptionSiteAt(j *jobs.Job, b *candidateMachine) (preemptionSite, bool) {
 	stops, cost, ok := p.victims(j, b)
 	if !b.machine.HasImage(j.Spec.Image) {
 		cost += 1 + j.Spec.ImageGB*4
@@ -101,7 +102,7 @@
 
 // evict stops what is in the way at a spot, gangs whole, and promises the room to a
 // task of the job. It tells whether a gang was stopped.
-func (p *planner) evict(j *checkpoint.Job, s preemptionSite) bool {
+func (p *planner) evict(j *jobs.Job, s preemptionSite) bool {
 	wide := false
 	for _, v := range s.victims {
 		if !v.Job.Spec.Gang || v.Stopping {
@@ -121,7 +122,7 @@
 }
 
 // evictPlacement stops one placement. The room that it leaves is nobody's yet.
-func (p *planner) evictPlacement(j *checkpoint.Job, v *checkpoint.Placement) {
+func (p *planner) evictPlacement(j *jobs.Job, v *jobs.Placement) {
 	p.evicted[v] = true
 	if b := p.machineByID(v.Machine); b != nil {
 		b.freeing = b.freeing.Add(v.Job.Spec.TaskResources())
@@ -133,9 +134,9 @@
 }
 
 // machineByID returns the bin of a machine, or nil if the plan does not use it.
-func (p *planner) machineByID(id unit.MachineID) *candidateMachine {
+func (p *planner) machineByID(id ident.MachineID) *candidateMachine {
 	if p.machinesByID == nil {
-		p.machinesByID = make(map[unit.MachineID]*candidateMachine, len(p.machines))
+		p.machinesByID = make(map[ident.MachineID]*candidateMachine, len(p.machines))
 		for _, b := range p.machines {
 			p.machinesByID[b.machine.ID] = b
 		}
@@ -154,14 +155,14 @@
 
 // victims returns what must stop on the bin's machine to fit one task of the
 // job, and what it costs in CPU seconds of lost work.
-func (p *planner) victims(j *checkpoint.Job, b *candidateMachine) ([]*checkpoint.Placement, float64, bool) {
+func (p *planner) victims(j *jobs.Job, b *candidateMachine) ([]*jobs.Placement, float64, bool) {
 	need := j.Spec.TaskResources()
 	if !b.machineType.Capacity.Fits(need) {
 		return nil, 0, false
 	}
 	free, cost := b.free.Add(b.freeing), 0.0
-	var out []*checkpoint.Placement
-	var lastGang *checkpoint.Job
+	var out []*jobs.Placement
+	var lastGang *jobs.Job
 	for _, v := range p.preemptionCandidates(j, b) {
 		if free.Fits(need) {
 			break
@@ -180,8 +181,8 @@
 
 // preemptionCandidates lists what may be stopped for the job: first what is stopping
 // already, then the lowest priority, then what loses least.
-func (p *planner) preemptionCandidates(j *checkpoint.Job, b *candidateMachine) []*checkpoint.Placement {
-	var out []*checkpoint.Placement
+func (p *planner) preemptionCandidates(j *jobs.Job, b *candidateMachine) []*jobs.Placement {
+	var out []*jobs.Placement
 	p.plan.Examined += b.machine.Load().Tasks
 	for _, v := range b.livePlacements() {
 		if !p.evicted[v] && (v.Stopping || p.mayEvict(j, v)) {
@@ -205,15 +206,15 @@
 }
 
 // evictionSize is how many tasks end if the placement is stopped: a gang ends whole.
-func evictionSize(v *checkpoint.Placement) int {
+func evictionSize(v *jobs.Placement) int {
 	if v.Job.Spec.Gang {
 		return len(v.Job.Placements)
 	}
 	return 1
 }
 
-func (p *planner) mayEvict(j *checkpoint.Job, v *checkpoint.Placement) bool {
-	if j.Spec.Priority < checkpoint.PriorityHigh && p.isProtected(v) {
+func (p *planner) mayEvict(j *jobs.Job, v *jobs.Placement) bool {
+	if j.Spec.Priority < jobs.PriorityHigh && p.isProtected(v) {
 		return false
 	}
 	if v.Job.Spec.Priority < j.Spec.Priority {
@@ -233,21 +234,21 @@
 // isProtected tells whether the placement belongs to a job that waited long for it,
 // and has not run for long enough to count as started, or has run longest of a
 // job with nothing done, and is let run to its end.
-func (p *planner) isProtected(v *checkpoint.Placement) bool {
+func (p *planner) isProtected(v *jobs.Placement) bool {
 	j := v.Job
 	if !p.isAged(j) {
 		return false
 	}
-	fresh := !j.StartedTasks.Contains(v.Task) && (v.State != checkpoint.PlacementRunning || p.snapshot.Now.Sub(v.RunningSince) < checkpoint.MinCountedRunTime)
+	fresh := !j.StartedTasks.Contains(v.Task) && (v.State != jobs.PlacementRunning || p.snapshot.Now.Sub(v.RunningSince) < jobs.MinCountedRunTime)
 	return fresh || len(j.Done) == 0 && p.oldestPlacement(j) == v
 }
 
 // oldestPlacement is the placement of the job that has run longest.
-func (p *planner) oldestPlacement(j *checkpoint.Job) *checkpoint.Placement {
+func (p *planner) oldestPlacement(j *jobs.Job) *jobs.Placement {
 	if v, ok := p.oldestPlacements[j]; ok {
 		return v
 	}
-	var out *checkpoint.Placement
+	var out *jobs.Placement
 	for _, v := range j.Placements {
 		if out == nil || ranLonger(v, out) {
 			out = v
@@ -258,7 +259,7 @@
 }
 
 // ranLonger tells whether one placement of a job has run longer than another.
-func ranLonger(v, w *checkpoint.Placement) bool {
+func ranLonger(v, w *jobs.Placement) bool {
 	switch {
 	case (v.RunningSince == 0) != (w.RunningSince == 0):
 		return v.RunningSince != 0
@@ -270,7 +271,7 @@
 
 // lostWork is the work, in CPU seconds, that stopping a placement throws away, with
 // that of its whole gang.
-func (p *planner) lostWork(v *checkpoint.Placement) float64 {
+func (p *planner) lostWork(v *jobs.Placement) float64 {
 	if v.Stopping {
 		return 0
 	}
@@ -288,10 +289,10 @@
 const gangRestartSeconds = 60
 
 // lostSecondsPerTask is the work, in seconds, that a task loses which is stopped.
-func (p *planner) lostSecondsPerTask(v *checkpoint.Placement) float64 {
+func (p *planner) lostSecondsPerTask(v *jobs.Placement) float64 {
 	s := &v.Job.Spec
 	switch {
-	case v.State != checkpoint.PlacementRunning:
+	case v.State != jobs.PlacementRunning:
 		return 0.5
 	case s.CheckpointIntervalSeconds > 0 && s.Gang && !p.gangReachable(v.Job):
 		// Not all of its tasks can be told in time, so it can't save: what it did
@@ -305,7 +306,7 @@
 
 // gangReachable tells whether all machines of a gang report, so that its tasks can be told
 // to stop at about the same time.
-func (p *planner) gangReachable(j *checkpoint.Job) bool {
+func (p *planner) gangReachable(j *jobs.Job) bool {
 	for _, v := range j.Placements {
 		m := p.snapshot.Fleet.Machine(v.Machine)
 		if m == nil || !m.Up || p.snapshot.Fleet.HeartbeatOverdue(p.snapshot.Now, m) {
--- a/internal/round/order.go
+++ b/internal/scheduler/queue.go
@@ -1,4 +1,4 @@
-package round
+package scheduler
 
 import (
 	"cmp"
@@ -6,15 +6,16 @@
 	"slices"
 	"sort"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/jobs"
 )
 
 // queueEntry is a job's place in the order. A job has two turns if only some of its
 // tasks fit its team's guarantee: those come first. One that has waited long
 // has a turn for the tasks that never ran before all work below High.
 type queueEntry struct {
-	job        *checkpoint.Job
+	job        *jobs.Job
 	guaranteed bool
 	aged       bool
 }
@@ -22,7 +23,7 @@
 // priorityRank orders turns by priority, the highest first.
 func (t queueEntry) priorityRank() int {
 	if t.aged {
-		return 2*int(checkpoint.PriorityHigh) - 1
+		return 2*int(jobs.PriorityHigh) - 1
 	}
 	return 2 * int(t.job.Spec.Priority)
 }
@@ -42,15 +43,15 @@
 )
 
 // isAged tells whether the job may have been neglected.
-func (p *planner) isAged(j *checkpoint.Job) bool {
-	return j.Spec.Priority < checkpoint.PriorityHigh && !j.Spec.Gang && !j.Spec.Service &&
+func (p *planner) isAged(j *jobs.Job) bool {
+	return j.Spec.Priority < jobs.PriorityHigh && !j.Spec.Gang && !j.Spec.Service &&
 		p.waitedSeconds(j) >= agingThresholdSeconds
 }
 
 // agedCapacity is how much old jobs may have beyond what they hold. What nothing
 // runs of has one task all the same.
-func (p *planner) agedCapacity() checkpoint.Resources {
-	var room checkpoint.Resources
+func (p *planner) agedCapacity() jobs.Resources {
+	var room jobs.Resources
 	for _, b := range p.machines {
 		room = room.Add(b.machineType.Capacity.Scale(agedCapacityShare))
 	}
@@ -94,7 +95,7 @@
 }
 
 // tasksWithinGuarantee tells how many more tasks of the job its team's guarantee covers.
-func (p *planner) tasksWithinGuarantee(j *checkpoint.Job) int {
+func (p *planner) tasksWithinGuarantee(j *jobs.Job) int {
 	t, used := p.snapshot.Teams[j.Spec.Team], p.usage[j.Spec.Team]
 	n := int((t.CPUGuarantee - used.CPUs + 1e-6) / j.Spec.CPUs)
 	if j.Spec.GPUs > 0 {
@@ -105,7 +106,7 @@
 
 // withinGuarantee tells whether one more task of the job keeps its team within
 // its guarantee.
-func (p *planner) withinGuarantee(j *checkpoint.Job) bool {
+func (p *planner) withinGuarantee(j *jobs.Job) bool {
 	t := p.snapshot.Teams[j.Spec.Team]
 	after := p.usage[j.Spec.Team].Add(j.Spec.TaskResources())
 	return t.CPUGuarantee > 0 && after.CPUs <= t.CPUGuarantee+1e-6 && (after.GPUs == 0 || after.GPUs <= t.GPUGuarantee+1e-6)
@@ -114,7 +115,7 @@
 // tasksWithinQuota tells how many more tasks of the job its team's limit allows: as many as
 // reservations cover, and what is left of the limit by what is used and by what is
 // held for others.
-func (p *planner) tasksWithinQuota(j *checkpoint.Job) int {
+func (p *planner) tasksWithinQuota(j *jobs.Job) int {
 	used := p.usage[j.Spec.Team]
 	n := p.tasksWithinLimit(j, used)
 	if held, ok := p.reserved[j.Spec.Team]; ok {
@@ -124,7 +125,7 @@
 }
 
 // unusedReservedTasks is how many more tasks of the job reservations cover.
-func (p *planner) unusedReservedTasks(j *checkpoint.Job) int {
+func (p *planner) unusedReservedTasks(j *jobs.Job) int {
 	n, known := p.reservedTasks[j]
 	if !known && p.snapshot.ReservedTasks != nil {
 		n = max(0, p.snapshot.ReservedTasks(j)-len(j.Placements))
@@ -135,18 +136,18 @@
 
 // useReservation takes n tasks of the job out of what is held, as far as reservations cover
 // them: they are used from now on.
-func (p *planner) useReservation(j *checkpoint.Job, n int) {
+func (p *planner) useReservation(j *jobs.Job, n int) {
 	held, ok := p.reserved[j.Spec.Team]
 	if !ok {
 		return
 	}
 	n = min(n, p.unusedReservedTasks(j))
 	p.reservedTasks[j] -= n
-	p.reserved[j.Spec.Team] = held.Sub(j.Spec.TaskResources().Multiply(n)).Max(checkpoint.Resources{})
+	p.reserved[j.Spec.Team] = held.Sub(j.Spec.TaskResources().Multiply(n)).Max(jobs.Resources{})
 }
 
 // recordReservationBlocked notes what of n tasks of the job finds no room because it is held.
-func (p *planner) recordReservationBlocked(j *checkpoint.Job, n int) {
+func (p *planner) recordReservationBlocked(j *jobs.Job, n int) {
 	if _, ok := p.reserved[j.Spec.Team]; !ok || p.reservationChecked[j] {
 		return
 	}
@@ -158,7 +159,7 @@
 
 // tasksWithinLimit tells how many more tasks of the job its team's limit allows beside
 // what is used.
-func (p *planner) tasksWithinLimit(j *checkpoint.Job, used checkpoint.Resources) int {
+func (p *planner) tasksWithinLimit(j *jobs.Job, used jobs.Resources) int {
 	t := p.snapshot.Teams[j.Spec.Team]
 	n := math.MaxInt32
 	if t.CPULimit > 0 && j.Spec.CPUs > 0 {
@@ -173,7 +174,7 @@
 // reserveMachines keeps machines for n tasks of an old job that found no room: what
 // becomes free there goes to nobody after it. Smaller tasks filled every hole
 // as it opened, and larger ones waited behind them for ever.
-func (p *planner) reserveMachines(j *checkpoint.Job, n int) {
+func (p *planner) reserveMachines(j *jobs.Job, n int) {
 	var held []*candidateMachine
 	for _, b := range p.machines {
 		if p.allows(j, b) && p.mayUseMachine(j, b) && b.machineType.Capacity.Fits(j.Spec.TaskResources()) && p.zoneRoom(j, b.zone) > 0 {
@@ -188,12 +189,12 @@
 			return
 		}
 		n -= max(1, b.machineType.Capacity.MaxCopies(j.Spec.TaskResources())/reservedTaskDivisor)
-		b.free = checkpoint.Resources{}
+		b.free = jobs.Resources{}
 	}
 }
 
 // agedTasks is how many tasks an old job may start before others.
-func (p *planner) agedTasks(j *checkpoint.Job) int {
+func (p *planner) agedTasks(j *jobs.Job) int {
 	n := p.agedBudget.MaxCopies(j.Spec.TaskResources())
 	if p.waitedSeconds(j) >= agingDeadlineSeconds {
 		n = math.MaxInt32
@@ -208,13 +209,13 @@
 
 // claimTasks lists n queued tasks of the job that the plan has not dealt with yet,
 // or only such as never ran.
-func (p *planner) claimTasks(j *checkpoint.Job, n int, fresh bool) []unit.TaskIndex {
-	var out []unit.TaskIndex
+func (p *planner) claimTasks(j *jobs.Job, n int, fresh bool) []ident.TaskIndex {
+	var out []ident.TaskIndex
 	claimed := p.claimedTasks[j]
 	if fresh {
 		out = j.UnstartedTasks(n)
 	} else {
-		j.Queue.Each(func(i unit.TaskIndex) bool {
+		j.Queue.Each(func(i ident.TaskIndex) bool {
 			if !claimed.Contains(i) {
 				out = append(out, i)
 			}
--- a/internal/round/rent.go
+++ b/internal/scheduler/scaleout.go
@@ -1,12 +1,14 @@
-package round
+package scheduler
 
 import (
 	"math"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
 )
 
 // defaultRunSeconds is the run time, in seconds, over which the boot of a machine
@@ -22,7 +24,7 @@
 	if !p.snapshot.MayProvision {
 		return
 	}
-	sums := map[unit.Class]int{}
+	sums := map[ident.Class]int{}
 	for _, s := range short {
 		sums[s.job.Spec.Class] += s.tasks
 	}
@@ -37,15 +39,15 @@
 		count := p.machinesNeeded(short[i:], offer, typ)
 		if count > 0 {
 			p.plan.ProvisionedFor = s.job.ID
-			p.plan.Record.Provisions = []Provision{{Name: ProvisionName(p.snapshot.Epoch, p.snapshot.RoundNo, 0), Offer: offer, Count: count}}
+			p.plan.Record.Provisions = []roundlog.Provision{{Name: roundlog.ProvisionName(p.snapshot.Epoch, p.snapshot.RoundNo, 0), Offer: offer, Count: count}}
 			return
 		}
 	}
 }
 
 // machinesNeeded tells how many machines of the offer the tasks in need of one take.
-func (p *planner) machinesNeeded(short []shortage, o rental.Offer, t *fleet.MachineType) int {
-	free := checkpoint.Resources{}
+func (p *planner) machinesNeeded(short []shortage, o cloud.Offer, t *fleet.MachineType) int {
+	free := jobs.Resources{}
 	count := 0
 	for i, s := range short {
 		if i > 0 {
@@ -59,7 +61,7 @@
 		}
 		for ; n > 0; n-- {
 			if !free.Fits(s.job.Spec.TaskResources()) {
-				if count == rental.MaxProvisionCount {
+				if count == cloud.MaxProvisionCount {
 					return count
 				}
 				count++
@@ -73,11 +75,11 @@
 
 // bestOffer returns the offer that runs the job's tasks at the least cost,
 // boot and fetch included; offers that can't make its deadline come last.
-func (p *planner) bestOffer(j *checkpoint.Job) (rental.Offer, *fleet.MachineType) {
-	var best rental.Offer
+func (p *planner) bestOffer(j *jobs.Job) (cloud.Offer, *fleet.MachineType) {
+	var best cloud.Offer
 	var bestType *fleet.MachineType
 	bestCost := math.Inf(1)
-	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) {
+	p.eachOffer(j, func(o cloud.Offer, t *fleet.MachineType) {
 		if z := p.provisionZone[j]; z != "" && z != o.Zone {
 			return
 		}
@@ -92,19 +94,19 @@
 }
 
 // eachOffer calls f for every kind of machine that the job allows.
-func (p *planner) eachOffer(j *checkpoint.Job, f func(rental.Offer, *fleet.MachineType)) {
+func (p *planner) eachOffer(j *jobs.Job, f func(cloud.Offer, *fleet.MachineType)) {
 	for _, t := range p.snapshot.MachineTypes {
 		for _, z := range t.AvailableZones(p.snapshot.Zones) {
 			for _, spot := range []bool{true, false} {
 				if j.Spec.AllowsMachine(t.Name, z, spot) {
-					f(rental.Offer{Type: t.Name, Zone: z, Spot: spot}, t)
+					f(cloud.Offer{Type: t.Name, Zone: z, Spot: spot}, t)
 				}
 			}
 		}
 	}
 }
 
-func (p *planner) offerCost(j *checkpoint.Job, t *fleet.MachineType, z unit.Zone, spot bool) float64 {
+func (p *planner) offerCost(j *jobs.Job, t *fleet.MachineType, z ident.Zone, spot bool) float64 {
 	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
 	if per == 0 {
 		return math.Inf(1)
--- a/internal/round/urgency.go
+++ b/internal/scheduler/slack.go
@@ -1,20 +1,20 @@
-package round
+package scheduler
 
 import (
 	"math"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/rental"
+	"badgerbay/internal/jobs"
 )
 
 // waitedSeconds is how long the job has been there, in seconds.
-func (p *planner) waitedSeconds(j *checkpoint.Job) float64 {
+func (p *planner) waitedSeconds(j *jobs.Job) float64 {
 	return float64(p.snapshot.WallMs-j.AcceptedAtMs) / 1000
 }
 
-func (p *planner) secondsToDeadline(j *checkpoint.Job) (float64, bool) {
+func (p *planner) secondsToDeadline(j *jobs.Job) (float64, bool) {
 	if j.Spec.DeadlineSeconds <= 0 {
 		return 0, false
 	}
@@ -44,8 +44,8 @@
 
 // slackSeconds tells how many seconds the job can still wait for its tasks to
 // start and meet what is expected of it.
-func (p *planner) slackSeconds(j *checkpoint.Job) float64 {
-	if j.Spec.Service || j.Spec.Priority >= checkpoint.PriorityHigh {
+func (p *planner) slackSeconds(j *jobs.Job) float64 {
+	if j.Spec.Service || j.Spec.Priority >= jobs.PriorityHigh {
 		return 0
 	}
 	waited := p.waitedSeconds(j)
@@ -73,7 +73,7 @@
 
 // reachableFinish is the shortest time in which the job's class should be done that the
 // job can still keep if all goes well, or else the longest.
-func (p *planner) reachableFinish(j *checkpoint.Job) (time.Duration, bool) {
+func (p *planner) reachableFinish(j *jobs.Job) (time.Duration, bool) {
 	targets := p.snapshot.Objectives[j.Spec.Class].FinishWithin
 	if len(targets) == 0 {
 		return 0, false
@@ -87,7 +87,7 @@
 }
 
 // expectedRunSeconds is how long a task of the job is expected to run, in seconds.
-func expectedRunSeconds(j *checkpoint.Job) float64 {
+func expectedRunSeconds(j *jobs.Job) float64 {
 	if j.Spec.EstimatedRunSeconds <= 0 {
 		return defaultRunSeconds
 	}
@@ -95,7 +95,7 @@
 }
 
 // expectedWork is what n tasks of the job hold, times the seconds that they run.
-func expectedWork(j *checkpoint.Job, n int) checkpoint.Resources {
+func expectedWork(j *jobs.Job, n int) jobs.Resources {
 	return j.Spec.TaskResources().Scale(float64(n) * expectedRunSeconds(j))
 }
 
@@ -108,18 +108,18 @@
 	}
 }
 
-func (p *planner) addWork(prio checkpoint.Priority, work checkpoint.Resources) {
+func (p *planner) addWork(prio jobs.Priority, work jobs.Resources) {
 	p.workByPriority[prio] = p.workByPriority[prio].Add(work)
 }
 
 // countQueuedWork notes what goes before the end of the job: what runs of its
 // priority and above, what is queued before it, and the job itself.
-func (p *planner) countQueuedWork(j *checkpoint.Job) {
+func (p *planner) countQueuedWork(j *jobs.Job) {
 	if _, counted := p.workAhead[j]; j.Spec.Service || counted {
 		return
 	}
 	p.addWork(j.Spec.Priority, expectedWork(j, j.Queue.Len()))
-	var sum checkpoint.Resources
+	var sum jobs.Resources
 	for _, w := range p.workByPriority[j.Spec.Priority:] {
 		sum = sum.Add(w)
 	}
@@ -132,13 +132,13 @@
 // late to help: in bursts hundreds of dear ones came when those they were rented
 // for were done. Counted in CPUs alone, machines whose GPUs were all taken seemed
 // to have room.
-func (p *planner) backlogSeconds(j *checkpoint.Job) float64 {
+func (p *planner) backlogSeconds(j *jobs.Job) float64 {
 	return p.workAhead[j].DominantShare(p.capacityUsableBy(j))
 }
 
 // capacityUsableBy is what arrays of the job's shape can have of the machines that are up
 // or coming.
-func (p *planner) capacityUsableBy(j *checkpoint.Job) checkpoint.Resources {
+func (p *planner) capacityUsableBy(j *jobs.Job) jobs.Resources {
 	sum, ok := p.usableCapacity[shapeOf(&j.Spec)]
 	if ok {
 		return sum
@@ -159,7 +159,7 @@
 
 // worthProvisioning tells whether a machine of the kind may be rented for the job: work
 // that can wait is only given cheap ones.
-func (p *planner) worthProvisioning(j *checkpoint.Job, t *fleet.MachineType, spot bool) bool {
+func (p *planner) worthProvisioning(j *jobs.Job, t *fleet.MachineType, spot bool) bool {
 	if p.isCheap(j, t, spot) {
 		return true
 	}
@@ -167,35 +167,35 @@
 	if slack-p.fastestStartSeconds(j) >= urgentSlackSeconds {
 		return false
 	}
-	if j.Spec.Priority < checkpoint.PriorityHigh && !p.withinGuarantee(j) && p.backlogSeconds(j) <= slack {
+	if j.Spec.Priority < jobs.PriorityHigh && !p.withinGuarantee(j) && p.backlogSeconds(j) <= slack {
 		return false
 	}
 	start := newMachineStartSeconds(j, t)
 	// What would be late on a new machine anyway is not helped by a dear one.
 	left, has := p.secondsToDeadline(j)
-	return !has || j.Spec.Priority >= checkpoint.PriorityHigh || left >= start+optimisticRunRatio*j.Spec.EstimatedRunSeconds
+	return !has || j.Spec.Priority >= jobs.PriorityHigh || left >= start+optimisticRunRatio*j.Spec.EstimatedRunSeconds
 }
 
 // isCheap tells whether a task of the job costs about the least on the kind.
-func (p *planner) isCheap(j *checkpoint.Job, t *fleet.MachineType, spot bool) bool {
+func (p *planner) isCheap(j *jobs.Job, t *fleet.MachineType, spot bool) bool {
 	return taskPrice(j, t, spot) <= cheapPriceRatio*p.lowestTaskPrice(j)
 }
 
 // needsOnlyOneStart tells whether nothing is expected of the job but that it
 // begins some time: one task on a dear machine does for that. Old jobs of the
 // lowest priority had hundreds of dear machines rented for all their tasks.
-func (p *planner) needsOnlyOneStart(j *checkpoint.Job) bool {
-	return j.Spec.Priority < checkpoint.PriorityHigh && p.hasNoObjective(j) && !j.HasStarted()
+func (p *planner) needsOnlyOneStart(j *jobs.Job) bool {
+	return j.Spec.Priority < jobs.PriorityHigh && p.hasNoObjective(j) && !j.HasStarted()
 }
 
 // hasNoObjective tells whether nothing is expected of the job's class: it has no
 // deadline and no objective.
-func (p *planner) hasNoObjective(j *checkpoint.Job) bool {
+func (p *planner) hasNoObjective(j *jobs.Job) bool {
 	return !j.Spec.Service && j.Spec.DeadlineSeconds <= 0 && p.snapshot.Objectives[j.Spec.Class].IsEmpty()
 }
 
 // newMachineStartSeconds is how long, in seconds, a new machine takes to run the job.
-func newMachineStartSeconds(j *checkpoint.Job, t *fleet.MachineType) float64 {
+func newMachineStartSeconds(j *jobs.Job, t *fleet.MachineType) float64 {
 	start := t.BootTime.Seconds()
 	if t.FetchGBps > 0 {
 		start += j.Spec.ImageGB / t.FetchGBps
@@ -205,12 +205,12 @@
 
 // fastestStartSeconds is how long the fastest new machine that may be had takes to run the
 // job. While that is soon enough, dear work waits for cheap room.
-func (p *planner) fastestStartSeconds(j *checkpoint.Job) float64 {
+func (p *planner) fastestStartSeconds(j *jobs.Job) float64 {
 	if s, ok := p.startTimes[j]; ok {
 		return s
 	}
 	best := math.Inf(1)
-	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) {
+	p.eachOffer(j, func(o cloud.Offer, t *fleet.MachineType) {
 		if !p.snapshot.OfferUnavailable(o) && t.Capacity.Fits(j.Spec.TaskResources()) {
 			best = min(best, newMachineStartSeconds(j, t))
 		}
@@ -221,7 +221,7 @@
 
 // isStalled tells whether nothing of the job has been placed for long, though
 // tasks of it wait.
-func (p *planner) isStalled(j *checkpoint.Job) bool {
+func (p *planner) isStalled(j *jobs.Job) bool {
 	return p.snapshot.Now.Sub(max(j.QueuedSince, j.LastPlacedAt)).Seconds() >= stallThresholdSeconds
 }
 
@@ -230,8 +230,8 @@
 // anyway: it would keep them from being returned. It does not wait for ever:
 // where no cheap machine is to be had, the rest of jobs that had begun waited
 // beside idle machines for good.
-func (p *planner) mayUseMachine(j *checkpoint.Job, b *candidateMachine) bool {
-	if p.isStalled(j) || j.Spec.Service || j.Spec.Priority >= checkpoint.PriorityHigh || p.hasGuarantees {
+func (p *planner) mayUseMachine(j *jobs.Job, b *candidateMachine) bool {
+	if p.isStalled(j) || j.Spec.Service || j.Spec.Priority >= jobs.PriorityHigh || p.hasGuarantees {
 		return true
 	}
 	if p.slackSeconds(j) < ampleSlackSeconds && (p.placingAged || !p.hasNoObjective(j)) {
@@ -242,11 +242,11 @@
 
 // limitedToOneTask tells whether the bin may take but one task of the job, and none if
 // the plan has started some already.
-func (p *planner) limitedToOneTask(j *checkpoint.Job, b *candidateMachine) bool {
+func (p *planner) limitedToOneTask(j *jobs.Job, b *candidateMachine) bool {
 	return p.needsOnlyOneStart(j) && !p.isStalled(j) && !p.hasGuarantees && !b.machine.RunsService() && !p.isCheap(j, b.machineType, b.spot)
 }
 
-func taskPrice(j *checkpoint.Job, t *fleet.MachineType, spot bool) float64 {
+func taskPrice(j *jobs.Job, t *fleet.MachineType, spot bool) float64 {
 	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
 	if per == 0 {
 		return math.Inf(1)
@@ -264,12 +264,12 @@
 
 // lowestTaskPrice is what a task of the job costs on the cheapest kind that it
 // allows. It is asked for every machine, so it is worked out once a plan.
-func (p *planner) lowestTaskPrice(j *checkpoint.Job) float64 {
+func (p *planner) lowestTaskPrice(j *jobs.Job) float64 {
 	if c, ok := p.lowestPrices[j]; ok {
 		return c
 	}
 	best := math.Inf(1)
-	p.eachOffer(j, func(o rental.Offer, t *fleet.MachineType) { best = min(best, taskPrice(j, t, o.Spot)) })
+	p.eachOffer(j, func(o cloud.Offer, t *fleet.MachineType) { best = min(best, taskPrice(j, t, o.Spot)) })
 	p.lowestPrices[j] = best
 	return best
 }
--- a/internal/round/urgency_test.go
+++ b/internal/scheduler/slack_test.go
@@ -1,32 +1,33 @@
-package round
+package scheduler
 
 import (
 	"testing"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/jobs"
 )
 
 // newGPUFixture has one machine type with many CPUs and two GPUs, whose spot machines
 // are all taken, and n ordinary machines that are up.
 func newGPUFixture(t *testing.T, n int) *fixture {
 	s := newFixture(t)
-	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: checkpoint.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
-		HourlyPrice: 4, HourlySpotPrice: 1, BootTime: 30 * time.Second, Zones: []unit.Zone{"a", "b"}}}
+	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
+		HourlyPrice: 4, HourlySpotPrice: 1, BootTime: 30 * time.Second, Zones: []ident.Zone{"a", "b"}}}
 	s.snapshot.Fleet.SetMachineTypes(s.snapshot.MachineTypes)
 	s.snapshot.Teams = nil
-	s.snapshot.OfferUnavailable = func(o rental.Offer) bool { return o.Spot }
+	s.snapshot.OfferUnavailable = func(o cloud.Offer) bool { return o.Spot }
 	for i := range n {
-		s.addMachine(unit.MachineID("host-"+string(rune('a'+i))), "a", false)
+		s.addMachine(ident.MachineID("host-"+string(rune('a'+i))), "a", false)
 	}
 	return s
 }
 
-func gpuArraySpec(tasks int, estimate float64) checkpoint.Spec {
-	return checkpoint.Spec{Class: "arr", Team: "red", Priority: checkpoint.PriorityBestEffort, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 1,
+func gpuArraySpec(tasks int, estimate float64) jobs.Spec {
+	return jobs.Spec{Class: "arr", Team: "red", Priority: jobs.PriorityBestEffort, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimatedRunSeconds: estimate, Spot: true}
 }
 
@@ -35,7 +36,7 @@
 // room for all of them at once, and no machine was rented.
 func TestScarceGPUsDecide(t *testing.T) {
 	s := newGPUFixture(t, 4)
-	s.snapshot.Objectives = map[unit.Class]Objectives{"arr": Objectives{}.With("finished", 110*time.Second)}
+	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 110*time.Second)}
 	s.addJob("wk-000001", gpuArraySpec(40, 50))
 	if plan := s.plan(); len(plan.Record.Provisions) == 0 {
 		t.Error("no machine is rented for an array that the machines at hand would finish late")
@@ -47,7 +48,7 @@
 // so work was planned to be done within the 250 s that only stragglers may take.
 func TestShortestObjectiveDecides(t *testing.T) {
 	s := newGPUFixture(t, 1)
-	s.snapshot.Objectives = map[unit.Class]Objectives{"arr": Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)}
+	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)}
 	j := s.addJob("wk-000001", gpuArraySpec(1, 50))
 	patienceAfter := func(waited time.Duration) float64 {
 		w := *s.snapshot
@@ -75,15 +76,15 @@
 func TestCheckpointingWorkIsEvictedInTime(t *testing.T) {
 	for saves, hires := range map[float64]bool{2: false, 4: true} {
 		s := newGPUFixture(t, 3)
-		s.snapshot.Objectives = map[unit.Class]Objectives{"svc": Objectives{}.With("wait", 12*time.Second)}
+		s.snapshot.Objectives = map[ident.Class]Objectives{"svc": Objectives{}.With("wait", 12*time.Second)}
 		replica := gpuArraySpec(2, 0)
-		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, checkpoint.PriorityProd
-		s.snapshot.SpareSpecs = []*checkpoint.Spec{&replica}
+		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, jobs.PriorityProd
+		s.snapshot.SpareSpecs = []*jobs.Spec{&replica}
 		array := gpuArraySpec(6, 100)
 		array.CheckpointIntervalSeconds, array.CheckpointSeconds = 10, saves
 		j := s.addJob("wk-000001", array)
 		for i := range 6 {
-			p := s.place(j, unit.TaskIndex(i), unit.MachineID("host-"+string(rune('a'+i/2))))
+			p := s.place(j, ident.TaskIndex(i), ident.MachineID("host-"+string(rune('a'+i/2))))
 			p.RunningSince = s.snapshot.Now
 		}
 		j.Queue = nil
--- a/internal/round/world.go
+++ b/internal/scheduler/snapshot.go
@@ -1,41 +1,44 @@
-package round
+package scheduler
 
 import (
 	"slices"
 	"time"
 
-	"badgerbay/internal/checkpoint"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/rental"
-	"badgerbay/internal/unit"
 )
 
 // PendingMachine is a machine that has been rented, or is being rented, and is not up.
 type PendingMachine struct {
-	Offer rental.Offer
+	Offer cloud.Offer
 }
 
 // Snapshot is what a round is planned from.
 type Snapshot struct {
-	Now              unit.Instant
+	Now              clock.Instant
 	WallMs           int64
-	RoundNo          unit.RoundNo
-	Epoch            unit.Epoch
-	QueuedJobs       []*checkpoint.Job // those with tasks to place; any order
-	PlacedJobs       []*checkpoint.Job // those with placements
+	RoundNo          ident.RoundNo
+	Epoch            ident.Epoch
+	QueuedJobs       []*jobs.Job // those with tasks to place; any order
+	PlacedJobs       []*jobs.Job // those with placements
 	Fleet            *fleet.Fleet
 	MachineTypes     []*fleet.MachineType
-	Zones            []unit.Zone
-	Teams            map[unit.Team]config.Team
-	Objectives       map[unit.Class]Objectives
-	SpareSpecs       []*checkpoint.Spec // classes to keep room free for
-	TypicalSpecs     []*checkpoint.Spec // what the classes look like
+	Zones            []ident.Zone
+	Teams            map[ident.Team]config.Team
+	Objectives       map[ident.Class]Objectives
+	SpareSpecs       []*jobs.Spec // classes to keep room free for
+	TypicalSpecs     []*jobs.Spec // what the classes look like
 	PendingMachines  []PendingMachine
 	MayDrain         bool
-	TeamActive       func(unit.Team) bool // has had work a moment ago
-	OfferUnavailable func(rental.Offer) bool
+	TeamActive       func(ident.Team) bool // has had work a moment ago
+	OfferUnavailable func(cloud.Offer) bool
 	MayProvision     bool
 	Policy           *policy.Policy
 	ValueBytes       int
@@ -43,18 +46,18 @@
 	MaxRoundValues   int // values that a round's record may take
 	// ReplacementAttempts names the attempt of gangs that wait for tasks which were lost before
 	// they began; these may be replaced.
-	ReplacementAttempts map[unit.JobID]unit.Attempt
-	SpecJSONSize        func(*checkpoint.Job) int
+	ReplacementAttempts map[ident.JobID]ident.Attempt
+	SpecJSONSize        func(*jobs.Job) int
 	// Reserved is what of a team's limit is kept for reservations of other nodes, beside
 	// what is placed; Covers is how many tasks of a job they cover. See package quota.
-	Reserved      map[unit.Team]checkpoint.Resources
-	ReservedTasks func(*checkpoint.Job) int
+	Reserved      map[ident.Team]jobs.Resources
+	ReservedTasks func(*jobs.Job) int
 }
 
 // Eviction is a placement to be stopped to make room.
 type Eviction struct {
-	Placement *checkpoint.Placement
-	Preemptor unit.JobID
+	Placement *jobs.Placement
+	Preemptor ident.JobID
 }
 
 // Objectives is what the objectives say of a class.
@@ -81,19 +84,19 @@
 
 // Plan is what a round decides.
 type Plan struct {
-	Record    Record
+	Record    roundlog.Record
 	Evictions []Eviction
 	// UnplacedTasks counts the tasks that found no room.
 	UnplacedTasks int
 	// ProvisionedFor is the job that the rental was decided for, if it was one.
-	ProvisionedFor unit.JobID
+	ProvisionedFor ident.JobID
 	// Drain are machines to be emptied, so that they can be returned.
-	Drain []unit.MachineID
+	Drain []ident.MachineID
 	// Retain are idle machines that hold the room kept free for a class.
-	Retain map[unit.MachineID]bool
+	Retain map[ident.MachineID]bool
 	// Examined counts the machines that were looked at, for one job or another:
 	// what the plan cost.
 	Examined int
 	// ReservationBlocked is what of a team would fit its limit, were it not held.
-	ReservationBlocked map[unit.Team]checkpoint.Resources
+	ReservationBlocked map[ident.Team]jobs.Resources
 }
--- a/internal/round/headroom.go
+++ b/internal/scheduler/spare_capacity.go
@@ -1,16 +1,17 @@
-package round
+package scheduler
 
 import (
 	"math"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/jobs"
 )
 
 // measureSpareCapacity finds how much is missing of the room kept free for classes that
 // must start faster than a machine comes up, and which machines hold it.
 func (p *planner) measureSpareCapacity() {
-	p.plan.Retain = map[unit.MachineID]bool{}
+	p.plan.Retain = map[ident.MachineID]bool{}
 	for _, s := range p.snapshot.SpareSpecs {
 		missing := p.snapshot.Policy.SpareTasks
 		for _, b := range p.machines {
@@ -31,7 +32,7 @@
 			}
 		}
 		if missing > 0 {
-			p.spareShortages = append(p.spareShortages, shortage{job: &checkpoint.Job{Spec: *s, AcceptedAtMs: p.snapshot.WallMs}, tasks: missing})
+			p.spareShortages = append(p.spareShortages, shortage{job: &jobs.Job{Spec: *s, AcceptedAtMs: p.snapshot.WallMs}, tasks: missing})
 		}
 	}
 }
@@ -49,8 +50,8 @@
 
 // evictableBelow is what work of lower priority holds on the bin's machine, which a
 // task of the spec could have at once.
-func (p *planner) evictableBelow(s *checkpoint.Spec, b *candidateMachine) checkpoint.Resources {
-	var sum checkpoint.Resources
+func (p *planner) evictableBelow(s *jobs.Spec, b *candidateMachine) jobs.Resources {
+	var sum jobs.Resources
 	if b.machine.Load().TasksBelow(s.Priority) == 0 {
 		return sum
 	}
@@ -98,7 +99,7 @@
 			spec = *s
 		}
 	}
-	spec.Priority = checkpoint.PriorityProd // whatever it costs
+	spec.Priority = jobs.PriorityProd // whatever it costs
 	n := int(math.Ceil((wanted - have) / spec.CPUs))
-	p.provision([]shortage{{job: &checkpoint.Job{Spec: spec, AcceptedAtMs: p.snapshot.WallMs}, tasks: n}})
+	p.provision([]shortage{{job: &jobs.Job{Spec: spec, AcceptedAtMs: p.snapshot.WallMs}, tasks: n}})
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/schemaversion/golden_test.go
@@ -1,4 +1,4 @@
-package rollout_test
+package schemaversion_test
 
 import (
 	"encoding/hex"
@@ -9,21 +9,21 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/rollout"
+	"badgerbay/internal/schemaversion"
 )
 
 // TestGoldenAgreement reads the recorded values of the key under which the agreed
 // schema version is stored, and writes them as they were.
 func TestGoldenAgreement(t *testing.T) {
-	if rollout.Key != "form" {
-		t.Errorf("stored under %q", rollout.Key)
+	if schemaversion.Key != "form" {
+		t.Errorf("stored under %q", schemaversion.Key)
 	}
 	data, err := os.ReadFile("testdata/golden/agreement.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
-	versions := []rollout.Version{rollout.First, rollout.ChunkedJobs, rollout.ChunkedRounds, 99}
+	versions := []schemaversion.Version{schemaversion.First, schemaversion.ChunkedJobs, schemaversion.ChunkedRounds, 99}
 	if len(lines) != len(versions) {
 		t.Fatalf("%d recorded values, want %d", len(lines), len(versions))
 	}
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var fromMsgpack, fromJSON rollout.Agreement
+		var fromMsgpack, fromJSON schemaversion.Agreement
 		if err := msgpack.Unmarshal(value, &fromMsgpack); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/rollout.go
+++ b/internal/schemaversion/negotiator.go
@@ -1,14 +1,14 @@
-// Package rollout decides which form of records the cluster may use while nodes
+// Package schemaversion decides which form of records the cluster may use while nodes
 // of different versions serve side by side. Nodes say what they can; those of a
 // version before this slice say nothing, which means the first form. A leader
 // uses a later form only once every node of the settings has said that it can,
 // and stores that, so that it is never taken back.
-package rollout
+package schemaversion
 
 import (
 	"time"
 
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
 )
 
 // Key holds the form that was agreed on.
@@ -48,7 +48,7 @@
 
 type versionReport struct {
 	version    Version
-	receivedAt unit.Instant
+	receivedAt clock.Instant
 }
 
 // New returns the cluster of the peers, with what is stored; 0: nothing.
@@ -64,7 +64,7 @@
 func (c *Negotiator) Version() Version { return min(c.agreed, Latest) }
 
 // RecordReport notes what a node can. Nodes that the settings don't name don't count.
-func (c *Negotiator) RecordReport(now unit.Instant, node string, f Version) {
+func (c *Negotiator) RecordReport(now clock.Instant, node string, f Version) {
 	if _, ok := c.reports[node]; ok {
 		c.reports[node] = versionReport{max(First, f), now}
 	}
@@ -72,7 +72,7 @@
 
 // BehindCount counts the nodes that have not said lately that they can what this one
 // can. One that is out of reach counts.
-func (c *Negotiator) BehindCount(now unit.Instant) int {
+func (c *Negotiator) BehindCount(now clock.Instant) int {
 	n := 0
 	for _, h := range c.reports {
 		if h.versionAt(now) < Latest {
@@ -83,7 +83,7 @@
 }
 
 // versionAt is the form that the node surely can at now.
-func (h versionReport) versionAt(now unit.Instant) Version {
+func (h versionReport) versionAt(now clock.Instant) Version {
 	if now.Sub(h.receivedAt) > reportMaxAge {
 		return First
 	}
@@ -91,7 +91,7 @@
 }
 
 // commonVersion is the latest form that all nodes have lately said that they can.
-func (c *Negotiator) commonVersion(now unit.Instant) Version {
+func (c *Negotiator) commonVersion(now clock.Instant) Version {
 	form := Latest
 	for _, h := range c.reports {
 		form = min(form, h.versionAt(now))
@@ -101,7 +101,7 @@
 
 // Propose is a later form that is to be stored as agreed on, and notes that it is
 // being stored; 0: there is none.
-func (c *Negotiator) Propose(now unit.Instant) Version {
+func (c *Negotiator) Propose(now clock.Instant) Version {
 	form := max(c.agreed, c.commonVersion(now))
 	if c.pending != 0 || form <= max(First, c.stored) {
 		return 0
--- a/internal/rollout/rollout_test.go
+++ b/internal/schemaversion/negotiator_test.go
@@ -1,13 +1,13 @@
-package rollout
+package schemaversion
 
 import (
 	"testing"
 	"time"
 
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
 )
 
-const now = unit.Instant(time.Hour)
+const now = clock.Instant(time.Hour)
 
 // TestAgreement: the later form is used once every node has said lately that it
 // can, and stays.
--- a/internal/standby/catchup.go
+++ b/internal/standby/catchup.go
@@ -3,38 +3,39 @@
 import (
 	"fmt"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/parts"
-	"badgerbay/internal/round"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/takeover"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/recovery"
 )
 
 // WatchFunc reads the changes of a prefix since a revision, without waiting, and the
 // revision up to which they are complete.
-type WatchFunc func(prefix string, since unit.Revision) ([]statestore.WatchEvent, unit.Revision, error)
+type WatchFunc func(prefix string, since ident.Revision) ([]kvstore.WatchEvent, ident.Revision, error)
 
 // CatchUp brings a replica up to the moment at which this node acquired its epoch,
 // and returns what it then holds. No earlier leader can have written anything after
 // that. Jobs that were stored later are found by watching from the revision it
 // returns.
-func CatchUp(r *Replica, epoch unit.Epoch, watch WatchFunc) (takeover.StoredRecords, unit.Revision, error) {
+func CatchUp(r *Replica, epoch ident.Epoch, watch WatchFunc) (recovery.StoredRecords, ident.Revision, error) {
 	if !r.Complete() {
-		return takeover.StoredRecords{}, 0, ErrNotLoaded
+		return recovery.StoredRecords{}, 0, ErrNotLoaded
 	}
 	for _, prefix := range Prefixes {
 		log, revision, err := watch(prefix, r.Revision(prefix))
 		if err != nil {
-			return takeover.StoredRecords{}, 0, err
+			return recovery.StoredRecords{}, 0, err
 		}
-		if revision < unit.Revision(epoch) {
-			return takeover.StoredRecords{}, 0, fmt.Errorf("%w: %s is complete up to %d, before the epoch %d", ErrOutOfOrder, prefix, revision, epoch)
+		if revision < ident.Revision(epoch) {
+			return recovery.StoredRecords{}, 0, fmt.Errorf("%w: %s is complete up to %d, before the epoch %d", ErrOutOfOrder, prefix, revision, epoch)
 		}
 		if r, err = r.Apply(prefix, log, revision); err != nil {
-			return takeover.StoredRecords{}, 0, err
+			return recovery.StoredRecords{}, 0, err
 		}
 	}
-	stored := takeover.StoredRecords{Jobs: r.Items(checkpoint.KeyPrefix), Rounds: r.Items(round.KeyPrefix), Chunks: r.Items(parts.KeyPrefix)}
-	return stored, r.Revision(checkpoint.KeyPrefix), nil
+	stored := recovery.StoredRecords{Jobs: r.Items(jobs.KeyPrefix), Rounds: r.Items(roundlog.KeyPrefix), Chunks: r.Items(chunk.KeyPrefix)}
+	return stored, r.Revision(jobs.KeyPrefix), nil
 }
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -4,8 +4,10 @@
 	"errors"
 	"time"
 
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
+	"badgerbay/internal/kvstore"
 )
 
 // MachineListInterval is the pause between two lists of the machines that a standby
@@ -57,15 +59,15 @@
 	ListDone struct {
 		Prefix   string
 		Err      error
-		Items    []statestore.KeyValue
-		Revision unit.Revision
+		Items    []kvstore.KeyValue
+		Revision ident.Revision
 	}
 	// WatchDone answers Watch.
 	WatchDone struct {
 		Prefix   string
 		Err      error
-		Changes  []statestore.WatchEvent
-		Revision unit.Revision
+		Changes  []kvstore.WatchEvent
+		Revision ident.Revision
 	}
 	// LeadershipChanged says whether this node leads.
 	LeadershipChanged struct{ Leading bool }
@@ -86,7 +88,7 @@
 	// Watch reads the changes of the prefix since a revision, without waiting.
 	Watch struct {
 		Prefix string
-		Since  unit.Revision
+		Since  ident.Revision
 	}
 )
 
@@ -112,14 +114,14 @@
 	leading        bool
 	full           bool
 	syncing        bool
-	nextSync       unit.Instant
+	nextSync       clock.Instant
 	pendingReads   int // prefixes of the present look that are not answered yet
 	syncFailed     bool
-	lastSync       unit.Instant // when the last whole look began; 0: never
-	syncStarted    unit.Instant // when the present look began
-	appliedChanges int          // changes that the present look has brought
-	lagRecords     int          // changes that the last whole look has brought
-	reloading      bool         // the present look has found that the replica is of no use
+	lastSync       clock.Instant // when the last whole look began; 0: never
+	syncStarted    clock.Instant // when the present look began
+	appliedChanges int           // changes that the present look has brought
+	lagRecords     int           // changes that the last whole look has brought
+	reloading      bool          // the present look has found that the replica is of no use
 	reloads        int
 	lastErr        error
 }
@@ -134,7 +136,7 @@
 func (f *Follower) Replica() *Replica { return f.replica }
 
 // Step takes one input at now and returns what to read.
-func (f *Follower) Step(now unit.Instant, in Input) []Effect {
+func (f *Follower) Step(now clock.Instant, in Input) []Effect {
 	switch in := in.(type) {
 	case Tick:
 		return f.tick(now)
@@ -150,14 +152,14 @@
 
 // leadershipChanged follows the leadership of this node. What it holds stays: once it does not
 // lead any more, it reads what has changed since.
-func (f *Follower) leadershipChanged(now unit.Instant, on bool) {
+func (f *Follower) leadershipChanged(now clock.Instant, on bool) {
 	if f.leading && !on {
 		f.nextSync = now
 	}
 	f.leading = on
 }
 
-func (f *Follower) tick(now unit.Instant) []Effect {
+func (f *Follower) tick(now clock.Instant) []Effect {
 	if f.leading || f.syncing || now.Before(f.nextSync) {
 		return nil
 	}
@@ -174,7 +176,7 @@
 	return effects
 }
 
-func (f *Follower) listDone(now unit.Instant, in ListDone) {
+func (f *Follower) listDone(now clock.Instant, in ListDone) {
 	if in.Err == nil {
 		var replica *Replica
 		if replica, in.Err = f.replica.Load(in.Prefix, in.Items, in.Revision); in.Err == nil {
@@ -184,7 +186,7 @@
 	f.readDone(now, in.Err)
 }
 
-func (f *Follower) watchDone(now unit.Instant, in WatchDone) {
+func (f *Follower) watchDone(now clock.Instant, in WatchDone) {
 	if in.Err == nil {
 		var replica *Replica
 		if replica, in.Err = f.replica.Apply(in.Prefix, in.Changes, in.Revision); in.Err == nil {
@@ -202,7 +204,7 @@
 // mustReload tells whether an error means that the replica can't be brought up to
 // date by changes.
 func mustReload(err error) bool {
-	for _, cause := range []error{statestore.ErrCompacted, ErrOutOfOrder, ErrUnexpectedKey, ErrNotLoaded} {
+	for _, cause := range []error{kvstore.ErrCompacted, ErrOutOfOrder, ErrUnexpectedKey, ErrNotLoaded} {
 		if errors.Is(err, cause) {
 			return true
 		}
@@ -211,7 +213,7 @@
 }
 
 // readDone takes in that one of the reads of the present look is over.
-func (f *Follower) readDone(now unit.Instant, err error) {
+func (f *Follower) readDone(now clock.Instant, err error) {
 	if err != nil && !f.syncFailed {
 		f.syncFailed, f.lastErr = true, err // the others may follow from it
 	}
@@ -246,12 +248,12 @@
 	// replica, and Lag how long ago that look began.
 	LagRecords int
 	Lag        time.Duration
-	Revision   unit.Revision // up to which all of it is complete; 0: it is not
-	Reloads    int           // times that it had to be read anew
+	Revision   ident.Revision // up to which all of it is complete; 0: it is not
+	Reloads    int            // times that it had to be read anew
 }
 
 // Status tells how the replica is at now. It says that it is ready only while it is.
-func (f *Follower) Status(now unit.Instant) Status {
+func (f *Follower) Status(now clock.Instant) Status {
 	s := Status{State: f.state(now), Reason: f.lastErr, Records: f.replica.Len(), Bytes: f.replica.Bytes(), LagRecords: f.lagRecords, Reloads: f.reloads}
 	if f.lastSync != 0 {
 		s.Lag = now.Sub(f.lastSync)
@@ -265,7 +267,7 @@
 	return s
 }
 
-func (f *Follower) state(now unit.Instant) State {
+func (f *Follower) state(now clock.Instant) State {
 	switch {
 	case f.leading:
 		return StateLeading
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -8,17 +8,18 @@
 	"fmt"
 	"strings"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/roundlog"
+
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"badgerbay/internal/checkpoint"
-	"badgerbay/internal/parts"
-	"badgerbay/internal/round"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 )
 
 // Prefixes are those of the keys that hold a leader's decisions.
-var Prefixes = []string{checkpoint.KeyPrefix, round.KeyPrefix, parts.KeyPrefix}
+var Prefixes = []string{jobs.KeyPrefix, roundlog.KeyPrefix, chunk.KeyPrefix}
 
 // Errors of changes that can't be applied. The keys must be read anew.
 var (
@@ -32,15 +33,15 @@
 // each prefix. It is immutable: a change makes a new one, which shares with the old
 // what did not change, so that anybody may keep a replica at no cost.
 type Replica struct {
-	items     *iradix.Tree[statestore.KeyValue]
-	revisions map[string]unit.Revision // of each prefix; absent: never read
+	items     *iradix.Tree[kvstore.KeyValue]
+	revisions map[string]ident.Revision // of each prefix; absent: never read
 	bytes     int
 	maxBytes  int // bytes that it may hold
 }
 
 // NewReplica returns an empty replica that may hold so many bytes.
 func NewReplica(mostBytes int) *Replica {
-	return &Replica{items: iradix.New[statestore.KeyValue](), revisions: map[string]unit.Revision{}, maxBytes: mostBytes}
+	return &Replica{items: iradix.New[kvstore.KeyValue](), revisions: map[string]ident.Revision{}, maxBytes: mostBytes}
 }
 
 // Len counts the records.
@@ -51,27 +52,27 @@
 
 // Revision is the revision up to which all changes of a prefix are in the replica; 0
 // if it was never read.
-func (r *Replica) Revision(prefix string) unit.Revision { return r.revisions[prefix] }
+func (r *Replica) Revision(prefix string) ident.Revision { return r.revisions[prefix] }
 
 // Complete tells whether every prefix has been read.
 func (r *Replica) Complete() bool { return len(r.revisions) == len(Prefixes) }
 
 // Items returns the records with the prefix in the order of their keys.
-func (r *Replica) Items(prefix string) []statestore.KeyValue {
-	var out []statestore.KeyValue
-	r.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item statestore.KeyValue) bool {
+func (r *Replica) Items(prefix string) []kvstore.KeyValue {
+	var out []kvstore.KeyValue
+	r.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item kvstore.KeyValue) bool {
 		out = append(out, item)
 		return false
 	})
 	return out
 }
 
-func itemBytes(item statestore.KeyValue) int { return len(item.Key) + len(item.Value) }
+func itemBytes(item kvstore.KeyValue) int { return len(item.Key) + len(item.Value) }
 
 // Load replaces what the replica holds of a prefix by what was read at a revision. A
 // record that changed while the pages were read may be newer than the revision; its
 // change is then seen again, and is applied only if it is newer still.
-func (r *Replica) Load(prefix string, items []statestore.KeyValue, revision unit.Revision) (*Replica, error) {
+func (r *Replica) Load(prefix string, items []kvstore.KeyValue, revision ident.Revision) (*Replica, error) {
 	txn := r.items.Txn()
 	bytes := r.bytes
 	for _, item := range r.Items(prefix) {
@@ -90,7 +91,7 @@
 
 // Apply applies the changes of a prefix since the replica's revision of it, up to
 // another: all of them, or none.
-func (r *Replica) Apply(prefix string, log []statestore.WatchEvent, revision unit.Revision) (*Replica, error) {
+func (r *Replica) Apply(prefix string, log []kvstore.WatchEvent, revision ident.Revision) (*Replica, error) {
 	since, read := r.revisions[prefix]
 	if !read {
 		return r, ErrNotLoaded
@@ -118,7 +119,7 @@
 }
 
 // applyChange applies one change, and tells by how much the replica grows.
-func applyChange(txn *iradix.Txn[statestore.KeyValue], prefix string, c statestore.WatchEvent) (int, error) {
+func applyChange(txn *iradix.Txn[kvstore.KeyValue], prefix string, c kvstore.WatchEvent) (int, error) {
 	key := c.SetKey + c.DeleteKey
 	if !strings.HasPrefix(key, prefix) || c.SetKey != "" && c.DeleteKey != "" {
 		return 0, fmt.Errorf("%w: %.100q", ErrUnexpectedKey, key)
@@ -135,16 +136,16 @@
 		txn.Delete([]byte(key))
 		return grown, nil
 	}
-	item := statestore.KeyValue{Key: key, Value: c.Value, ModRevision: c.ModRevision}
+	item := kvstore.KeyValue{Key: key, Value: c.Value, ModRevision: c.ModRevision}
 	txn.Insert([]byte(key), item)
 	return grown + itemBytes(item), nil
 }
 
-func (r *Replica) withRevision(txn *iradix.Txn[statestore.KeyValue], prefix string, revision unit.Revision, bytes int) (*Replica, error) {
+func (r *Replica) withRevision(txn *iradix.Txn[kvstore.KeyValue], prefix string, revision ident.Revision, bytes int) (*Replica, error) {
 	if bytes > r.maxBytes {
 		return r, fmt.Errorf("%w: %d bytes of %d", ErrReplicaFull, bytes, r.maxBytes)
 	}
-	out := &Replica{items: txn.Commit(), revisions: make(map[string]unit.Revision, len(Prefixes)), bytes: bytes, maxBytes: r.maxBytes}
+	out := &Replica{items: txn.Commit(), revisions: make(map[string]ident.Revision, len(Prefixes)), bytes: bytes, maxBytes: r.maxBytes}
 	for p, v := range r.revisions {
 		out.revisions[p] = v
 	}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -8,17 +8,19 @@
 	"testing"
 	"time"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"badgerbay/internal/fake"
-	"badgerbay/internal/statestore"
-	"badgerbay/internal/unit"
+	"badgerbay/internal/kvstore"
 )
 
 const (
 	testMaxBytes = 1 << 20
-	startTime    = unit.Instant(time.Hour)
+	startTime    = clock.Instant(time.Hour)
 )
 
 var testOptions = Options{SyncInterval: time.Second}
@@ -26,7 +28,7 @@
 // put stores a value under a key, without a guard.
 func put(t *testing.T, state *fake.KVStore, key string, value any) {
 	t.Helper()
-	if _, err := state.Commit(statestore.Txn{Operations: []statestore.Operation{{SetKey: key, Value: value}}}); err != nil {
+	if _, err := state.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -35,7 +37,7 @@
 type fixture struct {
 	state    *fake.KVStore
 	follower *Follower
-	now      unit.Instant
+	now      clock.Instant
 	reads    []string
 }
 
@@ -79,12 +81,12 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := newFixture(testMaxBytes)
 	var kept *Replica
-	var before []statestore.KeyValue
+	var before []kvstore.KeyValue
 	for i := range 300 {
 		for range rng.IntN(4) {
 			key := Prefixes[rng.IntN(len(Prefixes))] + fmt.Sprint(rng.IntN(20))
 			if rng.IntN(5) == 0 {
-				if _, err := r.state.Commit(statestore.Txn{Operations: []statestore.Operation{{DeleteKey: key}}}); err != nil {
+				if _, err := r.state.Commit(kvstore.Txn{Operations: []kvstore.Operation{{DeleteKey: key}}}); err != nil {
 					t.Fatal(err)
 				}
 				continue
@@ -177,16 +179,16 @@
 // TestInconsistentChangesAreRefused are refused whole: nothing of them is applied, and the keys
 // are read anew.
 func TestInconsistentChangesAreRefused(t *testing.T) {
-	set := func(key string, stamp unit.Revision) statestore.WatchEvent {
-		return statestore.WatchEvent{SetKey: key, ModRevision: stamp}
+	set := func(key string, stamp ident.Revision) kvstore.WatchEvent {
+		return kvstore.WatchEvent{SetKey: key, ModRevision: stamp}
 	}
 	for what, in := range map[string]WatchDone{
-		"out of order":          {Changes: []statestore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
-		"known already":         {Changes: []statestore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
-		"beyond their revision": {Changes: []statestore.WatchEvent{set("job/1", 13)}, Revision: 12},
-		"of another key":        {Changes: []statestore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
-		"set and removed":       {Changes: []statestore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
-		"neither":               {Changes: []statestore.WatchEvent{{ModRevision: 11}}, Revision: 12},
+		"out of order":          {Changes: []kvstore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
+		"known already":         {Changes: []kvstore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
+		"beyond their revision": {Changes: []kvstore.WatchEvent{set("job/1", 13)}, Revision: 12},
+		"of another key":        {Changes: []kvstore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
+		"set and removed":       {Changes: []kvstore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
+		"neither":               {Changes: []kvstore.WatchEvent{{ModRevision: 11}}, Revision: 12},
 		"of an earlier state":   {Revision: 3},
 	} {
 		r := newFixture(testMaxBytes)
@@ -257,7 +259,7 @@
 		t.Errorf("complete up to before the epoch: %v", err)
 	}
 	r.state.RetainedChanges = 1
-	if _, _, err := CatchUp(r.follower.Replica(), 4, r.state.Watch); !errors.Is(err, statestore.ErrCompacted) {
+	if _, _, err := CatchUp(r.follower.Replica(), 4, r.state.Watch); !errors.Is(err, kvstore.ErrCompacted) {
 		t.Errorf("after a gap: %v", err)
 	}
 }
@@ -268,9 +270,9 @@
 	for _, records := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			value := make([]byte, 600)
-			var items []statestore.KeyValue
+			var items []kvstore.KeyValue
 			for i := range records {
-				items = append(items, statestore.KeyValue{Key: fmt.Sprintf("job/wk-%06d", i), Value: value, ModRevision: 1})
+				items = append(items, kvstore.KeyValue{Key: fmt.Sprintf("job/wk-%06d", i), Value: value, ModRevision: 1})
 			}
 			replica, err := NewReplica(64<<20).Load("job/", items, 1)
 			if err != nil {
@@ -278,10 +280,10 @@
 			}
 			b.ReportAllocs()
 			for n := range b.N {
-				var log []statestore.WatchEvent
-				revision := unit.Revision(n + 2)
+				var log []kvstore.WatchEvent
+				revision := ident.Revision(n + 2)
 				for i := range 30 {
-					log = append(log, statestore.WatchEvent{SetKey: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, ModRevision: revision})
+					log = append(log, kvstore.WatchEvent{SetKey: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, ModRevision: revision})
 				}
 				if replica, err = replica.Apply("job/", log, revision); err != nil {
 					b.Fatal(err)
