--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -108,7 +108,7 @@
 			excluded[m.ID] = true
 		}
 	}
-	s.ExcludedMachines = slices.Collect(maps.Keys(excluded))
+	s.ExcludedMachines = slices.Sorted(maps.Keys(excluded))
 	if !peer.MachineIDsFit(s.ExcludedMachines) {
 		s.GrantDuration, s.ExcludedMachines = 0, nil
 	}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"testing"
 	"time"
 
@@ -72,7 +74,7 @@
 	if lost := s.lostSessions(); lost > 0 {
 		t.Errorf("%d machines lost their leases as a third of them died", lost)
 	}
-	for id := range s.jobs {
+	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		s.cancelJob(id)
 	}
 	s.runFor(s.settings.Params.Workers.CancelTimeout())
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
@@ -265,9 +266,14 @@
 			w.QueuedJobs = append(w.QueuedJobs, j)
 		}
 	}
+	// Sums of decimal numbers depend on the order of their terms.
+	slices.SortFunc(w.PlacedJobs, byID)
+	slices.SortFunc(w.QueuedJobs, byID)
 	return w
 }
 
+func byID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
+
 // spareSpecs are the specs of the classes that must start faster than machines
 // come up, as last seen.
 func (t *term) spareSpecs() []*jobs.Spec {
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -169,6 +169,7 @@
 	effects := n.core.Step(n.steadyTime(s.now), in)
 	s.recordLeaderActions(n, effects)
 	for _, e := range effects {
+		s.traceEffect(n, e)
 		if _, ok := e.(ElectionEffect); ok && s.electionRequestsUntilCrash > 0 {
 			if s.electionRequestsUntilCrash--; s.electionRequestsUntilCrash == 0 {
 				s.carryOut(n, e) // it left, and the answer finds another process
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -117,6 +117,9 @@
 // applyTransaction carries out a transaction, and checks what is stored then.
 func (s *simulation) applyTransaction(t kvstore.Txn) (ident.Revision, error) {
 	v, err := s.store.Commit(t)
+	if s.trace != nil {
+		s.trace.printf("%d applied revision=%d refused=%t %s", s.now, v, err != nil, wireTxn(t))
+	}
 	for _, w := range t.Operations {
 		if err != nil || !strings.HasPrefix(w.SetKey+w.DeleteKey, quota.KeyPrefix) {
 			continue
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -69,6 +69,7 @@
 	silentUntil            map[ident.MachineID]clock.Instant // machines whose reports reach nobody, though commands reach them
 	gangExits              map[ident.JobID]gangExitCounts    // of gangs' tasks
 
+	trace                        *wireTrace         // nil: the day is not traced
 	leaderHistory                fake.LeaderHistory // of those who act as leader
 	admissions                   int                // of jobs, by holders
 	heartbeatUnderstatement      time.Duration      // what heartbeats seem to claim less than they do
@@ -197,6 +198,7 @@
 		rate := 1 + fastest*float64(i)/2
 		s.nodes = append(s.nodes, &simulatedNode{index: i, name: fmt.Sprintf("n%d", i), zone: s.settings.Params.Zones[i%2], clockRate: rate})
 	}
+	s.traceToFile()
 	for _, n := range s.nodes {
 		s.startNode(n)
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
@@ -116,7 +118,7 @@
 
 // abandon answers those who wait when leadership ends.
 func (t *term) abandon() {
-	for id := range t.pendingCancels {
+	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
 		t.answerPendingCancels(id, api.NoLeader, 0)
 	}
 	t.refuseDeferred(func(deferredHeartbeat) bool { return true })
@@ -183,8 +185,8 @@
 	if t.core.election.LeaseValid(now) {
 		t.probeSilentMachines(now)
 	}
-	for id, ws := range t.pendingCancels {
-		if len(ws) > 0 && !now.Before(ws[0].deadline) {
+	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
+		if ws := t.pendingCancels[id]; len(ws) > 0 && !now.Before(ws[0].deadline) {
 			t.answerPendingCancels(id, api.LeaderBusy, 0)
 		}
 	}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -13,7 +13,6 @@
 // gangMember is a task of a gang on its worker.
 type gangMember struct {
 	worker *Worker
-	id     ident.TaskID
 	task   *Task
 }
 
@@ -26,21 +25,24 @@
 // hangs tells of a worker that does nothing now.
 func AdvanceGangs(now clock.Instant, workers []*Worker, wait, peer time.Duration, hangs func(ident.MachineID) bool) {
 	gangs := map[gangAttempt][]gangMember{}
+	var found []gangAttempt // in an order that repeats
 	for _, w := range workers {
-		for id, attempts := range w.Tasks {
-			spec, _, ok := w.Spec(id.Job)
-			if !ok || !spec.Gang {
+		for _, t := range w.tasks {
+			if !t.isStarted() {
 				continue
 			}
-			for a, t := range attempts {
-				if t.isStarted() {
-					k := gangAttempt{id.Job, a}
-					gangs[k] = append(gangs[k], gangMember{w, id, t})
-				}
+			if spec, _, ok := w.Spec(t.ID.Job); !ok || !spec.Gang {
+				continue
+			}
+			k := gangAttempt{t.ID.Job, t.Attempt}
+			if gangs[k] == nil {
+				found = append(found, k)
 			}
+			gangs[k] = append(gangs[k], gangMember{w, t})
 		}
 	}
-	for k, members := range gangs {
+	for _, k := range found {
+		members := gangs[k]
 		spec, _, _ := members[0].worker.Spec(k.job)
 		advanceGang(now, members, spec.Tasks, wait, peer, hangs)
 		saveGang(now, members, spec, peer)
@@ -66,9 +68,9 @@
 		case m.task.State != stateFlushing:
 		case all && ready:
 			m.task.Stored = true
-			m.worker.exit(now, m.id, m.task, fleet.ExitStopped)
+			m.worker.exit(now, m.task, fleet.ExitStopped)
 		case now.Sub(first) >= peer:
-			m.worker.exit(now, m.id, m.task, fleet.ExitGangPeersLost)
+			m.worker.exit(now, m.task, fleet.ExitGangPeersLost)
 		}
 	}
 }
@@ -90,19 +92,19 @@
 		switch {
 		case hangs(m.worker.ID):
 		case done && ready == all:
-			m.worker.completed[m.id] = true
-			m.worker.exit(now, m.id, t, fleet.ExitDone)
+			m.worker.completed[t.ID] = true
+			m.worker.exit(now, t, fleet.ExitDone)
 		case begun && ready < all:
 			if t.incompleteSince == 0 {
 				t.incompleteSince = now
 			}
 			if now.Sub(t.incompleteSince) >= peer {
-				m.worker.exit(now, m.id, t, fleet.ExitGangPeersLost)
+				m.worker.exit(now, t, fleet.ExitGangPeersLost)
 			}
 		case !begun && ready == all:
 			t.State, t.EndsAt = stateRunning, now.Add(t.runTime)
 		case !begun && now.Sub(t.waitingSince) >= wait:
-			m.worker.exit(now, m.id, t, fleet.ExitGangIncomplete)
+			m.worker.exit(now, t, fleet.ExitGangIncomplete)
 		}
 	}
 }
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -5,6 +5,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"sort"
 	"strings"
 	"time"
@@ -54,20 +56,25 @@
 // Expire ends the leases whose time is over. During an outage none ends; after
 // it, all have their full time again.
 func (s *KVStore) Expire(now clock.Instant) {
+	var over []ident.LeaseID
 	for id, l := range s.leases {
 		if s.Down {
 			l.expiresAt = now.Add(l.duration)
 		} else if !now.Before(l.expiresAt) {
-			s.expireLease(id)
+			over = append(over, id)
 		}
 	}
+	slices.Sort(over)
+	for _, id := range over {
+		s.expireLease(id)
+	}
 }
 
 func (s *KVStore) expireLease(id ident.LeaseID) {
 	delete(s.leases, id)
 	s.revision++
-	for k, it := range s.items {
-		if it.leaseID == id {
+	for _, k := range slices.Sorted(maps.Keys(s.items)) {
+		if s.items[k].leaseID == id {
 			delete(s.items, k)
 			s.changes = append(s.changes, kvstore.WatchEvent{DeleteKey: k, ModRevision: s.revision})
 		}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
@@ -10,8 +11,9 @@
 	"badgerbay/internal/jobs"
 )
 
-// Task is a task on a worker.
+// Task is an attempt to run a task on a worker.
 type Task struct {
+	ID        ident.TaskID
 	Attempt   ident.Attempt
 	State     fleet.TaskState
 	Cause     fleet.ExitCause
@@ -37,7 +39,7 @@
 	Session        ident.Session
 	HeartbeatSeq   ident.HeartbeatSeq
 	FencingToken   ident.Epoch
-	Tasks          map[ident.TaskID]map[ident.Attempt]*Task
+	tasks          []*Task       // in the order of their launches, so that days repeat by seed
 	leaseRenewedAt clock.Instant // when the last answered report was sent
 	completed      map[ident.TaskID]bool
 	// Spec tells what a job is; ok is false for one not submitted.
@@ -55,7 +57,7 @@
 // NewWorker returns a worker that has just come up.
 func NewWorker(id ident.MachineID, t *fleet.MachineType, zone ident.Zone, spot bool, lease time.Duration, now clock.Instant) *Worker {
 	return &Worker{ID: id, Addr: "127.0.0.1:1", Type: t, Zone: zone, Spot: spot, LeaseDuration: lease, Session: 1, leaseRenewedAt: now,
-		Tasks: map[ident.TaskID]map[ident.Attempt]*Task{}, completed: map[ident.TaskID]bool{}}
+		completed: map[ident.TaskID]bool{}}
 }
 
 // States of tasks, as a worker writes them.
@@ -81,33 +83,29 @@
 // Advance lets time pass on the machine.
 func (w *Worker) Advance(now clock.Instant) {
 	w.ExpireLease(now)
-	for id, attempts := range w.Tasks {
-		for _, t := range attempts {
-			if t.State == stateFetching && !now.Before(t.FetchedAt) {
-				t.State = stateRunning
-				if spec, _, ok := w.Spec(id.Job); ok && spec.Gang {
-					t.State, t.waitingSince = stateGathering, now
-				}
-				w.OnTask(now, w, id, true)
-			}
-			if t.State == stateRunning && (w.completed[id] || t.EndsAt != 0 && !now.Before(t.EndsAt)) {
-				w.completed[id] = true
-				w.exit(now, id, t, fleet.ExitDone)
+	for _, t := range w.tasks {
+		if t.State == stateFetching && !now.Before(t.FetchedAt) {
+			t.State = stateRunning
+			if spec, _, ok := w.Spec(t.ID.Job); ok && spec.Gang {
+				t.State, t.waitingSince = stateGathering, now
 			}
+			w.OnTask(now, w, t.ID, true)
+		}
+		if t.State == stateRunning && (w.completed[t.ID] || t.EndsAt != 0 && !now.Before(t.EndsAt)) {
+			w.completed[t.ID] = true
+			w.exit(now, t, fleet.ExitDone)
 		}
 	}
 }
 
 // KillAll kills and forgets all tasks.
 func (w *Worker) KillAll(now clock.Instant) {
-	for id, attempts := range w.Tasks {
-		for _, t := range attempts {
-			if t.isStarted() {
-				w.OnTask(now, w, id, false)
-			}
+	for _, t := range w.tasks {
+		if t.isStarted() {
+			w.OnTask(now, w, t.ID, false)
 		}
 	}
-	w.Tasks = map[ident.TaskID]map[ident.Attempt]*Task{}
+	w.tasks = nil
 }
 
 // isStarted tells whether the task is on its machine.
@@ -115,14 +113,14 @@
 	return t.State == stateRunning || t.State == stateGathering || t.State == stateFlushing
 }
 
-func (w *Worker) exit(now clock.Instant, id ident.TaskID, t *Task, cause fleet.ExitCause) {
+func (w *Worker) exit(now clock.Instant, t *Task, cause fleet.ExitCause) {
 	was := t.isStarted()
 	if was {
-		w.OnTask(now, w, id, false)
+		w.OnTask(now, w, t.ID, false)
 	}
 	t.State, t.Cause = stateExited, cause
 	if was && w.OnExit != nil {
-		w.OnExit(id, t)
+		w.OnExit(t.ID, t)
 	}
 }
 
@@ -131,10 +129,8 @@
 	w.HeartbeatSeq++
 	r := &fleet.Heartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type.Name, Zone: w.Zone, Spot: w.Spot,
 		Session: w.Session, HeartbeatSeq: w.HeartbeatSeq, FencingToken: w.FencingToken}
-	for id, attempts := range w.Tasks {
-		for a, t := range attempts {
-			r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: id, Attempt: a, State: t.State, Cause: t.Cause, CheckpointStored: t.Stored})
-		}
+	for _, t := range w.tasks {
+		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: t.ID, Attempt: t.Attempt, State: t.State, Cause: t.Cause, CheckpointStored: t.Stored})
 	}
 	return r
 }
@@ -161,14 +157,14 @@
 
 func (w *Worker) execute(now clock.Instant, orders []fleet.Command) {
 	for _, o := range orders {
-		t := w.Tasks[o.Task][o.Attempt]
+		t := w.task(o.Task, o.Attempt)
 		switch {
 		case o.Kind == fleet.CommandStart && t == nil:
 			w.start(now, o)
 		case o.Kind == fleet.CommandStop && t != nil && t.State != stateExited:
 			w.stop(now, o, t)
 		case o.Kind == fleet.CommandForget && t != nil && t.State == stateExited:
-			delete(w.Tasks[o.Task], o.Attempt)
+			w.tasks = slices.DeleteFunc(w.tasks, func(other *Task) bool { return other == t })
 		}
 	}
 }
@@ -183,12 +179,12 @@
 		t.State, t.stopRequestedAt = stateFlushing, now
 	case saves && t.State == stateFlushing:
 	default:
-		w.exit(now, o.Task, t, fleet.ExitStopped)
+		w.exit(now, t, fleet.ExitStopped)
 	}
 }
 
 func (w *Worker) start(now clock.Instant, o fleet.Command) {
-	t := &Task{Attempt: o.Attempt, State: stateFetching, FetchedAt: now.Add(w.FetchTime)}
+	t := &Task{ID: o.Task, Attempt: o.Attempt, State: stateFetching, FetchedAt: now.Add(w.FetchTime)}
 	spec, run, ok := w.Spec(o.Task.Job)
 	if w.RunTime != nil && run > 0 {
 		run = w.RunTime(o.Task)
@@ -206,29 +202,29 @@
 	case run > 0:
 		t.EndsAt = t.FetchedAt.Add(run)
 	}
-	if w.Tasks[o.Task] == nil {
-		w.Tasks[o.Task] = map[ident.Attempt]*Task{}
-	}
-	w.Tasks[o.Task][o.Attempt] = t
+	w.tasks = append(w.tasks, t)
 }
 
-func (w *Worker) hasActiveAttempt(id ident.TaskID) bool {
-	for _, t := range w.Tasks[id] {
-		if t.State != stateExited {
-			return true
+// task returns an attempt of a task, or nil if it is not known here.
+func (w *Worker) task(id ident.TaskID, attempt ident.Attempt) *Task {
+	for _, t := range w.tasks {
+		if t.ID == id && t.Attempt == attempt {
+			return t
 		}
 	}
-	return false
+	return nil
+}
+
+func (w *Worker) hasActiveAttempt(id ident.TaskID) bool {
+	return slices.ContainsFunc(w.tasks, func(t *Task) bool { return t.ID == id && t.State != stateExited })
 }
 
 // FreeResources is what no task takes of the machine.
 func (w *Worker) FreeResources() jobs.Resources {
 	free := w.Type.Capacity
-	for id, attempts := range w.Tasks {
-		for _, t := range attempts {
-			if spec, _, ok := w.Spec(id.Job); ok && t.State != stateExited {
-				free = free.Sub(spec.TaskResources())
-			}
+	for _, t := range w.tasks {
+		if spec, _, ok := w.Spec(t.ID.Job); ok && t.State != stateExited {
+			free = free.Sub(spec.TaskResources())
 		}
 	}
 	return free
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -132,7 +132,9 @@
 }
 
 func sortByTask(o []Command) []Command {
-	sort.Slice(o, func(a, b int) bool { return lessTaskID(o[a].Task, o[b].Task) })
+	sort.Slice(o, func(a, b int) bool {
+		return lessTaskID(placementKey{o[a].Task, o[a].Attempt}, placementKey{o[b].Task, o[b].Attempt})
+	})
 	return o
 }
 
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -1,8 +1,11 @@
 package fleet
 
 import (
+	"sort"
+
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
+
 	"badgerbay/internal/jobs"
 )
 
@@ -109,11 +112,16 @@
 			f.applyTaskStatus(now, m, p, e, c)
 		}
 	}
-	for k, p := range m.placements {
+	var absent []placementKey
+	for k := range m.placements {
 		if !seen[k] {
-			f.handleMissing(now, p, r, c)
+			absent = append(absent, k)
 		}
 	}
+	sort.Slice(absent, func(a, b int) bool { return lessTaskID(absent[a], absent[b]) })
+	for _, k := range absent {
+		f.handleMissing(now, m.placements[k], r, c)
+	}
 }
 
 // adoptStray takes in a task that no placement names, and makes one for it, so that
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -152,7 +152,7 @@
 			out = append(out, p)
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return lessTaskID(out[a].ID(), out[b].ID()) })
+	sort.Slice(out, func(a, b int) bool { return lessTaskID(keyOf(out[a]), keyOf(out[b])) })
 	return out
 }
 
@@ -192,9 +192,12 @@
 	return oldest
 }
 
-func lessTaskID(a, b ident.TaskID) bool {
-	if a.Job != b.Job {
-		return a.Job < b.Job
+func lessTaskID(a, b placementKey) bool {
+	switch {
+	case a.task.Job != b.task.Job:
+		return a.task.Job < b.task.Job
+	case a.task.Index != b.task.Index:
+		return a.task.Index < b.task.Index
 	}
-	return a.Index < b.Index
+	return a.attempt < b.attempt
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -267,10 +267,13 @@
 		out[n].Tasks.Add(p.Task)
 	}
 	sort.Slice(out, func(a, b int) bool {
-		if out[a].Machine != out[b].Machine {
+		switch {
+		case out[a].Machine != out[b].Machine:
 			return out[a].Machine < out[b].Machine
+		case out[a].Attempt != out[b].Attempt:
+			return out[a].Attempt < out[b].Attempt
 		}
-		return out[a].Attempt < out[b].Attempt
+		return out[a].Session < out[b].Session
 	})
 	return out
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -225,8 +225,8 @@
 // count as the leader's own.
 func (l *Allocator) updateCovered() {
 	clear(l.covered)
-	for node, r := range l.reservations {
-		sums := map[ident.Team]Quantity{}
+	for _, node := range slices.Sorted(maps.Keys(l.reservations)) {
+		r, sums := l.reservations[node], map[ident.Team]Quantity{}
 		for i := range r.jobs {
 			one := &r.jobs[i]
 			if most, told := l.jobCaps[one.Job]; told {
@@ -446,7 +446,8 @@
 		r, stored := l.reservations[node]
 		stale := stored && (silent || r.holderRevision != stamp)
 		c := &pendingChange{records: map[ident.Team]TeamRecord{}}
-		for team, a := range l.teams {
+		for _, team := range slices.Sorted(maps.Keys(l.teams)) {
+			a := l.teams[team]
 			if own := a.record.allocationOf(node); own != nil && (silent || own.Holder.ModRevision != stamp) && len(c.records) < most {
 				c.records[team] = a.record.without(node)
 			}
@@ -479,8 +480,8 @@
 // allotments, with the last of the transactions that remove all holder keys: whoever
 // had an allotment by it can store nothing more.
 func (l *Allocator) replaceDamaged(most int) *kvstore.Txn {
-	for team, a := range l.teams {
-		if !a.damaged {
+	for _, team := range slices.Sorted(maps.Keys(l.teams)) {
+		if !l.teams[team].damaged {
 			continue
 		}
 		holders := slices.Sorted(maps.Keys(l.holderRevisions))
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -2,6 +2,8 @@
 
 import (
 	"container/heap"
+	"maps"
+	"slices"
 	"sort"
 
 	"badgerbay/internal/ident"
@@ -109,8 +111,8 @@
 			p.evictPlacement(j, v)
 			continue
 		}
-		for _, member := range v.Job.Placements {
-			if !p.evicted[member] {
+		for _, i := range slices.Sorted(maps.Keys(v.Job.Placements)) {
+			if member := v.Job.Placements[i]; !p.evicted[member] {
 				p.evictPlacement(j, member)
 				wide = true
 			}
--- a/internal/scheduler/spare_capacity.go
+++ b/internal/scheduler/spare_capacity.go
@@ -1,7 +1,9 @@
 package scheduler
 
 import (
+	"maps"
 	"math"
+	"slices"
 
 	"badgerbay/internal/ident"
 
@@ -71,8 +73,8 @@
 // are needed for that, and rents what is missing.
 func (p *planner) ensureGuarantees() {
 	wanted, have := 0.0, 0.0
-	for name, t := range p.snapshot.Teams {
-		if t.CPUGuarantee > 0 && p.snapshot.TeamActive(name) {
+	for _, name := range slices.Sorted(maps.Keys(p.snapshot.Teams)) {
+		if t := p.snapshot.Teams[name]; t.CPUGuarantee > 0 && p.snapshot.TeamActive(name) {
 			wanted += max(t.CPUGuarantee*p.snapshot.Policy.GuaranteeShare, p.usage[name].CPUs)
 		}
 	}
