--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -331,7 +331,7 @@
 	switch e := e.(type) {
 	case election.ReadLeaderKeys:
 		items, _, err := s.store.List(election.LeaderKey)
-		in, unread := election.DecodeKeys(items)
+		in, unread := election.DecodeLeaderKeys(items)
 		in.OK = err == nil && unread == nil
 		in.Heartbeat.TTLMs -= s.heartbeatUnderstatement.Milliseconds()
 		s.reply(n, life, ElectionInput{in})
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -35,14 +35,14 @@
 }
 
 var (
-	goldenHolder    = LeaderRecord{Node: "n1", Nonce: "0123456789abcdef"}
+	goldenLeader    = LeaderRecord{Node: "n1", Nonce: "0123456789abcdef"}
 	goldenHeartbeat = HeartbeatRecord{Node: "n1", Nonce: "0123456789abcdef", TTLMs: 2600}
 )
 
 func writtenValues(t *testing.T) map[string]goldenValue {
 	t.Helper()
 	return map[string]goldenValue{
-		"leader":        encodeValue(t, LeaderKey, goldenHolder),
+		"leader":        encodeValue(t, LeaderKey, goldenLeader),
 		"leader, empty": encodeValue(t, LeaderKey, LeaderRecord{}),
 		"heartbeat":     encodeValue(t, HeartbeatKey, goldenHeartbeat),
 		"longest-lived": encodeValue(t, HeartbeatKey, HeartbeatRecord{Node: "n1", Nonce: "x", TTLMs: 1 << 40}),
@@ -59,9 +59,9 @@
 	if diff := cmp.Diff(golden, written); diff != "" {
 		t.Errorf("written otherwise: %s", diff)
 	}
-	var readHolder LeaderRecord
+	var readLeader LeaderRecord
 	var readHeartbeat HeartbeatRecord
-	for name, into := range map[string]any{"leader": &readHolder, "heartbeat": &readHeartbeat} {
+	for name, into := range map[string]any{"leader": &readLeader, "heartbeat": &readHeartbeat} {
 		data, err := hex.DecodeString(golden[name].MsgPack)
 		if err != nil {
 			t.Fatal(err)
@@ -70,7 +70,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if readHolder != goldenHolder || readHeartbeat != goldenHeartbeat {
-		t.Errorf("read otherwise: %+v, %+v", readHolder, readHeartbeat)
+	if readLeader != goldenLeader || readHeartbeat != goldenHeartbeat {
+		t.Errorf("read otherwise: %+v, %+v", readLeader, readHeartbeat)
 	}
 }
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -7,20 +7,20 @@
 	"badgerbay/internal/ident"
 )
 
-// Input is what the machine takes: one of the types below.
+// Input is what an Elector takes: one of the types below.
 type Input interface{ isInput() }
 
-// Inputs. Sent is when the request left, by the steady clock.
+// Inputs. SentAt is when the request left this node.
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// LeaderKeysRead is what a look at the key found. Stamp 0: no leader.
+	// LeaderKeysRead answers ReadLeaderKeys.
 	LeaderKeysRead struct {
 		OK     bool
 		Leader LeaderRecord
-		Epoch  ident.Epoch
-		// Heartbeat is what HeartbeatKey holds. HeartbeatStamp 0: nothing, or it
-		// was not read.
+		Epoch  ident.Epoch // of the leader; 0: there is none
+		// Heartbeat is the value of HeartbeatKey. HeartbeatRevision 0: there is none, or
+		// it was not read.
 		Heartbeat         HeartbeatRecord
 		HeartbeatRevision ident.Revision
 	}
@@ -30,36 +30,38 @@
 		LeaseID ident.LeaseID
 		SentAt  clock.Instant
 	}
-	// LeaderKeyAcquired answers Acquire.
+	// LeaderKeyAcquired answers AcquireLeaderKey.
 	LeaderKeyAcquired struct {
 		Outcome Outcome
 		Epoch   ident.Epoch
 	}
-	// LeaseRenewed answers Renew.
+	// LeaseRenewed answers RenewLease.
 	LeaseRenewed struct {
 		LeaseID ident.LeaseID
 		Outcome Outcome
 		SentAt  clock.Instant
 	}
-	// LeaderKeyRewritten answers SetToken.
+	// LeaderKeyRewritten answers RewriteLeaderKey.
 	LeaderKeyRewritten struct {
-		PrevEpoch ident.Epoch // of SetToken
+		PrevEpoch ident.Epoch // of the request
 		Outcome   Outcome
 		Epoch     ident.Epoch
 	}
-	// LeadershipLost says that a guard on the key has failed.
+	// LeadershipLost says that a condition on the leader key has failed.
 	LeadershipLost struct{}
 	// AdvanceEpoch asks for a higher epoch of the same leader.
 	AdvanceEpoch struct{}
-	// HeartbeatWritten answers Beat. Gone: Key is no longer what it was under that epoch.
+	// HeartbeatWritten answers WriteHeartbeat. OutcomeGone: the leader key has another
+	// epoch.
 	HeartbeatWritten struct {
-		Epoch   ident.Epoch
+		Epoch   ident.Epoch // of the request
 		Outcome Outcome
 		SentAt  clock.Instant
 	}
 	// ReplicaState says whether this node has a complete replica of the records.
 	ReplicaState struct{ Ready bool }
-	// Resign asks to give leadership up, to the node Heir if one is named.
+	// Resign asks to give leadership up, to the node Transferee if one is named. The node
+	// does not campaign for a free key again during Cooldown.
 	Resign struct {
 		Cooldown   time.Duration
 		Transferee string
@@ -81,58 +83,61 @@
 // Outcome of a request to the state service.
 type Outcome int
 
-// Outcomes. Unknown: it may have been executed or may still be.
+// Outcomes.
 const (
 	OutcomeOK Outcome = iota
+	// OutcomeRefused: the request was not executed, and never will be.
 	OutcomeRefused
+	// OutcomeUnknown: it may have been executed, or may still be.
 	OutcomeUnknown
+	// OutcomeGone: the lease has ended, or the leader key is another leader's.
 	OutcomeGone
 )
 
-// Effect is what the machine asks for: one of the types below.
+// Effect is what an Elector asks for: one of the types below.
 type Effect interface{ isEffect() }
 
-// Effects.
+// Effects: requests to the state service.
 type (
-	// ReadLeaderKeys looks at the key.
+	// ReadLeaderKeys reads LeaderKey, and HeartbeatKey if heartbeats are enabled.
 	ReadLeaderKeys struct{}
 	// GrantLease asks for a lease.
 	GrantLease struct{ TTL time.Duration }
-	// AcquireLeaderKey sets the key if it still has the stamp Prev, and the first heartbeat
-	// with it if there is one.
+	// AcquireLeaderKey sets the leader key if it still has the epoch PrevEpoch, and the
+	// first heartbeat with it if there is one.
 	AcquireLeaderKey struct {
-		PrevEpoch ident.Epoch
+		PrevEpoch ident.Epoch // 0: the key does not exist
 		Leader    LeaderRecord
 		LeaseID   ident.LeaseID
 		Heartbeat *HeartbeatRecord
-		// ExpectedHeartbeatRevision guards a takeover from a leader that still holds the key: the
-		// stamp of its last heartbeat. 0: the key is free, or of this node.
+		// ExpectedHeartbeatRevision makes a failover from a leader that still holds the
+		// key conditional on its last heartbeat. 0: the key is free, or of this node.
 		ExpectedHeartbeatRevision ident.Revision
 	}
 	// RenewLease extends the lease.
 	RenewLease struct{ LeaseID ident.LeaseID }
-	// RewriteLeaderKey sets the key again, guarded by its own stamp; a heartbeat goes with
-	// it if there is one.
+	// RewriteLeaderKey sets the leader key again if it still has the epoch PrevEpoch, and
+	// a heartbeat with it if there is one. The key's new revision is the next epoch.
 	RewriteLeaderKey struct {
 		PrevEpoch ident.Epoch
 		Leader    LeaderRecord
 		LeaseID   ident.LeaseID
 		Heartbeat *HeartbeatRecord
 	}
-	// WriteHeartbeat writes a heartbeat if the key still has the stamp Epoch.
+	// WriteHeartbeat writes a heartbeat if the leader key still has the epoch Epoch.
 	WriteHeartbeat struct {
 		Epoch     ident.Epoch
 		Heartbeat HeartbeatRecord
 	}
-	// TransferLeadership sets the key to another node's name, guarded by its own stamp
-	// and bound to the same lease. That node takes it for a key of its own and
-	// acquires it at once; should it not, the key ends with the lease.
+	// TransferLeadership sets the leader key to another node's name if it still has the
+	// epoch PrevEpoch, bound to the same lease. That node takes it for a key of its own
+	// and acquires it at once; should it not, the key ends with the lease.
 	TransferLeadership struct {
 		PrevEpoch  ident.Epoch
 		Transferee LeaderRecord
 		LeaseID    ident.LeaseID
 	}
-	// RevokeLease ends the lease.
+	// RevokeLease ends the lease, and with it the leader key that is bound to it.
 	RevokeLease struct{ LeaseID ident.LeaseID }
 )
 
--- a/internal/election/standby.go
+++ b/internal/election/standby.go
@@ -6,17 +6,17 @@
 	"badgerbay/internal/clock"
 )
 
-// BlockReason is why a node could not take over when it last looked.
+// BlockReason is why a node could not take over when it last read the leader's keys.
 type BlockReason int
 
-// Hindrances.
+// Reasons why a failover is blocked.
 const (
 	NotBlocked BlockReason = iota
-	// LeaderAlive: the leader's entitlement may still run.
+	// LeaderAlive: the leader may still act.
 	LeaderAlive
-	// LeaderWithoutHeartbeats: the leader writes none that count, so only its lease does.
+	// LeaderWithoutHeartbeats: the leader writes no valid ones, so only its lease counts.
 	LeaderWithoutHeartbeats
-	// OtherStandbyFirst: the leader is silent, and others are given the time to go first.
+	// OtherStandbyFirst: the leader has failed, and others are given the time to go first.
 	OtherStandbyFirst
 	// FailoverConflict: the leader was heard again, or another node was quicker.
 	FailoverConflict
@@ -26,9 +26,9 @@
 	LeaderKeysUnreadable
 )
 
-// String names the hindrance for logs and operators.
-func (h BlockReason) String() string {
-	switch h {
+// String names the reason for logs and operators; "" if failover is not blocked.
+func (r BlockReason) String() string {
+	switch r {
 	case NotBlocked:
 		return ""
 	case LeaderAlive:
@@ -48,18 +48,18 @@
 }
 
 // updateBlockReason notes why the leader that was just read is not replaced.
-func (m *Elector) updateBlockReason(now clock.Instant) {
+func (e *Elector) updateBlockReason(now clock.Instant) {
 	switch {
-	case m.observedEpoch == 0:
-		m.blockReason = NotBlocked
-	case !m.timing.Heartbeat.enabled():
-		m.blockReason = HeartbeatsDisabled
-	case m.detector.heartbeatRevision == 0:
-		m.blockReason = LeaderWithoutHeartbeats
-	case m.detector.expired(now):
-		m.blockReason = OtherStandbyFirst
+	case e.observedEpoch == 0:
+		e.blockReason = NotBlocked
+	case !e.timing.Heartbeat.enabled():
+		e.blockReason = HeartbeatsDisabled
+	case e.detector.heartbeatRevision == 0:
+		e.blockReason = LeaderWithoutHeartbeats
+	case e.detector.expired(now):
+		e.blockReason = OtherStandbyFirst
 	default:
-		m.blockReason = LeaderAlive
+		e.blockReason = LeaderAlive
 	}
 }
 
@@ -72,17 +72,17 @@
 }
 
 // SilentFor is how long the leader has been silent at now, as far as this node knows.
-func (v StandbyStatus) SilentFor(now clock.Instant) time.Duration {
-	if v.SilentSince == 0 {
+func (s StandbyStatus) SilentFor(now clock.Instant) time.Duration {
+	if s.SilentSince == 0 {
 		return 0
 	}
-	return now.Sub(v.SilentSince)
+	return now.Sub(s.SilentSince)
 }
 
-// Standby tells how this node stands to the leader.
-func (m *Elector) Standby() StandbyStatus {
-	if m.role == roleLeader {
+// Standby is the status of this node as a standby; the zero value if it leads.
+func (e *Elector) Standby() StandbyStatus {
+	if e.role == roleLeader {
 		return StandbyStatus{}
 	}
-	return StandbyStatus{BlockReason: m.blockReason, SilentSince: m.detector.firstSeen}
+	return StandbyStatus{BlockReason: e.blockReason, SilentSince: e.detector.firstSeen}
 }
--- a/internal/election/txn.go
+++ b/internal/election/txn.go
@@ -4,16 +4,20 @@
 	"errors"
 	"fmt"
 
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
 
-// Txn sets the leader key, with the first heartbeat if there is one. If the key is
-// taken from a silent leader, its heartbeat must still be the one that was seen to be
-// silent.
+// EpochCondition is the condition that the leader of the epoch still holds the leader key. It
+// fences every write of a leader.
+func EpochCondition(epoch ident.Epoch) kvstore.Condition {
+	return kvstore.Condition{Key: LeaderKey, ModRevision: ident.Revision(epoch)}
+}
+
+// Txn is the transaction that sets the leader key, and the first heartbeat if there is one. If
+// the key is taken from a failed leader, its heartbeat must still be the one that was last seen.
 func (e AcquireLeaderKey) Txn() kvstore.Txn {
 	txn := withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
 	if e.ExpectedHeartbeatRevision != 0 {
@@ -22,60 +26,60 @@
 	return txn
 }
 
-// Txn sets the leader key again, so that its stamp, the epoch, rises.
+// Txn is the transaction that sets the leader key again.
 func (e RewriteLeaderKey) Txn() kvstore.Txn {
 	return withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
 }
 
-// Txn sets the leader key to the name of the node that is to lead next.
+// Txn is the transaction that sets the leader key to the name of the node that is to lead next.
 func (e TransferLeadership) Txn() kvstore.Txn {
 	return leaderKeyTxn(e.PrevEpoch, e.Transferee, e.LeaseID)
 }
 
-// Txn writes a heartbeat, guarded by the leader key.
+// Txn is the transaction that writes the heartbeat.
 func (e WriteHeartbeat) Txn() kvstore.Txn {
-	guard := kvstore.Condition{Key: LeaderKey, ModRevision: ident.Revision(e.Epoch)}
-	return withHeartbeat(kvstore.Txn{Conditions: []kvstore.Condition{guard}}, &e.Heartbeat)
+	return withHeartbeat(kvstore.Txn{Conditions: []kvstore.Condition{EpochCondition(e.Epoch)}}, &e.Heartbeat)
 }
 
-func leaderKeyTxn(prev ident.Epoch, holder LeaderRecord, lease ident.LeaseID) kvstore.Txn {
+func leaderKeyTxn(prev ident.Epoch, leader LeaderRecord, lease ident.LeaseID) kvstore.Txn {
 	return kvstore.Txn{
-		Conditions: []kvstore.Condition{{Key: LeaderKey, ModRevision: ident.Revision(prev)}},
-		Operations: []kvstore.Operation{{SetKey: LeaderKey, Value: holder, LeaseID: lease}},
+		Conditions: []kvstore.Condition{EpochCondition(prev)},
+		Operations: []kvstore.Operation{{SetKey: LeaderKey, Value: leader, LeaseID: lease}},
 	}
 }
 
-func withHeartbeat(t kvstore.Txn, heartbeat *HeartbeatRecord) kvstore.Txn {
+func withHeartbeat(txn kvstore.Txn, heartbeat *HeartbeatRecord) kvstore.Txn {
 	if heartbeat != nil {
-		t.Operations = append(t.Operations, kvstore.Operation{SetKey: HeartbeatKey, Value: *heartbeat})
+		txn.Operations = append(txn.Operations, kvstore.Operation{SetKey: HeartbeatKey, Value: *heartbeat})
 	}
-	return t
+	return txn
 }
 
-// DecodeHolder reads the value of Key. A key that does not exist has no holder.
-func DecodeHolder(item kvstore.KeyValue) (LeaderRecord, error) {
+// DecodeLeaderRecord reads the value of LeaderKey. The record of a key that does not exist is
+// empty.
+func DecodeLeaderRecord(item kvstore.KeyValue) (LeaderRecord, error) {
 	if item.ModRevision == 0 {
 		return LeaderRecord{}, nil
 	}
-	var h LeaderRecord
-	if err := msgpack.Unmarshal(item.Value, &h); err != nil {
+	var leader LeaderRecord
+	if err := msgpack.Unmarshal(item.Value, &leader); err != nil {
 		return LeaderRecord{}, fmt.Errorf("leader key: %w", err)
 	}
-	return h, nil
+	return leader, nil
 }
 
-// DecodeKeys reads the values of Key and HeartbeatKey among the items. A heartbeat
+// DecodeLeaderKeys reads LeaderKey and HeartbeatKey from the items that hold them. A heartbeat
 // that can't be read is taken for none: then only the lease counts.
-func DecodeKeys(items []kvstore.KeyValue) (LeaderKeysRead, error) {
+func DecodeLeaderKeys(items []kvstore.KeyValue) (LeaderKeysRead, error) {
 	in := LeaderKeysRead{OK: true}
 	for _, item := range items {
 		switch item.Key {
 		case LeaderKey:
-			holder, err := DecodeHolder(item)
+			leader, err := DecodeLeaderRecord(item)
 			if err != nil {
 				return LeaderKeysRead{}, err
 			}
-			in.Leader, in.Epoch = holder, ident.Epoch(item.ModRevision)
+			in.Leader, in.Epoch = leader, ident.Epoch(item.ModRevision)
 		case HeartbeatKey:
 			if err := msgpack.Unmarshal(item.Value, &in.Heartbeat); err != nil {
 				in.Heartbeat = HeartbeatRecord{}
@@ -87,7 +91,7 @@
 	return in, nil
 }
 
-// OutcomeOf sorts an error of a request to the state service.
+// OutcomeOf is the outcome of a request to the state service that returned err.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
@@ -100,8 +104,8 @@
 	return OutcomeRefused
 }
 
-// HeartbeatOutcomeOf sorts an error of Beat's transaction. Its only guard is the leader
-// key: a conflict means that it is not this leader's any more.
+// HeartbeatOutcomeOf is the outcome of the transaction of WriteHeartbeat that returned err. Its
+// only condition is on the epoch: a conflict means that the leader key is another leader's.
 func HeartbeatOutcomeOf(err error) Outcome {
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -52,7 +52,7 @@
 	if n.noteStoreResult(err) != nil {
 		return election.LeaderKeysRead{}
 	}
-	in, err := election.DecodeKeys(items)
+	in, err := election.DecodeLeaderKeys(items)
 	if err != nil {
 		n.log.Error("leader's keys can't be read", "err", err)
 	}
@@ -64,7 +64,7 @@
 	if n.noteStoreResult(err) != nil {
 		return election.LeaderRecord{}, 0, err
 	}
-	h, err := election.DecodeHolder(item)
+	h, err := election.DecodeLeaderRecord(item)
 	if err != nil {
 		return election.LeaderRecord{}, 0, err
 	}
