--- a/internal/controller/cancellationgap_test.go
+++ b/internal/controller/cancellationgap_test.go
@@ -187,7 +187,7 @@
 			continue
 		}
 		now = entitled.Add(3 * time.Second)
-		c.Step(now, HeartbeatReceived{Ticket: make(chan HeartbeatReply, 1), Heartbeat: &fleet.Heartbeat{Machine: "m1", Zone: "a", Session: 1, HeartbeatSeq: 1}})
+		c.Step(now, HeartbeatReceived{Heartbeat: &fleet.Heartbeat{Machine: "m1", Zone: "a", Session: 1, HeartbeatSeq: 1}})
 		if got := c.delegate.GrantExpiresAt(); got != entitled.Add(life) {
 			t.Errorf("entitled until %v, keeps workers until %v", entitled.Sub(begun), got.Sub(begun))
 		}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -3,7 +3,6 @@
 import (
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
 	"time"
 
 	"badgerbay/internal/clock"
@@ -44,6 +43,15 @@
 	effects          []Effect
 }
 
+// ElectionInput carries an input of the election.
+type ElectionInput struct{ Input election.Input }
+
+// ElectionEffect carries an effect of the election.
+type ElectionEffect struct{ Effect election.Effect }
+
+func (ElectionInput) input()   {}
+func (ElectionEffect) effect() {}
+
 // NewCore returns the core of a node.
 func NewCore(set *config.Settings, pol *policy.Policy, clock clock.Clock, budget *kvstore.Budget,
 	rng *rand.Rand, log *slog.Logger, met *Metrics) *Core {
@@ -223,16 +231,16 @@
 	}
 }
 
-// handleHeartbeat answers a worker. A node that is not entitled must not answer 200,
-// so that leases really run out: it names the leader, or refuses.
+// handleHeartbeat answers a worker. A node that is not entitled must not renew a
+// lease, so that leases really expire: it names the leader, or refuses.
 func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	if !c.election.LeaseValid(now) || c.term == nil {
 		if in.RelayedBy == "" && c.answerDelegated(now, in) {
 			return
 		}
-		reply := HeartbeatReply{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Leader: c.Leader()}
+		reply := HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.Leader()}
 		if c.election.IsLeader() {
-			reply.Code = http.StatusServiceUnavailable
+			reply.Outcome = HeartbeatUnavailable
 		}
 		c.emit(reply)
 		return
@@ -242,7 +250,7 @@
 
 func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
 	if !c.election.LeaseValid(now) || c.term == nil || !c.term.loaded {
-		c.emit(JobReply{Ticket: in.Ticket, Outcome: api.NoLeader})
+		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
 		return
 	}
 	c.term.handleJobRequest(now, in)
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -124,7 +124,7 @@
 	r := *g.machines[i]
 	r.HeartbeatSeq++
 	g.machines[i] = &r
-	g.step(HeartbeatReceived{Ticket: 0, Heartbeat: &r})
+	g.step(HeartbeatReceived{Heartbeat: &r})
 }
 
 func (g *coreFixture) submit(i int, spec jobs.Spec) {
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"net/http"
 	"slices"
 
 	"badgerbay/internal/clock"
@@ -12,8 +11,45 @@
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/peer"
+	"badgerbay/internal/schemaversion"
 )
 
+// DelegationRequest asks this node, on behalf of another, for a grant and for what it has renewed by its own.
+type DelegationRequest struct {
+	Responder Responder[DelegationReply]
+	Node      string
+}
+
+// DelegationReply answers a DelegationRequest.
+type DelegationReply struct {
+	Responder Responder[DelegationReply]
+	Status    leasedelegation.Status
+}
+
+// PeerStatusReceived is what another node answered to the same question.
+type PeerStatusReceived struct {
+	Node           string
+	SentAt         clock.Instant // of the question
+	Status         leasedelegation.Status
+	SchemaVersion  schemaversion.Version // the newest that the node can read; 0: it does not say
+	EnforcesQuotas bool                  // whether the node, as leader, enforces quota allocations
+}
+
+// IsolationChanged tells what this node is cut off from.
+type IsolationChanged struct{ Isolation leasedelegation.Isolation }
+
+// PeerReachabilityChanged tells whether some other node is unreachable.
+type PeerReachabilityChanged struct{ Unreachable bool }
+
+// Deliver hands the reply to the node that asked.
+func (r DelegationReply) Deliver() { r.Responder.Respond(r) }
+
+func (DelegationRequest) input()       {}
+func (PeerStatusReceived) input()      {}
+func (IsolationChanged) input()        {}
+func (PeerReachabilityChanged) input() {}
+func (DelegationReply) effect()        {}
+
 // answerDelegated answers a report that came to a node which is cut off: by the grant that
 // it holds, or at once that the worker should try another node. It returns
 // false if the node is not cut off, so that the leader is to answer.
@@ -29,11 +65,11 @@
 			m.LastRenewal = max(m.LastRenewal, now)
 		}
 		c.metrics.DelegatedRenewals.Inc()
-		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusOK, Epoch: c.delegate.GrantEpoch(), ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
+		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: c.delegate.GrantEpoch(), ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
 	case leasedelegation.RedirectOutside:
-		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Leader: c.probeNode, Final: true})
+		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.probeNode, Final: true})
 	case leasedelegation.RefuseHeartbeat:
-		c.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusMisdirectedRequest, Final: true})
+		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Final: true})
 	default:
 		return false
 	}
@@ -85,7 +121,7 @@
 		}
 	}
 	status.IdleFor = c.delegate.IdleFor(now)
-	c.emit(DelegationReply{Ticket: in.Ticket, Status: status})
+	c.emit(DelegationReply{Responder: in.Responder, Status: status})
 }
 
 // delegationGrant is what the leader lets others do. Machines with tasks of cancelled
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"cmp"
+	"slices"
 	"strings"
 	"time"
 
@@ -126,6 +128,12 @@
 	return urgent, late
 }
 
+func sortByDirtySince(list []*jobs.Job) {
+	slices.SortFunc(list, func(a, b *jobs.Job) int {
+		return cmp.Or(cmp.Compare(a.DirtySince, b.DirtySince), cmp.Compare(a.ID, b.ID))
+	})
+}
+
 func (t *term) foldCompleted(now clock.Instant, in TransactionCompleted) {
 	f := t.foldInFlight
 	if f == nil {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,16 +1,74 @@
 package controller
 
 import (
-	"net/http"
 	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
 
 	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
 )
 
+// HeartbeatReceived is a worker's heartbeat.
+type HeartbeatReceived struct {
+	Responder Responder[HeartbeatReply]
+	Heartbeat *fleet.Heartbeat
+	RelayedBy string // the node that relays the heartbeat, or ""
+}
+
+// HeartbeatOutcome tells how a heartbeat is answered.
+type HeartbeatOutcome int
+
+const (
+	// HeartbeatUnavailable refuses: the worker tries another node.
+	HeartbeatUnavailable HeartbeatOutcome = iota
+	// HeartbeatAccepted renews the worker's lease.
+	HeartbeatAccepted
+	// HeartbeatRedirected sends the worker to another node.
+	HeartbeatRedirected
+)
+
+// HeartbeatReply answers a heartbeat.
+type HeartbeatReply struct {
+	Responder Responder[HeartbeatReply]
+	Outcome   HeartbeatOutcome
+	Epoch     ident.Epoch
+	Commands  []fleet.Command
+	Leader    string // the node to go to, if it is known
+	// ValidUntil is when an accepting reply must have left, unless it is relayed.
+	ValidUntil clock.Instant
+	// Relayed tells that another node has checked ValidUntil.
+	Relayed bool
+	// Final tells that no other node is to be asked.
+	Final bool
+}
+
+// CommandsAcknowledged is what came of a SendCommands.
+type CommandsAcknowledged struct {
+	Machine   ident.MachineID
+	Epoch     ident.Epoch
+	Heartbeat *fleet.Heartbeat // nil: no answer
+}
+
+// SendCommands is the effect that sends commands to a worker without waiting for its next heartbeat.
+type SendCommands struct {
+	Machine  ident.MachineID
+	Addr     string
+	Epoch    ident.Epoch
+	Session  ident.Session
+	Commands []fleet.Command
+}
+
+// Deliver hands the reply to whoever sent the heartbeat.
+func (r HeartbeatReply) Deliver() { r.Responder.Respond(r) }
+
+func (HeartbeatReceived) input()    {}
+func (CommandsAcknowledged) input() {}
+func (HeartbeatReply) effect()      {}
+func (SendCommands) effect()        {}
+
 // deferredHeartbeat is a report that came before the records were read.
 type deferredHeartbeat struct {
 	received HeartbeatReceived
@@ -34,7 +92,7 @@
 		if !due(p) {
 			return false
 		}
-		t.core.emit(HeartbeatReply{Ticket: p.received.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
 		return true
 	})
 }
@@ -46,7 +104,7 @@
 	for _, p := range waited {
 		if t.core.term != t {
 			// One of them has shown a later leader.
-			t.core.emit(HeartbeatReply{Ticket: p.received.Ticket, Code: http.StatusServiceUnavailable})
+			t.core.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
 			continue
 		}
 		t.core.handleHeartbeat(now, p.received)
@@ -55,26 +113,26 @@
 
 // handleHeartbeat takes in a report and answers it.
 func (t *term) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	reply := HeartbeatReply{Ticket: in.Ticket, Code: http.StatusOK, Epoch: t.epoch, ValidUntil: t.core.election.LeaseValidUntil()}
+	reply := HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: t.epoch, ValidUntil: t.core.election.LeaseValidUntil()}
 	t.workerReach.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
 	switch {
 	case in.Heartbeat.FencingToken > t.epoch:
 		// Somebody else was elected, or a raise of ours came through late.
 		t.core.stepElection(now, election.LeadershipLost{})
-		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	case !t.loaded:
 		t.deferHeartbeat(now, in)
 		return
 	}
 	if t.fleet.WasRemoved(in.Heartbeat.Machine) {
-		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	}
 	m := t.fleet.Ensure(now, in.Heartbeat.Machine)
 	if in.Heartbeat.Session < m.Session {
 		// Its lease is surely over; the answer would be dropped.
-		t.core.emit(HeartbeatReply{Ticket: in.Ticket, Code: http.StatusServiceUnavailable})
+		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	}
 	t.noteRegained(now, m)
--- a/internal/controller/leaderactions_test.go
+++ b/internal/controller/leaderactions_test.go
@@ -13,7 +13,7 @@
 func leaderActionOf(now clock.Instant, e Effect) (fake.LeaderAction, bool) {
 	switch e := e.(type) {
 	case HeartbeatReply:
-		return fake.LeaderAction{Kind: fake.HeartbeatAnswered}, e.Code == 200 && !e.Final && now.Before(e.ValidUntil)
+		return fake.LeaderAction{Kind: fake.HeartbeatAnswered}, e.Outcome == HeartbeatAccepted && !e.Final && now.Before(e.ValidUntil)
 	case JobReply:
 		return fake.LeaderAction{Kind: fake.UserAnswered}, e.Outcome == api.JobFound && now.Before(e.ValidUntil)
 	case CommitTransaction:
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"sort"
 	"time"
 
 	"badgerbay/internal/clock"
@@ -10,18 +9,56 @@
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/jobs"
 )
 
-func sortByDirtySince(jobs []*jobs.Job) {
-	sort.Slice(jobs, func(a, b int) bool {
-		if jobs[a].DirtySince != jobs[b].DirtySince {
-			return jobs[a].DirtySince < jobs[b].DirtySince
-		}
-		return jobs[a].ID < jobs[b].ID
-	})
+// ProvisionMachines is the effect that requests machines. A repeated Name requests no further machines.
+type ProvisionMachines struct {
+	Name  string
+	Offer cloud.Offer
+	Count int
+}
+
+// ProvisionCompleted is the outcome of a ProvisionMachines.
+type ProvisionCompleted struct {
+	Name     string
+	Offer    cloud.Offer
+	SentAt   clock.Instant
+	Result   cloud.ProvisionResult
+	Machines []ident.MachineID
+}
+
+// DeprovisionMachines is the effect that returns machines.
+type DeprovisionMachines struct{ Machines []ident.MachineID }
+
+// DeprovisionCompleted is the outcome of a DeprovisionMachines.
+type DeprovisionCompleted struct {
+	Machines []ident.MachineID
+	OK       bool
 }
 
+// ListMachines is the effect that reads the page of the machine list that begins after a machine.
+type ListMachines struct{ After ident.MachineID }
+
+// MachinesListed is the outcome of a ListMachines.
+type MachinesListed struct{ Page cloud.Page }
+
+// ReadMachineTypes is the effect that reads the machine types.
+type ReadMachineTypes struct{}
+
+// MachineTypesRead is the outcome of a ReadMachineTypes.
+type MachineTypesRead struct {
+	Types []*fleet.MachineType // nil: they could not be read
+}
+
+func (ProvisionCompleted) input()   {}
+func (DeprovisionCompleted) input() {}
+func (MachinesListed) input()       {}
+func (MachineTypesRead) input()     {}
+func (ProvisionMachines) effect()   {}
+func (DeprovisionMachines) effect() {}
+func (ListMachines) effect()        {}
+func (ReadMachineTypes) effect()    {}
+
 // callCloudAPI sends what is due to the cloud, within its call rate: releases
 // first, since they stop costs, then rentals, then the list.
 func (t *term) callCloudAPI(now clock.Instant) {
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -12,6 +12,50 @@
 	"badgerbay/internal/quota"
 )
 
+// QuotaRequest is a request of a quota holder for allocations.
+type QuotaRequest struct {
+	Responder Responder[quota.AllocationResponse]
+	Request   quota.AllocationRequest
+}
+
+// QuotaReply answers a QuotaRequest.
+type QuotaReply struct {
+	Responder Responder[quota.AllocationResponse]
+	Response  quota.AllocationResponse
+}
+
+// QuotaStatusRequest is an operator's request for the state of all quotas.
+type QuotaStatusRequest struct{ Responder Responder[QuotaStatusReply] }
+
+// QuotaStatusReply answers a QuotaStatusRequest.
+type QuotaStatusReply struct {
+	Responder Responder[QuotaStatusReply]
+	Teams     map[ident.Team]quota.TeamStatus // nil: this node does not lead
+}
+
+// ReadQuotaRecords is the effect that reads all quota records.
+type ReadQuotaRecords struct{ Epoch ident.Epoch }
+
+// QuotaRecordsRead is the outcome of a ReadQuotaRecords.
+type QuotaRecordsRead struct {
+	Epoch ident.Epoch
+	OK    bool
+	Items []kvstore.KeyValue
+}
+
+// Deliver hands the reply to the holder.
+func (r QuotaReply) Deliver() { r.Responder.Respond(r.Response) }
+
+// Deliver hands the reply to whoever asked.
+func (r QuotaStatusReply) Deliver() { r.Responder.Respond(r) }
+
+func (QuotaRequest) input()       {}
+func (QuotaStatusRequest) input() {}
+func (QuotaRecordsRead) input()   {}
+func (QuotaReply) effect()        {}
+func (QuotaStatusReply) effect()  {}
+func (ReadQuotaRecords) effect()  {}
+
 const (
 	// quotaEnforcerTTL is how long it counts that a node said that it keeps to allotments.
 	quotaEnforcerTTL = 5 * time.Second
@@ -43,7 +87,7 @@
 
 func (t *term) replyToHolders(replies []quota.Reply) {
 	for _, r := range replies {
-		t.core.emit(QuotaReply{Ticket: r.Ticket, Answer: r.Response})
+		t.core.emit(QuotaReply{Responder: r.Ticket.(Responder[quota.AllocationResponse]), Response: r.Response})
 	}
 }
 
@@ -129,10 +173,10 @@
 	}
 	covers := func(j *jobs.Job) int { return t.quotas.CoveredTasks(j.ID, j.Spec.Team) }
 	for _, j := range t.jobs {
-		u, any := allotted[j.Spec.Team]
+		u, allocated := allotted[j.Spec.Team]
 		n := min(len(j.Placements), covers(j))
 		need, err := quota.DemandOf(&j.Spec)
-		if any && n > 0 && err == nil {
+		if allocated && n > 0 && err == nil {
 			allotted[j.Spec.Team] = u.Sub(need.Mul(n)).Max(quota.Quantity{})
 		}
 	}
@@ -154,7 +198,7 @@
 
 // handleQuotaStatusRequest tells an operator how the teams stand, if this node leads.
 func (c *Core) handleQuotaStatusRequest(now clock.Instant, in QuotaStatusRequest) {
-	reply := QuotaStatusReply{Ticket: in.Ticket}
+	reply := QuotaStatusReply{Responder: in.Responder}
 	if c.term != nil && c.term.loaded {
 		reply.Teams = c.term.quotas.Status(now, c.term.quotaUsage())
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -14,6 +14,27 @@
 	"badgerbay/internal/schemaversion"
 )
 
+// ReadRecords is the effect that reads all records.
+type ReadRecords struct{ Epoch ident.Epoch }
+
+// RecordsRead is the outcome of a ReadRecords.
+type RecordsRead struct {
+	Epoch  ident.Epoch
+	OK     bool
+	Stored recovery.StoredRecords
+	// KnownMachines are those that this node has listed as a standby.
+	KnownMachines MachineSnapshot
+}
+
+// MachineSnapshot is a list of machines that was read before this node led: a hint whom to ask for heartbeats.
+type MachineSnapshot struct {
+	RequestedAt clock.Instant // of its first page
+	Machines    []cloud.Machine
+}
+
+func (RecordsRead) input()  {}
+func (ReadRecords) effect() {}
+
 // recordsRead takes in all records, as the successor of whoever led before.
 func (t *term) recordsRead(now clock.Instant, in RecordsRead) {
 	if in.Epoch != t.epoch || t.loaded {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -9,13 +9,56 @@
 
 	"badgerbay/internal/api"
 	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
 	"badgerbay/internal/recovery"
 )
 
+// JobRequest is a status query or a cancel request of a user.
+type JobRequest struct {
+	Responder Responder[JobReply]
+	Job       ident.JobID
+	Cancel    bool
+}
+
+// JobReply answers a JobRequest.
+type JobReply struct {
+	Responder Responder[JobReply]
+	Outcome   api.QueryOutcome
+	Status    api.Status
+	// ValidUntil is when a reply with the status of a job must have left.
+	ValidUntil clock.Instant
+}
+
+// JobChanged notifies the leader that a job was stored or has changed.
+type JobChanged struct {
+	Job         ident.JobID
+	ModRevision ident.Revision // 0: not known
+}
+
+// ReadJobRecord is the effect that reads the record of one job with its chunks.
+type ReadJobRecord struct{ Job ident.JobID }
+
+// JobRecordRead is the outcome of a ReadJobRecord.
+type JobRecordRead struct {
+	Job    ident.JobID
+	OK     bool
+	Item   kvstore.KeyValue
+	Chunks map[int][]byte // by number
+}
+
+// Deliver hands the reply to whoever made the request.
+func (r JobReply) Deliver() { r.Responder.Respond(r) }
+
+func (JobRequest) input()     {}
+func (JobChanged) input()     {}
+func (JobRecordRead) input()  {}
+func (JobReply) effect()      {}
+func (ReadJobRecord) effect() {}
+
 // pendingCancel is a cancellation whose answer waits for the checkpoint.
 type pendingCancel struct {
-	ticket   Ticket
-	deadline clock.Instant
+	responder Responder[JobReply]
+	deadline  clock.Instant
 }
 
 // cancelStoreTimeout bounds how long a cancellation waits for its checkpoint.
@@ -89,15 +132,15 @@
 	j := t.jobs[in.Job]
 	if j == nil {
 		t.jobChanged(JobChanged{Job: in.Job})
-		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: api.JobNotFound})
+		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
 	if !in.Cancel && isFinalPhaseInFlight(j) {
-		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: api.JobNotFound})
+		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
 	if !in.Cancel || j.StoredPhase.Final() {
-		t.core.emit(JobReply{Ticket: in.Ticket, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
+		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
 		return
 	}
 	if !j.Phase.Final() {
@@ -105,7 +148,7 @@
 	}
 	j.Cancel(now)
 	t.stopCancelledTasks(now, j)
-	t.pendingCancels[j.ID] = append(t.pendingCancels[j.ID], pendingCancel{in.Ticket, now.Add(cancelStoreTimeout)})
+	t.pendingCancels[j.ID] = append(t.pendingCancels[j.ID], pendingCancel{in.Responder, now.Add(cancelStoreTimeout)})
 	t.replanNeeded = true
 }
 
@@ -134,7 +177,7 @@
 
 func (t *term) answerPendingCancels(id ident.JobID, o api.QueryOutcome, until clock.Instant) {
 	for _, w := range t.pendingCancels[id] {
-		reply := JobReply{Ticket: w.ticket, Outcome: o, ValidUntil: until}
+		reply := JobReply{Responder: w.responder, Outcome: o, ValidUntil: until}
 		if j := t.jobs[id]; j != nil {
 			reply.Status = api.StatusOfJob(j)
 		}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -11,7 +11,6 @@
 	"badgerbay/internal/ident"
 	"badgerbay/internal/roundlog"
 
-	"badgerbay/internal/chunk"
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/election"
 	"badgerbay/internal/jobs"
@@ -33,11 +32,6 @@
 	return t.roundInFlight != nil && p.RoundNo == t.roundInFlight.record.RoundNo
 }
 
-// leaderCondition fences a transaction: once another epoch has begun it fails.
-func (t *term) leaderCondition() kvstore.Condition {
-	return kvstore.Condition{Key: election.LeaderKey, ModRevision: ident.Revision(t.epoch)}
-}
-
 const (
 	// candidateCost is about what it takes to look at one machine for one job.
 	candidateCost = 60 * time.Nanosecond
@@ -142,15 +136,6 @@
 	return recordOperations(key, stored, rest, func(n int) string { return roundlog.ChunkKey(key, n) }), nil
 }
 
-// recordOperations are the changes that store a record with its parts.
-func recordOperations(key string, record any, rest []*chunk.Value, partKey func(n int) string) []kvstore.Operation {
-	writes := []kvstore.Operation{{SetKey: key, Value: record}}
-	for i, part := range rest {
-		writes = append(writes, kvstore.Operation{SetKey: partKey(i + 1), Value: part})
-	}
-	return writes
-}
-
 // abortRound takes back a round that surely was not stored.
 func (t *term) abortRound(now clock.Instant, f *roundInFlight) {
 	for _, p := range f.placements {
@@ -164,32 +149,6 @@
 	t.replanNeeded = true
 }
 
-func (t *term) transactionCompleted(now clock.Instant, in TransactionCompleted) {
-	if in.Epoch != t.epoch {
-		// Of an earlier term of this node. Its records were read anew.
-		return
-	}
-	if in.Outcome == election.OutcomeGone {
-		t.core.stepElection(now, election.LeadershipLost{})
-		return
-	}
-	if in.ExceedsNextLimits {
-		t.limitsLowered()
-	}
-	switch in.Kind {
-	case RoundTransaction:
-		t.roundCompleted(now, in)
-	case FoldTransaction:
-		t.foldCompleted(now, in)
-	case SchemaVersionTransaction:
-		t.schemaVersionCompleted(now, in)
-	case StagingTransaction:
-		t.stagingCompleted(now, in)
-	case QuotaTransaction:
-		t.quotaCompleted(now, in)
-	}
-}
-
 // roundCompleted sends the effects of a round that is stored.
 func (t *term) roundCompleted(now clock.Instant, in TransactionCompleted) {
 	f := t.roundInFlight
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -226,7 +226,7 @@
 		// A copy that was held on its way; nobody waits for its answer.
 		s.schedule(time.Second+time.Duration(s.rng.Int64N(int64(s.maxHeartbeatDelay))), func() {
 			if n.alive {
-				s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: func(HeartbeatReply) {}})
+				s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
 			}
 		})
 	}
@@ -234,7 +234,7 @@
 	if s.partitioned(n.zone, w.Zone) {
 		s.heldMessages = append(s.heldMessages, func() {
 			if n.alive {
-				s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: func(HeartbeatReply) {}})
+				s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
 			}
 		})
 		return
@@ -256,28 +256,28 @@
 					return
 				}
 				switch {
-				case a.Code == 200:
+				case a.Outcome == HeartbeatAccepted:
 					w.Advance(s.now)
 					before := w.FencingToken
 					if w.HandleHeartbeatReply(s.now, sent, session, a.Epoch, a.Commands) && w.FencingToken > before {
 						next = 500 * time.Millisecond
 					}
 					follow(node, next)
-				case a.Code == 421 && a.Leader != "" && a.Leader != n.name:
+				case a.Outcome == HeartbeatRedirected && a.Leader != "" && a.Leader != n.name:
 					follow(int(a.Leader[1]-'0'), 200*time.Millisecond)
 				default:
 					follow((node+1)%len(s.nodes), time.Second)
 				}
 			})
 		}
-		s.step(n, HeartbeatReceived{Heartbeat: r, Ticket: take})
+		s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](take)})
 	})
 }
 
 // relayHeartbeat hands a report over the mesh to a leader that the workers can't reach,
 // as a node does with a worker that has come back from there in vain.
 func (s *simulation) relayHeartbeat(n *simulatedNode, r *fleet.Heartbeat, a HeartbeatReply, take func(HeartbeatReply)) bool {
-	if a.Code != 421 || a.Final || a.Leader == "" || a.Leader == n.name {
+	if a.Outcome != HeartbeatRedirected || a.Final || a.Leader == "" || a.Leader == n.name {
 		return false
 	}
 	l := s.nodes[int(a.Leader[1]-'0')]
@@ -286,12 +286,12 @@
 	}
 	s.schedule(s.latency(), func() {
 		if s.reachesPeer(n, l) {
-			s.step(l, HeartbeatReceived{Heartbeat: r, RelayedBy: n.name, Ticket: func(a HeartbeatReply) {
-				if a.Code != 200 {
-					a = HeartbeatReply{Code: 503}
+			s.step(l, HeartbeatReceived{Heartbeat: r, RelayedBy: n.name, Responder: ResponderFunc[HeartbeatReply](func(a HeartbeatReply) {
+				if a.Outcome != HeartbeatAccepted {
+					a = HeartbeatReply{}
 				}
 				take(a)
-			}})
+			})})
 		}
 	})
 	return true
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -129,9 +129,9 @@
 	life, sent := n.incarnation, n.steadyTime(s.now)
 	s.schedule(s.latency(), func() {
 		if p.alive {
-			s.step(p, DelegationRequest{Node: n.name, Ticket: func(r DelegationReply) {
+			s.step(p, DelegationRequest{Node: n.name, Responder: ResponderFunc[DelegationReply](func(r DelegationReply) {
 				s.reply(n, life, PeerStatusReceived{Node: p.name, SentAt: sent, Status: r.Status, SchemaVersion: s.announcedSchemaVersion(n, p), EnforcesQuotas: s.announcedSchemaVersion(n, p) != 0})
-			}})
+			})})
 		}
 	})
 }
@@ -200,14 +200,8 @@
 func (s *simulation) carryOut(n *simulatedNode, e Effect) {
 	life := n.incarnation
 	switch e := e.(type) {
-	case HeartbeatReply:
-		e.Ticket.(func(HeartbeatReply))(e)
-	case JobReply:
-		e.Ticket.(func(JobReply))(e)
-	case DelegationReply:
-		e.Ticket.(func(DelegationReply))(e)
-	case QuotaReply:
-		e.Ticket.(func(quota.AllocationResponse))(e.Answer)
+	case Reply:
+		e.Deliver()
 	case ReadQuotaRecords:
 		s.schedule(s.storeLatency(), func() {
 			items, _, err := s.store.List(quota.KeyPrefix)
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -106,11 +106,11 @@
 		if l.name != n.core.Leader() || l != n && !s.reachesPeer(n, l) || l.core.election.Epoch() == 0 || s.isLost() {
 			continue
 		}
-		s.step(l, QuotaRequest{Request: e.Request, Ticket: func(a quota.AllocationResponse) {
+		s.step(l, QuotaRequest{Request: e.Request, Responder: ResponderFunc[quota.AllocationResponse](func(a quota.AllocationResponse) {
 			if l == n || s.reachesPeer(n, l) {
 				once(quota.ResponseReceived{Response: &a})
 			}
-		}})
+		})})
 	}
 }
 
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -206,7 +206,7 @@
 // leader can be asked, by the record if that decides.
 func (s *simulation) queryOrCancel(n *simulatedNode, id ident.JobID, j *simulatedJob, cancelJob bool) {
 	life := n.incarnation
-	s.step(n, JobRequest{Job: id, Cancel: cancelJob, Ticket: func(a JobReply) {
+	s.step(n, JobRequest{Job: id, Cancel: cancelJob, Responder: ResponderFunc[JobReply](func(a JobReply) {
 		switch {
 		case a.Outcome == api.JobFound && n.steadyTime(s.now).Before(a.ValidUntil):
 			s.checkStatus(id, j, a.Status)
@@ -225,7 +225,7 @@
 				}
 			})
 		}
-	}})
+	})})
 }
 
 // checkStatus checks what a user is told against what was said before.
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -145,7 +145,7 @@
 	case QuotaRecordsRead:
 		t.quotaRecordsRead(now, in)
 	case QuotaRequest:
-		t.quotas.Receive(now, in.Request, in.Ticket)
+		t.quotas.Receive(now, in.Request, in.Responder)
 	}
 }
 
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -105,18 +105,21 @@
 	s.trace.printf("%d %s/%d %s", s.now, n.name, n.incarnation, wireForm(e))
 }
 
+// workerStatus is the HTTP status by which a worker learns the outcome of its heartbeat.
+var workerStatus = map[HeartbeatOutcome]int{HeartbeatAccepted: 200, HeartbeatRedirected: 421, HeartbeatUnavailable: 503}
+
 // wireForm is what an effect sends, in the form that it has outside the process.
 func wireForm(e Effect) string {
 	switch e := e.(type) {
 	case HeartbeatReply:
-		return fmt.Sprintf("heartbeat-reply code=%d leader=%q until=%d relayed=%t final=%t body=%s", e.Code, e.Leader, e.ValidUntil, e.Relayed, e.Final,
+		return fmt.Sprintf("heartbeat-reply code=%d leader=%q until=%d relayed=%t final=%t body=%s", workerStatus[e.Outcome], e.Leader, e.ValidUntil, e.Relayed, e.Final,
 			encoded(fleet.EncodeHeartbeatAnswer(e.Epoch, e.Commands)))
 	case JobReply:
 		return fmt.Sprintf("user-reply outcome=%d until=%d body=%s", e.Outcome, e.ValidUntil, encoded(api.EncodeStatus("", e.Status)))
 	case DelegationReply:
 		return "peer-reply body=" + encoded(msgpack.Marshal(peer.PackDelegationStatus(e.Status)))
 	case QuotaReply:
-		return "quota-reply body=" + encoded(msgpack.Marshal(e.Answer))
+		return "quota-reply body=" + encoded(msgpack.Marshal(e.Response))
 	case QuotaStatusReply:
 		return "quota-view"
 	case ReadQuotaRecords:
--- /dev/null
+++ b/internal/controller/transactions.go
@@ -0,0 +1,82 @@
+package controller
+
+import (
+	"badgerbay/internal/chunk"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/kvstore"
+)
+
+// TransactionKind tells the leader's transactions apart. At most one of each kind is in flight.
+type TransactionKind int
+
+// Kinds of transactions.
+const (
+	RoundTransaction TransactionKind = iota
+	FoldTransaction
+	SchemaVersionTransaction
+	StagingTransaction
+	QuotaTransaction
+)
+
+// CommitTransaction is the effect that applies a transaction of the leader.
+type CommitTransaction struct {
+	Kind  TransactionKind
+	Epoch ident.Epoch
+	Txn   kvstore.Txn
+}
+
+// TransactionCompleted is the outcome of a CommitTransaction.
+type TransactionCompleted struct {
+	Kind             TransactionKind
+	Epoch            ident.Epoch
+	Outcome          election.Outcome
+	Revision         ident.Revision
+	FailedConditions []string
+	// ExceedsNextLimits tells that the transaction was refused, and is larger than the announced limits allow.
+	ExceedsNextLimits bool
+}
+
+func (CommitTransaction) effect()   {}
+func (TransactionCompleted) input() {}
+
+// leaderCondition fences a transaction: it fails once another epoch has begun.
+func (t *term) leaderCondition() kvstore.Condition {
+	return kvstore.Condition{Key: election.LeaderKey, ModRevision: ident.Revision(t.epoch)}
+}
+
+// recordOperations are the operations that store a record and its chunks.
+func recordOperations(key string, record any, chunks []*chunk.Value, chunkKey func(n int) string) []kvstore.Operation {
+	operations := []kvstore.Operation{{SetKey: key, Value: record}}
+	for i, value := range chunks {
+		operations = append(operations, kvstore.Operation{SetKey: chunkKey(i + 1), Value: value})
+	}
+	return operations
+}
+
+func (t *term) transactionCompleted(now clock.Instant, in TransactionCompleted) {
+	if in.Epoch != t.epoch {
+		// Of an earlier term of this node, whose records were read anew.
+		return
+	}
+	if in.Outcome == election.OutcomeGone {
+		t.core.stepElection(now, election.LeadershipLost{})
+		return
+	}
+	if in.ExceedsNextLimits {
+		t.limitsLowered()
+	}
+	switch in.Kind {
+	case RoundTransaction:
+		t.roundCompleted(now, in)
+	case FoldTransaction:
+		t.foldCompleted(now, in)
+	case SchemaVersionTransaction:
+		t.schemaVersionCompleted(now, in)
+	case StagingTransaction:
+		t.stagingCompleted(now, in)
+	case QuotaTransaction:
+		t.quotaCompleted(now, in)
+	}
+}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -12,7 +12,6 @@
 
 	"badgerbay/internal/fleet"
 	"badgerbay/internal/kvstore"
-	"badgerbay/internal/quota"
 	"badgerbay/internal/wire"
 )
 
@@ -27,16 +26,8 @@
 // and post what comes of them.
 func (n *Node) execute(ctx context.Context, e controller.Effect) {
 	switch e := e.(type) {
-	case controller.HeartbeatReply:
-		e.Ticket.(chan controller.HeartbeatReply) <- e
-	case controller.JobReply:
-		e.Ticket.(chan controller.JobReply) <- e
-	case controller.DelegationReply:
-		e.Ticket.(chan controller.DelegationReply) <- e
-	case controller.QuotaReply:
-		e.Ticket.(chan quota.AllocationResponse) <- e.Answer
-	case controller.QuotaStatusReply:
-		e.Ticket.(chan controller.QuotaStatusReply) <- e
+	case controller.Reply:
+		e.Deliver()
 	case controller.ReadQuotaRecords:
 		go n.readQuotaRecords(ctx, e.Epoch)
 	case controller.ElectionEffect:
--- a/internal/node/heartbeathandler.go
+++ b/internal/node/heartbeathandler.go
@@ -34,15 +34,15 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatBudget)
 	defer cancel()
-	ticket := make(chan controller.HeartbeatReply, 1)
-	reply := controller.HeartbeatReply{Code: http.StatusServiceUnavailable}
-	if n.tryEnqueue(controller.HeartbeatReceived{Ticket: ticket, Heartbeat: report}) {
+	replies := newReplyChannel[controller.HeartbeatReply]()
+	var reply controller.HeartbeatReply
+	if n.tryEnqueue(controller.HeartbeatReceived{Responder: replies, Heartbeat: report}) {
 		select {
-		case reply = <-ticket:
+		case reply = <-replies:
 		case <-ctx.Done():
 		}
 	}
-	if !reply.Final && (reply.Code == http.StatusMisdirectedRequest || reply.Code == http.StatusServiceUnavailable && n.health.leaderHint.Load() != "") {
+	if !reply.Final && (reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && n.health.leaderHint.Load() != "") {
 		reply = n.redirectOrRelay(ctx, report, reply)
 	}
 	n.writeHeartbeatReply(w, reply)
@@ -56,7 +56,7 @@
 		reply.Leader = ""
 		return reply
 	}
-	reply.Code, reply.Leader = http.StatusMisdirectedRequest, leader
+	reply.Outcome, reply.Leader = controller.HeartbeatRedirected, leader
 	// Where the mesh does not reach the leader, the worker hardly will; but a
 	// filter that refuses connections between nodes lets workers through, and
 	// relaying them all took the changes that submissions need.
@@ -70,10 +70,10 @@
 func (n *Node) writeHeartbeatReply(w http.ResponseWriter, reply controller.HeartbeatReply) {
 	var body []byte
 	var err error
-	switch reply.Code {
-	case http.StatusOK:
+	switch reply.Outcome {
+	case controller.HeartbeatAccepted:
 		body, err = fleet.EncodeHeartbeatAnswer(reply.Epoch, reply.Commands)
-	case http.StatusMisdirectedRequest:
+	case controller.HeartbeatRedirected:
 		leader := reply.Leader
 		if leader == n.settings.NodeName {
 			leader = ""
@@ -82,13 +82,14 @@
 	}
 	// The last moment before the answer leaves: a process that was starved
 	// must not renew a worker's lease after its own entitlement has ended.
-	if err != nil || reply.Code == http.StatusOK && !reply.Relayed && !n.clock.Now().Before(reply.ValidUntil) {
-		reply.Code, body = http.StatusServiceUnavailable, nil
+	if err != nil || reply.Outcome == controller.HeartbeatAccepted && !reply.Relayed && !n.clock.Now().Before(reply.ValidUntil) {
+		reply.Outcome, body = controller.HeartbeatUnavailable, nil
 	}
-	n.metrics.HeartbeatResponses.WithLabelValues(strconv.Itoa(reply.Code)).Inc()
+	status := statusOf(reply.Outcome)
+	n.metrics.HeartbeatResponses.WithLabelValues(strconv.Itoa(status)).Inc()
 	if body != nil {
 		w.Header().Set("Content-Type", wire.ContentType)
 	}
-	w.WriteHeader(reply.Code)
+	w.WriteHeader(status)
 	w.Write(body)
 }
--- a/internal/node/jobrequests.go
+++ b/internal/node/jobrequests.go
@@ -131,12 +131,12 @@
 // queryCore asks the core of this node. What it answers counts only as long as
 // the node is entitled, so that is checked once more as the answer leaves.
 func (n *Node) queryCore(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
-	ticket := make(chan controller.JobReply, 1)
-	if !n.tryEnqueue(controller.JobRequest{Ticket: ticket, Job: id, Cancel: cancelJob}) {
+	replies := newReplyChannel[controller.JobReply]()
+	if !n.tryEnqueue(controller.JobRequest{Responder: replies, Job: id, Cancel: cancelJob}) {
 		return api.LeaderReplied{Outcome: api.LeaderBusy}
 	}
 	select {
-	case reply := <-ticket:
+	case reply := <-replies:
 		if reply.Outcome == api.JobFound && !n.clock.Now().Before(reply.ValidUntil) {
 			return api.LeaderReplied{Outcome: api.NoLeader}
 		}
--- a/internal/node/quotaholder.go
+++ b/internal/node/quotaholder.go
@@ -181,12 +181,12 @@
 
 // queryCoreQuota lets the core answer a holder; nil: it did not.
 func (n *Node) queryCoreQuota(ctx context.Context, ask *quota.AllocationRequest) *quota.AllocationResponse {
-	ticket := make(chan quota.AllocationResponse, 1)
-	if n.view.Load().epoch == 0 || !n.tryEnqueue(controller.QuotaRequest{Ticket: ticket, Request: *ask}) {
+	replies := newReplyChannel[quota.AllocationResponse]()
+	if n.view.Load().epoch == 0 || !n.tryEnqueue(controller.QuotaRequest{Responder: replies, Request: *ask}) {
 		return nil
 	}
 	select {
-	case a := <-ticket:
+	case a := <-replies:
 		return &a
 	case <-time.After(quotaReplyTimeout):
 	case <-ctx.Done():
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -88,10 +88,10 @@
 	if n.quotaHolder != nil {
 		view.Holder = holderStatusOf(n.quotaHolder.published.Load())
 	}
-	ticket := make(chan controller.QuotaStatusReply, 1)
-	if n.tryEnqueue(controller.QuotaStatusRequest{Ticket: ticket}) {
+	replies := newReplyChannel[controller.QuotaStatusReply]()
+	if n.tryEnqueue(controller.QuotaStatusRequest{Responder: replies}) {
 		select {
-		case reply := <-ticket:
+		case reply := <-replies:
 			for team, status := range reply.Teams {
 				view.Teams[team] = teamStatusOf(status)
 			}
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -114,12 +114,12 @@
 
 // answerLeaseDelegation answers a peer that asks, or not at all if the core is overloaded.
 func (n *Node) answerLeaseDelegation(ctx context.Context, node string) *peer.DelegationStatus {
-	ticket := make(chan controller.DelegationReply, 1)
-	if !n.tryEnqueue(controller.DelegationRequest{Ticket: ticket, Node: node}) {
+	replies := newReplyChannel[controller.DelegationReply]()
+	if !n.tryEnqueue(controller.DelegationRequest{Responder: replies, Node: node}) {
 		return nil
 	}
 	select {
-	case r := <-ticket:
+	case r := <-replies:
 		return peer.PackDelegationStatus(r.Status)
 	case <-ctx.Done():
 		return nil
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net/http"
 	"time"
 
 	"badgerbay/internal/controller"
@@ -29,7 +28,7 @@
 // relayHeartbeat brings a report to the leader: over the mesh, or, when that is
 // cut, through the state service.
 func (n *Node) relayHeartbeat(ctx context.Context, leader string, r *fleet.Heartbeat) controller.HeartbeatReply {
-	refused := controller.HeartbeatReply{Code: http.StatusServiceUnavailable}
+	refused := controller.HeartbeatReply{Outcome: controller.HeartbeatUnavailable}
 	if a, err := n.relayToPeer(ctx, leader, r); err == nil {
 		return replyOfAnswer(a)
 	}
@@ -57,7 +56,7 @@
 }
 
 func replyOfAnswer(a peer.HeartbeatReply) controller.HeartbeatReply {
-	return controller.HeartbeatReply{Code: a.Code, Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
+	return controller.HeartbeatReply{Outcome: outcomeOfStatus(a.Code), Epoch: a.Epoch, Commands: a.UnpackCommands(), Relayed: true}
 }
 
 func (n *Node) relayToPeer(ctx context.Context, leader string, r *fleet.Heartbeat) (peer.HeartbeatReply, error) {
--- a/internal/node/relayserve.go
+++ b/internal/node/relayserve.go
@@ -97,15 +97,15 @@
 	ctx, cancel := context.WithTimeout(ctx, relayServeTimeout)
 	defer cancel()
 	out := &peer.BatchReply{ID: b.ID}
-	tickets := make([]chan controller.HeartbeatReply, len(b.Heartbeats))
+	replies := make([]replyChannel[controller.HeartbeatReply], len(b.Heartbeats))
 	if b.Node == "" {
 		b.Node = "?" // of a node that does not say
 	}
 	for i := range b.Heartbeats {
 		if r, err := b.Heartbeats[i].Unpack(); err == nil {
-			tickets[i] = make(chan controller.HeartbeatReply, 1)
-			if !n.tryEnqueue(controller.HeartbeatReceived{Ticket: tickets[i], Heartbeat: r, RelayedBy: b.Node}) {
-				tickets[i] = nil
+			replies[i] = newReplyChannel[controller.HeartbeatReply]()
+			if !n.tryEnqueue(controller.HeartbeatReceived{Responder: replies[i], Heartbeat: r, RelayedBy: b.Node}) {
+				replies[i] = nil
 			}
 		}
 	}
@@ -120,12 +120,12 @@
 			states[i] <- s
 		}()
 	}
-	for i, ticket := range tickets {
+	for i, replyTo := range replies {
 		a := peer.HeartbeatReply{Machine: b.Heartbeats[i].Machine, Code: http.StatusServiceUnavailable}
-		if ticket != nil {
+		if replyTo != nil {
 			select {
-			case reply := <-ticket:
-				if reply.Code == http.StatusOK && n.clock.Now().Before(reply.ValidUntil) {
+			case reply := <-replyTo:
+				if reply.Outcome == controller.HeartbeatAccepted && n.clock.Now().Before(reply.ValidUntil) {
 					a.Code, a.Epoch, a.Commands = http.StatusOK, reply.Epoch, peer.PackCommands(reply.Commands)
 				}
 			case <-ctx.Done():
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -233,10 +233,10 @@
 func TestHeartbeatsAnsweredOnlyWhileEntitled(t *testing.T) {
 	b := newNodeFixture(t)
 	b.n.core.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
-	ticket := make(chan controller.HeartbeatReply, 1)
+	replies := newReplyChannel[controller.HeartbeatReply]()
 	r := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
-	b.n.step(context.Background(), controller.HeartbeatReceived{Ticket: ticket, Heartbeat: r})
-	if got := <-ticket; got.Code != 421 || got.Leader != "n1" {
+	b.n.step(context.Background(), controller.HeartbeatReceived{Responder: replies, Heartbeat: r})
+	if got := <-replies; statusOf(got.Outcome) != 421 || got.Leader != "n1" {
 		t.Errorf("follower answers %+v", got)
 	}
 
@@ -246,7 +246,7 @@
 		t.Fatalf("leader answers %d", w.Code)
 	}
 	w := httptest.NewRecorder()
-	b.n.writeHeartbeatReply(w, controller.HeartbeatReply{Code: 200, Epoch: 77, ValidUntil: b.clock.now})
+	b.n.writeHeartbeatReply(w, controller.HeartbeatReply{Outcome: controller.HeartbeatAccepted, Epoch: 77, ValidUntil: b.clock.now})
 	if w.Code != 503 {
 		t.Errorf("an answer that leaves too late has status %d", w.Code)
 	}
