--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -186,7 +186,7 @@
 		return
 	}
 	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.core.settings.Params.Workers,
-		Poll: &t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.roundRing.IsUnused() && t.fleet.Len() == 0}
+		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.roundRing.IsUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
--- a/internal/recovery/heartbeat_poll.go
+++ b/internal/recovery/heartbeat_poll.go
@@ -4,36 +4,34 @@
 	"time"
 
 	"badgerbay/internal/clock"
-
 	"badgerbay/internal/fleet"
 )
 
-// HeartbeatPoll is how far a new leader is with asking all machines for their reports. The
-// zero value: it has not begun.
+// HeartbeatPoll tracks the requests for a heartbeat that a new leader sends to all
+// machines. The zero value is a poll that has not begun.
 type HeartbeatPoll struct {
-	complete   bool          // every machine of the list has been asked
-	lastSentAt clock.Instant // when the last machine was asked
+	complete   bool // every listed machine was sent a request
+	lastSentAt clock.Instant
 }
 
-// answerTimeout is how long a machine that was asked is waited for; what a machine
-// holds that does not answer counts as there.
+// answerTimeout is how long the answer of a polled machine is waited for; what a machine
+// without an answer holds counts as running.
 const answerTimeout = time.Second
 
-// RecordSent notes that so many machines are being asked now, and whether others are still
-// to be asked.
-func (a *HeartbeatPoll) RecordSent(now clock.Instant, machines int, more bool) {
-	if !a.complete || machines > 0 {
-		a.lastSentAt = now
+// RecordSent notes that requests to so many machines leave now, and whether more machines
+// are still to be sent one.
+func (p *HeartbeatPoll) RecordSent(now clock.Instant, machines int, more bool) {
+	if !p.complete || machines > 0 {
+		p.lastSentAt = now
 	}
-	a.complete = !more
+	p.complete = !more
 }
 
-// answered tells whether the machines that were asked have answered. Where some do
-// not, it is enough that most have and the others had the time; where most do not,
-// this node may be the one that is out of reach, and they are waited for as if none
-// had been asked.
-func (a *HeartbeatPoll) answered(now clock.Instant, machines []*fleet.Machine) bool {
-	if a == nil || !a.complete {
+// answered tells whether the polled machines have answered. Where some did not, it is
+// enough that most did and the others had the time; where most did not, this node may be
+// the one that is cut off, and they are waited for as if there had been no poll.
+func (p *HeartbeatPoll) answered(now clock.Instant, machines []*fleet.Machine) bool {
+	if !p.complete {
 		return false
 	}
 	up, silent := 0, 0
@@ -48,5 +46,5 @@
 	if silent == 0 {
 		return up > 0
 	}
-	return up >= silent && now.Sub(a.lastSentAt) >= answerTimeout
+	return up >= silent && now.Sub(p.lastSentAt) >= answerTimeout
 }
--- /dev/null
+++ b/internal/recovery/heartbeat_poll_test.go
@@ -0,0 +1,49 @@
+package recovery
+
+import (
+	"testing"
+	"time"
+
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+// TestHeartbeatPoll: polled machines are waited for until they have answered, or most have
+// and the others had the time; a leader that hardly any machine answers waits as if it had
+// polled none.
+func TestHeartbeatPoll(t *testing.T) {
+	const polled = 20
+	for _, c := range []struct {
+		name     string
+		silent   int
+		complete bool
+		after    time.Duration
+		answered bool
+	}{
+		{"all have answered", 0, true, 0, true},
+		{"not all were polled yet", 0, false, 0, false},
+		{"some have not answered yet", 5, true, 500 * time.Millisecond, false},
+		{"some do not answer", 5, true, answerTimeout, true},
+		{"most do not answer", 11, true, answerTimeout, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := fleet.New(fleet.Timing{}, epoch, acquiredAt, func(ident.JobID) *jobs.Job { return nil })
+			for i := range polled {
+				f.Ensure(acquiredAt, ident.MachineID(rune('a'+i))).Addr = "127.0.0.1:1"
+			}
+			var poll HeartbeatPoll
+			requests := f.ClaimHeartbeatRequests(polled)
+			poll.RecordSent(acquiredAt, len(requests), !c.complete)
+			for _, m := range requests[c.silent:] {
+				f.ApplyHeartbeat(acquiredAt, &fleet.Heartbeat{Machine: m.ID, Session: 1, HeartbeatSeq: 1}, false)
+			}
+			if got := poll.answered(acquiredAt.Add(c.after), f.Machines()); got != c.answered {
+				t.Errorf("answered %v, want %v", got, c.answered)
+			}
+			if again := f.ClaimHeartbeatRequests(polled); len(again) != 0 {
+				t.Errorf("%d machines are polled twice", len(again))
+			}
+		})
+	}
+}
--- a/internal/recovery/records.go
+++ b/internal/recovery/records.go
@@ -1,6 +1,8 @@
-// Package recovery is what a new leader does before it decides anything: it reads
-// the records that earlier leaders have left, and waits until nearly all machines
-// have reported to it. It does no I/O and changes nothing.
+// Package recovery holds what a new leader does before it decides anything: it decodes
+// the records that earlier leaders left, and keeps scheduling closed until the state of
+// nearly all machines is known again. It owns the decoded records and the rule that opens
+// scheduling. Reading the key-value store, sending requests to machines and replaying the
+// records into jobs and machines are left to the controller; nothing here does I/O.
 package recovery
 
 import (
@@ -8,78 +10,89 @@
 	"fmt"
 	"strings"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 	"badgerbay/internal/schemaversion"
 )
 
-// StoredRecords is everything that the state service holds, still encoded.
+// StoredRecords is everything that the key-value store holds, still encoded.
 type StoredRecords struct {
-	Jobs, Rounds    []kvstore.KeyValue
-	Chunks          []kvstore.KeyValue // of records of both kinds
-	SchemaAgreement kvstore.KeyValue   // the form of records that was agreed on
+	// Jobs and Rounds are the first values of job and round records.
+	Jobs, Rounds []kvstore.KeyValue
+	// Chunks are the further values of records of both kinds.
+	Chunks []kvstore.KeyValue
+	// SchemaAgreement is the schema version that the nodes agreed on; its revision is 0
+	// if there is none.
+	SchemaAgreement kvstore.KeyValue
 }
 
-// Records are what could be read of it.
+// Records are the decoded records, and those that could not be decoded.
 type Records struct {
 	Jobs   []JobRecord
 	Rounds []roundlog.StoredRecord
-	// LostRounds are the slots whose rounds can't be read.
+	// LostRounds are the slots of the round log whose records can't be decoded.
 	LostRounds      []kvstore.KeyValue
 	SchemaAgreement schemaversion.Agreement
-	// Versions of the keys by which staged records and the agreement are guarded.
+	// StageRevision and SchemaRevision are the revisions of the keys by which staged
+	// records and the schema agreement are guarded; 0: absent.
 	StageRevision, SchemaRevision ident.Revision
 	UnreadableRecords             []UnreadableRecord
 }
 
-// JobRecord is a job's record and its version.
+// JobRecord is a job's record and the revision of its key.
 type JobRecord struct {
 	ID       ident.JobID
 	Record   *jobs.Record
 	Revision ident.Revision
 }
 
-// UnreadableRecord is a record that can't be read.
+// UnreadableRecord is a record that can't be decoded.
 type UnreadableRecord struct {
 	Key string
 	Err error
 }
 
-// FromNewerSchema tells whether a newer program has written the record: this one must not
-// decide without knowing what that one has decided.
+// FromNewerSchema tells whether a newer program wrote the record: this one must not
+// decide without knowing what that one decided.
 func (u UnreadableRecord) FromNewerSchema() bool {
 	return errors.Is(u.Err, jobs.ErrNewerSchema) || errors.Is(u.Err, roundlog.ErrNewerSchema)
 }
 
-// DecodeRecords decodes all records. stageKey is the key that guards staged records.
-func DecodeRecords(s StoredRecords, stageKey string) *Records {
-	out := &Records{SchemaRevision: s.SchemaAgreement.ModRevision}
-	if s.SchemaAgreement.ModRevision != 0 {
-		if err := msgpack.Unmarshal(s.SchemaAgreement.Value, &out.SchemaAgreement); err != nil {
-			out.addUnreadable(s.SchemaAgreement.Key, err)
-		}
-	}
-	parts := make(map[string][]byte, len(s.Chunks))
-	for _, item := range s.Chunks {
-		parts[item.Key] = item.Value
+// DecodeRecords decodes all records; stageKey is the key that guards staged records.
+// Records that can't be decoded are listed and don't keep the others from being read.
+func DecodeRecords(stored StoredRecords, stageKey string) *Records {
+	records := &Records{}
+	records.decodeAgreement(stored.SchemaAgreement)
+	chunks := make(map[string][]byte, len(stored.Chunks))
+	for _, item := range stored.Chunks {
+		chunks[item.Key] = item.Value
 		if item.Key == stageKey {
-			out.StageRevision = item.ModRevision
+			records.StageRevision = item.ModRevision
 		}
 	}
-	out.decodeJobs(s.Jobs, parts)
-	out.decodeRounds(s.Rounds, parts)
-	return out
+	records.decodeJobs(stored.Jobs, chunks)
+	records.decodeRounds(stored.Rounds, chunks)
+	return records
+}
+
+func (r *Records) decodeAgreement(item kvstore.KeyValue) {
+	r.SchemaRevision = item.ModRevision
+	if item.ModRevision == 0 {
+		return
+	}
+	if err := msgpack.Unmarshal(item.Value, &r.SchemaAgreement); err != nil {
+		r.addUnreadable(item.Key, fmt.Errorf("decoding schema agreement: %w", err))
+	}
 }
 
-func (r *Records) decodeJobs(items []kvstore.KeyValue, parts map[string][]byte) {
+func (r *Records) decodeJobs(items []kvstore.KeyValue, chunks map[string][]byte) {
 	for _, item := range items {
 		id := ident.JobID(strings.TrimPrefix(item.Key, jobs.KeyPrefix))
-		job, err := DecodeJob(id, item, func(n int) []byte { return parts[jobs.ChunkKey(id, n)] })
+		job, err := DecodeJob(id, item, func(n int) []byte { return chunks[jobs.ChunkKey(id, n)] })
 		if err != nil {
 			r.addUnreadable(item.Key, err)
 			continue
@@ -88,19 +101,19 @@
 	}
 }
 
-// DecodeJob decodes the record of one job; part returns its parts.
-func DecodeJob(id ident.JobID, item kvstore.KeyValue, part func(n int) []byte) (JobRecord, error) {
-	record, err := jobs.DecodeWithChunks(item.Value, part)
+// DecodeJob decodes the record of one job; chunk returns its further values by number, or
+// nil. The error wraps jobs.ErrNewerSchema if a newer program wrote the record.
+func DecodeJob(id ident.JobID, item kvstore.KeyValue, chunk func(n int) []byte) (JobRecord, error) {
+	record, err := jobs.DecodeWithChunks(item.Value, chunk)
 	if err != nil {
 		return JobRecord{}, fmt.Errorf("job %s: %w", id, err)
 	}
 	return JobRecord{ID: id, Record: record, Revision: item.ModRevision}, nil
 }
 
-func (r *Records) decodeRounds(items []kvstore.KeyValue, parts map[string][]byte) {
+func (r *Records) decodeRounds(items []kvstore.KeyValue, chunks map[string][]byte) {
 	for _, item := range items {
-		part := func(n int) []byte { return parts[roundlog.ChunkKey(item.Key, n)] }
-		record, err := roundlog.Decode(item.Value, part)
+		record, err := roundlog.Decode(item.Value, func(n int) []byte { return chunks[roundlog.ChunkKey(item.Key, n)] })
 		if err != nil {
 			r.addUnreadable(item.Key, err)
 			r.LostRounds = append(r.LostRounds, item)
