--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -141,7 +141,7 @@
 	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat, true); !changes.Stale {
 		t.applyChanges(now, m, changes)
 	}
-	reply.Commands = t.fleet.Commands(now, m, true)
+	reply.Commands = t.fleet.Commands(m, true)
 	t.core.emit(reply)
 }
 
@@ -195,14 +195,14 @@
 // probeSilentMachines sends commands to machines that have missed a report.
 func (t *term) probeSilentMachines(now clock.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
-		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(now, m, false)})
+		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
 	}
 }
 
 // pushCommands sends direct commands where they are due.
 func (t *term) pushCommands(now clock.Instant) {
 	for _, m := range t.fleet.ClaimDueCommands() {
-		orders := t.fleet.Commands(now, m, false)
+		orders := t.fleet.Commands(m, false)
 		if len(orders) == 0 {
 			t.fleet.FinishCommand(now, m.ID, true)
 			continue
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -156,7 +156,7 @@
 	}
 	asked := t.fleet.ClaimHeartbeatRequests(maxInquiriesPerStep)
 	for _, m := range asked {
-		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(now, m, false)})
+		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
 	}
 	t.inquiry.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -95,7 +95,7 @@
 
 func fleetTimes(c *Core) fleet.Timing {
 	w := c.settings.Params.Workers
-	times := fleet.Timing{HeartbeatInterval: w.HeartbeatInterval(), LeaseDuration: w.LeaseTTL()}
+	times := fleet.Timing{HeartbeatInterval: w.HeartbeatInterval(), LeaseTTL: w.LeaseTTL()}
 	if c.policy.Features.WarmStandby != nil {
 		times.RejoinGrace = w.ReconnectTime()
 	}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -1,35 +1,25 @@
 package fleet
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/jobs"
 )
 
-// StopPlacement tells a placement to stop, saving first if it has leave to. One whose
-// launch has never left is over at once: it is never sent again.
-func (f *Fleet) StopPlacement(now clock.Instant, p *jobs.Placement, leave time.Duration) {
-	if p.State == jobs.PlacementEnded || p.Stopping && leave >= p.GracePeriod {
-		return
-	}
-	m := f.machines[p.Machine]
-	if !p.Stopping {
-		p.StopRequestedAt = now
-		if m != nil {
-			m.load.Stopping++
-		}
-	}
-	p.Stopping, p.GracePeriod = true, leave
-	if p.State == jobs.PlacementPending && p.FencingToken == 0 {
-		f.Retract(now, p)
-		return
-	}
-	f.ScheduleCommand(p.Machine)
-}
+const (
+	// maxCommands bounds the commands in one message, so that it stays well below
+	// MaxMessageBytes.
+	maxCommands = 400
+	// maxUnansweredCommands is how many commands in a row a machine may leave unanswered
+	// before it gets no task: nothing may reach it although its heartbeats arrive. Guards
+	// against placing on such a machine again in each of its sessions.
+	maxUnansweredCommands = 2
+	// unansweredCommandWindow is how long that counts: the machine may be reached again.
+	unansweredCommandWindow = time.Minute
+)
 
 // ScheduleCommand asks for a direct command to the machine.
 func (f *Fleet) ScheduleCommand(id ident.MachineID) {
@@ -38,53 +28,63 @@
 	}
 }
 
-// ClaimDueCommands returns the machines that a direct command is due to, and marks them
-// as being sent one.
+// ClaimDueCommands returns the machines that a direct command is due to, sorted by ID, and
+// marks them as being sent one.
 func (f *Fleet) ClaimDueCommands() []*Machine {
-	var out []*Machine
+	var claimed []*Machine
 	for m := range f.commandsDue {
-		if !m.commandInFlight && m.Up && m.Addr != "" {
+		if m.Up && m.acceptsCommand() {
 			delete(f.commandsDue, m)
 			m.commandInFlight = true
-			out = append(out, m)
+			claimed = append(claimed, m)
 		}
 	}
-	return sortByID(out)
+	return sortByID(claimed)
 }
 
-// ClaimProbes returns the machines that have missed a report, and those that have
-// reported and that nothing vouches for, and marks them as being sent a command:
-// an empty one, whose answer shows that they live.
+// acceptsCommand tells whether a direct command can be sent to the machine now.
+func (m *Machine) acceptsCommand() bool { return !m.commandInFlight && m.Addr != "" }
+
+// ClaimProbes returns the machines that have missed a heartbeat, and those not confirmed
+// that have sent one. It marks them as being sent a command: an empty one, whose answer
+// shows that they live.
 func (f *Fleet) ClaimProbes(now clock.Instant) []*Machine {
-	var out []*Machine
+	var claimed []*Machine
 	for _, m := range f.Machines() {
-		if !m.Up || m.commandInFlight || m.Addr == "" {
+		if !m.Up || !m.acceptsCommand() {
 			continue
 		}
-		missed := now.Sub(m.LastContact) > f.timing.HeartbeatInterval*7/5 && now.Sub(m.lastProbe) > f.timing.HeartbeatInterval/2
-		if missed || !m.Confirmed && m.unansweredCommands < maxUnansweredCommands {
+		unconfirmed := !m.Confirmed && m.unansweredCommands < maxUnansweredCommands
+		if unconfirmed || f.missedHeartbeat(now, m) && now.Sub(m.lastProbe) > f.timing.HeartbeatInterval/2 {
 			m.commandInFlight, m.lastProbe = true, now
-			out = append(out, m)
+			claimed = append(claimed, m)
 		}
 	}
-	return out
+	return claimed
+}
+
+// missedHeartbeat tells whether the machine's last sign of life is older than the interval
+// and what a heartbeat may be late by.
+func (f *Fleet) missedHeartbeat(now clock.Instant, m *Machine) bool {
+	return now.Sub(m.LastContact) > f.timing.HeartbeatInterval*7/5
 }
 
-// ClaimHeartbeatRequests returns up to most machines that have not reported to this leader and were
-// not asked to, and marks them as being sent a command: the answer is a report.
-func (f *Fleet) ClaimHeartbeatRequests(most int) []*Machine {
-	var out []*Machine
+// ClaimHeartbeatRequests returns up to limit machines that this leader has not heard from
+// and that were not asked before. It marks them as being sent a command: the answer
+// carries the status of a heartbeat.
+func (f *Fleet) ClaimHeartbeatRequests(limit int) []*Machine {
+	var claimed []*Machine
 	for _, m := range f.Machines() {
-		if len(out) == most {
+		if len(claimed) == limit {
 			break
 		}
-		if m.Up || m.commandInFlight || m.heartbeatRequested || m.Addr == "" || m.Failed || m.Deprovisioning {
+		if m.Up || m.heartbeatRequested || !m.acceptsCommand() || m.Failed || m.Deprovisioning {
 			continue
 		}
 		m.commandInFlight, m.heartbeatRequested = true, true
-		out = append(out, m)
+		claimed = append(claimed, m)
 	}
-	return out
+	return claimed
 }
 
 // FinishCommand notes that a direct command was answered, or given up.
@@ -102,57 +102,51 @@
 	m.lastUnanswered = now
 }
 
-// Commands are the commands the machine is due: halts, launches and, in the
-// answer to a report, reaps. Repeating any of them is harmless: launches and
-// halts name an attempt, and an exit is reaped only when no copy of its launch
+// Commands returns what the machine is due: stops, then starts, then, if withForgets is
+// set, exits to forget, each sorted by task. Repeating any command is harmless: starts and
+// stops name an attempt, and an exit is forgotten only when no copy of its start command
 // can still be under way.
-func (f *Fleet) Commands(now clock.Instant, m *Machine, reaps bool) []Command {
-	var halts, launches, rest []Command
+func (f *Fleet) Commands(m *Machine, withForgets bool) []Command {
+	var stops, starts, forgets []Command
 	for _, p := range m.placements {
+		command := Command{Task: p.ID(), Attempt: p.Attempt}
 		switch {
 		case p.State == jobs.PlacementEnded:
-			if reaps && f.canForget(m, p) {
-				rest = append(rest, Command{Kind: CommandForget, Task: p.ID(), Attempt: p.Attempt})
+			if withForgets && m.canForget(p) {
+				command.Kind = CommandForget
+				forgets = append(forgets, command)
 			}
 		case p.Stopping:
 			if p.State != jobs.PlacementCheckpointing || p.GracePeriod == 0 {
-				halts = append(halts, Command{Kind: CommandStop, Task: p.ID(), Attempt: p.Attempt, GracePeriod: p.GracePeriod})
+				command.Kind, command.GracePeriod = CommandStop, p.GracePeriod
+				stops = append(stops, command)
 			}
 		case p.State == jobs.PlacementPending && p.StartAllowed && p.Session == m.Session:
 			p.FencingToken = f.epoch
-			launches = append(launches, Command{Kind: CommandStart, Task: p.ID(), Attempt: p.Attempt})
+			command.Kind = CommandStart
+			starts = append(starts, command)
 		}
 	}
-	for k, e := range m.strays {
-		if e.State != TaskExited {
-			halts = append(halts, Command{Kind: CommandStop, Task: k.task, Attempt: k.attempt})
+	for key, status := range m.strays {
+		if status.State != TaskExited {
+			stops = append(stops, Command{Kind: CommandStop, Task: key.task, Attempt: key.attempt})
 		}
 	}
-	return joinCommands(sortByTask(halts), sortByTask(launches), sortByTask(rest))
+	commands := slices.Concat(sortByTask(stops), sortByTask(starts), sortByTask(forgets))
+	return commands[:min(len(commands), maxCommands)]
 }
 
-func sortByTask(o []Command) []Command {
-	sort.Slice(o, func(a, b int) bool {
-		return lessTaskID(placementKey{o[a].Task, o[a].Attempt}, placementKey{o[b].Task, o[b].Attempt})
+func sortByTask(commands []Command) []Command {
+	slices.SortFunc(commands, func(a, b Command) int {
+		return placementKey{a.Task, a.Attempt}.compare(placementKey{b.Task, b.Attempt})
 	})
-	return o
-}
-
-func joinCommands(lists ...[]Command) []Command {
-	var out []Command
-	for _, l := range lists {
-		out = append(out, l...)
-	}
-	if len(out) > maxCommands {
-		out = out[:maxCommands]
-	}
-	return out
+	return commands
 }
 
-// canForget: the meaning of the exit is stored, and the worker has seen a
-// higher token than any launch of the attempt was sent under. Late copies of
-// the launch are refused from then on; before, the exit is a tombstone that
-// keeps such a copy from running the task a second time.
-func (f *Fleet) canForget(m *Machine, p *jobs.Placement) bool {
+// canForget tells whether the worker may forget the exit of an ended placement: its
+// meaning is stored, and the worker has seen a higher fencing token than any start command
+// of the attempt was sent under. Late copies of the command are refused from then on;
+// before, the exit is a tombstone that keeps such a copy from running the task again.
+func (m *Machine) canForget(p *jobs.Placement) bool {
 	return p.Job.StoredSeq >= p.EndSeq && m.FencingToken > p.FencingToken
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,8 @@
-// Package fleet keeps what the leader knows of the machines and of the tasks
-// on them. It is a pure state machine: reports and time go in, orders and
-// changes come out.
+// Package fleet keeps what the leader knows of the machines, of their workers' sessions
+// and leases, and of the placements of tasks on them. It is a pure state machine:
+// heartbeats and instants go in, commands and changes come out; wire.go maps the workers'
+// protocol to the types of this package. What to place where is decided by the scheduler,
+// machines are provisioned through package cloud, and sending is left to the node.
 package fleet
 
 import (
@@ -11,44 +13,52 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/jobs"
 )
 
-// Timing are the workers' times and the margins the leader adds.
+// Timing holds the intervals that workers keep to.
 type Timing struct {
 	HeartbeatInterval time.Duration
-	LeaseDuration     time.Duration
-	// RejoinGrace is how long after a takeover a machine that answers commands is taken
-	// for one that reports: its worker may still wait for the lost leader. 0: it is
-	// not.
+	LeaseTTL          time.Duration
+	// RejoinGrace is how long after a failover a machine that answers commands counts
+	// as one that sends heartbeats: its worker may still wait for the lost leader. 0: it
+	// does not count.
 	RejoinGrace time.Duration
 }
 
-// Fleet is all machines.
+// Fleet holds all machines that a leader knows of.
 type Fleet struct {
 	timing           Timing
 	machineTypes     map[ident.MachineType]*MachineType
 	machines         map[ident.MachineID]*Machine
-	machinesByID     []*Machine            // machines by name; nil: to be made anew
-	commandsDue      map[*Machine]struct{} // those that a direct command is asked for
+	machinesByID     []*Machine            // sorted; nil: to be sorted anew
+	commandsDue      map[*Machine]struct{} // machines that a direct command is due to
 	findJob          func(ident.JobID) *jobs.Job
 	leaderSince      clock.Instant
 	epoch            ident.Epoch
 	firstEpoch       ident.Epoch // with which the leader began
 	tombstones       int
-	removedAt        map[ident.MachineID]clock.Instant         // machines surely gone, and since when
-	delegatedRenewal func(ident.Zone) (DelegatedRenewal, bool) // nil: nobody else may keep leases
+	removedAt        map[ident.MachineID]clock.Instant
+	delegatedRenewal func(ident.Zone) (DelegatedRenewal, bool) // nil: nobody else may renew leases
 }
 
-// New returns an empty fleet of a leader that acquired its epoch at takeover.
-func New(times Timing, epoch ident.Epoch, takeover clock.Instant, jobs func(ident.JobID) *jobs.Job) *Fleet {
-	return &Fleet{timing: times, epoch: epoch, firstEpoch: epoch, leaderSince: takeover, findJob: jobs,
-		machineTypes: map[ident.MachineType]*MachineType{}, machines: map[ident.MachineID]*Machine{}, commandsDue: map[*Machine]struct{}{},
-		removedAt: map[ident.MachineID]clock.Instant{}}
+// New returns an empty fleet of a leader that acquired its epoch at leaderSince. findJob
+// returns the job of an ID, or nil.
+func New(timing Timing, epoch ident.Epoch, leaderSince clock.Instant, findJob func(ident.JobID) *jobs.Job) *Fleet {
+	return &Fleet{
+		timing:       timing,
+		epoch:        epoch,
+		firstEpoch:   epoch,
+		leaderSince:  leaderSince,
+		findJob:      findJob,
+		machineTypes: map[ident.MachineType]*MachineType{},
+		machines:     map[ident.MachineID]*Machine{},
+		commandsDue:  map[*Machine]struct{}{},
+		removedAt:    map[ident.MachineID]clock.Instant{},
+	}
 }
 
-// SetMachineTypes takes in the machine types.
+// SetMachineTypes adds machine types, or replaces those of the same names.
 func (f *Fleet) SetMachineTypes(types []*MachineType) {
 	for _, t := range types {
 		f.machineTypes[t.Name] = t
@@ -58,15 +68,16 @@
 // MachineType returns a machine type, or nil.
 func (f *Fleet) MachineType(name ident.MachineType) *MachineType { return f.machineTypes[name] }
 
-// SetEpoch takes in a raised token.
-func (f *Fleet) SetEpoch(e ident.Epoch) { f.epoch = e }
+// SetEpoch sets the fencing token of the commands from now on: the leader has advanced
+// its epoch.
+func (f *Fleet) SetEpoch(epoch ident.Epoch) { f.epoch = epoch }
 
 // Machine returns a machine, or nil.
 func (f *Fleet) Machine(id ident.MachineID) *Machine { return f.machines[id] }
 
-// Machines returns all machines in the order of their names. The list is kept
-// until a machine comes or goes: sorting it for each report took half of a
-// leader's processor time at 1,500 machines. It must not be changed.
+// Machines returns all machines sorted by ID. The list is cached until a machine is added
+// or removed: sorting it for each heartbeat took half of a leader's processor time at
+// 1,500 machines. It must not be modified.
 func (f *Fleet) Machines() []*Machine {
 	if f.machinesByID == nil {
 		f.machinesByID = sortByID(slices.Collect(maps.Values(f.machines)))
@@ -74,15 +85,16 @@
 	return f.machinesByID
 }
 
-func sortByID(list []*Machine) []*Machine {
-	slices.SortFunc(list, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
-	return list
+func sortByID(machines []*Machine) []*Machine {
+	slices.SortFunc(machines, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
+	return machines
 }
 
 // Len counts the machines.
 func (f *Fleet) Len() int { return len(f.machines) }
 
-// ActiveCount counts the machines that are up, or may run tasks.
+// ActiveCount counts the machines that are up or may run tasks, without those that have
+// failed or are being deprovisioned.
 func (f *Fleet) ActiveCount() int {
 	n := 0
 	for _, m := range f.machines {
@@ -93,63 +105,61 @@
 	return n
 }
 
-// TombstoneCount counts exits that wait to be reaped.
+// TombstoneCount counts the ended placements that workers still remember.
 func (f *Fleet) TombstoneCount() int { return f.tombstones }
 
-// Ensure returns the machine, making it if it is not known.
+// Ensure returns the machine, adding it if it is not known.
 func (f *Fleet) Ensure(now clock.Instant, id ident.MachineID) *Machine {
 	m := f.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, KnownSince: now, ProvisionedAt: now, IdleSince: now,
-			placements: map[placementKey]*jobs.Placement{}, strays: map[placementKey]TaskStatus{},
-			imageCache: map[ident.Image]cachedImage{}}
+		m = newMachine(now, id)
 		f.machines[id], f.machinesByID = m, nil
 	}
 	return m
 }
 
-// Remove takes out a machine that is surely gone.
+// Remove deletes a machine that surely no longer exists, and ends its placements.
 func (f *Fleet) Remove(now clock.Instant, id ident.MachineID) Changes {
-	var c Changes
+	var changes Changes
 	m := f.machines[id]
 	if m == nil {
-		return c
+		return changes
 	}
-	f.endAllPlacements(now, m, &c)
-	m.Removed = true
-	m.Up = false
+	f.endAllPlacements(now, m, &changes)
+	m.Removed, m.Up = true, false
 	delete(f.machines, id)
 	delete(f.commandsDue, m)
 	f.machinesByID = nil
 	f.removedAt[id] = now
-	return c
+	return changes
 }
 
-// MarkFailed notes that a machine has stopped by itself, with all that was on it.
+// MarkFailed notes that a machine has stopped by itself, and ends its placements.
 func (f *Fleet) MarkFailed(now clock.Instant, m *Machine) Changes {
-	var c Changes
-	f.endAllPlacements(now, m, &c)
+	var changes Changes
+	f.endAllPlacements(now, m, &changes)
 	m.Failed, m.Up = true, false
-	return c
+	return changes
 }
 
-// WasRemoved tells whether a machine is known to be gone. Old lists and late reports
+// WasRemoved tells whether a machine was removed. Old machine lists and late heartbeats
 // may still name it.
-func (f *Fleet) WasRemoved(id ident.MachineID) bool { _, gone := f.removedAt[id]; return gone }
+func (f *Fleet) WasRemoved(id ident.MachineID) bool {
+	_, removed := f.removedAt[id]
+	return removed
+}
 
-// PruneRemoved drops the memory of machines gone for longer than d.
-func (f *Fleet) PruneRemoved(now clock.Instant, d time.Duration) {
+// PruneRemoved forgets the machines that were removed more than retention ago.
+func (f *Fleet) PruneRemoved(now clock.Instant, retention time.Duration) {
 	for id, at := range f.removedAt {
-		if now.Sub(at) > d {
+		if now.Sub(at) > retention {
 			delete(f.removedAt, id)
 		}
 	}
 }
 
-// SetAttributes sets what is known of a machine that has not reported.
-func (f *Fleet) SetAttributes(m *Machine, t ident.MachineType, z ident.Zone, spot bool) {
-	if m.Zone != z {
-		f.moveToZone(m, z)
-	}
-	m.Type, m.Spot = t, spot
+// SetAttributes describes a machine that has sent no heartbeat yet.
+func (f *Fleet) SetAttributes(m *Machine, machineType ident.MachineType, zone ident.Zone, spot bool) {
+	m.moveToZone(zone)
+	m.Type, m.Spot = machineType, spot
 }
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"badgerbay/internal/clock"
-
 	"badgerbay/internal/jobs"
 )
 
@@ -17,13 +16,33 @@
 	p.Job.AddPlacement(p, m.Zone)
 }
 
-// Retract takes back a placement whose launch was never sent and never will.
+// Retract takes back a placement whose start command was never sent and never will be.
 func (f *Fleet) Retract(now clock.Instant, p *jobs.Placement) {
 	f.endPlacement(now, p, true)
 	f.dropPlacement(p)
 }
 
-// endPlacement notes that a placement is over; it stays as a tombstone.
+// StopPlacement stops a task, which may save a checkpoint for the grace period. A
+// placement whose start command was never sent ends at once: it is never sent any more.
+func (f *Fleet) StopPlacement(now clock.Instant, p *jobs.Placement, gracePeriod time.Duration) {
+	if p.State == jobs.PlacementEnded || p.Stopping && gracePeriod >= p.GracePeriod {
+		return
+	}
+	if !p.Stopping {
+		p.StopRequestedAt = now
+		if m := f.machines[p.Machine]; m != nil {
+			m.load.Stopping++
+		}
+	}
+	p.Stopping, p.GracePeriod = true, gracePeriod
+	if p.State == jobs.PlacementPending && p.FencingToken == 0 {
+		f.Retract(now, p)
+		return
+	}
+	f.ScheduleCommand(p.Machine)
+}
+
+// endPlacement notes that a placement has ended; it stays as a tombstone.
 func (f *Fleet) endPlacement(now clock.Instant, p *jobs.Placement, requeue bool) {
 	if p.State == jobs.PlacementEnded {
 		return
@@ -40,7 +59,7 @@
 	}
 }
 
-// dropPlacement forgets a placement that is over and can't be launched any more.
+// dropPlacement forgets a placement that has ended and can't be started any more.
 func (f *Fleet) dropPlacement(p *jobs.Placement) {
 	m := f.machines[p.Machine]
 	if m != nil && m.placements[keyOf(p)] == p {
@@ -49,21 +68,20 @@
 	}
 }
 
-// endAllPlacements ends every placement of the machine, which surely runs none of them.
-func (f *Fleet) endAllPlacements(now clock.Instant, m *Machine, c *Changes) {
+// endAllPlacements ends and forgets every placement of a machine that surely runs none.
+func (f *Fleet) endAllPlacements(now clock.Instant, m *Machine, changes *Changes) {
 	for _, p := range m.LivePlacements() {
 		f.endPlacement(now, p, true)
-		c.Ended = append(c.Ended, EndedPlacement{p, ExitMachineLost, false})
-	}
-	for id := range m.placements {
-		delete(m.placements, id)
-		f.tombstones--
+		changes.Ended = append(changes.Ended, EndedPlacement{p, ExitMachineLost, false})
 	}
+	f.tombstones -= len(m.placements)
+	clear(m.placements)
 	m.strays = map[placementKey]TaskStatus{}
 	m.used = jobs.Resources{}
 }
 
-// FreeCapacity is what is left on the machine by all placements that may exist.
+// FreeCapacity is what all placements that may exist leave of the machine; nothing if its
+// type is not known.
 func (f *Fleet) FreeCapacity(m *Machine) jobs.Resources {
 	t := f.machineTypes[m.Type]
 	if t == nil {
@@ -72,23 +90,15 @@
 	return t.Capacity.Sub(m.used)
 }
 
-const (
-	// maxUnansweredCommands commands in a row without an answer, a machine gets no task:
-	// nothing may reach it although its reports arrive. Guards against placing
-	// on such a machine again in each of its sessions.
-	maxUnansweredCommands = 2
-	// unansweredCommandWindow is how long that counts: reports may be answered again.
-	unansweredCommandWindow = time.Minute
-)
-
 // Schedulable tells whether the machine may get tasks.
 func (f *Fleet) Schedulable(m *Machine) bool {
-	return m.Up && m.Confirmed && m.unansweredCommands < maxUnansweredCommands && !m.Deprovisioning && !m.Removed && !m.Failed && m.InterruptionAt == 0 && !m.Quarantined && !m.Draining &&
-		!m.HasRunningStray() && f.machineTypes[m.Type] != nil
+	reachable := m.Up && m.Confirmed && m.unansweredCommands < maxUnansweredCommands
+	leaving := m.Deprovisioning || m.Removed || m.Failed || m.InterruptionAt != 0 || m.Draining
+	return reachable && !leaving && !m.Quarantined && !m.HasRunningStray() && f.machineTypes[m.Type] != nil
 }
 
-// HeartbeatOverdue tells whether the machine has missed reports, so that a launch sent
-// to it would probably hang. Answers to commands are no reports: a machine that
+// HeartbeatOverdue tells whether the machine has missed heartbeats, so that a start
+// command sent to it would probably hang. Answers to commands don't count: a machine that
 // takes commands but reaches no node loses all it has with its lease.
 func (f *Fleet) HeartbeatOverdue(now clock.Instant, m *Machine) bool {
 	if m.Up && now.Sub(f.leaderSince) < f.timing.RejoinGrace {
--- /dev/null
+++ b/internal/fleet/placement_test.go
@@ -0,0 +1,104 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+func TestStopBeforeStartIsSent(t *testing.T) {
+	f := newFixture(2)
+	p, q := f.place(0, 5), f.place(1, 5)
+	f.fleet.StopPlacement(f.now, p, 0)
+	if p.State != jobs.PlacementEnded {
+		t.Error("the start that was never sent is still pending")
+	}
+	f.fleet.Commands(f.machine, false)
+	f.fleet.StopPlacement(f.now, q, 0)
+	if q.State == jobs.PlacementEnded {
+		t.Error("the start that was sent is taken for ended")
+	}
+	if got := describeCommands(f.fleet.Commands(f.machine, false)); !cmp.Equal(got, []string{"halt 1/5"}) {
+		t.Errorf("commands %v", got)
+	}
+}
+
+func TestUnconfirmedMachinesGetNoTasks(t *testing.T) {
+	f := newFixture(1)
+	copied := &Heartbeat{Machine: "host-9", Addr: "10.0.0.9:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 70, FencingToken: epoch - 3}
+	f.fleet.ApplyHeartbeat(f.now, copied, true)
+	m := f.fleet.Machine("host-9")
+	if f.fleet.Schedulable(m) {
+		t.Fatal("a machine known by one old heartbeat may get tasks")
+	}
+	if got := f.fleet.ClaimProbes(f.now); len(got) != 1 || got[0] != m || f.fleet.ClaimProbes(f.now) != nil {
+		t.Fatalf("probed: %v, want the unconfirmed machine once", got)
+	}
+	f.fleet.FinishCommand(f.now, m.ID, false)
+	if f.fleet.Schedulable(m) {
+		t.Error("it did not answer and may get tasks")
+	}
+	answer := *copied
+	answer.HeartbeatSeq++
+	f.fleet.FinishCommand(f.now, m.ID, true)
+	f.fleet.ApplyHeartbeat(f.now, &answer, false)
+	if !f.fleet.Schedulable(m) {
+		t.Error("it has answered and gets no tasks")
+	}
+	if !f.fleet.Schedulable(f.machine) {
+		t.Error("one that has reported this leader's fencing token gets no tasks")
+	}
+}
+
+func TestUnreachableMachinesGetNoTasks(t *testing.T) {
+	f := newFixture(1)
+	f.fleet.FinishCommand(f.now, f.machine.ID, false)
+	if !f.fleet.Schedulable(f.machine) {
+		t.Fatal("one lost command takes a machine out")
+	}
+	f.fleet.FinishCommand(f.now, f.machine.ID, false)
+	f.sendHeartbeat(2, 1, epoch)
+	if f.fleet.Schedulable(f.machine) {
+		t.Error("a machine that hears nothing may get tasks in its next session")
+	}
+	f.now = f.now.Add(unansweredCommandWindow + time.Second)
+	f.sendHeartbeat(2, 9, epoch)
+	if !f.fleet.Schedulable(f.machine) {
+		t.Error("never tried again")
+	}
+}
+
+func TestMachineWithoutHeartbeatsGetsNoTasks(t *testing.T) {
+	f := newFixture(1)
+	for range 4 {
+		f.now = f.now.Add(3 * time.Second)
+		f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch}, false)
+	}
+	if !f.fleet.HeartbeatOverdue(f.now, f.machine) {
+		t.Error("a machine that only answers commands may get tasks")
+	}
+	f.sendHeartbeat(1, f.machine.HeartbeatSeq+1, epoch)
+	if f.fleet.HeartbeatOverdue(f.now, f.machine) {
+		t.Error("a machine that sends heartbeats again gets nothing")
+	}
+}
+
+func TestCommandAnswersCountAfterFailover(t *testing.T) {
+	const wait = 8 * time.Second
+	f := New(Timing{HeartbeatInterval: time.Second, LeaseTTL: 27 * time.Second, RejoinGrace: wait}, epoch, t0, func(ident.JobID) *jobs.Job { return nil })
+	m := f.Ensure(t0, "host-1")
+	if !f.HeartbeatOverdue(t0, m) {
+		t.Error("a machine that nothing was heard of")
+	}
+	f.ApplyHeartbeat(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1}, false)
+	if f.HeartbeatOverdue(t0.Add(wait-time.Second), m) {
+		t.Error("its worker may still be waiting for the lost leader")
+	}
+	if !f.HeartbeatOverdue(t0.Add(wait), m) {
+		t.Error("it answers commands, and has sent no heartbeat")
+	}
+}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -4,51 +4,21 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"time"
-
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/wire"
 )
 
-// MaxMessageBytes bounds the bodies that workers and we exchange.
+// MaxMessageBytes bounds the bodies that are exchanged with workers.
 const MaxMessageBytes = 64 << 10
 
 const maxNameBytes = 128
 
-// TaskState of a task as its worker reports it.
-type TaskState string
-
-// Wire states and causes.
-const (
-	TaskFetching TaskState = "fetching"
-	TaskRunning  TaskState = "running"
-	TaskFlushing TaskState = "flushing"
-	// TaskGathering: a task of a gang that waits for the others.
-	TaskGathering TaskState = "gathering"
-	TaskExited    TaskState = "exited"
-)
-
-// ExitCause of an exit.
-type ExitCause string
-
-// Causes.
-const (
-	ExitDone        ExitCause = "done"
-	ExitStopped     ExitCause = "stopped"
-	ExitError       ExitCause = "error"
-	ExitNoCapacity  ExitCause = "no_room"
-	ExitBusy        ExitCause = "busy"
-	ExitUnknownTask ExitCause = "unknown"
-	// ExitGangPeersLost and CauseIncomplete end the task of a gang whose others are
-	// gone, or did not come.
-	ExitGangPeersLost  ExitCause = "peers"
-	ExitGangIncomplete ExitCause = "incomplete"
-	ExitMachineLost    ExitCause = "lost" // ours: the machine or its lease has ended
-)
+// ErrMalformedHeartbeat says that a heartbeat can't be used whatever its task entries say.
+var ErrMalformedHeartbeat = errors.New("malformed heartbeat")
 
 type wireTask struct {
 	Task    string        `msgpack:"entry"`
@@ -93,64 +63,55 @@
 	Leader string `msgpack:"clerk,omitempty"`
 }
 
-// TaskStatus is one task in a report.
-type TaskStatus struct {
-	Task             ident.TaskID
-	Attempt          ident.Attempt
-	State            TaskState
-	Cause            ExitCause
-	CheckpointStored bool
-}
-
-// Heartbeat is what a worker says of its machine.
-type Heartbeat struct {
-	Machine             ident.MachineID
-	Addr                string
-	Type                ident.MachineType
-	Zone                ident.Zone
-	Spot                bool
-	Session             ident.Session
-	HeartbeatSeq        ident.HeartbeatSeq
-	FencingToken        ident.Epoch
-	InterruptionIn      time.Duration // until the cloud takes the machine; 0: no notice
-	InterruptionNoticed bool
-	Tasks               []TaskStatus
-	UnreadableTasks     int // entries that could not be read, and were left out
-}
-
-// DecodeHeartbeat reads a report. Entries that make no sense are left out and
-// counted: one strange task must not take the machine's others with it.
+// DecodeHeartbeat decodes a heartbeat. Task entries that make no sense are left out and
+// counted: one strange task must not hide the machine's others. Errors wrap
+// ErrMalformedHeartbeat.
 func DecodeHeartbeat(data []byte) (*Heartbeat, error) {
 	var w wireHeartbeat
 	if err := msgpack.Unmarshal(data, &w); err != nil {
-		return nil, fmt.Errorf("decoding report: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedHeartbeat, err)
 	}
-	if w.Machine == "" || len(w.Machine) > maxNameBytes || w.Session == 0 {
-		return nil, errors.New("report without machine or session")
+	if err := w.validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformedHeartbeat, err)
 	}
-	if len(w.MachineType) > maxNameBytes || len(w.Zone) > maxNameBytes {
-		return nil, errors.New("report with overlong names")
+	h := &Heartbeat{
+		Machine:      ident.MachineID(w.Machine),
+		Addr:         w.Addr,
+		Type:         ident.MachineType(w.MachineType),
+		Zone:         ident.Zone(w.Zone),
+		Spot:         w.Spot,
+		Session:      w.Session,
+		HeartbeatSeq: w.HeartbeatSeq,
+		FencingToken: w.FencingToken,
 	}
-	if _, err := netip.ParseAddrPort(w.Addr); err != nil {
-		return nil, fmt.Errorf("report with a bad address: %w", err)
-	}
-	r := &Heartbeat{Machine: ident.MachineID(w.Machine), Addr: w.Addr, Type: ident.MachineType(w.MachineType),
-		Zone: ident.Zone(w.Zone), Spot: w.Spot, Session: w.Session, HeartbeatSeq: w.HeartbeatSeq, FencingToken: w.FencingToken}
 	if w.InterruptionSeconds != nil {
-		r.InterruptionNoticed, r.InterruptionIn = true, clock.Seconds(*w.InterruptionSeconds)
+		h.InterruptionNoticed, h.InterruptionIn = true, clock.Seconds(*w.InterruptionSeconds)
+	}
+	h.addTasks(w.Tasks)
+	return h, nil
+}
+
+func (w *wireHeartbeat) validate() error {
+	if w.Machine == "" || w.Session == 0 {
+		return errors.New("no machine or session")
+	}
+	if max(len(w.Machine), len(w.MachineType), len(w.Zone)) > maxNameBytes {
+		return fmt.Errorf("name longer than %d bytes", maxNameBytes)
+	}
+	if _, err := netip.ParseAddrPort(w.Addr); err != nil {
+		return fmt.Errorf("address: %w", err)
 	}
-	r.addTasks(w.Tasks)
-	return r, nil
+	return nil
 }
 
-func (r *Heartbeat) addTasks(entries []wireTask) {
-	for _, e := range entries {
-		id, err := ident.ParseTaskID(e.Task)
-		if err != nil || !isKnownState(e.State) {
-			r.UnreadableTasks++
+func (h *Heartbeat) addTasks(tasks []wireTask) {
+	for _, w := range tasks {
+		id, err := ident.ParseTaskID(w.Task)
+		if err != nil || !isKnownState(w.State) {
+			h.UnreadableTasks++
 			continue
 		}
-		r.Tasks = append(r.Tasks, TaskStatus{Task: id, Attempt: e.Attempt, State: e.State, Cause: e.Cause, CheckpointStored: e.Stored})
+		h.Tasks = append(h.Tasks, TaskStatus{Task: id, Attempt: w.Attempt, State: w.State, Cause: w.Cause, CheckpointStored: w.Stored})
 	}
 }
 
@@ -162,48 +123,31 @@
 	return false
 }
 
-// CommandKind of an order.
-type CommandKind string
-
-// Verbs.
-const (
-	CommandStart  CommandKind = "launch"
-	CommandStop   CommandKind = "halt"
-	CommandForget CommandKind = "reap"
-)
-
-// Command is a command to a worker.
-type Command struct {
-	Kind        CommandKind
-	Task        ident.TaskID
-	Attempt     ident.Attempt
-	GracePeriod time.Duration // of a halt
-}
-
-func wireCommands(orders []Command) []wireCommand {
-	out := make([]wireCommand, 0, len(orders))
-	for _, o := range orders {
-		w := wireCommand{Kind: string(o.Kind), Task: o.Task.String(), Attempt: o.Attempt}
-		if o.Kind == CommandStop {
-			leave := o.GracePeriod.Seconds()
-			w.GraceSeconds = &leave
+func wireCommands(commands []Command) []wireCommand {
+	out := make([]wireCommand, 0, len(commands))
+	for _, c := range commands {
+		w := wireCommand{Kind: string(c.Kind), Task: c.Task.String(), Attempt: c.Attempt}
+		if c.Kind == CommandStop {
+			seconds := c.GracePeriod.Seconds()
+			w.GraceSeconds = &seconds
 		}
 		out = append(out, w)
 	}
 	return out
 }
 
-// EncodeHeartbeatAnswer makes the body of a 200 to a report.
-func EncodeHeartbeatAnswer(token ident.Epoch, orders []Command) ([]byte, error) {
-	return msgpack.Marshal(wireHeartbeatAnswer{FencingToken: token, Commands: wireCommands(orders)})
+// EncodeHeartbeatAnswer encodes the answer to a heartbeat: the body of a 200.
+func EncodeHeartbeatAnswer(token ident.Epoch, commands []Command) ([]byte, error) {
+	return msgpack.Marshal(wireHeartbeatAnswer{FencingToken: token, Commands: wireCommands(commands)})
 }
 
-// EncodeDirectCommands makes the body of a direct command.
-func EncodeDirectCommands(token ident.Epoch, session ident.Session, orders []Command) ([]byte, error) {
-	return msgpack.Marshal(wireDirectCommands{FencingToken: token, Session: session, Commands: wireCommands(orders)})
+// EncodeDirectCommands encodes commands that a worker is sent outside the answer to a
+// heartbeat; it refuses them in any other session.
+func EncodeDirectCommands(token ident.Epoch, session ident.Session, commands []Command) ([]byte, error) {
+	return msgpack.Marshal(wireDirectCommands{FencingToken: token, Session: session, Commands: wireCommands(commands)})
 }
 
-// EncodeRedirect makes the body of a 421.
+// EncodeRedirect encodes the body of a 421, with the leader's label or without.
 func EncodeRedirect(leader string) ([]byte, error) {
 	return msgpack.Marshal(wireRedirect{Leader: leader})
 }
--- a/internal/leasedelegation/delegate_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -125,7 +125,7 @@
 // before that node said that it did not, or can't any more.
 func TestDelegatedLeaseExpiry(t *testing.T) {
 	var v fleet.DelegatedRenewal
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second}, 7, now, nil)
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseTTL: 27 * time.Second}, 7, now, nil)
 	f.SetDelegatedRenewals(func(ident.Zone) (fleet.DelegatedRenewal, bool) { return v, true })
 	m := f.Ensure(now, "m1")
 	over := func(at float64, last, free, end clock.Instant) bool {
--- a/internal/recovery/scheduling_gate_test.go
+++ b/internal/recovery/scheduling_gate_test.go
@@ -21,7 +21,7 @@
 func busyMachines(t *testing.T, n, silent int) []*fleet.Machine {
 	t.Helper()
 	job := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: n, CPUs: 1}, 0), 1, acquiredAt)
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second}, epoch, acquiredAt,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseTTL: 27 * time.Second}, epoch, acquiredAt,
 		func(ident.JobID) *jobs.Job { return job })
 	for i := range n {
 		id := ident.MachineID(rune('a' + i))
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -80,7 +80,7 @@
 		jobs: map[ident.JobID]*jobs.Job{}, beats: map[ident.MachineID]ident.HeartbeatSeq{}}
 	s.zones = []ident.Zone{"a", "b", "c"}[:s.between(1, 3)]
 	s.types = s.drawTypes()
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, snapshotEpoch, leaderBegan,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, snapshotEpoch, leaderBegan,
 		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(s.types)
 	s.world = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: ident.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -33,7 +33,7 @@
 	s := &fixture{jobs: map[ident.JobID]*jobs.Job{}}
 	types := []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20,
 		HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second, Zones: []ident.Zone{"a", "b"}}}
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseDuration: 27 * time.Second}, 10, leaderStart,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, 10, leaderStart,
 		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(types)
 	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []ident.Zone{"a", "b"},
