--- /dev/null
+++ b/internal/cloud/machine_lister_test.go
@@ -0,0 +1,36 @@
+package cloud
+
+import (
+	"testing"
+	"time"
+)
+
+// TestMachineListerReadsPageByPage: a list is complete with its last page, dates from the
+// request for its first, and is given up if a page fails.
+func TestMachineListerReadsPageByPage(t *testing.T) {
+	const pause = 5 * time.Second
+	var lister MachineLister
+	if after := lister.RequestPage(t0); after != "" || lister.PageDue(t0) {
+		t.Fatalf("first page follows %q, or two are requested at once", after)
+	}
+	now := t0.Add(time.Second)
+	first := Page{OK: true, Machines: []Machine{{ID: "host-1"}, {ID: "host-2"}}, More: true}
+	if _, complete := lister.AddPage(now, first, pause); complete || !lister.PageDue(now) {
+		t.Fatal("complete without its last page, or the next is not due")
+	}
+	if after := lister.RequestPage(now); after != "host-2" {
+		t.Errorf("next page follows %q", after)
+	}
+	list, complete := lister.AddPage(now, Page{OK: true, Machines: []Machine{{ID: "host-3"}}}, pause)
+	if !complete || list.RequestedAt != t0 || len(list.Machines) != 3 {
+		t.Errorf("list %+v, complete %v", list, complete)
+	}
+	if lister.PageDue(now.Add(pause-1)) || !lister.PageDue(now.Add(pause)) {
+		t.Error("the next list is due after the pause, and not before")
+	}
+	now = now.Add(pause)
+	lister.RequestPage(now)
+	if _, complete := lister.AddPage(now, Page{}, pause); complete || lister.PageDue(now) {
+		t.Error("complete although a page failed, or repeated without a pause")
+	}
+}
--- a/internal/cloud/tracker.go
+++ b/internal/cloud/tracker.go
@@ -1,43 +1,54 @@
 package cloud
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
 )
 
-// ProvisionRequest is a rental that is recorded and not settled.
+// ProvisionRequest is a recorded request for machines that is not settled.
 type ProvisionRequest struct {
-	Name           string
-	Offer          Offer
-	Count          int
-	Since          clock.Instant
-	outcomeUnknown bool
+	Name  string
+	Offer Offer
+	Count int
+	Since clock.Instant // when this leader learned of it
+
+	outcomeUnknown bool // it may have been executed
 	inFlight       bool
 	retryAt        clock.Instant
 }
 
-// ProvisionResult says what became of a rental request.
+// ProvisionResult says what became of a provision request.
 type ProvisionResult int
 
-// Verdicts.
+// Results of a provision request.
 const (
-	ProvisionGranted        ProvisionResult = iota // with the names of the machines
+	ProvisionGranted        ProvisionResult = iota // with the IDs of the machines
 	ProvisionNoCapacity                            // refused for want of capacity
 	ProvisionDeferred                              // not executed; the cloud is in trouble
-	ProvisionOutcomeUnknown                        // may have been executed, or may be later
+	ProvisionOutcomeUnknown                        // may have been executed, or may still be
 	ProvisionRejected                              // refused as malformed
 )
 
-// Tracker keeps the rentals and releases that are under way. It is pure.
-type Tracker struct {
-	provisions          map[string]*ProvisionRequest
-	deprovisionRetryAt  map[ident.MachineID]clock.Instant // next try
-	blockedUntil        map[Offer]clock.Instant
-	capacityBackoff     time.Duration
-	deprovisionInFlight bool // a release is under way
+// String returns the result as logs name it.
+func (r ProvisionResult) String() string {
+	switch r {
+	case ProvisionGranted:
+		return "granted"
+	case ProvisionNoCapacity:
+		return "no capacity"
+	case ProvisionDeferred:
+		return "deferred"
+	case ProvisionOutcomeUnknown:
+		return "outcome unknown"
+	case ProvisionRejected:
+		return "rejected"
+	}
+	return "invalid"
 }
 
 const (
@@ -45,121 +56,133 @@
 	deprovisionRetryDelay = time.Second
 )
 
-// NewTracker returns an empty tracker; an offer that was refused is not asked for
-// again for backoff.
-func NewTracker(backoff time.Duration) *Tracker {
-	return &Tracker{provisions: map[string]*ProvisionRequest{}, deprovisionRetryAt: map[ident.MachineID]clock.Instant{},
-		blockedUntil: map[Offer]clock.Instant{}, capacityBackoff: backoff}
+// Tracker tracks the recorded provision requests and deprovisions until the cloud has
+// answered them. It is pure.
+type Tracker struct {
+	provisions          map[string]*ProvisionRequest
+	deprovisionRetryAt  map[ident.MachineID]clock.Instant
+	deprovisionInFlight bool
+	blockedUntil        map[Offer]clock.Instant
+	capacityBackoff     time.Duration
 }
 
-// AddProvision takes in a rental that has been recorded. An old one, of an earlier
-// leader, may have been executed already.
-func (d *Tracker) AddProvision(now clock.Instant, name string, o Offer, count int, old bool) {
-	if d.provisions[name] == nil {
-		d.provisions[name] = &ProvisionRequest{Name: name, Offer: o, Count: count, Since: now, outcomeUnknown: old}
+// NewTracker returns an empty tracker. An offer that the cloud has no capacity for is
+// blocked for capacityBackoff.
+func NewTracker(capacityBackoff time.Duration) *Tracker {
+	return &Tracker{
+		provisions:         map[string]*ProvisionRequest{},
+		deprovisionRetryAt: map[ident.MachineID]clock.Instant{},
+		blockedUntil:       map[Offer]clock.Instant{},
+		capacityBackoff:    capacityBackoff,
 	}
 }
 
-// AddDeprovision takes in machines whose release has been recorded.
-func (d *Tracker) AddDeprovision(ids ...ident.MachineID) {
-	for _, id := range ids {
-		if _, ok := d.deprovisionRetryAt[id]; !ok {
-			d.deprovisionRetryAt[id] = 0
-		}
+// AddProvision adds a recorded provision request. One of an earlier leader may have been
+// executed already.
+func (t *Tracker) AddProvision(now clock.Instant, name string, offer Offer, count int, ofEarlierLeader bool) {
+	if t.provisions[name] == nil {
+		t.provisions[name] = &ProvisionRequest{Name: name, Offer: offer, Count: count, Since: now, outcomeUnknown: ofEarlierLeader}
 	}
 }
 
-// PendingProvisions lists the rentals that are not settled.
-func (d *Tracker) PendingProvisions() []*ProvisionRequest {
-	out := make([]*ProvisionRequest, 0, len(d.provisions))
-	for _, h := range d.provisions {
-		out = append(out, h)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
-	return out
+// PendingProvisions returns the requests that are not settled, sorted by name.
+func (t *Tracker) PendingProvisions() []*ProvisionRequest {
+	return slices.SortedFunc(maps.Values(t.provisions), func(a, b *ProvisionRequest) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// UnknownOutcomeCount counts rentals that may or may not have been executed.
-func (d *Tracker) UnknownOutcomeCount() int {
+// UnknownOutcomeCount counts requests that may or may not have been executed.
+func (t *Tracker) UnknownOutcomeCount() int {
 	n := 0
-	for _, h := range d.provisions {
-		if h.outcomeUnknown {
+	for _, request := range t.provisions {
+		if request.outcomeUnknown {
 			n++
 		}
 	}
 	return n
 }
 
-// Blocked tells whether the cloud was out of the offer a moment ago.
-func (d *Tracker) Blocked(now clock.Instant, o Offer) bool { return now.Before(d.blockedUntil[o]) }
-
-// NextProvision returns a rental that should be sent now, marked as under way, or nil.
-func (d *Tracker) NextProvision(now clock.Instant) *ProvisionRequest {
-	for _, h := range d.PendingProvisions() {
-		if !h.inFlight && !now.Before(h.retryAt) {
-			h.inFlight = true
-			return h
-		}
-	}
-	return nil
+// Blocked tells whether the cloud had no capacity for the offer a moment ago.
+func (t *Tracker) Blocked(now clock.Instant, offer Offer) bool {
+	return now.Before(t.blockedUntil[offer])
 }
 
-// NextDeprovision returns machines whose release should be sent now.
-func (d *Tracker) NextDeprovision(now clock.Instant) []ident.MachineID {
-	if d.deprovisionInFlight {
-		return nil
-	}
-	var out []ident.MachineID
-	for id, next := range d.deprovisionRetryAt {
-		if !now.Before(next) {
-			out = append(out, id)
+// NextProvision returns a request to send now, marked as in flight, or nil.
+func (t *Tracker) NextProvision(now clock.Instant) *ProvisionRequest {
+	for _, request := range t.PendingProvisions() {
+		if !request.inFlight && !now.Before(request.retryAt) {
+			request.inFlight = true
+			return request
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a] < out[b] })
-	if len(out) > MaxDeprovisionCount {
-		out = out[:MaxDeprovisionCount]
-	}
-	d.deprovisionInFlight = len(out) > 0
-	return out
+	return nil
 }
 
-// FinishProvision takes in the answer to a rental, and tells whether it is settled.
-// An uncertain one is repeated under its name: the repeat is the receipt.
-func (d *Tracker) FinishProvision(now clock.Instant, name string, v ProvisionResult, got int) bool {
-	h := d.provisions[name]
-	if h == nil {
+// FinishProvision applies the answer to a request, with how many machines were granted,
+// and tells whether the request is settled. One of unknown outcome is retried under its
+// name until an answer tells what came of it.
+func (t *Tracker) FinishProvision(now clock.Instant, name string, result ProvisionResult, granted int) (settled bool) {
+	request := t.provisions[name]
+	if request == nil {
 		return false
 	}
-	h.inFlight = false
-	switch v {
+	request.inFlight = false
+	switch result {
 	case ProvisionGranted:
-		if got < h.Count {
-			d.blockedUntil[h.Offer] = now.Add(d.capacityBackoff)
+		if granted < request.Count {
+			t.blockedUntil[request.Offer] = now.Add(t.capacityBackoff)
 		}
 	case ProvisionNoCapacity:
-		d.blockedUntil[h.Offer] = now.Add(d.capacityBackoff)
+		t.blockedUntil[request.Offer] = now.Add(t.capacityBackoff)
 	case ProvisionDeferred:
-		if h.outcomeUnknown {
-			h.retryAt = now.Add(provisionRetryDelay)
+		if request.outcomeUnknown {
+			request.retryAt = now.Add(provisionRetryDelay)
 			return false
 		}
-		d.blockedUntil[h.Offer] = now.Add(provisionRetryDelay)
+		t.blockedUntil[request.Offer] = now.Add(provisionRetryDelay)
 	case ProvisionOutcomeUnknown:
-		h.outcomeUnknown, h.retryAt = true, now.Add(provisionRetryDelay)
+		request.outcomeUnknown, request.retryAt = true, now.Add(provisionRetryDelay)
 		return false
 	}
-	delete(d.provisions, name)
+	delete(t.provisions, name)
 	return true
 }
 
-// FinishDeprovision takes in the answer to a release.
-func (d *Tracker) FinishDeprovision(now clock.Instant, ids []ident.MachineID, ok bool) {
-	d.deprovisionInFlight = false
+// AddDeprovision adds machines that are recorded to be deprovisioned.
+func (t *Tracker) AddDeprovision(ids ...ident.MachineID) {
+	for _, id := range ids {
+		if _, added := t.deprovisionRetryAt[id]; !added {
+			t.deprovisionRetryAt[id] = 0
+		}
+	}
+}
+
+// NextDeprovision returns the machines to deprovision now, sorted, at most
+// MaxDeprovisionCount. It returns none while a call is in flight.
+func (t *Tracker) NextDeprovision(now clock.Instant) []ident.MachineID {
+	if t.deprovisionInFlight {
+		return nil
+	}
+	var due []ident.MachineID
+	for id, retryAt := range t.deprovisionRetryAt {
+		if !now.Before(retryAt) {
+			due = append(due, id)
+		}
+	}
+	slices.Sort(due)
+	due = due[:min(len(due), MaxDeprovisionCount)]
+	t.deprovisionInFlight = len(due) > 0
+	return due
+}
+
+// FinishDeprovision notes that the machines were deprovisioned, or that they are to be
+// tried again.
+func (t *Tracker) FinishDeprovision(now clock.Instant, ids []ident.MachineID, ok bool) {
+	t.deprovisionInFlight = false
 	for _, id := range ids {
 		if ok {
-			delete(d.deprovisionRetryAt, id)
-		} else if _, there := d.deprovisionRetryAt[id]; there {
-			d.deprovisionRetryAt[id] = now.Add(deprovisionRetryDelay)
+			delete(t.deprovisionRetryAt, id)
+		} else if _, tracked := t.deprovisionRetryAt[id]; tracked {
+			t.deprovisionRetryAt[id] = now.Add(deprovisionRetryDelay)
 		}
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -114,7 +114,7 @@
 			m.Type, m.Zone, m.Spot, m.ProvisionedAt = in.Offer.Type, in.Offer.Zone, in.Offer.Spot, in.SentAt
 		}
 	}
-	t.core.log.Info("rental answered", "hire", in.Name, "verdict", int(in.Result), "machines", len(in.Machines), "epoch", t.epoch)
+	t.core.log.Info("provision request answered", "provision", in.Name, "result", in.Result.String(), "machines", len(in.Machines), "epoch", t.epoch)
 }
 
 func (t *term) deprovisionCompleted(now clock.Instant, in DeprovisionCompleted) {
@@ -137,16 +137,16 @@
 // that even an old list would show it.
 func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
 	lag := t.core.settings.Params.Cloud.ListLag()
-	machines, sent, whole := t.listing.AddPage(now, in.Page, max(lag, minListInterval))
-	if !whole {
+	list, complete := t.listing.AddPage(now, in.Page, max(lag, minListInterval))
+	if !complete {
 		return
 	}
 	t.machinesListed = true
 	seen := map[ident.MachineID]bool{}
-	for _, l := range machines {
+	for _, l := range list.Machines {
 		seen[l.ID] = true
 		if !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, sent, l)
+			t.observeListed(now, list.RequestedAt, l)
 		}
 	}
 	t.fleet.PruneRemoved(now, 10*lag+10*time.Minute)
@@ -154,7 +154,7 @@
 		if seen[m.ID] {
 			continue
 		}
-		gone := m.ListedAt != 0 && sent.Sub(m.ListedAt) > 2*lag+3*time.Second
+		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+3*time.Second
 		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+10*time.Second
 		if gone || never {
 			t.core.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
