--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -6,31 +6,31 @@
 	"badgerbay/internal/jobs"
 )
 
-// RequestKind of a request.
+// RequestKind tells what a user asks for.
 type RequestKind int
 
-// Kinds.
+// The kinds of requests.
 const (
 	Submit RequestKind = iota
 	QueryStatus
 	Cancel
 )
 
-// Input is what a request takes: one of the types below.
+// Input is an event that Request.Step handles: one of the types below.
 type Input interface{ input() }
 
-// Inputs.
 type (
 	// Begin starts the request.
 	Begin struct{}
-	// RecordCreated answers Create.
+	// RecordCreated is the outcome of CreateRecord.
 	RecordCreated struct{ Result CreateResult }
-	// RecordLoaded answers Load. Record is nil if the job was never accepted.
+	// RecordLoaded is the outcome of LoadRecord. OK is false if the record could not
+	// be read. Record is nil if the job was never accepted.
 	RecordLoaded struct {
 		OK     bool
 		Record *jobs.Record
 	}
-	// LeaderReplied answers AskLeader.
+	// LeaderReplied is the outcome of QueryLeader. Status is set for JobFound.
 	LeaderReplied struct {
 		Outcome QueryOutcome
 		Status  Status
@@ -42,41 +42,50 @@
 func (RecordLoaded) input()  {}
 func (LeaderReplied) input() {}
 
-// CreateResult is what became of the attempt to store a job.
+// CreateResult is the outcome of the transaction that creates a job's record.
 type CreateResult int
 
-// Results. Uncertain: it may have been stored, or may be later. Refused: it
-// was not, for want of budget or of the state service.
 const (
+	// Stored says that the record was created.
 	Stored CreateResult = iota
+	// AlreadyExists says that a record with this ID was there before.
 	AlreadyExists
+	// Rejected says that nothing was stored: the write budget was exhausted, or the
+	// key-value store refused.
 	Rejected
+	// Indeterminate says that the reply was lost: the transaction may have been
+	// executed, or may still be.
 	Indeterminate
 )
 
-// QueryOutcome of asking the leader.
+// QueryOutcome is how the leader answered a status query or a cancel request.
 type QueryOutcome int
 
-// Outcomes. Nothing was done in the last two.
 const (
+	// JobFound says that the reply holds the job's status.
 	JobFound QueryOutcome = iota
+	// JobNotFound says that the leader does not know the job. The record decides.
 	JobNotFound
+	// NoLeader says that no leader could be asked. Nothing was done.
 	NoLeader
+	// LeaderBusy says that the leader did not get to the request. Nothing was done.
 	LeaderBusy
 )
 
-// Action is what a request asks its server to do next.
+// Action is what the server must do next for a request: one of the types below.
 type Action interface{ action() }
 
-// Actions.
 type (
-	// CreateRecord stores the job if it does not exist.
+	// CreateRecord stores the job's record if no record with its ID exists. The
+	// server continues with RecordCreated.
 	CreateRecord struct{ Record *jobs.Record }
-	// LoadRecord reads the job's record.
+	// LoadRecord reads the job's record. The server continues with RecordLoaded.
 	LoadRecord struct{}
-	// QueryLeader polls or cancels the job at the leader.
+	// QueryLeader sends a status query or a cancel request to the leader. The server
+	// continues with LeaderReplied.
 	QueryLeader struct{ Cancel bool }
-	// Response ends the request.
+	// Response ends the request. Code is an HTTP status code; Status is sent with 200
+	// and 201. RetryAfter is zero unless the user should try again.
 	Response struct {
 		Code       int
 		Status     Status
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -1,9 +1,12 @@
-// Package api serves the users: it takes submissions, answers polls and
-// cancels jobs, on every node. Each request is a small state machine; the
-// server carries out what it asks for.
+// Package api holds the logic of the users' HTTP API, which every node serves:
+// submissions, status queries and cancel requests. It owns the wire format of the
+// requests and responses, the admission rules, and the state machine that takes one
+// request to its response. It does no I/O: package node receives the requests and
+// carries out what the state machine asks for.
 package api
 
 import (
+	"errors"
 	"math"
 	"net/http"
 	"time"
@@ -11,42 +14,49 @@
 	"badgerbay/internal/jobs"
 )
 
-type requestState int
+const (
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
+)
+
+// loadPurpose tells why the job's record is read, and so what it means if there
+// is none.
+type loadPurpose int
 
 const (
-	stateNew requestState = iota
-	stateCreating
-	stateVerifying // reading back after a create that found the job or is uncertain
-	stateQueryingLeader
-	stateReadingRecord
-	stateRejecting // reading before a refusal, in case the job is known
+	// answerFromRecord: the leader did not answer. Without a record there is no job.
+	answerFromRecord loadPurpose = iota
+	// verifyCreation: the record existed before, or may have been created.
+	verifyCreation
+	// confirmRejection: the submission can never run, unless it was accepted earlier.
+	confirmRejection
 )
 
-// Request is the state machine of one request.
+// Request is the state machine of one request. It is not safe for concurrent use.
 type Request struct {
 	kind          RequestKind
 	submission    *Submission
 	admission     *AdmissionRules
-	submittedAtMs int64 // time of day, ms
+	submittedAtMs int64 // Unix time in milliseconds
 	retryAfter    time.Duration
-	state         requestState
-	// uncertain is set when a create may have been executed.
-	uncertain     bool
-	rejectionCode int
+	loadPurpose   loadPurpose
 }
 
-// NewSubmitRequest returns the machine of a submission.
+// NewSubmitRequest returns the state machine of a submission that was received at
+// the Unix time wallMs, in milliseconds.
 func NewSubmitRequest(sub *Submission, rules *AdmissionRules, wallMs int64) *Request {
-	return &Request{kind: Submit, submission: sub, admission: rules, submittedAtMs: wallMs, retryAfter: time.Second}
+	return &Request{kind: Submit, submission: sub, admission: rules, submittedAtMs: wallMs, retryAfter: minRetryAfter}
 }
 
-// NewJobRequest returns the machine of a poll or a cancellation.
-func NewJobRequest(kind RequestKind) *Request { return &Request{kind: kind, retryAfter: time.Second} }
+// NewJobRequest returns the state machine of a status query or a cancel request.
+func NewJobRequest(kind RequestKind) *Request {
+	return &Request{kind: kind, retryAfter: minRetryAfter}
+}
 
-// SetRetryAfter sets when a user who is refused should come back.
-func (r *Request) SetRetryAfter(d time.Duration) { r.retryAfter = max(d, time.Second) }
+// SetRetryAfter sets the delay that a 503 asks the user for, at least a second.
+func (r *Request) SetRetryAfter(d time.Duration) { r.retryAfter = max(d, minRetryAfter) }
 
-// Step takes an input and returns the next action.
+// Step handles an input and returns the next action.
 func (r *Request) Step(in Input) Action {
 	switch in := in.(type) {
 	case Begin:
@@ -61,27 +71,20 @@
 	return r.unavailable()
 }
 
-func (r *Request) unavailable() Action {
-	return Response{Code: http.StatusServiceUnavailable, RetryAfter: r.retryAfter}
-}
-
 func (r *Request) begin() Action {
 	if r.kind != Submit {
-		r.state = stateQueryingLeader
 		return QueryLeader{Cancel: r.kind == Cancel}
 	}
-	switch code := r.admission.Check(&r.submission.Spec); code {
-	case 0:
-		r.state = stateCreating
+	err := r.admission.Check(&r.submission.Spec)
+	switch {
+	case err == nil:
 		return CreateRecord{Record: jobs.NewRecord(r.submission.Spec, r.submittedAtMs)}
-	case http.StatusUnprocessableEntity:
-		// A job that is known must never be refused, whatever has changed
-		// since it was accepted.
-		r.state, r.rejectionCode = stateRejecting, code
-		return LoadRecord{}
-	default:
-		return r.unavailable()
+	case errors.Is(err, ErrInfeasible):
+		// A job that was accepted is never rejected later, even if machine types
+		// or limits have changed since.
+		return r.loadRecord(confirmRejection)
 	}
+	return r.unavailable()
 }
 
 func (r *Request) recordCreated(in RecordCreated) Action {
@@ -89,29 +92,30 @@
 	case Stored:
 		return Response{Code: http.StatusCreated, Status: Status{State: Queued}}
 	case AlreadyExists, Indeterminate:
-		r.uncertain = in.Result == Indeterminate
-		r.state = stateVerifying
-		return LoadRecord{}
+		return r.loadRecord(verifyCreation)
 	}
 	return r.unavailable()
 }
 
 func (r *Request) recordLoaded(in RecordLoaded) Action {
-	if !in.OK {
+	switch {
+	case !in.OK:
 		return r.unavailable()
+	case in.Record == nil:
+		return r.recordMissing()
+	case r.kind == Cancel && !in.Record.Phase.Final():
+		return r.unavailable() // only the leader cancels
 	}
-	if in.Record != nil {
-		if r.kind == Cancel && !in.Record.Phase.Final() {
-			return r.unavailable() // only the leader cancels
-		}
-		return Response{Code: http.StatusOK, Status: StatusOfRecord(in.Record)}
-	}
-	switch r.state {
-	case stateRejecting:
-		return Response{Code: r.rejectionCode}
-	case stateVerifying:
-		// Not stored so far; a late execution would accept it, so the user
-		// must ask again rather than be refused.
+	return Response{Code: http.StatusOK, Status: StatusOfRecord(in.Record)}
+}
+
+func (r *Request) recordMissing() Action {
+	switch r.loadPurpose {
+	case confirmRejection:
+		return Response{Code: http.StatusUnprocessableEntity}
+	case verifyCreation:
+		// The transaction may still be executed and accept the job, so the user
+		// must retry: a rejection could turn out to be wrong.
 		return r.unavailable()
 	}
 	return Response{Code: http.StatusNotFound}
@@ -124,13 +128,23 @@
 	case LeaderBusy:
 		return r.unavailable()
 	}
-	// The leader does not know the job, or none can be asked: the record
-	// decides. Nothing is told before it is stored, so it is never too old.
-	r.state = stateReadingRecord
+	// The leader reports only what is stored, so the record is never older than
+	// anything that a user was told before.
+	return r.loadRecord(answerFromRecord)
+}
+
+func (r *Request) loadRecord(purpose loadPurpose) Action {
+	r.loadPurpose = purpose
 	return LoadRecord{}
 }
 
-// RetryAfterSeconds is the value of Retry-After for a duration.
+func (r *Request) unavailable() Action {
+	return Response{Code: http.StatusServiceUnavailable, RetryAfter: r.retryAfter}
+}
+
+// RetryAfterSeconds converts a delay to the value of the Retry-After header: whole
+// seconds, rounded up, between 1 and 30.
 func RetryAfterSeconds(d time.Duration) int {
-	return max(1, min(30, int(math.Ceil(d.Seconds()))))
+	d = min(max(d, minRetryAfter), maxRetryAfter)
+	return int(math.Ceil(d.Seconds()))
 }
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -6,50 +6,54 @@
 	"time"
 )
 
-// RetryPacer tells users who are refused for want of changes when to come back. In a
-// flood they are spread out: those who come back together are refused together.
-// It is safe for concurrent use.
-type RetryPacer struct {
-	mu            sync.Mutex
-	rng           *rand.Rand
-	rejectedShare float64 // of the last submissions, about, that were refused
-}
-
 const (
-	// rejectionWeight is the weight of the last submission.
+	// rejectionWeight is the weight of the latest submission in the moving average.
 	rejectionWeight = 0.05
-	// maxRetrySpread is over how long users are spread if nearly all are refused.
-	// It is short beside the minute for which they try.
+	// maxRetrySpread is the range over which retries are spread if nearly all
+	// submissions are rejected. It is short beside the minute for which users retry.
 	maxRetrySpread = 4 * time.Second
-	// overloadThreshold is the share from which it is of no use to ask other nodes.
+	// overloadThreshold is the rejected share from which it is of no use to forward
+	// submissions to several nodes.
 	overloadThreshold = 0.5
 )
 
-// NewRetryPacer returns the pace of a node that has refused nobody.
+// RetryPacer computes the retry delay of submissions that are rejected because the
+// write budget is exhausted. The more are rejected, the wider it spreads their
+// retries: those that come back together are rejected together. It is safe for
+// concurrent use.
+type RetryPacer struct {
+	mu            sync.Mutex
+	rng           *rand.Rand
+	rejectedShare float64 // moving average of the latest submissions
+}
+
+// NewRetryPacer returns a pacer that has seen no rejections. It takes over rng.
 func NewRetryPacer(rng *rand.Rand) *RetryPacer { return &RetryPacer{rng: rng} }
 
-// Accepted notes that a submission was stored.
-func (p *RetryPacer) Accepted() { p.observe(0) }
+// Accepted records that the write of a submission was within the budget.
+func (p *RetryPacer) Accepted() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.observe(0)
+}
 
-// Rejected notes that one was not, and tells how much later than the next change
-// its user should come back.
+// Rejected records that a submission was rejected. It returns the delay that the user
+// should wait beyond the time at which the budget allows the next write.
 func (p *RetryPacer) Rejected() time.Duration {
-	share := p.observe(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.rng.Float64() * share * float64(maxRetrySpread))
+	p.observe(1)
+	return time.Duration(p.rng.Float64() * p.rejectedShare * float64(maxRetrySpread))
 }
 
-// Overloaded tells whether most submissions are being refused.
+// Overloaded reports whether most submissions are being rejected.
 func (p *RetryPacer) Overloaded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rejectedShare > overloadThreshold
 }
 
-func (p *RetryPacer) observe(refused float64) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.rejectedShare += rejectionWeight * (refused - p.rejectedShare)
-	return p.rejectedShare
+// observe updates the moving average; the caller holds the lock.
+func (p *RetryPacer) observe(rejected float64) {
+	p.rejectedShare += rejectionWeight * (rejected - p.rejectedShare)
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -4,12 +4,12 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/wire"
 )
@@ -30,238 +30,202 @@
 	Spec jobs.Spec
 }
 
-// ErrMalformed says that a submission gets 400.
+// ErrMalformed is wrapped by all errors of DecodeSubmission.
 var ErrMalformed = errors.New("malformed submission")
 
-var priorityByName = map[string]jobs.Priority{
-	"prod": jobs.PriorityProd, "high": jobs.PriorityHigh,
-	"standard": jobs.PriorityStandard, "best_effort": jobs.PriorityBestEffort,
-}
-
-type submissionDecoder struct {
-	submission Submission
-	seen       map[string]bool
-}
-
-// DecodeSubmission reads a submission strictly: each field there, of its type,
-// sign, size and spelling.
+// DecodeSubmission decodes the MessagePack body of a submission. It is strict: every
+// required field must be present, and every known field must have the right type,
+// sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
 func DecodeSubmission(data []byte) (*Submission, error) {
-	p := &submissionDecoder{seen: map[string]bool{}}
-	rd := bytes.NewReader(data)
-	if err := wire.DecodeMap(msgpack.NewDecoder(rd), p.fields()); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+	submission := new(Submission)
+	if err := decodeFields(data, submissionFields(submission)); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if rd.Len() > 0 {
-		return nil, fmt.Errorf("%w: bytes after the map", ErrMalformed)
+	if submission.Spec.Service {
+		submission.Spec.EstimatedRunSeconds = 0 // a service runs until it is cancelled
 	}
-	for _, name := range requiredFields {
-		if !p.seen[name] {
-			return nil, fmt.Errorf("%w: %s is missing", ErrMalformed, name)
-		}
-	}
-	if s := &p.submission.Spec; s.Service {
-		s.EstimatedRunSeconds = 0
-	}
-	return &p.submission, nil
+	return submission, nil
 }
 
-var requiredFields = []string{"id", "ledgerClass", "desk", "shape", "rank", "entries", "cpus", "accelerators",
-	"memoryGb", "samePlace", "apart", "loaner", "bundle", "imageGb", "expectedS", "folioS", "bindS"}
-
+// fieldDecoder decodes the value of one field.
 type fieldDecoder = func(*msgpack.Decoder) error
 
-func (p *submissionDecoder) fields() map[string]fieldDecoder {
-	s := &p.submission.Spec
-	return map[string]fieldDecoder{
-		"id":           p.text("id", p.setID),
-		"ledgerClass":  p.text("ledgerClass", func(v string) error { s.Class = ident.Class(v); return nil }),
-		"desk":         p.text("desk", func(v string) error { s.Team = ident.Team(v); return nil }),
-		"shape":        p.text("shape", p.setKind),
-		"rank":         p.text("rank", p.setPriority),
-		"bundle":       p.text("bundle", func(v string) error { s.Image = ident.Image(v); return nil }),
-		"entries":      p.count(&s.Tasks),
-		"cpus":         p.amount("cpus", &s.CPUs, true),
-		"accelerators": p.amount("accelerators", &s.GPUs, false),
-		"memoryGb":     p.amount("memoryGb", &s.MemoryGB, false),
-		"imageGb":      p.amount("imageGb", &s.ImageGB, false),
-		"expectedS":    p.amount("expectedS", &s.EstimatedRunSeconds, false),
-		"folioS":       p.amount("folioS", &s.CheckpointIntervalSeconds, false),
-		"bindS":        p.amount("bindS", &s.CheckpointSeconds, false),
-		"dueS":         p.optional(p.amount("dueS", &s.DeadlineSeconds, false)),
-		"samePlace":    p.flag("samePlace", &s.ZoneAffinity),
-		"apart":        p.flag("apart", &s.ZoneSpread),
-		"loaner":       p.flag("loaner", &s.Spot),
-		"hall":         p.optional(p.text("hall", func(v string) error { s.Zone = ident.Zone(v); return nil })),
-		"frames":       p.optional(p.decodeMachineTypes),
+// field is one known field of a submission.
+type field struct {
+	name     string // on the wire
+	decode   fieldDecoder
+	optional bool // it may be left out, or null
+}
+
+// decodeFields decodes a map that is the whole of data.
+func decodeFields(data []byte, fields []field) error {
+	decoders := make(map[string]fieldDecoder, len(fields))
+	present := make(map[string]bool, len(fields))
+	for _, f := range fields {
+		decoders[f.name] = func(d *msgpack.Decoder) error {
+			if f.optional {
+				if isNil, err := wire.DecodeNil(d); isNil || err != nil {
+					return err
+				}
+			}
+			present[f.name] = true
+			return f.decode(d)
+		}
 	}
+	reader := bytes.NewReader(data)
+	if err := wire.DecodeMap(msgpack.NewDecoder(reader), decoders); err != nil {
+		return err
+	}
+	if reader.Len() > 0 {
+		return errors.New("trailing bytes after the map")
+	}
+	missing := slices.IndexFunc(fields, func(f field) bool { return !f.optional && !present[f.name] })
+	if missing >= 0 {
+		return fmt.Errorf("missing field %s", fields[missing].name)
+	}
+	return nil
 }
 
-func (p *submissionDecoder) setID(v string) error {
-	id, err := ident.ParseJobID(v)
-	p.submission.ID = id
-	return err
-}
-
-func (p *submissionDecoder) setKind(v string) error {
+// submissionFields maps the names on the wire to the fields of a submission.
+func submissionFields(to *Submission) []field {
+	spec := &to.Spec
+	return []field{
+		{name: "id", decode: text(func(v string) (err error) { to.ID, err = ident.ParseJobID(v); return err })},
+		{name: "ledgerClass", decode: name(&spec.Class)},
+		{name: "desk", decode: name(&spec.Team)},
+		{name: "shape", decode: text(func(v string) error { return setKind(spec, v) })},
+		{name: "rank", decode: text(func(v string) error { return setPriority(spec, v) })},
+		{name: "entries", decode: taskCount(&spec.Tasks)},
+		{name: "cpus", decode: positiveAmount(&spec.CPUs)},
+		{name: "accelerators", decode: amount(&spec.GPUs)},
+		{name: "memoryGb", decode: amount(&spec.MemoryGB)},
+		{name: "samePlace", decode: flag(&spec.ZoneAffinity)},
+		{name: "apart", decode: flag(&spec.ZoneSpread)},
+		{name: "loaner", decode: flag(&spec.Spot)},
+		{name: "bundle", decode: name(&spec.Image)},
+		{name: "imageGb", decode: amount(&spec.ImageGB)},
+		{name: "expectedS", decode: amount(&spec.EstimatedRunSeconds)},
+		{name: "folioS", decode: amount(&spec.CheckpointIntervalSeconds)},
+		{name: "bindS", decode: amount(&spec.CheckpointSeconds)},
+		{name: "dueS", decode: amount(&spec.DeadlineSeconds), optional: true},
+		{name: "hall", decode: name(&spec.Zone), optional: true},
+		{name: "frames", decode: machineTypes(spec), optional: true},
+	}
+}
+
+func setKind(spec *jobs.Spec, v string) error {
 	switch v {
 	case "batch":
 	case "service":
-		p.submission.Spec.Service = true
+		spec.Service = true
 	case "group":
-		p.submission.Spec.Gang = true
+		spec.Gang = true
 	default:
-		return fmt.Errorf("%.32q is no shape", v)
+		return fmt.Errorf("%.32q is not a shape", v)
 	}
 	return nil
 }
 
-func (p *submissionDecoder) setPriority(v string) error {
-	rank, ok := priorityByName[v]
-	if !ok {
-		return fmt.Errorf("%.32q is no rank", v)
-	}
-	p.submission.Spec.Priority = rank
-	return nil
+var priorityByName = map[string]jobs.Priority{
+	"prod":        jobs.PriorityProd,
+	"high":        jobs.PriorityHigh,
+	"standard":    jobs.PriorityStandard,
+	"best_effort": jobs.PriorityBestEffort,
 }
 
-func (p *submissionDecoder) decodeMachineTypes(d *msgpack.Decoder) error {
-	n, err := d.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	if n < 1 || n > maxMachineTypes {
-		return fmt.Errorf("list of %d", n)
-	}
-	for range n {
-		v, err := wire.DecodeString(d)
-		if err != nil || v == "" || len(v) > maxNameBytes {
-			return errors.New("not a list of names")
-		}
-		p.submission.Spec.MachineTypes = append(p.submission.Spec.MachineTypes, ident.MachineType(v))
+func setPriority(spec *jobs.Spec, v string) error {
+	priority, ok := priorityByName[v]
+	if !ok {
+		return fmt.Errorf("%.32q is not a rank", v)
 	}
+	spec.Priority = priority
 	return nil
 }
 
-// optional lets a field be null, which is the same as leaving it out.
-func (p *submissionDecoder) optional(read fieldDecoder) fieldDecoder {
+func machineTypes(spec *jobs.Spec) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
-		if null, err := wire.DecodeNil(d); null || err != nil {
+		n, err := d.DecodeArrayLen()
+		if err != nil {
 			return err
 		}
-		return read(d)
+		if n < 1 || n > maxMachineTypes {
+			return fmt.Errorf("list of %d, want 1 to %d", n, maxMachineTypes)
+		}
+		for range n {
+			v, err := wire.DecodeString(d)
+			if err != nil || v == "" || len(v) > maxNameBytes {
+				return errors.New("not a list of names")
+			}
+			spec.MachineTypes = append(spec.MachineTypes, ident.MachineType(v))
+		}
+		return nil
 	}
 }
 
-func (p *submissionDecoder) text(name string, set func(string) error) fieldDecoder {
+// text decodes a string that is not empty and has no control characters.
+func text(set func(string) error) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeString(d)
 		if err != nil {
 			return err
 		}
-		if v == "" || len(v) > maxNameBytes || strings.ContainsFunc(v, func(r rune) bool { return r < ' ' }) {
+		if v == "" || len(v) > maxNameBytes || strings.ContainsFunc(v, isControl) {
 			return errors.New("empty, too long, or with control characters")
 		}
-		p.seen[name] = true
 		return set(v)
 	}
 }
 
-func (p *submissionDecoder) amount(name string, to *float64, positive bool) fieldDecoder {
+func isControl(r rune) bool { return r < ' ' }
+
+func name[T ~string](to *T) fieldDecoder {
+	return text(func(v string) error { *to = T(v); return nil })
+}
+
+func amount(to *float64) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
 		if err != nil {
 			return err
 		}
-		if v > maxAmount || positive && v == 0 {
+		if v > maxAmount {
 			return fmt.Errorf("%v is out of range", v)
 		}
-		p.seen[name] = true
 		*to = v
 		return nil
 	}
 }
 
-func (p *submissionDecoder) count(to *int) fieldDecoder {
+func positiveAmount(to *float64) fieldDecoder {
+	decode := amount(to)
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.DecodeCount(d)
-		if err != nil {
+		if err := decode(d); err != nil {
 			return err
 		}
-		if v < 1 || v > maxTasks {
-			return fmt.Errorf("%d is not between 1 and %d", v, maxTasks)
+		if *to == 0 {
+			return errors.New("0 is out of range")
 		}
-		p.seen["entries"] = true
-		*to = int(v)
 		return nil
 	}
 }
 
-func (p *submissionDecoder) flag(name string, to *bool) fieldDecoder {
+func taskCount(to *int) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
-		v, err := wire.DecodeBool(d)
+		v, err := wire.DecodeCount(d)
 		if err != nil {
 			return err
 		}
-		p.seen[name] = true
-		*to = v
+		if v < 1 || v > maxTasks {
+			return fmt.Errorf("%d is not between 1 and %d", v, maxTasks)
+		}
+		*to = int(v)
 		return nil
 	}
 }
 
-// JobState is the state of a job as its user sees it.
-type JobState string
-
-// Standings.
-const (
-	Queued    JobState = "queued"
-	Running   JobState = "running"
-	Done      JobState = "done"
-	Cancelled JobState = "cancelled"
-)
-
-// Status is what a poll answers.
-type Status struct {
-	State                   JobState
-	DoneTasks, RunningTasks int
-}
-
-type statusMessage struct {
-	ID           ident.JobID `msgpack:"id"`
-	State        JobState    `msgpack:"standing"`
-	DoneTasks    *int        `msgpack:"done,omitempty"`
-	RunningTasks *int        `msgpack:"running,omitempty"`
-}
-
-// StatusOfJob is the state of a job by its working copy. A phase counts only once
-// it is stored.
-func StatusOfJob(j *jobs.Job) Status {
-	return newStatus(j.StoredPhase, j.Done.Len(), j.RunningTasks())
-}
-
-// StatusOfRecord is the state of a job by its record.
-func StatusOfRecord(r *jobs.Record) Status {
-	if o := r.ChunkInfo; o != nil {
-		return newStatus(r.Phase, o.DoneTasks, o.LiveTasks)
-	}
-	return newStatus(r.Phase, r.Done.Len(), r.LiveTasks())
-}
-
-func newStatus(phase jobs.Phase, done, running int) Status {
-	s := Status{State: Queued, DoneTasks: done, RunningTasks: running}
-	switch {
-	case phase == jobs.PhaseDone:
-		s.State, s.RunningTasks = Done, 0
-	case phase == jobs.PhaseCancelled:
-		s.State, s.RunningTasks = Cancelled, 0
-	case running > 0:
-		s.State = Running
+func flag(to *bool) fieldDecoder {
+	return func(d *msgpack.Decoder) (err error) {
+		*to, err = wire.DecodeBool(d)
+		return err
 	}
-	return s
-}
-
-// EncodeStatus makes the body of a 200 or 201.
-func EncodeStatus(id ident.JobID, s Status) ([]byte, error) {
-	w := statusMessage{ID: id, State: s.State}
-	w.DoneTasks, w.RunningTasks = &s.DoneTasks, &s.RunningTasks
-	return msgpack.Marshal(w)
 }
--- /dev/null
+++ b/internal/api/submission_test.go
@@ -0,0 +1,77 @@
+package api
+
+import (
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+func submissionBody(change map[string]any) []byte {
+	m := map[string]any{"id": "wk-000412", "ledgerClass": "train", "desk": "red", "shape": "batch", "rank": "high",
+		"entries": 16, "cpus": 2.0, "accelerators": 0.0, "memoryGb": 4.0, "bundle": "img-07", "imageGb": 6.2,
+		"frames": []string{"m"}, "hall": nil, "samePlace": true, "apart": false, "loaner": true,
+		"expectedS": 240.0, "folioS": 30.0, "bindS": 4.0, "dueS": 900.0}
+	for k, v := range change {
+		if v == "absent" {
+			delete(m, k)
+		} else {
+			m[k] = v
+		}
+	}
+	data, err := msgpack.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	return data
+}
+
+func TestDecodeSubmission(t *testing.T) {
+	for name, change := range map[string]map[string]any{
+		"plain": {}, "unknown field": {"novel": []any{1, map[string]any{"a": nil}}}, "whole amounts": {"cpus": 2, "dueS": nil},
+		"optional fields left out": {"frames": "absent", "hall": "absent", "dueS": "absent"}, "zero": {"folioS": 0, "bindS": 0.0},
+	} {
+		if _, err := DecodeSubmission(submissionBody(change)); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	for name, change := range map[string]map[string]any{
+		"no id": {"id": "absent"}, "null id": {"id": nil}, "id of another form": {"id": "job-1"}, "id a number": {"id": 412},
+		"no tasks": {"entries": 0}, "negative tasks": {"entries": -1}, "too many tasks": {"entries": 100_001},
+		"tasks a decimal": {"entries": 2.5}, "tasks a text": {"entries": "16"}, "no cpus": {"cpus": 0.0},
+		"negative memory": {"memoryGb": -1.0}, "cpus a text": {"cpus": "2"}, "unknown rank": {"rank": "urgent"},
+		"rank misspelt": {"rank": "Prod"}, "unknown shape": {"shape": "array"}, "flag a number": {"samePlace": 1},
+		"flag missing": {"apart": "absent"}, "null flag": {"loaner": nil}, "no types": {"frames": []string{}},
+		"types a text": {"frames": "m"}, "types of numbers": {"frames": []any{1}}, "empty zone": {"hall": ""},
+		"binary text": {"bundle": []byte("img")}, "nested too deep": {"novel": nestedLists(40)},
+	} {
+		if s, err := DecodeSubmission(submissionBody(change)); err == nil {
+			t.Errorf("%s: taken as %+v", name, s)
+		}
+	}
+	for name, data := range map[string][]byte{"empty": {}, "no map": {0x93, 1, 2, 3}, "text": []byte("hello"),
+		"cut off": submissionBody(nil)[:40], "more after it": append(submissionBody(nil), 0xc0), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
+		"huge list": {0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
+		if _, err := DecodeSubmission(data); err == nil {
+			t.Errorf("%s: taken", name)
+		}
+	}
+}
+
+func nestedLists(n int) any {
+	var v any = 1
+	for range n {
+		v = []any{v}
+	}
+	return v
+}
+
+func FuzzDecodeSubmission(f *testing.F) {
+	f.Add(submissionBody(nil))
+	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
+	f.Add([]byte{0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if s, err := DecodeSubmission(data); err == nil && (s.Spec.Tasks < 1 || s.Spec.CPUs <= 0 || s.ID == "") {
+			t.Errorf("impossible submission taken: %+v", s)
+		}
+	})
+}
