--- a/internal/peer/clients.go
+++ b/internal/peer/clients.go
@@ -1,4 +1,8 @@
-// Package peer carries what the controller nodes say to one another over gRPC.
+// Package peer is the protocol that the controller nodes speak with one another: gRPC
+// calls, and batches of heartbeats and cancel requests that travel in a call or in a
+// value of the key-value store. It owns the clients, the server set-up and the
+// messages; the generated code is in meshpb. What a call means is left to package
+// node, and who is relayed and when to package relay.
 package peer
 
 import (
@@ -10,8 +14,6 @@
 	"syscall"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
@@ -23,42 +25,62 @@
 
 const (
 	maxMessageBytes = 256 << 10
-	bufferBytes     = 8 << 10
-	callTimeout     = 600 * time.Millisecond
+	bufferBytes     = 8 << 10 // of each connection, each way
+
+	// callTimeout bounds a call that is answered from memory, storeCallTimeout one for
+	// which the peer waits for its leader loop or the key-value store.
+	callTimeout      = 600 * time.Millisecond
+	storeCallTimeout = 2 * callTimeout
+
+	minConnectTimeout = time.Second
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
 )
 
-// Clients are the connections to the other nodes.
+var reconnectBackoff = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}
+
+// ErrUnknownPeer says that the settings name no such node.
+var ErrUnknownPeer = errors.New("unknown peer")
+
+// Clients are the gRPC clients of the other nodes, by node name. They are safe for
+// concurrent use. Errors of their calls wrap gRPC's status errors, or ErrUnknownPeer.
 type Clients struct {
 	connections       map[string]*grpc.ClientConn
 	names             []string
-	connectionRefused map[string]*atomic.Bool // the last connection was refused
+	connectionRefused map[string]*atomic.Bool // the last connection attempt was
 }
 
-// Dial prepares connections to the peers; they are made when first used.
+// Dial returns clients for the peers. Connections are made when first used.
 func Dial(peers []config.Peer) (*Clients, error) {
-	p := &Clients{connections: map[string]*grpc.ClientConn{}, connectionRefused: map[string]*atomic.Bool{}}
-	for _, peer := range peers {
+	c := &Clients{connections: map[string]*grpc.ClientConn{}, connectionRefused: map[string]*atomic.Bool{}}
+	for _, p := range peers {
 		refused := new(atomic.Bool)
-		p.connectionRefused[peer.NodeName] = refused
-		conn, err := grpc.NewClient("passthrough:///"+peer.Addr,
-			grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(),
-			grpc.WithContextDialer(newDialer(refused)),
-			grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
-			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
-			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
-				Backoff: backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}}))
+		conn, err := newConnection(p.Addr, refused)
 		if err != nil {
-			p.Close()
-			return nil, fmt.Errorf("peer %s: %w", peer.NodeName, err)
+			c.Close()
+			return nil, fmt.Errorf("connecting to peer %s: %w", p.NodeName, err)
 		}
-		p.connections[peer.NodeName] = conn
-		p.names = append(p.names, peer.NodeName)
+		c.connections[p.NodeName] = conn
+		c.connectionRefused[p.NodeName] = refused
+		c.names = append(c.names, p.NodeName)
 	}
-	return p, nil
+	return c, nil
 }
 
-// newDialer connects, and notes whether the connection was refused.
+func newConnection(addr string, refused *atomic.Bool) (*grpc.ClientConn, error) {
+	return grpc.NewClient("passthrough:///"+addr,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithNoProxy(),
+		grpc.WithContextDialer(newDialer(refused)),
+		grpc.WithReadBufferSize(bufferBytes),
+		grpc.WithWriteBufferSize(bufferBytes),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: minConnectTimeout, Backoff: reconnectBackoff}),
+	)
+}
+
+// newDialer returns a dialer that records whether its last attempt was refused.
 func newDialer(refused *atomic.Bool) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp4", addr)
@@ -67,109 +89,66 @@
 	}
 }
 
-// ConnectionRefused tells whether the last attempt to connect to the peer was refused.
-// Something answers there then: a packet filter between the nodes, or a machine
-// whose process is down. A network that is cut says nothing.
-func (p *Clients) ConnectionRefused(name string) bool {
-	r := p.connectionRefused[name]
-	return r != nil && r.Load()
+// ConnectionRefused reports whether the last attempt to connect to the peer was
+// refused. Then something answered: a packet filter between the nodes, or a machine
+// whose process is down. In a network partition nothing answers.
+func (c *Clients) ConnectionRefused(name string) bool {
+	refused := c.connectionRefused[name]
+	return refused != nil && refused.Load()
 }
 
-// Close ends all connections.
-func (p *Clients) Close() {
-	for _, c := range p.connections {
-		c.Close()
+// Close closes all connections.
+func (c *Clients) Close() {
+	for _, conn := range c.connections {
+		_ = conn.Close() // it fails only if it is closed already
 	}
 }
 
-// Names lists the peers.
-func (p *Clients) Names() []string { return p.names }
+// Names lists the peers in the order of the settings. The caller must not change it.
+func (c *Clients) Names() []string { return c.names }
 
-func (p *Clients) client(name string) (meshpb.MeshClient, error) {
-	conn := p.connections[name]
-	if conn == nil {
-		return nil, fmt.Errorf("no peer %q", name)
-	}
-	return meshpb.NewMeshClient(conn), nil
+// QueryJob sends a status query or a cancel request to the peer.
+func (c *Clients) QueryJob(ctx context.Context, name string, req *meshpb.AskRequest, timeout time.Duration) (*meshpb.AskReply, error) {
+	return call(ctx, c, name, timeout, req, meshpb.MeshClient.Ask)
 }
 
-// QueryJob polls or cancels a job at the peer.
-func (p *Clients) QueryJob(ctx context.Context, name string, req *meshpb.AskRequest, timeout time.Duration) (*meshpb.AskReply, error) {
-	c, err := p.client(name)
-	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	return c.Ask(ctx, req)
+// NotifyJobChanged tells the peer that a job was stored.
+func (c *Clients) NotifyJobChanged(ctx context.Context, name, job string) error {
+	_, err := call(ctx, c, name, callTimeout, &meshpb.NoticeRequest{Job: job}, meshpb.MeshClient.Notice)
+	return err
 }
 
-// NotifyJobChanged tells the peer of a job.
-func (p *Clients) NotifyJobChanged(ctx context.Context, name, job string) error {
-	c, err := p.client(name)
-	if err != nil {
-		return err
-	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, err = c.Notice(ctx, &meshpb.NoticeRequest{Job: job})
-	return err
+// ForwardSubmission sends the body of a user's submission to the peer, which stores
+// the job if it can.
+func (c *Clients) ForwardSubmission(ctx context.Context, name string, submission []byte) (*meshpb.AcceptReply, error) {
+	return call(ctx, c, name, storeCallTimeout, &meshpb.AcceptRequest{Submission: submission}, meshpb.MeshClient.Accept)
 }
 
-// ForwardSubmission hands a submission to the peer.
-func (p *Clients) ForwardSubmission(ctx context.Context, name string, submission []byte) (*meshpb.AcceptReply, error) {
-	c, err := p.client(name)
-	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
-	defer cancel()
-	return c.Accept(ctx, &meshpb.AcceptRequest{Submission: submission})
+// RelayBatch sends an encoded Batch to the peer and returns the encoded BatchReply.
+func (c *Clients) RelayBatch(ctx context.Context, name string, batch []byte) ([]byte, error) {
+	reply, err := call(ctx, c, name, storeCallTimeout, &meshpb.RelayRequest{Batch: batch}, meshpb.MeshClient.Relay)
+	return reply.GetAnswers(), err
 }
 
-// RelayBatch hands a batch of reports to the peer.
-func (p *Clients) RelayBatch(ctx context.Context, name string, batch []byte) ([]byte, error) {
-	c, err := p.client(name)
-	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
-	defer cancel()
-	reply, err := c.Relay(ctx, &meshpb.RelayRequest{Batch: batch})
-	if err != nil {
-		return nil, err
-	}
-	return reply.Answers, nil
+// Health asks the peer what it can reach.
+func (c *Clients) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
+	return call(ctx, c, name, callTimeout, &meshpb.HealthRequest{}, meshpb.MeshClient.Health)
 }
 
-// Health asks what the peer can reach.
-func (p *Clients) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
-	c, err := p.client(name)
-	if err != nil {
-		return nil, err
+// method is a method of the gRPC client.
+type method[Request, Reply any] func(meshpb.MeshClient, context.Context, *Request, ...grpc.CallOption) (*Reply, error)
+
+// call calls a method of the peer. The reply is nil if there is an error.
+func call[Request, Reply any](ctx context.Context, c *Clients, name string, timeout time.Duration, req *Request, invoke method[Request, Reply]) (*Reply, error) {
+	conn := c.connections[name]
+	if conn == nil {
+		return nil, fmt.Errorf("%w: %q", ErrUnknownPeer, name)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.Health(ctx, &meshpb.HealthRequest{})
-}
-
-// MachineIDsFit tells whether the names of machines fit into one message, beside what
-// else it holds.
-func MachineIDsFit(names []ident.MachineID) bool {
-	const head = 3 // of a text of up to 64 KiB
-	size := 0
-	for _, name := range names {
-		size += len(name) + head
+	reply, err := invoke(meshpb.NewMeshClient(conn), ctx, req)
+	if err != nil {
+		return nil, fmt.Errorf("calling peer %s: %w", name, err)
 	}
-	return size <= maxMessageBytes/2
-}
-
-// Serve answers peers on the listener until it is closed, up to calls of each at
-// the same time.
-func Serve(l net.Listener, impl meshpb.MeshServer, calls int) error {
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ReadBufferSize(bufferBytes), grpc.WriteBufferSize(bufferBytes),
-		grpc.MaxConcurrentStreams(uint32(calls)), grpc.ConnectionTimeout(5*time.Second),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
-	meshpb.RegisterMeshServer(s, impl)
-	return s.Serve(l)
+	return reply, nil
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"testing"
 	"time"
@@ -25,7 +26,7 @@
 }
 
 // roundTrip reads a gRPC message of the production version, and checks that it is
-// written again byte by byte, without fields that are not known here.
+// written again byte by byte, without unknown fields.
 func roundTrip[M proto.Message](t *testing.T, name string, m M) M {
 	t.Helper()
 	data := readProduction(t, name)
@@ -85,8 +86,8 @@
 }
 
 // TestCallsFromPreviousVersion: the gRPC messages of the production version are read
-// and answered, and what this version sends is the same but for the form, which
-// that version passes over.
+// and answered, and what this version sends is the same but for the schema version,
+// which that version skips.
 func TestCallsFromPreviousVersion(t *testing.T) {
 	req := roundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
 	q, err := DecodeBatch(req.Batch)
@@ -100,12 +101,13 @@
 	}
 	said, err := a.Delegation.Unpack()
 	if err != nil || said.Epoch != 77 || said.GrantDuration <= 0 || a.Delegation.SchemaVersion != 0 {
-		t.Errorf("grant %+v of form %d, %v", said, a.Delegation.SchemaVersion, err)
+		t.Errorf("grant %+v of schema version %d, %v", said, a.Delegation.SchemaVersion, err)
 	}
-	if again, err := msgpack.Marshal(a); err != nil || !bytes.Equal(again, reply.Answers) {
+	again, err := msgpack.Marshal(a)
+	if err != nil || !bytes.Equal(again, reply.Answers) {
 		t.Errorf("the grant is not written as it was read: %v", err)
 	}
-	// The production version knows these fields of a grant, and passes over others.
+	// The production version knows these fields of a grant, and skips others.
 	var old struct {
 		Delegation struct {
 			Epoch  uint64 `msgpack:"e"`
@@ -128,22 +130,23 @@
 	roundTrip(t, "health-reply.pb", &meshpb.HealthReply{})
 }
 
-// TestMessagesFromLaterVersions: what a later version adds is passed over, and what
-// makes no sense is refused.
+// TestMessagesFromLaterVersions: what a later version adds is skipped, and what is
+// malformed is refused.
 func TestMessagesFromLaterVersions(t *testing.T) {
 	data, err := msgpack.Marshal(map[string]any{"id": "x", "n": "n1", "f": 99, "new": []any{1, "two"}, "v": true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := DecodeBatch(data); err != nil || b.Node != "n1" || !b.WantsDelegation {
+	b, err := DecodeBatch(data)
+	if err != nil || b.Node != "n1" || !b.WantsDelegation {
 		t.Errorf("%+v, %v", b, err)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x93, 1, 2}, {0x81, 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
-		if _, err := DecodeBatch(bad); err == nil {
-			t.Errorf("%x was read as a batch", bad)
+		if _, err := DecodeBatch(bad); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%x as a batch: %v, want %v", bad, err, ErrMalformed)
 		}
-		if _, err := DecompressReply(bad); err == nil {
-			t.Errorf("%x was read as answers", bad)
+		if _, err := DecompressReply(bad); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%x as a reply: %v, want %v", bad, err, ErrMalformed)
 		}
 	}
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -10,9 +10,6 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
@@ -20,6 +17,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/peer/meshpb"
 	"badgerbay/internal/quota"
@@ -117,8 +116,9 @@
 		if err != nil || len(data) == 0 {
 			t.Fatalf("%s: no golden bytes: %v", tt.name, err)
 		}
-		if got, err := tt.encode(tt.message); err != nil || !bytes.Equal(got, data) {
-			t.Errorf("%s: encoded as %x, %v", tt.name, got, err)
+		encoded, err := tt.encode(tt.message)
+		if err != nil || !bytes.Equal(encoded, data) {
+			t.Errorf("%s: encoded as %x, %v", tt.name, encoded, err)
 		}
 		got, err := tt.decode(data)
 		if err != nil {
--- /dev/null
+++ b/internal/peer/heartbeat.go
@@ -0,0 +1,173 @@
+package peer
+
+import (
+	"fmt"
+	"time"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
+	"badgerbay/internal/wire"
+)
+
+const (
+	// maxTasksPerHeartbeat bounds the tasks of one heartbeat, and the commands of its
+	// reply: groups name far more tasks than the bytes of a message could list.
+	maxTasksPerHeartbeat = 10_000
+	// maxTaskIndexes bounds the task indexes of a job.
+	maxTaskIndexes = 1 << 20
+)
+
+// Heartbeat is the compact form of a fleet.Heartbeat: its tasks are in groups.
+type Heartbeat struct {
+	Machine      ident.MachineID    `msgpack:"m" json:"m"`
+	Addr         string             `msgpack:"a" json:"a"`
+	Type         ident.MachineType  `msgpack:"t" json:"t"`
+	Zone         ident.Zone         `msgpack:"z" json:"z"`
+	Spot         bool               `msgpack:"s,omitempty" json:"s,omitempty"`
+	Session      ident.Session      `msgpack:"h" json:"h"`
+	HeartbeatSeq ident.HeartbeatSeq `msgpack:"y" json:"y"`
+	FencingToken ident.Epoch        `msgpack:"e" json:"e"`
+	// SpotNoticeSeconds is the time until the cloud interrupts the machine; nil means
+	// that it has given no notice.
+	SpotNoticeSeconds *float64                    `msgpack:"n,omitempty" json:"n,omitempty"`
+	TaskGroups        wire.BoundedList[TaskGroup] `msgpack:"g,omitempty" json:"g,omitempty"`
+}
+
+// TaskGroup is a set of tasks that have everything but their index in common.
+type TaskGroup struct {
+	Job     ident.JobID     `msgpack:"j" json:"j"`
+	Attempt ident.Attempt   `msgpack:"a" json:"a"`
+	State   fleet.TaskState `msgpack:"s" json:"s"`
+	Cause   fleet.ExitCause `msgpack:"c,omitempty" json:"c,omitempty"`
+	Stored  bool            `msgpack:"d,omitempty" json:"d,omitempty"` // the checkpoint is
+	Indexes indexset.Set    `msgpack:"i" json:"i"`
+}
+
+// HeartbeatReply is the leader's reply to a heartbeat. Code is an HTTP status code.
+type HeartbeatReply struct {
+	Machine  ident.MachineID                `msgpack:"m" json:"m"`
+	Code     int                            `msgpack:"c" json:"c"`
+	Epoch    ident.Epoch                    `msgpack:"e" json:"e"`
+	Commands wire.BoundedList[CommandGroup] `msgpack:"o,omitempty" json:"o,omitempty"`
+}
+
+// CommandGroup is the same command for tasks of one job and attempt.
+type CommandGroup struct {
+	Kind               fleet.CommandKind `msgpack:"v" json:"v"`
+	Job                ident.JobID       `msgpack:"j" json:"j"`
+	Attempt            ident.Attempt     `msgpack:"a" json:"a"`
+	GracePeriodSeconds float64           `msgpack:"l,omitempty" json:"l,omitempty"`
+	Indexes            indexset.Set      `msgpack:"i" json:"i"`
+}
+
+// taskGroupKey is what the tasks of a group have in common.
+type taskGroupKey struct {
+	job     ident.JobID
+	attempt ident.Attempt
+	state   fleet.TaskState
+	cause   fleet.ExitCause
+	stored  bool
+}
+
+// PackHeartbeat returns the compact form of a heartbeat.
+func PackHeartbeat(hb *fleet.Heartbeat) Heartbeat {
+	packed := Heartbeat{
+		Machine: hb.Machine, Addr: hb.Addr, Type: hb.Type, Zone: hb.Zone, Spot: hb.Spot,
+		Session: hb.Session, HeartbeatSeq: hb.HeartbeatSeq, FencingToken: hb.FencingToken,
+	}
+	if hb.InterruptionNoticed {
+		seconds := hb.InterruptionIn.Seconds()
+		packed.SpotNoticeSeconds = &seconds
+	}
+	positions := map[taskGroupKey]int{}
+	for _, task := range hb.Tasks {
+		key := taskGroupKey{task.Task.Job, task.Attempt, task.State, task.Cause, task.CheckpointStored}
+		i, ok := positions[key]
+		if !ok {
+			i = len(packed.TaskGroups)
+			positions[key] = i
+			packed.TaskGroups = append(packed.TaskGroups, TaskGroup{
+				Job: key.job, Attempt: key.attempt, State: key.state, Cause: key.cause, Stored: key.stored,
+			})
+		}
+		packed.TaskGroups[i].Indexes.Add(task.Task.Index)
+	}
+	return packed
+}
+
+// Unpack undoes PackHeartbeat. Errors wrap ErrMalformed.
+func (h *Heartbeat) Unpack() (*fleet.Heartbeat, error) {
+	if h.Machine == "" || h.Session == 0 {
+		return nil, fmt.Errorf("%w: heartbeat without machine or session", ErrMalformed)
+	}
+	hb := &fleet.Heartbeat{
+		Machine: h.Machine, Addr: h.Addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
+		Session: h.Session, HeartbeatSeq: h.HeartbeatSeq, FencingToken: h.FencingToken,
+	}
+	if h.SpotNoticeSeconds != nil {
+		hb.InterruptionNoticed = true
+		hb.InterruptionIn = clock.Seconds(*h.SpotNoticeSeconds)
+	}
+	for _, group := range h.TaskGroups {
+		if !canExpand(group.Indexes, len(hb.Tasks)) {
+			return nil, fmt.Errorf("%w: heartbeat with invalid or too many tasks", ErrMalformed)
+		}
+		for _, task := range taskIDs(group.Job, group.Indexes) {
+			hb.Tasks = append(hb.Tasks, fleet.TaskStatus{
+				Task: task, Attempt: group.Attempt, State: group.State, Cause: group.Cause, CheckpointStored: group.Stored,
+			})
+		}
+	}
+	return hb, nil
+}
+
+// PackCommands returns the compact form of commands. Only neighbors are grouped: the
+// commands keep their order.
+func PackCommands(commands []fleet.Command) []CommandGroup {
+	var groups []CommandGroup
+	for _, c := range commands {
+		group := CommandGroup{Kind: c.Kind, Job: c.Task.Job, Attempt: c.Attempt, GracePeriodSeconds: c.GracePeriod.Seconds()}
+		if len(groups) == 0 || !groups[len(groups)-1].sameCommand(group) {
+			groups = append(groups, group)
+		}
+		groups[len(groups)-1].Indexes.Add(c.Task.Index)
+	}
+	return groups
+}
+
+// sameCommand reports whether two groups differ at most in their indexes.
+func (g CommandGroup) sameCommand(other CommandGroup) bool {
+	return g.Kind == other.Kind && g.Job == other.Job && g.Attempt == other.Attempt && g.GracePeriodSeconds == other.GracePeriodSeconds
+}
+
+// UnpackCommands undoes PackCommands. Groups that are invalid or too large are left out.
+func (r *HeartbeatReply) UnpackCommands() []fleet.Command {
+	var commands []fleet.Command
+	for _, group := range r.Commands {
+		if !canExpand(group.Indexes, len(commands)) {
+			continue
+		}
+		gracePeriod := time.Duration(group.GracePeriodSeconds * float64(time.Second))
+		for _, task := range taskIDs(group.Job, group.Indexes) {
+			commands = append(commands, fleet.Command{Kind: group.Kind, Task: task, Attempt: group.Attempt, GracePeriod: gracePeriod})
+		}
+	}
+	return commands
+}
+
+// canExpand reports whether a set from another node is valid, and small enough beside
+// the tasks that were expanded before it.
+func canExpand(indexes indexset.Set, expanded int) bool {
+	return indexes.Valid(maxTaskIndexes) && expanded+indexes.Len() <= maxTasksPerHeartbeat
+}
+
+func taskIDs(job ident.JobID, indexes indexset.Set) []ident.TaskID {
+	ids := make([]ident.TaskID, 0, indexes.Len())
+	indexes.Each(func(i ident.TaskIndex) bool {
+		ids = append(ids, ident.TaskID{Job: job, Index: i})
+		return true
+	})
+	return ids
+}
