--- a/internal/relay/attestation.go
+++ b/internal/relay/attestation.go
@@ -4,12 +4,14 @@
 	"time"
 
 	"badgerbay/internal/clock"
-
 	"badgerbay/internal/peer"
 )
 
-// AnsweredBatches holds, for each node, the last batch that was answered through the state
-// service, and when the answers left.
+// maxIdleMs bounds the idle time that a node may attest: some decades.
+const maxIdleMs = 1 << 40
+
+// AnsweredBatches holds, by node, the last batch that the leader answered through the
+// key-value store.
 type AnsweredBatches map[string]answeredBatch
 
 type answeredBatch struct {
@@ -17,24 +19,24 @@
 	answeredAt clock.Instant
 }
 
-// Record takes in that the answers to a node's batch leave.
-func (a AnsweredBatches) Record(node, id string, at clock.Instant) { a[node] = answeredBatch{id, at} }
+// Record notes that the reply to a node's batch is sent at the given time.
+func (a AnsweredBatches) Record(node, batchID string, at clock.Instant) {
+	a[node] = answeredBatch{id: batchID, answeredAt: at}
+}
 
-// Attestation is what a node says of the workers that it keeps by a grant.
+// Attestation is a node's word on how it used its lease delegation: when it said so,
+// some time after Since, it had renewed no lease for the time IdleFor.
 type Attestation struct {
-	Since   clock.Instant // it said so after this
+	Since   clock.Instant
 	IdleFor time.Duration
 }
 
-// maxIdleMs bounds what a node may say of its quiet time: some decades.
-const maxIdleMs = 1 << 40
-
-// Attestation returns what a node that is out of reach over the mesh says of its grant.
-// It said so after it had seen the answers that it names, so that counts from when
-// these left; a batch itself may be long on its way.
+// Attestation returns what the sender of a batch attests, if it acknowledges the last
+// reply. The node measured its idle time after it had received that reply, so its word
+// counts from when the reply was sent; the batch itself may have been delayed for long.
 func (a AnsweredBatches) Attestation(b *peer.Batch) (Attestation, bool) {
 	last := a[b.Node]
-	if b.AckedBatchID == "" || last.id != b.AckedBatchID || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
+	if b.AckedBatchID == "" || b.AckedBatchID != last.id || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
 		return Attestation{}, false
 	}
 	return Attestation{Since: last.answeredAt, IdleFor: time.Duration(b.IdleMs) * time.Millisecond}, true
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -6,15 +6,14 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/clock"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/peer"
 )
 
@@ -22,7 +21,7 @@
 // service stay as other versions write and read them.
 func TestGoldenBatch(t *testing.T) {
 	now := clock.Instant(time.Hour)
-	reports := []*fleet.Heartbeat{
+	heartbeats := []*fleet.Heartbeat{
 		{Machine: "host-000001", Addr: "10.1.0.2:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 88, FencingToken: 41, Tasks: []fleet.TaskStatus{
 			{Task: ident.TaskID{Job: "wk-000412", Index: 0}, Attempt: 7, State: "running"},
 			{Task: ident.TaskID{Job: "wk-000412", Index: 1}, Attempt: 7, State: "running"},
@@ -31,7 +30,7 @@
 			InterruptionNoticed: true, InterruptionIn: 12500 * time.Millisecond, Tasks: []fleet.TaskStatus{
 				{Task: ident.TaskID{Job: "wk-000412", Index: 2}, Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true}}},
 	}
-	queue := []PendingRequest{NewHeartbeatRequest(reports[0], now.Add(time.Second)), NewHeartbeatRequest(reports[1], now.Add(time.Second)), NewCancelRequest("wk-000398", now.Add(time.Second))}
+	queue := []PendingRequest{NewHeartbeatRequest(heartbeats[0], now.Add(time.Second)), NewHeartbeatRequest(heartbeats[1], now.Add(time.Second)), NewCancelRequest("wk-000398", now.Add(time.Second))}
 	header := BatchHeader{ID: "k3v9-17", Node: "n0", AckedBatchID: "k3v9-16", IdleFor: 2500 * time.Millisecond}
 	batch, err := NewBatch(now, header, queue, MaxBatchBytes(8192))
 	if err != nil {
@@ -40,19 +39,19 @@
 	if want := goldenValue(t, "batch.txt"); string(batch.Value) != want {
 		t.Errorf("batch %s, want %s", batch.Value, want)
 	}
-	got, err := peer.DecompressBatch(encoded(t, goldenValue(t, "batch.txt")))
+	got, err := peer.DecompressBatch(encodeValue(t, goldenValue(t, "batch.txt")))
 	if err != nil || got.ID != header.ID || got.Node != header.Node || got.AckedBatchID != header.AckedBatchID || got.IdleMs != 2500 || got.SchemaVersion != 3 {
 		t.Fatalf("batch read as %+v, %v", got, err)
 	}
 	if diff := cmp.Diff([]peer.CancelRequest{{Job: "wk-000398"}}, []peer.CancelRequest(got.CancelRequests)); diff != "" {
 		t.Error(diff)
 	}
-	for i, r := range reports {
-		report, err := got.Heartbeats[i].Unpack()
+	for i, r := range heartbeats {
+		heartbeat, err := got.Heartbeats[i].Unpack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(r, report); diff != "" {
+		if diff := cmp.Diff(r, heartbeat); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -79,7 +78,7 @@
 	if string(value) != want {
 		t.Errorf("answers %s, want %s", value, want)
 	}
-	got, err := peer.DecompressReply(encoded(t, want))
+	got, err := peer.DecompressReply(encodeValue(t, want))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,8 +97,8 @@
 	return strings.TrimSuffix(string(data), "\n")
 }
 
-// encoded is a value as the state service returns it.
-func encoded(t *testing.T, value string) []byte {
+// encodeValue returns a value as the state service returns it.
+func encodeValue(t *testing.T, value string) []byte {
 	t.Helper()
 	data, err := msgpack.Marshal(value)
 	if err != nil {
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -1,7 +1,8 @@
-// Package relay carries reports of workers that can't reach the leader, and what
-// users ask there, from the node that they can reach to the leader: over the mesh,
-// or in batches through the state service when the mesh is cut. It decides who is
-// relayed and what goes into a batch; it does no I/O.
+// Package relay brings heartbeats and cancel requests to a leader that their senders
+// can't reach, through a node that they can: over gRPC or, in a network partition, in
+// batches through the key-value store. It owns the decision which workers are relayed,
+// what goes into a batch, and to whom its replies belong. It does no I/O, which is left
+// to package node; the messages are those of package peer.
 package relay
 
 import (
@@ -13,19 +14,18 @@
 )
 
 const (
-	// redirectFailureWindow: a worker that comes back so soon after it was sent to the
-	// leader could not reach it, and is relayed.
+	// redirectFailureWindow: a worker that comes back so soon after it was redirected
+	// to the leader could not reach it, and is relayed.
 	redirectFailureWindow = 20 * time.Second
-	// relayPeriod is how long a worker is relayed before it is sent to the leader
-	// once more.
+	// relayPeriod is how long a worker is relayed before it is redirected once more.
 	relayPeriod = 45 * time.Second
 	// maxTrackedWorkers bounds the workers that are remembered.
 	maxTrackedWorkers = 10_000
 )
 
-// Router decides which workers are sent to the leader, and which of them are
-// relayed because they could not reach it. It may be used by many requests at once;
-// the zero value is ready for use.
+// Router decides which workers are redirected to the leader, and which are relayed
+// because they could not reach it. It is safe for concurrent use; the zero value is
+// ready for use.
 type Router struct {
 	mu     sync.Mutex
 	routes map[ident.MachineID]*route
@@ -33,42 +33,42 @@
 
 type route struct {
 	leader       string
-	redirectedAt clock.Instant // to the leader
-	relayedSince clock.Instant // relayed since; 0: not
-	peerFailed   bool          // the leader could not be reached over the mesh either
+	redirectedAt clock.Instant
+	relayedSince clock.Instant // 0: not relayed
+	peerFailed   bool          // this node could not reach the leader over gRPC either
 }
 
-// ShouldRedirect tells whether a worker should be sent to the leader rather than be
-// relayed. meshWorks tells whether the leader is reached over the mesh.
-func (r *Router) ShouldRedirect(now clock.Instant, id ident.MachineID, leader string, meshWorks func() bool) bool {
+// ShouldRedirect reports whether a worker should be redirected to the leader rather
+// than be relayed. peerReachable tells whether this node reaches the leader over gRPC.
+func (r *Router) ShouldRedirect(now clock.Instant, id ident.MachineID, leader string, peerReachable func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routes == nil || len(r.routes) > maxTrackedWorkers {
 		r.routes = map[ident.MachineID]*route{}
 	}
-	w := r.routes[id]
+	known := r.routes[id]
 	switch {
-	case w == nil, w.leader != leader:
-		// Where the last leader was out of reach, the next may not be.
+	case known == nil, known.leader != leader:
+		// Where the previous leader was out of reach, this one may not be.
 		r.routes[id] = &route{leader: leader, redirectedAt: now}
 		return true
-	case w.relayedSince != 0:
-		if now.Sub(w.relayedSince) < relayPeriod || w.peerFailed && !meshWorks() {
+	case known.relayedSince != 0:
+		if now.Sub(known.relayedSince) < relayPeriod || known.peerFailed && !peerReachable() {
 			return false
 		}
-	case now.Sub(w.redirectedAt) < redirectFailureWindow:
-		w.relayedSince = now
+	case now.Sub(known.redirectedAt) < redirectFailureWindow:
+		known.relayedSince = now
 		return false
 	}
-	w.redirectedAt, w.relayedSince, w.peerFailed = now, 0, false
+	*known = route{leader: leader, redirectedAt: now}
 	return true
 }
 
-// RecordPeerFailure notes that a worker's report did not reach the leader over the mesh.
+// RecordPeerFailure notes that a worker's heartbeat did not reach the leader over gRPC.
 func (r *Router) RecordPeerFailure(id ident.MachineID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.routes[id]; w != nil {
-		w.peerFailed = true
+	if known := r.routes[id]; known != nil {
+		known.peerFailed = true
 	}
 }
