--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,5 +1,7 @@
-// Package connlimit keeps the connections of a listener within their number. It
-// never lets one wait for a place: a connection is taken in, or closed at once.
+// Package connlimit bounds the open connections of a listener. A connection never waits
+// for a place: it is admitted, where necessary by evicting one that has been idle for
+// long, or closed at once. The package owns the accounting of connections by kind of
+// client; to tell the kind from a request is left to the caller.
 package connlimit
 
 import (
@@ -9,10 +11,10 @@
 	"badgerbay/internal/clock"
 )
 
-// ClientKind says who uses a connection, as its last request tells.
+// ClientKind tells who uses a connection, by its last request.
 type ClientKind int
 
-// Kinds. A connection that has made no request is Unidentified.
+// The kinds of clients. A connection is Unidentified until its first request.
 const (
 	Unidentified ClientKind = iota
 	User
@@ -20,60 +22,60 @@
 	kindCount
 )
 
-// Limits bound the connections. Parts of All bind only under pressure.
+// Limits bound the connections of a listener.
 type Limits struct {
 	MaxConnections int
-	// IdleTimeout is how long a connection whose owner is known may send nothing
-	// before it is closed to make room for another.
+	// IdleTimeout is how long a connection of a user or worker must be idle before it
+	// may be evicted.
 	IdleTimeout time.Duration
 }
 
 const (
-	// pressureThreshold is the part of all connections from which the parts of users and
-	// workers bind: what is kept beyond them is closed after its next answer.
+	// pressureThreshold is the share of MaxConnections from which the shares of users
+	// and workers bind: a connection beyond them is closed after its next response.
 	pressureThreshold = 0.9
-	// workerShare and usersPart leave a rest to those that have just come.
+	// workerShare and userShare leave a rest to connections without a request so far.
 	workerShare = 0.75
 	userShare   = 0.15
 	// firstRequestTimeout is how long a connection may be open without a request
-	// before it makes room for another.
+	// before it may be evicted.
 	firstRequestTimeout = time.Second
 )
 
-// Entry is an open connection as the limiter knows it.
+// Entry is the limiter's record of an open connection.
 type Entry struct {
 	kind        ClientKind
-	idleSince   clock.Instant // it waits for the next request since
-	idleElement *list.Element // nil: a request is being served, or it is gone
-	closeConn   func()        // closes the connection
+	idleSince   clock.Instant
+	idleElement *list.Element // in the idle list of its kind; nil during a request
+	closeConn   func()
 	removed     bool
 }
 
-// Limiter is the state of a limited listener: which connections are open, and
-// which of them has waited longest. It is pure; time comes in with every call.
+// Limiter decides which connections are admitted, kept and evicted. It does no I/O and
+// reads no clock. It is not safe for concurrent use.
 type Limiter struct {
 	limits      Limits
 	openCount   int
 	countByKind [kindCount]int
-	idleByKind  [kindCount]*list.List // of *Conn, the longest first
-	// Evicted and Refused count connections closed to make room, and those for
-	// which there was none.
+	idleByKind  [kindCount]*list.List // of *Entry, the longest idle first
+	// Evicted counts connections closed to make room, Rejected those for which there
+	// was no room.
 	Evicted, Rejected int
 }
 
 // NewLimiter returns a limiter without connections.
 func NewLimiter(limits Limits) *Limiter {
 	l := &Limiter{limits: limits}
-	for k := range l.idleByKind {
-		l.idleByKind[k] = list.New()
+	for kind := range l.idleByKind {
+		l.idleByKind[kind] = list.New()
 	}
 	return l
 }
 
-// Admit takes in a new connection, which end closes, if there is room. To make
-// some, it returns another that has to be closed. Unidentified ones that say
-// nothing go first: a flood of them must not push out workers.
-func (l *Limiter) Admit(now clock.Instant, end func()) (conn, evict *Entry) {
+// Admit registers a new connection, which closeConn closes. If there is no room it
+// makes some by removing the entry evict, whose connection the caller must close. If
+// none can be evicted, it returns nil and the caller must close the new connection.
+func (l *Limiter) Admit(now clock.Instant, closeConn func()) (entry, evict *Entry) {
 	if l.openCount >= l.limits.MaxConnections {
 		if evict = l.evictionCandidate(now); evict == nil {
 			l.Rejected++
@@ -82,79 +84,93 @@
 		l.Evicted++
 		l.Remove(evict)
 	}
-	conn = &Entry{closeConn: end}
+	entry = &Entry{closeConn: closeConn}
 	l.openCount++
 	l.countByKind[Unidentified]++
-	l.markIdle(now, conn)
-	return conn, evict
+	l.markIdle(now, entry)
+	return entry, evict
 }
 
-// evictionCandidate is the connection that is missed least, or nil.
+// evictionCandidate returns the connection to evict, or nil if none has been idle for
+// long enough. Unidentified ones go first: a flood of them must not push out workers.
 func (l *Limiter) evictionCandidate(now clock.Instant) *Entry {
-	for _, k := range []ClientKind{Unidentified, Worker, User} {
+	for _, kind := range []ClientKind{Unidentified, Worker, User} {
 		timeout := l.limits.IdleTimeout
-		if k == Unidentified {
+		if kind == Unidentified {
 			timeout = firstRequestTimeout
 		}
-		if e := l.idleByKind[k].Front(); e != nil && now.Sub(e.Value.(*Entry).idleSince) >= timeout {
-			return e.Value.(*Entry)
+		if entry := l.longestIdle(kind); entry != nil && now.Sub(entry.idleSince) >= timeout {
+			return entry
 		}
 	}
 	return nil
 }
 
-func (l *Limiter) markIdle(now clock.Instant, conn *Entry) {
-	conn.idleSince = now
-	conn.idleElement = l.idleByKind[conn.kind].PushBack(conn)
+func (l *Limiter) longestIdle(kind ClientKind) *Entry {
+	front := l.idleByKind[kind].Front()
+	if front == nil {
+		return nil
+	}
+	return front.Value.(*Entry)
+}
+
+func (l *Limiter) markIdle(now clock.Instant, entry *Entry) {
+	entry.idleSince = now
+	entry.idleElement = l.idleByKind[entry.kind].PushBack(entry)
 }
 
-func (l *Limiter) clearIdle(conn *Entry) {
-	if conn.idleElement != nil {
-		l.idleByKind[conn.kind].Remove(conn.idleElement)
-		conn.idleElement = nil
+func (l *Limiter) clearIdle(entry *Entry) {
+	if entry.idleElement != nil {
+		l.idleByKind[entry.kind].Remove(entry.idleElement)
+		entry.idleElement = nil
 	}
 }
 
-// BeginRequest notes a request on a connection, and tells whether the connection may
-// be kept after the answer.
-func (l *Limiter) BeginRequest(conn *Entry, k ClientKind) (keep bool) {
-	if conn.removed {
-		return false // it was evicted as its request came
+// BeginRequest notes the start of a request, and reports whether the connection may be
+// kept after the response.
+func (l *Limiter) BeginRequest(entry *Entry, kind ClientKind) (keep bool) {
+	if entry.removed {
+		return false // evicted just as its request came
 	}
-	l.clearIdle(conn)
-	l.countByKind[conn.kind]--
-	conn.kind = k
-	l.countByKind[k]++
-	if float64(l.openCount) <= pressureThreshold*float64(l.limits.MaxConnections) {
+	l.clearIdle(entry)
+	l.countByKind[entry.kind]--
+	entry.kind = kind
+	l.countByKind[kind]++
+	if !l.exceeds(l.openCount, pressureThreshold) {
 		return true
 	}
-	part := workerShare
-	if k == User {
-		part = userShare
+	share := workerShare
+	if kind == User {
+		share = userShare
 	}
-	return float64(l.countByKind[k]) <= part*float64(l.limits.MaxConnections)
+	return !l.exceeds(l.countByKind[kind], share)
+}
+
+// exceeds reports whether a count is beyond a share of MaxConnections.
+func (l *Limiter) exceeds(count int, share float64) bool {
+	return float64(count) > share*float64(l.limits.MaxConnections)
 }
 
 // EndRequest notes that the request was answered.
-func (l *Limiter) EndRequest(now clock.Instant, conn *Entry) {
-	if !conn.removed && conn.idleElement == nil {
-		l.markIdle(now, conn)
+func (l *Limiter) EndRequest(now clock.Instant, entry *Entry) {
+	if !entry.removed && entry.idleElement == nil {
+		l.markIdle(now, entry)
 	}
 }
 
-// Remove notes that a connection is closed. It may be called again.
-func (l *Limiter) Remove(conn *Entry) {
-	if conn.removed {
+// Remove notes that a connection is closed. Calls after the first have no effect.
+func (l *Limiter) Remove(entry *Entry) {
+	if entry.removed {
 		return
 	}
-	l.clearIdle(conn)
+	l.clearIdle(entry)
 	l.openCount--
-	l.countByKind[conn.kind]--
-	conn.removed = true
+	l.countByKind[entry.kind]--
+	entry.removed = true
 }
 
-// OpenCount counts the connections.
+// OpenCount returns the number of connections.
 func (l *Limiter) OpenCount() int { return l.openCount }
 
-// Count counts the connections of a kind.
-func (l *Limiter) Count(k ClientKind) int { return l.countByKind[k] }
+// Count returns the number of connections of a kind.
+func (l *Limiter) Count(kind ClientKind) int { return l.countByKind[kind] }
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -9,7 +9,8 @@
 	"badgerbay/internal/clock"
 )
 
-// Listener is a listener that keeps its connections within a limit.
+// Listener is a net.Listener whose connections a Limiter bounds. The HTTP server on it
+// must use ConnContext and Handler. It is safe for concurrent use.
 type Listener struct {
 	net.Listener
 	now     func() clock.Instant
@@ -17,7 +18,7 @@
 	limiter *Limiter
 }
 
-// NewListener limits the connections of a listener.
+// NewListener bounds the connections of a listener.
 func NewListener(listener net.Listener, limits Limits, now func() clock.Instant) *Listener {
 	return &Listener{Listener: listener, now: now, limiter: NewLimiter(limits)}
 }
@@ -31,73 +32,94 @@
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.listener.mu.Lock()
-	c.listener.limiter.Remove(c.entry)
-	c.listener.mu.Unlock()
+	c.listener.remove(c.entry)
 	return c.Conn.Close()
 }
 
-// Accept implements net.Listener. A connection that finds no room is closed at
-// once, so that its owner need not wait to find out.
+// Accept implements net.Listener. A connection that is not admitted is closed at once,
+// so that its client need not wait to find out.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		l.mu.Lock()
-		v, evict := l.limiter.Admit(l.now(), func() { c.Close() })
-		l.mu.Unlock()
-		if evict != nil {
-			evict.closeConn()
+		if entry := l.admit(conn); entry != nil {
+			return &limitedConn{Conn: conn, listener: l, entry: entry}, nil
 		}
-		if v == nil {
-			c.Close()
-			continue
-		}
-		return &limitedConn{Conn: c, listener: l, entry: v}, nil
+		conn.Close()
+	}
+}
+
+// admit returns nil if there is no room for the connection.
+func (l *Listener) admit(conn net.Conn) *Entry {
+	l.mu.Lock()
+	entry, evict := l.limiter.Admit(l.now(), func() { conn.Close() })
+	l.mu.Unlock()
+	if evict != nil {
+		evict.closeConn()
 	}
+	return entry
+}
+
+func (l *Listener) remove(entry *Entry) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limiter.Remove(entry)
+}
+
+func (l *Listener) beginRequest(entry *Entry, kind ClientKind) (keep bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limiter.BeginRequest(entry, kind)
+}
+
+func (l *Listener) endRequest(entry *Entry) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limiter.EndRequest(l.now(), entry)
 }
 
 type entryContextKey struct{}
 
-// ConnContext is the ConnContext of the server on the listener.
-func (l *Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
-	if v, ok := c.(*limitedConn); ok {
-		return context.WithValue(ctx, entryContextKey{}, v.entry)
+// ConnContext is the ConnContext of the http.Server on the listener.
+func (*Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
+	if limited, ok := c.(*limitedConn); ok {
+		return context.WithValue(ctx, entryContextKey{}, limited.entry)
 	}
 	return ctx
 }
 
-// Handler notes the requests that kind tells the users of, and has connections
-// closed after the answer that are more than their part.
-func (l *Listener) Handler(kind func(*http.Request) ClientKind, next http.Handler) http.Handler {
+// Handler wraps the handler of the http.Server on the listener. It records who uses each
+// connection, as told by kindOf, and closes connections beyond the share of their kind
+// after the response.
+func (l *Listener) Handler(kindOf func(*http.Request) ClientKind, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		v, ok := r.Context().Value(entryContextKey{}).(*Entry)
+		entry, ok := r.Context().Value(entryContextKey{}).(*Entry)
 		if !ok {
 			next.ServeHTTP(w, r)
 			return
 		}
-		l.mu.Lock()
-		keep := l.limiter.BeginRequest(v, kind(r))
-		l.mu.Unlock()
-		if !keep {
+		if keep := l.beginRequest(entry, kindOf(r)); !keep {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
-		l.mu.Lock()
-		l.limiter.EndRequest(l.now(), v)
-		l.mu.Unlock()
+		l.endRequest(entry)
 	})
 }
 
-// Stats are the figures of a limited listener.
+// Stats are counts of connections: the open ones, and those closed since the start.
 type Stats struct{ Open, Users, Workers, Evicted, Rejected int }
 
-// Stats returns the present figures.
+// Stats returns the present counts.
 func (l *Listener) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limiter := l.limiter
-	return Stats{Open: limiter.openCount, Users: limiter.countByKind[User], Workers: limiter.countByKind[Worker], Evicted: limiter.Evicted, Rejected: limiter.Rejected}
+	return Stats{
+		Open:     l.limiter.OpenCount(),
+		Users:    l.limiter.Count(User),
+		Workers:  l.limiter.Count(Worker),
+		Evicted:  l.limiter.Evicted,
+		Rejected: l.limiter.Rejected,
+	}
 }
