--- a/internal/indexset/indexset.go
+++ b/internal/indexset/indexset.go
@@ -8,9 +8,9 @@
 	"math"
 	"sort"
 
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/ident"
 )
 
 // Span is the run of task indexes from First to Last, both included. It is
--- a/internal/indexset/indexset_test.go
+++ b/internal/indexset/indexset_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
+
+	"badgerbay/internal/ident"
 )
 
 // TestRangesAgainstSet compares Ranges with a plain set under random changes.
--- a/internal/jobs/chunks.go
+++ b/internal/jobs/chunks.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/wire"
 )
 
--- a/internal/jobs/chunks_test.go
+++ b/internal/jobs/chunks_test.go
@@ -8,13 +8,12 @@
 	"os"
 	"testing"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 )
 
 // jsonLen measures a value as the state service does: in JSON.
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"testing"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 )
 
 //go:embed testdata/golden/records.json
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -4,11 +4,10 @@
 	"errors"
 	"fmt"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/wire"
 )
 
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 )
 
 func TestRecordRoundTrip(t *testing.T) {
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -7,7 +7,6 @@
 	"math"
 
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/wire"
 )
 
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -7,63 +7,11 @@
 	"badgerbay/internal/clock"
 )
 
-// TokenBucket is a token bucket. It is pure: time comes in with every call.
-type TokenBucket struct {
-	rate, burst, tokens float64
-	lastRefill          clock.Instant
-}
-
-// NewTokenBucket returns a full bucket that gains rate tokens a second and holds
-// at most size.
-func NewTokenBucket(rate, size float64) *TokenBucket {
-	return &TokenBucket{rate: rate, burst: size, tokens: size}
-}
-
-func (b *TokenBucket) refill(now clock.Instant) {
-	if b.lastRefill.Before(now) {
-		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.lastRefill).Seconds())
-		b.lastRefill = now
-	}
-}
-
-// Take takes n tokens if at least floor remain after it.
-func (b *TokenBucket) Take(now clock.Instant, n, floor float64) bool {
-	b.refill(now)
-	if b.tokens < n+floor {
-		return false
-	}
-	b.tokens -= n
-	return true
-}
-
-// Delay tells how long until n tokens above floor will be there.
-func (b *TokenBucket) Delay(now clock.Instant, n, floor float64) time.Duration {
-	b.refill(now)
-	missing := min(n+floor, b.burst) - b.tokens
-	if missing <= 0 {
-		return 0
-	}
-	return time.Duration(missing / b.rate * float64(time.Second))
-}
-
-// Available is the number of tokens at now.
-func (b *TokenBucket) Available(now clock.Instant) float64 {
-	b.refill(now)
-	return b.tokens
-}
-
-// SetLimit gives the bucket another rate and size, keeping what it holds.
-func (b *TokenBucket) SetLimit(now clock.Instant, rate, size float64) {
-	b.refill(now)
-	b.rate, b.burst = rate, size
-	b.tokens = min(b.tokens, size)
-}
-
-// Purpose says what a change is for. Each use leaves a part of the bucket to the
-// uses before it, so that folds never starve submissions or rounds.
+// Purpose says what a write is for. Each purpose leaves a part of the budget to those before
+// it, so that folds never starve submissions or rounds.
 type Purpose int
 
-// The uses of the write budget, most urgent first.
+// The purposes of writes, most urgent first.
 const (
 	PurposeLeadership Purpose = iota
 	PurposeSubmission
@@ -72,62 +20,71 @@
 	PurposeFold
 )
 
-// leaderShare is the part of the write rate that belongs to the leader's
-// node; the other nodes share the rest equally, for the submissions they take.
-const leaderShare = 0.6
-
-// usableFraction is the part of a limit that the shares hand out: the service's
-// bucket and ours never tick alike.
-const usableFraction = 0.9
+const (
+	// leaderShare is the part of the limits that belongs to the leader's node; the other
+	// nodes share the rest equally, for the submissions they take.
+	leaderShare = 0.6
+	// usableFraction is the part of a limit that the shares hand out: the service's
+	// bucket and ours never tick alike.
+	usableFraction = 0.9
+	// foldReserveDivisor is by what a full write bucket is divided for the part that folds
+	// leave to others.
+	foldReserveDivisor = 3
+)
 
-// Budget is this node's share of the limits of the state service. It is safe
+// Budget is this node's share of the rate limits of the state service. It is safe
 // for concurrent use.
 type Budget struct {
 	mu               sync.Mutex
 	nodes            int
-	requestRate      float64
-	writeRate        float64
+	requestRate      float64 // a second, of all nodes
+	writeRate        float64 // a second, of all nodes
 	writes, requests *TokenBucket
-	// roundStarved: rounds were left without a change by submissions. These wait
+	// roundStarved: submissions left no write to a round. They and urgent folds wait
 	// until one is through, so that neither starves the other.
 	roundStarved bool
 }
 
-// NewBudget returns the budget of a follower among nodes.
-func NewBudget(nodes int, requestsPerS, writesPerS float64) *Budget {
-	b := &Budget{nodes: max(1, nodes), requestRate: requestsPerS * usableFraction, writeRate: writesPerS * usableFraction}
-	w, r := b.shares(false)
-	b.writes = NewTokenBucket(w, max(1, w))
-	b.requests = NewTokenBucket(r, max(1, r))
+// NewBudget returns the budget of a follower among so many nodes, at a service with limits on
+// requests and on writes a second.
+func NewBudget(nodes int, requestsPerSecond, writesPerSecond float64) *Budget {
+	b := &Budget{nodes: max(1, nodes), requestRate: requestsPerSecond * usableFraction, writeRate: writesPerSecond * usableFraction}
+	share := b.shareOf(false)
+	b.writes = NewTokenBucket(b.writeRate*share, burstAt(b.writeRate*share))
+	b.requests = NewTokenBucket(b.requestRate*share, burstAt(b.requestRate*share))
 	return b
 }
 
-func (b *Budget) shares(leads bool) (writes, requests float64) {
-	if b.nodes == 1 {
-		return b.writeRate, b.requestRate
-	}
-	part := leaderShare
-	if !leads {
-		part = (1 - leaderShare) / float64(b.nodes-1)
+// burstAt is the size of a bucket that gains rate tokens a second: a second's worth, and one
+// token at least.
+func burstAt(rate float64) float64 { return max(1, rate) }
+
+func (b *Budget) shareOf(leader bool) float64 {
+	switch {
+	case b.nodes == 1:
+		return 1
+	case leader:
+		return leaderShare
 	}
-	return b.writeRate * part, b.requestRate * part
+	return (1 - leaderShare) / float64(b.nodes-1)
 }
 
-// SetLeader sets the share for a node that leads, or stops leading.
-func (b *Budget) SetLeader(now clock.Instant, leads bool) {
+// SetLeader sets the share of a node that becomes the leader, or ceases to be.
+func (b *Budget) SetLeader(now clock.Instant, leader bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, r := b.shares(leads)
-	b.writes.SetLimit(now, w, max(1, w))
-	b.requests.SetLimit(now, r, max(1, r))
+	share := b.shareOf(leader)
+	b.writes.SetLimit(now, b.writeRate*share, burstAt(b.writeRate*share))
+	b.requests.SetLimit(now, b.requestRate*share, burstAt(b.requestRate*share))
 }
 
-func (b *Budget) reserveFor(use Purpose) float64 {
-	switch use {
+// reserveFor is how many writes must be left after one for the purpose.
+func (b *Budget) reserveFor(purpose Purpose) float64 {
+	switch purpose {
 	case PurposeLeadership:
 		return -1 // may overdraw by one: leadership must not starve
 	case PurposeSubmission:
-		// In a flood of submissions, which took every change as it came, no
+		// In a flood of submissions, which took every write as it came, no
 		// round was written for 20 s.
 		if b.roundStarved {
 			return 1 + b.submissionReserve()
@@ -143,26 +100,26 @@
 		}
 		return b.submissionReserve()
 	default:
-		return b.writes.burst / 3
+		return b.writes.burst / foldReserveDivisor
 	}
 }
 
 // submissionReserve is what rounds and urgent folds leave to a submission that comes now:
-// a leader whose rounds took the last change refused a fifth of them.
+// a leader whose rounds took the last write refused a fifth of them.
 func (b *Budget) submissionReserve() float64 { return min(1, b.writes.burst/4) }
 
-// TakeWrites takes n changes for the use.
-func (b *Budget) TakeWrites(now clock.Instant, use Purpose, n int) bool {
+// TakeWrites takes n writes for the purpose, and tells whether it did.
+func (b *Budget) TakeWrites(now clock.Instant, purpose Purpose, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok := b.writes.Take(now, float64(n), b.reserveFor(use))
-	if use == PurposeRound {
+	ok := b.writes.Take(now, float64(n), b.reserveFor(purpose))
+	if purpose == PurposeRound {
 		b.roundStarved = !ok
 	}
 	return ok
 }
 
-// ForceTakeWrites takes n changes that are made whether or not they are there, so that
+// ForceTakeWrites takes n writes that are made whether or not they are there, so that
 // later ones wait for them: those of a record that takes several values.
 func (b *Budget) ForceTakeWrites(now clock.Instant, n int) {
 	b.mu.Lock()
@@ -170,25 +127,25 @@
 	b.writes.Take(now, float64(n), -float64(n))
 }
 
-// AvailableWrites tells how many changes the use may make now.
-func (b *Budget) AvailableWrites(now clock.Instant, use Purpose) int {
+// AvailableWrites is how many writes for the purpose may be made now.
+func (b *Budget) AvailableWrites(now clock.Instant, purpose Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := max(0, int(b.writes.Available(now)-b.reserveFor(use)))
-	if use == PurposeRound && n == 0 {
+	n := max(0, int(b.writes.Available(now)-b.reserveFor(purpose)))
+	if purpose == PurposeRound && n == 0 {
 		b.roundStarved = true
 	}
 	return n
 }
 
-// WriteDelay tells how long until a change for the use may be made.
-func (b *Budget) WriteDelay(now clock.Instant, use Purpose) time.Duration {
+// WriteDelay is how long until a write for the purpose may be made.
+func (b *Budget) WriteDelay(now clock.Instant, purpose Purpose) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.writes.Delay(now, 1, b.reserveFor(use))
+	return b.writes.Delay(now, 1, b.reserveFor(purpose))
 }
 
-// TakeRequest takes one request.
+// TakeRequest takes one request, and tells whether it did.
 func (b *Budget) TakeRequest(now clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,141 +1,50 @@
-// Package kvstore speaks to the state service: a small consistent
-// key-value store with transactions and leases, and the only place where the
-// controllers keep anything.
+// Package kvstore is the client of the state service: a small consistent key-value store with
+// compare-and-swap transactions, leases and watches, the only place where the controllers keep
+// anything. It owns the requests and their errors, the sizes as the service counts them, and
+// the division of the service's rate limits among the nodes. What the keys mean, and what to do
+// about a lost answer, is left to the callers.
 package kvstore
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net/http"
 	"net/url"
-	"reflect"
 	"strconv"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/wire"
 )
 
-// Errors of the state service. ErrUncertain means that the request may have
-// been executed, or may still be; the others mean that it was not.
-var (
-	ErrUnavailable    = errors.New("state service unavailable")
-	ErrThrottled      = errors.New("state service throttled us")
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	ErrLeaseNotFound  = errors.New("no such lease")
-	ErrRejected       = errors.New("state service refused the request")
-	ErrCompacted      = errors.New("changes since that revision are no longer kept")
-)
-
-// ConflictError tells which guards of a transaction failed.
-type ConflictError struct{ FailedKeys []string }
-
-// Error implements error.
-func (e *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", e.FailedKeys) }
-
-// KeyValue is one key with its value. The value is still encoded.
-type KeyValue struct {
-	Key         string             `msgpack:"key"`
-	Value       msgpack.RawMessage `msgpack:"value"`
-	ModRevision ident.Revision     `msgpack:"stamp"`
-}
-
-// Condition is a condition: the key has this version (0: it does not exist).
-type Condition struct {
-	Key         string         `msgpack:"key" json:"key"`
-	ModRevision ident.Revision `msgpack:"stamp" json:"stamp"`
-}
-
-// Operation sets or removes a key.
-type Operation struct {
-	SetKey    string        `msgpack:"set,omitempty" json:"set,omitempty"`
-	Value     any           `msgpack:"value,omitempty" json:"value,omitempty"`
-	LeaseID   ident.LeaseID `msgpack:"tenure,omitempty" json:"tenure,omitempty"`
-	DeleteKey string        `msgpack:"remove,omitempty" json:"remove,omitempty"`
-}
-
-// Txn is an atomic change.
-type Txn struct {
-	Conditions []Condition `msgpack:"guards" json:"guards"`
-	Operations []Operation `msgpack:"writes,omitempty" json:"writes,omitempty"`
-}
-
-// WatchEvent is one entry of a watch.
-type WatchEvent struct {
-	SetKey      string             `msgpack:"set"`
-	DeleteKey   string             `msgpack:"remove"`
-	Value       msgpack.RawMessage `msgpack:"value"`
-	ModRevision ident.Revision     `msgpack:"stamp"`
-}
-
-// JSONSize is the size of a value in the form in which limits are counted.
-func JSONSize(v any) int {
-	data, err := json.Marshal(v)
-	if err != nil {
-		return 1 << 30
-	}
-	return len(data) + len(".0")*countWholeFloats(reflect.ValueOf(v))
-}
-
-// countWholeFloats counts the decimal numbers in v that are whole, those that are left
-// out of the JSON too: the size is never too small. The service writes
-// them as 4.0, where Go's JSON has 4: a record that fitted by a few bytes was
-// refused again and again.
-func countWholeFloats(v reflect.Value) int {
-	n := 0
-	switch v.Kind() {
-	case reflect.Float32, reflect.Float64:
-		if v.Float() == math.Trunc(v.Float()) {
-			n = 1
-		}
-	case reflect.Pointer, reflect.Interface:
-		if !v.IsNil() {
-			n = countWholeFloats(v.Elem())
-		}
-	case reflect.Struct:
-		for i := range v.NumField() {
-			n += countWholeFloats(v.Field(i))
-		}
-	case reflect.Slice, reflect.Array:
-		for i := range v.Len() {
-			n += countWholeFloats(v.Index(i))
-		}
-	case reflect.Map:
-		for entries := v.MapRange(); entries.Next(); {
-			n += countWholeFloats(entries.Value())
-		}
-	}
-	return n
-}
-
 const (
+	// RequestTimeout is how long a request waits for its answer.
+	RequestTimeout = 1500 * time.Millisecond
+	// listTimeout is how long a page of a listing may take.
+	listTimeout  = 2 * RequestTimeout
+	listPageSize = 500 // keys
 	// maxResponseBytes bounds what is read of one answer. Watches have no limit of
 	// their own at the service.
 	maxResponseBytes = 8 << 20
-	listPageSize     = 500
-	// RequestTimeout is how long a request waits for its answer.
-	RequestTimeout = 1500 * time.Millisecond
 )
 
-// Client speaks to the state service.
+// Client sends requests to the state service. It is safe for concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// NewClient returns a client of the service at addr.
-func NewClient(addr string, rt http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: rt}}
+// NewClient returns a client of the service at addr, a host and port.
+func NewClient(addr string, transport http.RoundTripper) *Client {
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport}}
 }
 
+// response is the body of an answer; which fields are set depends on the request.
 type response struct {
-	Revision    ident.Revision               `msgpack:"journalNo"`
+	Revision    ident.Revision               `msgpack:"journalNo"` // of the store
 	Key         string                       `msgpack:"key"`
 	Value       msgpack.RawMessage           `msgpack:"value"`
 	ModRevision ident.Revision               `msgpack:"stamp"`
@@ -147,14 +56,14 @@
 	Error       string                       `msgpack:"error"`
 }
 
-// call sends one request and sorts the answer. A status it returns without an
+// call sends one request and classifies the answer. A status that it returns without an
 // error is 200, 404 or 409.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body any) (int, *response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := wire.NewRequest(ctx, method, c.base+path, body)
+	req, err := wire.NewRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %v", ErrRejected, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	status, data, err := wire.Do(c.http, req, maxResponseBytes)
 	if err != nil {
@@ -163,18 +72,18 @@
 	return classifyResponse(status, data)
 }
 
-// classifyResponse turns a status and a body into a reply or an error. A body that
-// can't be read leaves a successful request uncertain, never failed.
+// classifyResponse turns a status and a body into a response or an error. A body that can't be
+// read leaves the outcome of a successful request unknown: it has not failed.
 func classifyResponse(status int, data []byte) (int, *response, error) {
 	r := new(response)
-	var bad error
+	var decodeErr error
 	if len(data) > 0 {
-		bad = msgpack.Unmarshal(data, r)
+		decodeErr = msgpack.Unmarshal(data, r)
 	}
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
-		if bad != nil {
-			return 0, nil, fmt.Errorf("%w: %v", ErrOutcomeUnknown, bad)
+		if decodeErr != nil {
+			return 0, nil, fmt.Errorf("%w: decoding: %w", ErrOutcomeUnknown, decodeErr)
 		}
 		return status, r, nil
 	case http.StatusTooManyRequests:
@@ -184,25 +93,29 @@
 	case http.StatusGone:
 		return 0, nil, ErrCompacted
 	case http.StatusBadRequest:
-		if r.Error == ErrLeaseNotFound.Error() {
+		if r.Error == leaseNotFoundMessage {
 			return 0, nil, ErrLeaseNotFound
 		}
 		return 0, nil, fmt.Errorf("%w: %.200s", ErrRejected, r.Error)
 	}
-	return 0, nil, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+	return 0, nil, unexpectedStatus(status)
+}
+
+// unexpectedStatus is the error of an answer that says nothing of what was executed.
+func unexpectedStatus(status int) error {
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// Get reads a key. A key that does not exist has stamp 0.
+// Get reads a key. A key that does not exist has ModRevision 0.
 func (c *Client) Get(ctx context.Context, key string) (KeyValue, error) {
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodGet, "/kv/"+key, nil)
-	if err != nil {
+	switch {
+	case err != nil:
 		return KeyValue{}, fmt.Errorf("get %s: %w", key, err)
-	}
-	if status == http.StatusNotFound {
+	case status == http.StatusNotFound:
 		return KeyValue{Key: key}, nil
-	}
-	if status != http.StatusOK || r.ModRevision == 0 {
-		return KeyValue{}, fmt.Errorf("get %s: %w: status %d", key, ErrOutcomeUnknown, status)
+	case status != http.StatusOK || r.ModRevision == 0:
+		return KeyValue{}, fmt.Errorf("get %s: %w", key, unexpectedStatus(status))
 	}
 	return KeyValue{Key: key, Value: r.Value, ModRevision: r.ModRevision}, nil
 }
@@ -211,82 +124,84 @@
 // the first page, so that a watch from it misses nothing.
 func (c *Client) List(ctx context.Context, prefix string) ([]KeyValue, ident.Revision, error) {
 	var items []KeyValue
-	var first ident.Revision
-	since := ""
+	var revision ident.Revision
+	query := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(listPageSize)}}
 	for {
-		q := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(listPageSize)}}
-		if since != "" {
-			q.Set("since", since)
-		}
-		_, r, err := c.call(ctx, 2*RequestTimeout, http.MethodGet, "/kv?"+q.Encode(), nil)
+		_, r, err := c.call(ctx, listTimeout, http.MethodGet, "/kv?"+query.Encode(), nil)
 		if err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
-		if first == 0 {
-			first = r.Revision
+		if revision == 0 {
+			revision = r.Revision
 		}
 		items = append(items, r.Pairs...)
 		if !r.More || len(r.Pairs) == 0 {
-			return items, first, nil
+			return items, revision, nil
 		}
-		since = r.Pairs[len(r.Pairs)-1].Key
+		query.Set("since", r.Pairs[len(r.Pairs)-1].Key)
 	}
 }
 
-// Commit applies a transaction and returns its revision, which is the new
-// version of every key it set.
-func (c *Client) Commit(ctx context.Context, t Txn) (ident.Revision, error) {
-	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/multi", t)
-	if err != nil {
-		return 0, fmt.Errorf("commit: %w", err)
-	}
+// Commit applies a transaction and returns its revision, which is the new ModRevision of every
+// key that it set. If conditions did not hold, the error is a *ConflictError.
+func (c *Client) Commit(ctx context.Context, txn Txn) (ident.Revision, error) {
+	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/multi", txn)
 	switch {
+	case err != nil:
+		return 0, fmt.Errorf("commit: %w", err)
 	case status == http.StatusConflict:
 		return 0, &ConflictError{FailedKeys: r.FailedKeys}
 	case status != http.StatusOK || r.Revision == 0:
-		return 0, fmt.Errorf("commit: %w: status %d", ErrOutcomeUnknown, status)
+		return 0, fmt.Errorf("commit: %w", unexpectedStatus(status))
 	}
 	return r.Revision, nil
 }
 
+type grantRequest struct {
+	TTLMs int64 `msgpack:"lifeMs"`
+}
+
 // GrantLease asks for a lease.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (ident.LeaseID, error) {
-	body := map[string]any{"lifeMs": life.Milliseconds()}
-	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/leases", body)
-	if err != nil {
-		return 0, fmt.Errorf("grant: %w", err)
-	}
-	if status != http.StatusOK || r.LeaseID == 0 {
-		return 0, fmt.Errorf("grant: %w: status %d", ErrOutcomeUnknown, status)
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ident.LeaseID, error) {
+	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/leases", grantRequest{TTLMs: ttl.Milliseconds()})
+	switch {
+	case err != nil:
+		return 0, fmt.Errorf("grant lease: %w", err)
+	case status != http.StatusOK || r.LeaseID == 0:
+		return 0, fmt.Errorf("grant lease: %w", unexpectedStatus(status))
 	}
 	return r.LeaseID, nil
 }
 
-// RenewLease renews a lease; ErrNoLease means that it has ended.
-func (c *Client) RenewLease(ctx context.Context, t ident.LeaseID) error {
-	path := fmt.Sprintf("/leases/%d/extend", t)
-	status, _, err := c.call(ctx, RequestTimeout, http.MethodPost, path, map[string]any{})
-	if err != nil {
-		return fmt.Errorf("extend: %w", err)
+// RenewLease renews a lease; ErrLeaseNotFound means that it has ended.
+func (c *Client) RenewLease(ctx context.Context, id ident.LeaseID) error {
+	status, _, err := c.call(ctx, RequestTimeout, http.MethodPost, leasePath(id)+"/extend", struct{}{})
+	if err == nil && status == http.StatusNotFound {
+		err = ErrLeaseNotFound
 	}
-	if status == http.StatusNotFound {
-		return ErrLeaseNotFound
+	if err != nil {
+		return fmt.Errorf("renew lease %d: %w", id, err)
 	}
 	return nil
 }
 
-// RevokeLease ends a lease at once.
-func (c *Client) RevokeLease(ctx context.Context, t ident.LeaseID) error {
-	_, _, err := c.call(ctx, RequestTimeout, http.MethodDelete, fmt.Sprintf("/leases/%d", t), nil)
-	return err
+// RevokeLease ends a lease at once, and deletes the keys that are bound to it.
+func (c *Client) RevokeLease(ctx context.Context, id ident.LeaseID) error {
+	if _, _, err := c.call(ctx, RequestTimeout, http.MethodDelete, leasePath(id), nil); err != nil {
+		return fmt.Errorf("revoke lease %d: %w", id, err)
+	}
+	return nil
 }
 
-// Watch waits until a key with the prefix has changed after since. Changes that are
-// too many to be read count as no longer kept: the keys must be read again.
+func leasePath(id ident.LeaseID) string { return fmt.Sprintf("/leases/%d", id) }
+
+// Watch waits up to hold until a key with the prefix has changed after the revision since, and
+// returns the changes and the revision up to which they are complete. Changes that are too many
+// to be read count as compacted.
 func (c *Client) Watch(ctx context.Context, prefix string, since ident.Revision, hold time.Duration) ([]WatchEvent, ident.Revision, error) {
-	q := url.Values{"prefix": {prefix}, "since": {strconv.FormatUint(uint64(since), 10)},
+	query := url.Values{"prefix": {prefix}, "since": {strconv.FormatUint(uint64(since), 10)},
 		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	_, r, err := c.call(ctx, hold+RequestTimeout, http.MethodGet, "/watch?"+q.Encode(), nil)
+	_, r, err := c.call(ctx, hold+RequestTimeout, http.MethodGet, "/watch?"+query.Encode(), nil)
 	if errors.Is(err, wire.ErrResponseTooLarge) {
 		err = ErrCompacted
 	}
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -12,11 +12,10 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
 
--- a/internal/kvstore/txn.go
+++ b/internal/kvstore/txn.go
@@ -1,32 +1,81 @@
 package kvstore
 
+import (
+	"cmp"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/ident"
+)
+
+// KeyValue is one key with its value. The value is still encoded.
+type KeyValue struct {
+	Key         string             `msgpack:"key"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision ident.Revision     `msgpack:"stamp"` // 0: the key does not exist
+}
+
+// Condition holds while the key has the revision (0: while it does not exist).
+type Condition struct {
+	Key         string         `msgpack:"key" json:"key"`
+	ModRevision ident.Revision `msgpack:"stamp" json:"stamp"`
+}
+
+// Operation sets or deletes a key: one of SetKey and DeleteKey is given. A key that is set with
+// a lease is deleted when the lease ends.
+type Operation struct {
+	SetKey    string        `msgpack:"set,omitempty" json:"set,omitempty"`
+	Value     any           `msgpack:"value,omitempty" json:"value,omitempty"`
+	LeaseID   ident.LeaseID `msgpack:"tenure,omitempty" json:"tenure,omitempty"`
+	DeleteKey string        `msgpack:"remove,omitempty" json:"remove,omitempty"`
+}
+
+// Key is the key that the operation sets or deletes.
+func (o Operation) Key() string { return cmp.Or(o.SetKey, o.DeleteKey) }
+
+// Txn is a compare-and-swap transaction: if all conditions hold, all operations are applied at
+// once.
+type Txn struct {
+	Conditions []Condition `msgpack:"guards" json:"guards"`
+	Operations []Operation `msgpack:"writes,omitempty" json:"writes,omitempty"`
+}
+
 // LargestValue returns the key of the largest value that the transaction sets, and
 // that value's size in bytes of JSON. It returns "" and 0 if no value is set.
 func (t Txn) LargestValue() (key string, size int) {
-	for _, w := range t.Operations {
-		if n := JSONSize(w.Value); n > size {
-			key, size = w.SetKey, n
+	for _, operation := range t.Operations {
+		if n := JSONSize(operation.Value); n > size {
+			key, size = operation.SetKey, n
 		}
 	}
 	return key, size
 }
 
-// Exceeds tells whether a value of the transaction is larger than valueBytes, or the
-// transaction has more than maxWrites writes.
-func (t Txn) Exceeds(valueBytes, maxWrites int) bool {
+// Exceeds tells whether a value of the transaction takes more than maxValueBytes of JSON, or
+// the transaction has more than maxOperations.
+func (t Txn) Exceeds(maxValueBytes, maxOperations int) bool {
 	_, size := t.LargestValue()
-	return size > valueBytes || len(t.Operations) > maxWrites
+	return size > maxValueBytes || len(t.Operations) > maxOperations
 }
 
 // OutcomeKey is the key that shows whether a transaction whose answer was lost was
-// applied: that of its first write, which its second guard names.
-func (t Txn) OutcomeKey() string { return t.Operations[0].SetKey + t.Operations[0].DeleteKey }
+// applied: that of its first operation, which its second condition names.
+func (t Txn) OutcomeKey() string { return t.Operations[0].Key() }
 
 // WasApplied tells whether the transaction was applied, from what OutcomeKey was later
-// read to hold. It holds only where nobody else writes that key.
+// read to hold. It is to be relied on only where nobody else writes that key.
 func (t Txn) WasApplied(item KeyValue) bool {
+	prev := t.Conditions[1].ModRevision
 	if t.Operations[0].DeleteKey != "" {
-		return item.ModRevision != t.Conditions[1].ModRevision
+		return item.ModRevision != prev
 	}
-	return item.ModRevision > t.Conditions[1].ModRevision
+	return item.ModRevision > prev
+}
+
+// WatchEvent is a change of a key: one of SetKey and DeleteKey is given.
+type WatchEvent struct {
+	SetKey      string             `msgpack:"set"`
+	DeleteKey   string             `msgpack:"remove"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision ident.Revision     `msgpack:"stamp"`
 }
