--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -24,8 +24,8 @@
 const (
 	// leaseMargin is added to a lease for timers that fire late.
 	leaseMargin = 500 * time.Millisecond
-	// maxClockDrift is the part by which a steady clock may run fast or slow.
-	maxClockDrift = 0.0005
+	// MaxClockDrift is the part by which a steady clock may run fast or slow.
+	MaxClockDrift = 0.0005
 )
 
 // LeaseExpired tells whether the machine's worker has surely lost its lease: it counts
@@ -49,7 +49,7 @@
 // maxLeaseTTL is how long a lease lasts by a leader's clock that is fast, and a worker's
 // that is slow.
 func (f *Fleet) maxLeaseTTL() time.Duration {
-	return time.Duration(float64(f.timing.LeaseTTL)*(1+2*maxClockDrift)) + leaseMargin
+	return time.Duration(float64(f.timing.LeaseTTL)*(1+2*MaxClockDrift)) + leaseMargin
 }
 
 // ExpireLeases ends the placements of machines whose lease has surely expired. Their
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -1,61 +1,33 @@
-// Package leasedelegation lets a node that is cut off together with its zone's workers
-// keep their leases for a while. The leader grants it the right beforehand, in
-// its epoch and for a bounded time; the node gives no orders by it. Whoever
-// leads counts a lease from the last moment at which it may have been used.
+// Package leasedelegation lets a node that is cut off together with its zone's workers renew
+// their leases for a while. The leader grants it that beforehand, in its epoch and for a
+// bounded time; the node sends no commands under the grant. It owns both sides: the Delegate
+// that holds a grant, and the GrantTracker by which a leader bounds what others may have
+// done. Asking for grants and telling what a node is cut off from are left to the node and
+// the controller.
 package leasedelegation
 
 import (
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 )
 
 const (
-	// cancellationMargin is what is left of the time in which a cancelled job's tasks must be
-	// gone: for drift, for reports that are under way, and for the list of the
-	// machines that owe an exit, which is as old as the grant.
-	cancellationMargin = 3 * time.Second
-	// minGrantDuration and mostLife bound the life of a grant: less is of no use, and
-	// a longer one keeps lost work from being placed anew.
-	minGrantDuration = 5 * time.Second
-	maxGrantDuration = 30 * time.Second
-)
-
-// GrantDuration is how long a grant lasts from the request for it, or 0 if none is
-// given. A worker may be kept to the end of a grant and lives for a lease after
-// that; a job cancelled just after the grant must be gone by then.
-func GrantDuration(w config.Workers) time.Duration {
-	life := w.CancelTimeout() - w.LeaseTTL() - cancellationMargin
-	if life < minGrantDuration {
-		return 0
-	}
-	return min(life, maxGrantDuration)
-}
-
-// Status is what a node answers to another that asks it.
-type Status struct {
-	// Epoch and Life are of a grant; Life 0: none is given.
-	Epoch         ident.Epoch
-	GrantDuration time.Duration
-	// ExcludedMachines are the machines that must end something: they are not kept.
-	ExcludedMachines []ident.MachineID
-	// IdleFor is how long ago, at least, the node kept a worker by a grant.
-	IdleFor time.Duration
-}
-
-// Disposition on a report that this node can't answer as leader.
-type Disposition int
-
-// Verdicts.
-const (
-	ForwardToLeader Disposition = iota // not cut off: the leader is to answer it
-	RefuseHeartbeat                    // cut off, but the worker may reach others
-	RedirectOutside                    // likewise: one outside node is tried, and the worker comes back
-	RenewLease                         // answer it by the grant
+	// leaderLossThreshold: a node that no leader has answered for so long does not reach
+	// one.
+	leaderLossThreshold = 2500 * time.Millisecond
+	// probeMemory is how long it counts that a worker was sent to another node: time for
+	// it to find one, or to come back.
+	probeMemory = 30 * time.Second
+	// probeDuration is how long a worker is away that tries one node in vain: it goes
+	// there within half a second, waits 4 s for an answer and tries the next node a
+	// second later.
+	probeDuration = 6 * time.Second
+	// maxTrackedWorkers bounds the workers that are remembered.
+	maxTrackedWorkers = 10_000
 )
 
 // Isolation tells what a node is cut off from.
@@ -66,115 +38,145 @@
 	Connected Isolation = iota
 	// NodeIsolated: the state service does not answer this node.
 	NodeIsolated
-	// StateServiceOutage: it answers none of the nodes, and all of these are heard.
+	// StateServiceOutage: it answers none of the nodes, and all of these are reachable.
 	StateServiceOutage
 )
 
+// Disposition tells what to do with a heartbeat at a node that does not lead.
+type Disposition int
+
+// Dispositions.
 const (
-	// leaderLossThreshold: a node that no leader has answered for so long does not reach one.
-	leaderLossThreshold = 2500 * time.Millisecond
-	// probeMemory is how long it counts that a worker was sent on: time for it to
-	// find another node, or to come back.
-	probeMemory = 30 * time.Second
-	// probeDuration is how long a worker is away that tries one node in vain: it
-	// goes there within half a second, waits 4 s for an answer and tries the
-	// next node a second later.
-	probeDuration = 6 * time.Second
-	// maxTrackedWorkers bounds the workers that are remembered.
-	maxTrackedWorkers = 10_000
+	ForwardToLeader Disposition = iota // not cut off: the leader is to answer
+	RefuseHeartbeat                    // cut off, but the worker may reach other nodes
+	RedirectOutside                    // likewise: the worker tries one node outside the zone and comes back
+	RenewLease                         // answer it under the grant
 )
 
-// Delegate is the grant that a node holds, and what it did by it. It keeps workers
-// of its own zone only: who restarts can't say what it did before, so whatever a
-// node may keep is given up later when it does. When all nodes might keep those of
-// a zone that has none, one crash held dead machines there for 10 s more.
+// Status is what a node answers to another that asks for it.
+type Status struct {
+	// Epoch and GrantDuration are of a grant; GrantDuration 0: none is given.
+	Epoch         ident.Epoch
+	GrantDuration time.Duration
+	// ExcludedMachines must end some task: their leases are not renewed.
+	ExcludedMachines []ident.MachineID
+	// IdleFor is how long ago, at least, the node last renewed a lease under a grant.
+	IdleFor time.Duration
+}
+
+// Delegate holds the grant of a node, and what the node did under it. It renews leases of
+// its own zone's workers only: a node that restarts can't say what it did before, so
+// whatever it may have renewed is given up later when it does. When all nodes might renew
+// the leases of a zone that has no node, one crash held dead machines there for 10 s more.
 type Delegate struct {
-	zone      ident.Zone // of the node: it keeps no others' workers
+	zone      ident.Zone // of the node
 	startedAt clock.Instant
-	// canProbeFirst: a worker that has waited in vain for the node that it came from
-	// can bear another such wait before its lease ends.
-	canProbeFirst    bool
-	epoch            ident.Epoch
-	leaderHeardAt    clock.Instant // when the last request left that the leader answered
-	grantRequestedAt clock.Instant // when the request for the grant left
+	// canProbeFirst: a worker that has waited in vain for the node that it came from can
+	// bear another such wait before its lease expires.
+	canProbeFirst bool
+	leaderHeardAt clock.Instant // when the last request left that the leader answered
+
+	epoch            ident.Epoch // of the grant; 0: there was none
+	grantRequestedAt clock.Instant
 	grantExpiresAt   clock.Instant
 	excluded         map[ident.MachineID]bool
-	lastRenewal      clock.Instant // 0: never kept a worker
-	contacts         map[ident.MachineID]contact
+
+	lastRenewal clock.Instant // 0: never
+	contacts    map[ident.MachineID]contact
 }
 
-// contact is the last report of a worker during a cut.
+// contact is the last heartbeat of a worker while the node is cut off.
 type contact struct {
 	at     clock.Instant
-	probed bool // it has been sent to another node
+	probed bool // it was sent to another node
 }
 
-// NewDelegate returns the keeper of a process that has started at now.
-func NewDelegate(zone ident.Zone, w config.Workers, now clock.Instant) *Delegate {
-	return &Delegate{zone: zone, startedAt: now, canProbeFirst: w.FailoverTime() > probeDuration, contacts: map[ident.MachineID]contact{}}
+// NewDelegate returns the delegate of a process that started at now.
+func NewDelegate(zone ident.Zone, workers config.Workers, now clock.Instant) *Delegate {
+	return &Delegate{
+		zone:          zone,
+		startedAt:     now,
+		canProbeFirst: workers.FailoverTime() > probeDuration,
+		contacts:      map[ident.MachineID]contact{},
+	}
 }
 
-// AcceptStatus takes in a grant that was asked for at base.
-func (k *Delegate) AcceptStatus(base clock.Instant, s Status) {
-	if s.Epoch != 0 {
-		k.leaderHeardAt = max(k.leaderHeardAt, base)
+// AcceptStatus applies a status, and the grant in it if it is the newest, by when the
+// request for it left.
+func (d *Delegate) AcceptStatus(requestedAt clock.Instant, status Status) {
+	if status.Epoch != 0 {
+		d.leaderHeardAt = max(d.leaderHeardAt, requestedAt)
 	}
-	if s.GrantDuration <= 0 || s.Epoch < k.epoch || s.Epoch == k.epoch && base < k.grantRequestedAt {
+	outdated := status.Epoch < d.epoch || status.Epoch == d.epoch && requestedAt < d.grantRequestedAt
+	if status.GrantDuration <= 0 || outdated {
 		return
 	}
-	k.epoch, k.grantRequestedAt, k.grantExpiresAt = s.Epoch, base, base.Add(s.GrantDuration)
-	k.excluded = make(map[ident.MachineID]bool, len(s.ExcludedMachines))
-	for _, id := range s.ExcludedMachines {
-		k.excluded[id] = true
+	d.epoch = status.Epoch
+	d.grantRequestedAt, d.grantExpiresAt = requestedAt, requestedAt.Add(status.GrantDuration)
+	d.excluded = make(map[ident.MachineID]bool, len(status.ExcludedMachines))
+	for _, id := range status.ExcludedMachines {
+		d.excluded[id] = true
 	}
 }
 
 // GrantRequestedAt is when the request for the grant left.
-func (k *Delegate) GrantRequestedAt() clock.Instant { return k.grantRequestedAt }
+func (d *Delegate) GrantRequestedAt() clock.Instant { return d.grantRequestedAt }
 
-// GrantExpiresAt is when the grant ends.
-func (k *Delegate) GrantExpiresAt() clock.Instant { return k.grantExpiresAt }
+// GrantExpiresAt is when the grant expires.
+func (d *Delegate) GrantExpiresAt() clock.Instant { return d.grantExpiresAt }
 
 // GrantEpoch is the epoch of the grant.
-func (k *Delegate) GrantEpoch() ident.Epoch { return k.epoch }
-
-// Decide decides on a report. A worker that may reach another node probes one
-// first: the leader, if there is one, does better by it. It must be back before
-// the grant ends, or the probe would cost it the last renewal of its lease. Where
-// leases are short it is kept once before it probes: it comes from a node that did
-// not answer, and a second wait of 4 s cost it a lease of 10 s.
-func (k *Delegate) Decide(now clock.Instant, cut Isolation, r *fleet.Heartbeat) Disposition {
-	if cut == Connected || k.epoch == 0 || now.Sub(k.leaderHeardAt) < leaderLossThreshold {
+func (d *Delegate) GrantEpoch() ident.Epoch { return d.epoch }
+
+// Decide decides on a heartbeat. A worker that may reach another node probes one first: the
+// leader, if there is one, does better by it. It must be back before the grant expires, or
+// the probe would cost it the last renewal of its lease. Where leases are short its lease
+// is renewed once before it probes: it comes from a node that did not answer, and a second
+// wait of 4 s cost it a lease of 10 s.
+func (d *Delegate) Decide(now clock.Instant, isolation Isolation, h *fleet.Heartbeat) Disposition {
+	if isolation == Connected || d.epoch == 0 || now.Sub(d.leaderHeardAt) < leaderLossThreshold {
 		return ForwardToLeader
 	}
-	may := now.Before(k.grantExpiresAt) && r.Zone == k.zone && r.FencingToken <= k.epoch && !k.excluded[r.Machine]
-	if !may {
+	if !d.mayRenew(now, h) {
 		return RefuseHeartbeat
 	}
-	if len(k.contacts) > maxTrackedWorkers {
-		clear(k.contacts)
-	}
-	last, here := k.contacts[r.Machine]
-	if here = here && now.Sub(last.at) <= probeMemory; !here {
-		last = contact{}
-	}
-	if k.canProbe(now, cut) && !last.probed && (here || k.canProbeFirst) {
-		k.contacts[r.Machine] = contact{at: now, probed: true}
+	last, known := d.lastContact(now, h.Machine)
+	if !last.probed && (known || d.canProbeFirst) && d.canProbe(now, isolation) {
+		d.contacts[h.Machine] = contact{at: now, probed: true}
 		return RedirectOutside
 	}
-	k.contacts[r.Machine], k.lastRenewal = contact{at: now, probed: last.probed}, now
+	d.contacts[h.Machine] = contact{at: now, probed: last.probed}
+	d.lastRenewal = now
 	return RenewLease
 }
 
-// canProbe tells whether a worker that looks for another node is back before the
-// grant ends if it finds none.
-func (k *Delegate) canProbe(now clock.Instant, cut Isolation) bool {
-	return cut != StateServiceOutage && !k.grantExpiresAt.Before(now.Add(probeDuration))
+// mayRenew tells whether the grant covers the worker's lease now.
+func (d *Delegate) mayRenew(now clock.Instant, h *fleet.Heartbeat) bool {
+	return now.Before(d.grantExpiresAt) && h.Zone == d.zone && h.FencingToken <= d.epoch && !d.excluded[h.Machine]
+}
+
+// lastContact returns the worker's last heartbeat, if it still counts. It forgets all
+// workers when they are too many.
+func (d *Delegate) lastContact(now clock.Instant, id ident.MachineID) (contact, bool) {
+	if len(d.contacts) > maxTrackedWorkers {
+		clear(d.contacts)
+	}
+	last, known := d.contacts[id]
+	if !known || now.Sub(last.at) > probeMemory {
+		return contact{}, false
+	}
+	return last, true
+}
+
+// canProbe tells whether a worker that looks for another node is back before the grant
+// expires if it finds none.
+func (d *Delegate) canProbe(now clock.Instant, isolation Isolation) bool {
+	return isolation != StateServiceOutage && !d.grantExpiresAt.Before(now.Add(probeDuration))
 }
 
-// IdleFor is how long ago, at least, this node kept a worker; what an earlier
-// process of it did was before this one started.
-func (k *Delegate) IdleFor(now clock.Instant) time.Duration { return now.Sub(k.IdleSince()) }
+// IdleFor is how long ago, at least, this node renewed a lease; what an earlier process of
+// it did was before this one started.
+func (d *Delegate) IdleFor(now clock.Instant) time.Duration { return now.Sub(d.IdleSince()) }
 
-// IdleSince is since when, at the latest, this node has kept no worker.
-func (k *Delegate) IdleSince() clock.Instant { return max(k.lastRenewal, k.startedAt) }
+// IdleSince is since when, at the latest, this node has renewed no lease.
+func (d *Delegate) IdleSince() clock.Instant { return max(d.lastRenewal, d.startedAt) }
--- a/internal/leasedelegation/grant_tracker.go
+++ b/internal/leasedelegation/grant_tracker.go
@@ -4,16 +4,15 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 )
 
-// GrantTracker is what a leader knows of the grants that others may be using.
+// GrantTracker is what a leader knows of the grants that other nodes may be using.
 type GrantTracker struct {
 	grantDuration time.Duration
-	peers         map[string]*peerGrant
+	peers         map[string]*peerGrant // by node name
 }
 
 type peerGrant struct {
@@ -21,63 +20,64 @@
 	renewal fleet.DelegatedRenewal
 }
 
-// maxClockDrift is what the steady clocks of two nodes may differ by.
-const maxClockDrift = 0.001
-
-// NewGrantTracker returns the ledger of a leader that acquired its epoch at acquired.
-// Grants of those before it may be in use for their whole life from then on:
-// they were given before, by a leader that was entitled then.
-func NewGrantTracker(set *config.Settings, acquired clock.Instant) *GrantTracker {
-	l := &GrantTracker{grantDuration: GrantDuration(set.Params.Workers), peers: map[string]*peerGrant{}}
-	for _, p := range set.Peers {
-		l.peers[p.NodeName] = &peerGrant{ident.Zone(p.Zone), fleet.DelegatedRenewal{LastRenewal: acquired, NoneUntil: acquired, GrantsExpireAt: l.expiry(acquired)}}
+// NewGrantTracker returns the tracker of a leader that acquired its epoch at acquiredAt.
+// Grants of earlier leaders may be in use for their whole duration from then on: they were
+// given before, by a leader that was entitled then.
+func NewGrantTracker(settings *config.Settings, acquiredAt clock.Instant) *GrantTracker {
+	t := &GrantTracker{grantDuration: GrantDuration(settings.Params.Workers), peers: map[string]*peerGrant{}}
+	for _, p := range settings.Peers {
+		t.peers[p.NodeName] = &peerGrant{
+			zone:    ident.Zone(p.Zone),
+			renewal: fleet.DelegatedRenewal{LastRenewal: acquiredAt, NoneUntil: acquiredAt, GrantsExpireAt: t.expiry(acquiredAt)},
+		}
 	}
-	return l
+	return t
 }
 
-func (l *GrantTracker) expiry(now clock.Instant) clock.Instant {
-	return now.Add(time.Duration(float64(l.grantDuration) * (1 + maxClockDrift)))
+// expiry is when a grant given at now has surely expired by the clock of any node.
+func (t *GrantTracker) expiry(now clock.Instant) clock.Instant {
+	return now.Add(time.Duration(float64(t.grantDuration) * (1 + 2*fleet.MaxClockDrift)))
 }
 
-// Grant notes that a grant is given to a peer now, and returns its life.
-func (l *GrantTracker) Grant(now clock.Instant, name string) time.Duration {
-	p := l.peers[name]
+// Grant notes that a grant is given to a peer now, and returns its duration; 0: none is
+// given.
+func (t *GrantTracker) Grant(now clock.Instant, node string) time.Duration {
+	p := t.peers[node]
 	if p == nil {
 		return 0
 	}
-	p.renewal.GrantsExpireAt = max(p.renewal.GrantsExpireAt, l.expiry(now))
-	return l.grantDuration
+	p.renewal.GrantsExpireAt = max(p.renewal.GrantsExpireAt, t.expiry(now))
+	return t.grantDuration
 }
 
-// ConfirmIdle takes in that a peer, asked at sent, said at received that it has kept
-// no worker for the time quiet.
-func (l *GrantTracker) ConfirmIdle(name string, sent, received clock.Instant, quiet time.Duration) {
-	p := l.peers[name]
+// ConfirmIdle notes that a peer, asked at sentAt, answered at receivedAt that it has
+// renewed no lease for idleFor.
+func (t *GrantTracker) ConfirmIdle(node string, sentAt, receivedAt clock.Instant, idleFor time.Duration) {
+	p := t.peers[node]
 	if p == nil {
 		return
 	}
-	p.renewal.NoneUntil = max(p.renewal.NoneUntil, sent)
-	p.renewal.LastRenewal = max(p.renewal.LastRenewal, received.Add(-quiet))
+	p.renewal.NoneUntil = max(p.renewal.NoneUntil, sentAt)
+	p.renewal.LastRenewal = max(p.renewal.LastRenewal, receivedAt.Add(-idleFor))
 }
 
-// RenewalIn sums up what may have been done by grants in a zone, or, if it is not
-// known, in any. It returns false where no grant can have been used.
-func (l *GrantTracker) RenewalIn(z ident.Zone) (fleet.DelegatedRenewal, bool) {
-	var sum fleet.DelegatedRenewal
-	found := false
-	if l.grantDuration == 0 {
+// RenewalIn sums up what may have been done under grants in a zone or, if that is empty, in
+// any. It returns false where no grant can have been used.
+func (t *GrantTracker) RenewalIn(zone ident.Zone) (sum fleet.DelegatedRenewal, found bool) {
+	if t.grantDuration == 0 {
 		return sum, false
 	}
-	for _, p := range l.peers {
-		if z != "" && p.zone != z {
+	for _, p := range t.peers {
+		if zone != "" && p.zone != zone {
 			continue
 		}
 		if !found {
 			sum, found = p.renewal, true
 			continue
 		}
-		sum.LastRenewal, sum.GrantsExpireAt = max(sum.LastRenewal, p.renewal.LastRenewal), max(sum.GrantsExpireAt, p.renewal.GrantsExpireAt)
+		sum.LastRenewal = max(sum.LastRenewal, p.renewal.LastRenewal)
 		sum.NoneUntil = min(sum.NoneUntil, p.renewal.NoneUntil)
+		sum.GrantsExpireAt = max(sum.GrantsExpireAt, p.renewal.GrantsExpireAt)
 	}
 	return sum, found
 }
