--- a/internal/leadtransfer/reachability.go
+++ b/internal/leadtransfer/reachability.go
@@ -1,5 +1,7 @@
-// Package leadtransfer decides whether a leader had better leave leadership to another
-// node, because the workers reach that one and not this.
+// Package leadtransfer decides whether a leader should transfer leadership to another node,
+// because the workers reach that one and not this. It owns the record of the way by which
+// each worker's heartbeats come, and the backoff between transfers. Resigning and the
+// election are left to package election.
 package leadtransfer
 
 import (
@@ -10,50 +12,43 @@
 )
 
 const (
-	// heartbeatWindow is how recent a report must be to count.
+	// heartbeatWindow is how recent a heartbeat must be to count.
 	heartbeatWindow = 8 * time.Second
-	// Delay is how long most workers must have been out of reach
-	// before a leader gives leadership up, and Cooldown how long it stays out
-	// of the election after that.
-	Delay    = 6 * time.Second
-	Cooldown = 15 * time.Second
-	// BackoffReset is how long a handover counts: a node that leads again within
-	// that time is twice as patient as before, up to mostBackoffs times.
-	BackoffReset        = 2 * time.Minute
-	maxBackoffDoublings = 4
-	// minMissingRatio times as many workers that don't come themselves as do show
-	// that a leader is badly placed; leastRelayed workers, and one of relayedPart,
-	// that come through others show that one of those is placed better.
-	minMissingRatio     = 2
+	// minMissingRatio times as many workers that don't reach this node as do show that the
+	// leader is badly placed.
+	minMissingRatio = 2
+	// minRelayedWorkers, and one worker in relayedShareDivisor, whose heartbeats come
+	// through other nodes show that one of those is placed better.
 	minRelayedWorkers   = 3
 	relayedShareDivisor = 20
 )
 
-// Reachability tells whether the workers reach this node themselves, or only through
-// others. The zero value is ready for use.
+// Reachability tells whether the workers reach this node, or only others that relay their
+// heartbeats. The zero value is ready for use.
 type Reachability struct {
 	contacts         map[ident.MachineID]contact
-	unreachableSince clock.Instant // most have been out of reach since; 0: they are not
+	unreachableSince clock.Instant // when most workers became unreachable; 0: they are not
 }
 
-// contact is the last report of a worker; via is the node that it came through.
+// contact is the last heartbeat of a worker.
 type contact struct {
 	at  clock.Instant
-	via string
+	via string // the node that relayed it; empty: it came directly
 }
 
-// RecordHeartbeat takes in a report of a worker that came through the node via, or directly.
+// RecordHeartbeat notes a worker's heartbeat that the node via relayed, or, if that is
+// empty, that came directly.
 func (r *Reachability) RecordHeartbeat(now clock.Instant, id ident.MachineID, via string) {
 	if r.contacts == nil {
 		r.contacts = map[ident.MachineID]contact{}
 	}
-	r.contacts[id] = contact{now, via}
+	r.contacts[id] = contact{at: now, via: via}
 }
 
-// ResetDelay begins the count of missing workers anew.
+// ResetDelay lets the delay before a transfer begin anew.
 func (r *Reachability) ResetDelay() { r.unreachableSince = 0 }
 
-// HasRelayed tells whether any worker's last report came through another node.
+// HasRelayed tells whether any worker's last heartbeat was relayed.
 func (r *Reachability) HasRelayed() bool {
 	for _, c := range r.contacts {
 		if c.via != "" {
@@ -63,26 +58,13 @@
 	return false
 }
 
-// Transferee is the node that had better lead, or "": for some time nearly all known
-// workers have not come here themselves, and some come through that node. Many
-// that are not heard of at all count too: through the state service a node
-// relays but a part of hundreds, and a leader that waited until most were
-// relayed held on for half a minute while leases ran out.
-func (r *Reachability) Transferee(now clock.Instant, known int, delay time.Duration) string {
-	direct, relayed := 0, 0
-	through := map[string]int{}
-	for id, c := range r.contacts {
-		switch {
-		case now.Sub(c.at) > heartbeatWindow:
-			delete(r.contacts, id)
-		case c.via != "":
-			relayed++
-			through[c.via]++
-		default:
-			direct++
-		}
-	}
-	missing := max(known, direct+relayed) - direct
+// Transferee is the node that should lead, or "": for the delay, nearly all known workers
+// have not reached this node, and some reach that one. Workers that nobody hears from
+// count too: through the state service a node relays but a part of hundreds, and a leader
+// that waited until most were relayed held on for half a minute while leases expired.
+func (r *Reachability) Transferee(now clock.Instant, knownWorkers int, delay time.Duration) string {
+	direct, relayed, relayedBy := r.countRecent(now)
+	missing := max(knownWorkers, direct+relayed) - direct
 	if missing < minRelayedWorkers || missing < minMissingRatio*direct {
 		r.unreachableSince = 0
 		return ""
@@ -90,41 +72,44 @@
 	if r.unreachableSince == 0 {
 		r.unreachableSince = now
 	}
-	if now.Sub(r.unreachableSince) < delay || relayed < max(minRelayedWorkers, known/relayedShareDivisor) {
+	if now.Sub(r.unreachableSince) < delay || relayed < max(minRelayedWorkers, knownWorkers/relayedShareDivisor) {
 		return ""
 	}
-	best := ""
-	for node, n := range through {
-		if best == "" || n > through[best] || n == through[best] && node < best {
-			best = node
-		}
-	}
-	// Right after a takeover most may still be on their way here: whoever is
-	// to lead must bring more than come by themselves. A leader that did not
-	// wait for that passed leadership to the wrong side of a cut.
-	if through[best] <= direct {
+	node := busiestRelay(relayedBy)
+	// Right after a failover most workers may still be on their way here: whoever is to
+	// lead must relay more than come directly. A leader that did not wait for that
+	// transferred leadership to the wrong side of a network partition.
+	if relayedBy[node] <= direct {
 		return ""
 	}
-	return best
+	return node
 }
 
-// History remembers how often this node has handed leadership over of late.
-// Where two zones can't reach each other each side misses the other's workers, and
-// leadership went to and fro six times in half a minute.
-type History struct {
-	transfers    int
-	lastTransfer clock.Instant
-}
-
-// Delay is how long workers must be missing before the next handover.
-func (h *History) Delay(now clock.Instant) time.Duration {
-	if now.Sub(h.lastTransfer) > BackoffReset {
-		h.transfers = 0
+// countRecent counts the workers with a recent heartbeat by the way it came, and forgets
+// the others.
+func (r *Reachability) countRecent(now clock.Instant) (direct, relayed int, relayedBy map[string]int) {
+	relayedBy = map[string]int{}
+	for id, c := range r.contacts {
+		switch {
+		case now.Sub(c.at) > heartbeatWindow:
+			delete(r.contacts, id)
+		case c.via != "":
+			relayed++
+			relayedBy[c.via]++
+		default:
+			direct++
+		}
 	}
-	return Delay << h.transfers
+	return direct, relayed, relayedBy
 }
 
-// RecordTransfer takes in that this node hands leadership over.
-func (h *History) RecordTransfer(now clock.Instant) {
-	h.transfers, h.lastTransfer = min(h.transfers+1, maxBackoffDoublings), now
+// busiestRelay returns the node that relays the most workers; of several the first by name.
+func busiestRelay(relayedBy map[string]int) string {
+	busiest := ""
+	for node, workers := range relayedBy {
+		if busiest == "" || workers > relayedBy[busiest] || workers == relayedBy[busiest] && node < busiest {
+			busiest = node
+		}
+	}
+	return busiest
 }
--- a/internal/schemaversion/negotiator.go
+++ b/internal/schemaversion/negotiator.go
@@ -1,8 +1,8 @@
-// Package schemaversion decides which form of records the cluster may use while nodes
-// of different versions serve side by side. Nodes say what they can; those of a
-// version before this slice say nothing, which means the first form. A leader
-// uses a later form only once every node of the settings has said that it can,
-// and stores that, so that it is never taken back.
+// Package schemaversion decides which schema version of records and messages the cluster
+// may use while nodes of different releases serve side by side. Nodes report the latest
+// version that they know; a leader uses a later one only once every configured node has
+// reported it, and stores that, so that it is never taken back. Carrying the reports,
+// storing the agreement and encoding by it are left to the callers.
 package schemaversion
 
 import (
@@ -11,21 +11,21 @@
 	"badgerbay/internal/clock"
 )
 
-// Key holds the form that was agreed on.
+// Key is the key under which the agreed version is stored.
 const Key = "form"
 
-// Version numbers what nodes store and say to each other.
+// Version numbers the forms of what nodes store and say to each other.
 type Version int
 
 const (
-	// First is what versions that say nothing can.
+	// First is what nodes know that report nothing.
 	First Version = 1
-	// ChunkedJobs: a job's record may be compressed, and continue in numbered parts.
+	// ChunkedJobs: a job's record may be compressed, and continue in numbered chunks.
 	ChunkedJobs Version = 2
-	// ChunkedRounds: a round's record may continue in parts and name the attempts of its
+	// ChunkedRounds: a round's record may continue in chunks and name the attempts of its
 	// starts; a job's record may be written in several transactions.
 	ChunkedRounds Version = 3
-	// Latest is what this program can.
+	// Latest is the latest version that this program knows.
 	Latest = ChunkedRounds
 )
 
@@ -34,90 +34,93 @@
 	Version Version `msgpack:"form" json:"form"`
 }
 
-// reportMaxAge is how long it counts what a node has said. A process that ends before
-// its turn comes back with the old version.
+// reportMaxAge is how long a node's report counts. A process that ends before its upgrade
+// comes back with the old release.
 const reportMaxAge = 5 * time.Second
 
-// Negotiator is what a leader knows of the nodes' versions.
+// Negotiator is what a leader knows of the versions that the other nodes know.
 type Negotiator struct {
-	reports map[string]versionReport
-	agreed  Version // what may be used
-	stored  Version // what a successor finds
-	pending Version // what is being stored; 0: nothing
+	reports map[string]versionReport // by node name
+	agreed  Version                  // may be used
+	stored  Version                  // a successor finds it; 0: none
+	pending Version                  // is being stored; 0: none
 }
 
+// versionReport is the latest version that a node said it knows.
 type versionReport struct {
 	version    Version
 	receivedAt clock.Instant
 }
 
-// New returns the cluster of the peers, with what is stored; 0: nothing.
-func New(peers []string, stored Version) *Negotiator {
-	c := &Negotiator{reports: map[string]versionReport{}, agreed: max(First, stored), stored: stored}
-	for _, p := range peers {
-		c.reports[p] = versionReport{}
+// New returns the negotiator of a leader with the given other nodes. stored is the version
+// that an earlier leader stored; 0: none.
+func New(nodes []string, stored Version) *Negotiator {
+	n := &Negotiator{reports: map[string]versionReport{}, agreed: max(First, stored), stored: stored}
+	for _, node := range nodes {
+		n.reports[node] = versionReport{}
 	}
-	return c
+	return n
 }
 
-// Version is the form that may be used.
-func (c *Negotiator) Version() Version { return min(c.agreed, Latest) }
+// Version is the version that may be used.
+func (n *Negotiator) Version() Version { return min(n.agreed, Latest) }
 
-// RecordReport notes what a node can. Nodes that the settings don't name don't count.
-func (c *Negotiator) RecordReport(now clock.Instant, node string, f Version) {
-	if _, ok := c.reports[node]; ok {
-		c.reports[node] = versionReport{max(First, f), now}
+// RecordReport notes the latest version that a node knows. Nodes that are not configured
+// don't count.
+func (n *Negotiator) RecordReport(now clock.Instant, node string, version Version) {
+	if _, configured := n.reports[node]; configured {
+		n.reports[node] = versionReport{version: max(First, version), receivedAt: now}
 	}
 }
 
-// BehindCount counts the nodes that have not said lately that they can what this one
-// can. One that is out of reach counts.
-func (c *Negotiator) BehindCount(now clock.Instant) int {
-	n := 0
-	for _, h := range c.reports {
-		if h.versionAt(now) < Latest {
-			n++
+// BehindCount counts the nodes that have not reported lately that they know what this one
+// knows. One that is out of reach counts.
+func (n *Negotiator) BehindCount(now clock.Instant) int {
+	behind := 0
+	for _, report := range n.reports {
+		if report.versionAt(now) < Latest {
+			behind++
 		}
 	}
-	return n
+	return behind
 }
 
-// versionAt is the form that the node surely can at now.
-func (h versionReport) versionAt(now clock.Instant) Version {
-	if now.Sub(h.receivedAt) > reportMaxAge {
+// versionAt is the version that the node surely knows at now.
+func (r versionReport) versionAt(now clock.Instant) Version {
+	if now.Sub(r.receivedAt) > reportMaxAge {
 		return First
 	}
-	return max(First, h.version)
+	return max(First, r.version)
 }
 
-// commonVersion is the latest form that all nodes have lately said that they can.
-func (c *Negotiator) commonVersion(now clock.Instant) Version {
-	form := Latest
-	for _, h := range c.reports {
-		form = min(form, h.versionAt(now))
+// commonVersion is the latest version that all nodes have lately reported.
+func (n *Negotiator) commonVersion(now clock.Instant) Version {
+	common := Latest
+	for _, report := range n.reports {
+		common = min(common, report.versionAt(now))
 	}
-	return form
+	return common
 }
 
-// Propose is a later form that is to be stored as agreed on, and notes that it is
-// being stored; 0: there is none.
-func (c *Negotiator) Propose(now clock.Instant) Version {
-	form := max(c.agreed, c.commonVersion(now))
-	if c.pending != 0 || form <= max(First, c.stored) {
+// Propose returns a later version that is to be stored as agreed, which the caller does
+// and then calls Settle, or 0.
+func (n *Negotiator) Propose(now clock.Instant) Version {
+	version := max(n.agreed, n.commonVersion(now))
+	if n.pending != 0 || version <= max(First, n.stored) {
 		return 0
 	}
-	c.pending = form
-	return form
+	n.pending = version
+	return version
 }
 
-// Settle takes in whether the form that was asked for was stored.
-func (c *Negotiator) Settle(stored bool) {
+// Settle notes whether the proposed version was stored.
+func (n *Negotiator) Settle(stored bool) {
 	if stored {
-		c.agreed, c.stored = max(c.agreed, c.pending), c.pending
+		n.agreed, n.stored = max(n.agreed, n.pending), n.pending
 	}
-	c.pending = 0
+	n.pending = 0
 }
 
-// ObserveReducedLimits takes in that the state service keeps to its later limits: it does so
-// only once all nodes have a version that knows them. They need not have this one.
-func (c *Negotiator) ObserveReducedLimits() { c.agreed = max(c.agreed, ChunkedJobs) }
+// ObserveReducedLimits notes that the state service enforces its later limits: it does so
+// only once all nodes have a release that knows them, though perhaps not this one.
+func (n *Negotiator) ObserveReducedLimits() { n.agreed = max(n.agreed, ChunkedJobs) }
