--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -1,187 +1,184 @@
 package scheduler
 
 import (
-	"math"
+	"cmp"
+	"slices"
 
 	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/jobs"
 )
 
-func (p *planner) zoneCount(j *jobs.Job, z ident.Zone) int {
-	return j.PlacementsByZone[z] + p.plannedByZone[j][z]
+// reservedTaskDivisor: of the tasks of an aged job that a machine could hold, one in so many
+// is counted on when the machine is reserved for it.
+const reservedTaskDivisor = 2
+
+// taskPlacer places tasks of arrays and services, each on its own.
+type taskPlacer struct {
+	urgency     *urgency
+	machines    *machinePool
+	zones       *zoneTracker
+	quotas      *quotaTracker
+	record      *recordBuilder
+	costs       *costPolicy
+	selector    *machineSelector
+	assignments *assignments
+	preemptor   *preemptor
+	scaleOut    *scaleOut
+	aging       *agingBudget
+
+	claimed map[*jobs.Job]indexset.Set // tasks that the plan has dealt with
 }
 
-// zoneRoom tells how many more tasks of the job may be in the zone, given
-// where its other tasks are or are about to be.
-func (p *planner) zoneRoom(j *jobs.Job, z ident.Zone) int {
-	// A machine whose zone is not known yet may be in any.
-	if j.PlacementsByZone[""] > 0 && (j.Spec.ZoneAffinity || j.Spec.ZoneSpread) {
+// place starts as many of the job's tasks as fit, and returns how many that could start by
+// its limits need a machine provisioned.
+func (p *taskPlacer) place(entry queueEntry) int {
+	job := entry.job
+	n := p.eligibleTasks(entry)
+	if n <= 0 || p.record.full {
 		return 0
 	}
-	if j.Spec.ZoneAffinity {
-		for other, n := range j.PlacementsByZone {
-			if n > 0 && other != z {
-				return 0
-			}
-		}
-		for other, n := range p.plannedByZone[j] {
-			if n > 0 && other != z {
-				return 0
-			}
-		}
+	tasks := p.claim(job, n, entry.aged)
+	p.costs.placingAged = entry.aged
+	tasks = p.startWhereFree(job, tasks)
+	unplaced := min(len(tasks), job.FittingSingleTasks(p.record.jobSpareBytes(job)))
+	if unplaced == 0 || p.record.full {
+		return 0
 	}
-	if !j.Spec.ZoneSpread {
-		return math.MaxInt32
+	if entry.aged {
+		p.reserveMachines(job, unplaced)
 	}
-	return max(0, j.Spec.MaxTasksPerZone()-p.zoneCount(j, z))
+	return p.handleUnplaced(job, unplaced, entry.guaranteed)
 }
 
-// placeJob starts as many of the job's tasks as fit, and returns how many that
-// could start by its limits found no room.
-func (p *planner) placeJob(t queueEntry) int {
-	j := t.job
-	if j.Spec.Gang {
-		return p.placeGang(t)
+// eligibleTasks is how many tasks of the entry its limits allow to start.
+func (p *taskPlacer) eligibleTasks(entry queueEntry) int {
+	job := entry.job
+	n := job.Queue.Len() - p.claimed[job].Len()
+	p.quotas.noteReservationBlocked(job, n)
+	n = min(n, p.quotas.tasksWithinQuota(job))
+	if entry.guaranteed {
+		n = min(n, p.quotas.tasksWithinGuarantee(job))
+	}
+	if entry.aged {
+		n = min(n, p.aging.take(job))
 	}
-	left := j.Queue.Len() - p.claimedTasks[j].Len()
-	p.recordReservationBlocked(j, left)
-	left = min(left, p.tasksWithinQuota(j))
-	if t.guaranteed {
-		left = min(left, p.tasksWithinGuarantee(j))
-	}
-	if t.aged {
-		left = min(left, p.agedTasks(j))
+	return n
+}
+
+// claim lists n queued tasks of the job that the plan has not dealt with yet, or only such
+// as never ran.
+func (p *taskPlacer) claim(job *jobs.Job, n int, neverRan bool) []ident.TaskIndex {
+	var tasks []ident.TaskIndex
+	claimed := p.claimed[job]
+	if neverRan {
+		tasks = job.UnstartedTasks(n)
+	} else {
+		job.Queue.Each(func(task ident.TaskIndex) bool {
+			if !claimed.Contains(task) {
+				tasks = append(tasks, task)
+			}
+			return len(tasks) < n
+		})
 	}
-	if left <= 0 || p.recordFull {
-		return 0
+	for _, task := range tasks {
+		claimed.Add(task)
 	}
-	tasks := p.claimTasks(j, left, t.aged)
-	p.placingAged = t.aged
-	bins := p.rankMachines(j)
-	rushed := false
-	for _, b := range bins {
-		if !rushed && !b.machine.HasImage(j.Spec.Image) && p.fetchTooSlow(j, b) {
-			// The fetch alone would take too long: rather stop something
-			// where the image is.
-			rushed = true
-			tasks = tasks[p.preempt(j, len(tasks), true):]
+	p.claimed[job] = claimed
+	return tasks
+}
+
+// startWhereFree starts tasks on machines that have room, and returns those that found none.
+func (p *taskPlacer) startWhereFree(job *jobs.Job, tasks []ident.TaskIndex) []ident.TaskIndex {
+	preempted := false
+	for _, m := range p.selector.rank(job) {
+		if !preempted && !m.machine.HasImage(job.Spec.Image) && p.fetchTooSlow(job, m) {
+			// The fetch alone would take too long: rather evict something where the image is.
+			preempted = true
+			tasks = tasks[p.preemptor.makeRoom(job, len(tasks), imageHolders):]
 		}
-		if len(tasks) == 0 || p.recordFull {
+		if len(tasks) == 0 || p.record.full {
 			break
 		}
-		n := min(len(tasks), b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
-		if p.limitedToOneTask(j, b) {
-			n = min(n, 1-min(1, p.startedTasks[j]))
+		n := min(len(tasks), m.free.MaxCopies(job.Spec.TaskResources()), p.zones.room(job, m.zone))
+		if p.costs.allowsOneTask(job, m) {
+			n = min(n, 1-min(1, p.assignments.started[job]))
 		}
-		if n = j.FittingTasks(p.recordRoom(j), b.machine.ID, n); n > 0 {
-			n = p.startTasks(j, b, tasks[:n])
+		n = job.FittingTasks(p.record.jobSpareBytes(job), m.machine.ID, n)
+		if n > 0 && p.start(job, m, tasks[:n]) {
 			tasks = tasks[n:]
 		}
 	}
-	n := min(len(tasks), j.FittingSingleTasks(p.recordRoom(j)))
-	if n == 0 || p.recordFull {
-		return 0
-	}
-	if t.aged {
-		p.reserveMachines(j, n)
-	}
-	return p.handleUnplaced(j, n, t.guaranteed)
+	return tasks
 }
 
-// fetchTooSlow tells whether the job must start sooner than the bin's machine could
-// fetch its image.
-func (p *planner) fetchTooSlow(j *jobs.Job, b *candidateMachine) bool {
-	within := p.snapshot.Objectives[j.Spec.Class].StartWithin.Seconds()
-	return within > 0 && j.Spec.Priority >= jobs.PriorityHigh && b.machineType.FetchGBps > 0 && j.Spec.ImageGB/b.machineType.FetchGBps > within
+// fetchTooSlow tells whether the job must start sooner than the machine could fetch its
+// image.
+func (p *taskPlacer) fetchTooSlow(job *jobs.Job, m *candidateMachine) bool {
+	within, bandwidth := p.urgency.startWithinSeconds(job.Spec.Class), m.machineType.FetchGBps
+	return within > 0 && job.Spec.Priority >= jobs.PriorityHigh && bandwidth > 0 && job.Spec.ImageGB/bandwidth > within
 }
 
-// startTasks adds a group to the record, as far as the record has room, and
-// returns how many tasks it took.
-func (p *planner) startTasks(j *jobs.Job, b *candidateMachine, tasks []ident.TaskIndex) int {
-	st := newStart(j, b, tasks)
-	// Room is kept for one rental.
-	if p.recordSize+st.MaxJSONSize()+2*roundlog.MaxProvisionJSONSize > p.snapshot.ValueBytes {
-		p.recordFull = true
-		return 0
-	}
-	p.addStart(j, b, st, len(tasks))
-	return len(tasks)
-}
-
-// addStart adds a start of n tasks to the record.
-func (p *planner) addStart(j *jobs.Job, b *candidateMachine, st roundlog.Start, n int) {
-	p.recordSize += st.MaxJSONSize()
-	p.plan.Record.Starts = append(p.plan.Record.Starts, st)
-	b.receivesTasks = true
-	p.startedTasks[j] += n
-	p.recordRooms[j] -= j.GroupBytes(b.machine.ID, n)
-	p.allocate(j, b, n)
-}
-
-func newStart(j *jobs.Job, b *candidateMachine, tasks []ident.TaskIndex) roundlog.Start {
-	st := roundlog.Start{Job: j.ID, Machine: b.machine.ID, Session: b.machine.Session}
-	for _, i := range tasks {
-		st.Tasks.Add(i)
-	}
-	return st
-}
-
-// recordRoom is what the job's record still holds, with what this plan has started.
-func (p *planner) recordRoom(j *jobs.Job) jobs.SpareBytes {
-	r, ok := p.recordRooms[j]
-	if !ok {
-		r = j.SpareBytes(p.snapshot.ValueBytes, p.snapshot.MaxJobValues, p.snapshot.SpecJSONSize(j))
-		p.recordRooms[j] = r
-	}
-	return r
+// start starts tasks on a machine if the record has room for them.
+func (p *taskPlacer) start(job *jobs.Job, m *candidateMachine, tasks []ident.TaskIndex) bool {
+	start := newStart(job, m, tasks)
+	if !p.record.fits(&start) {
+		return false
+	}
+	p.assignments.start(job, m, start, len(tasks))
+	return true
 }
 
-func (p *planner) allocate(j *jobs.Job, b *candidateMachine, n int) {
-	b.free = b.free.Sub(j.Spec.TaskResources().Multiply(n))
-	if j.Spec.Service {
-		p.plannedReplicas[b] += n
+// reserveMachines keeps machines for n tasks of an aged job that found no room: what becomes
+// free there goes to nobody after it. Smaller tasks filled every hole as it opened, and
+// larger ones waited behind them for ever.
+func (p *taskPlacer) reserveMachines(job *jobs.Job, n int) {
+	need := job.Spec.TaskResources()
+	var usable []*candidateMachine
+	for _, m := range p.machines.up {
+		if m.accepts(job, p.urgency.now) && p.costs.mayUse(job, m) && m.machineType.Capacity.Fits(need) && p.zones.room(job, m.zone) > 0 {
+			usable = append(usable, m)
+		}
 	}
-	p.countPlaced(j, b, n)
-}
-
-// countPlaced counts n tasks of the job as being on the bin's machine.
-func (p *planner) countPlaced(j *jobs.Job, b *candidateMachine, n int) {
-	p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(n))
-	p.useReservation(j, n)
-	if p.plannedByZone[j] == nil {
-		p.plannedByZone[j] = map[ident.Zone]int{}
+	// Those first of which the least must still become free.
+	slices.SortStableFunc(usable, func(x, y *candidateMachine) int { return cmp.Compare(y.free.CPUs, x.free.CPUs) })
+	maxReserved := int(agedCapacityShare * float64(len(p.machines.up)))
+	for i, m := range usable {
+		if n <= 0 || i == maxReserved {
+			return
+		}
+		n -= max(1, m.machineType.Capacity.MaxCopies(need)/reservedTaskDivisor)
+		m.free = jobs.Resources{}
 	}
-	p.plannedByZone[j][b.zone] += n
 }
 
-// handleUnplaced handles tasks that fit no free machine: room is made for them by
-// stopping others where the rules allow it; else they wait for machines that
-// are coming. It returns how many need a machine rented.
-func (p *planner) handleUnplaced(j *jobs.Job, n int, guaranteed bool) int {
-	p.plan.UnplacedTasks += n
-	p.demand[j.Spec.Class] += n
-	if guaranteed || p.mayPreempt(j) {
-		n -= p.preempt(j, n, false)
-	}
-	need := j.Spec.TaskResources()
-	for _, b := range p.pending {
+// handleUnplaced handles n tasks that fit no machine: lower work is evicted for them where
+// the rules allow it; else they wait for pending machines. It returns how many need a machine
+// provisioned.
+func (p *taskPlacer) handleUnplaced(job *jobs.Job, n int, guaranteed bool) int {
+	p.scaleOut.noteUnplaced(job, n)
+	if guaranteed || p.preemptor.mayPreempt(job) {
+		n -= p.preemptor.makeRoom(job, n, allMachines)
+	}
+	need := job.Spec.TaskResources()
+	for _, m := range p.machines.pending {
 		if n == 0 {
 			break
 		}
-		// Work that can wait does not count on dear machines: they were rented
-		// for what can't.
-		if !b.free.Fits(need) || !j.Spec.AllowsMachine(b.machineType.Name, b.zone, b.spot) || !p.hasGuarantees && !p.worthProvisioning(j, b.machineType, b.spot) {
+		if !m.free.Fits(need) || !m.isAllowedBy(&job.Spec) || !p.mayAwait(job, m) {
 			continue
 		}
-		k := min(n, b.free.MaxCopies(j.Spec.TaskResources()), p.zoneRoom(j, b.zone))
-		if p.needsOnlyOneStart(j) && !p.isCheap(j, b.machineType, b.spot) {
-			k = min(k, 1-min(1, p.tasksAwaitingMachines[j]))
-		}
-		p.tasksAwaitingMachines[j] += k
-		p.allocate(j, b, k)
+		k := min(n, m.free.MaxCopies(need), p.zones.room(job, m.zone))
+		k = min(k, p.scaleOut.taskLimit(job, m.machineType, m.spot))
+		p.scaleOut.awaitingMachine[job] += k
+		p.assignments.allocate(job, m, k)
 		n -= k
 	}
 	return n
 }
+
+// mayAwait tells whether the job may count on a pending machine. Work that can wait does not
+// count on expensive ones: they were provisioned for what can't.
+func (p *taskPlacer) mayAwait(job *jobs.Job, m *candidateMachine) bool {
+	return p.quotas.hasGuarantees || p.costs.worthProvisioning(job, m.machineType, m.spot)
+}
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -4,119 +4,135 @@
 package scheduler
 
 import (
-	"maps"
-
 	"badgerbay/internal/ident"
 	"badgerbay/internal/indexset"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/jobs"
+	"badgerbay/internal/roundlog"
 )
 
-type planner struct {
-	snapshot   *Snapshot
-	plan       *Plan
-	recordSize int
-	machines   []*candidateMachine
-	pending    []*candidateMachine
-	// machinesByID finds the bins of machines; see binOf.
-	machinesByID map[ident.MachineID]*candidateMachine
-	// usage counts all placements that may exist. What is told to stop stays
-	// in it until its exit is seen; giving counts it for the guarantees.
-	usage        map[ident.Team]jobs.Resources
-	evictedUsage map[ident.Team]jobs.Resources
-	queue        []queueEntry
-	// claimedTasks are the tasks of a job that this plan has dealt with.
-	claimedTasks  map[*jobs.Job]indexset.Set
-	plannedByZone map[*jobs.Job]map[ident.Zone]int // tasks given a place in this plan
-	evicted       map[*jobs.Placement]bool
-	recordRooms   map[*jobs.Job]jobs.SpareBytes
-	recordFull    bool
-	placingAged   bool                    // the turn at hand is one of old work
-	unplaceable   map[placementShape]bool // what fits no machine
-
-	spareShortages  []shortage                // of the room kept free
-	plannedReplicas map[*candidateMachine]int // replicas given a place in this plan
-	startTimes      map[*jobs.Job]float64     // see soonest
-	lowestPrices    map[*jobs.Job]float64     // see cheapest
-	// demand counts the tasks of a class that found no room, those that wait
-	// for machines to come included: many small jobs that arrive one by one
-	// share large machines, as one large job would.
-	demand         map[ident.Class]int
-	hasGuarantees  bool               // some team has a guarantee
-	surplusCPUs    float64            // CPUs beyond what the guarantees want as machines
-	machinesByZone map[ident.Zone]int // machines, coming ones too
-
-	workByPriority [jobs.PriorityProd + 1]jobs.Resources // of arrays by priority, see workOf
-	workAhead      map[*jobs.Job]jobs.Resources          // see queueWork
-	usableCapacity map[placementShape]jobs.Resources     // see usableBy
-	// agedBudget is what old jobs may still start before others.
-	agedBudget jobs.Resources
+// Plan is what a round decides.
+type Plan struct {
+	Record    roundlog.Record
+	Evictions []Eviction
+	// UnplacedTasks counts the tasks that found no room.
+	UnplacedTasks int
+	// ProvisionedFor is the job that machines are provisioned for, if it is one.
+	ProvisionedFor ident.JobID
+	// Drain are machines to be drained, so that they can be deprovisioned.
+	Drain []ident.MachineID
+	// Retain are idle machines that hold the room kept free for a class or a guarantee.
+	Retain map[ident.MachineID]bool
+	// Examined counts the machines and placements that were looked at, for one job or
+	// another: what the plan cost.
+	Examined int
+	// ReservationBlocked is what work of a team would fit its limit, but for what is
+	// reserved by other nodes.
+	ReservationBlocked map[ident.Team]jobs.Resources
+}
 
-	oldestPlacements map[*jobs.Job]*jobs.Placement // see eldest
+// Eviction is a placement to be stopped: to make room, or to drain its machine.
+type Eviction struct {
+	Placement *jobs.Placement
+	Preemptor ident.JobID // the job that room is made for; empty if a machine is drained
+}
 
-	startedTasks map[*jobs.Job]int // tasks that this plan starts
-	// tasksAwaitingMachines counts the tasks of a job that wait for machines to come.
-	tasksAwaitingMachines map[*jobs.Job]int
-	reserved              map[ident.Team]jobs.Resources // see World
-	reservedTasks         map[*jobs.Job]int             // see covered
-	reservationChecked    map[*jobs.Job]bool            // see noteBlocked
-	// provisionZone is where machines for a gang must be rented; "": anywhere.
-	provisionZone map[*jobs.Job]ident.Zone
+// planner holds the parts of a plan in the making. Each has a job of its own, and keeps what
+// it has decided until the plan is put together.
+type planner struct {
+	urgency   *urgency
+	machines  *machinePool
+	zones     *zoneTracker
+	quotas    *quotaTracker
+	backlog   *backlog
+	record    *recordBuilder
+	selector  *machineSelector
+	preemptor *preemptor
+	scaleOut  *scaleOut
+	spare     *spareCapacity
+	tasks     *taskPlacer
+	gangs     *gangPlacer
 }
 
 // PlanRound plans a round. It changes nothing it is given.
-func PlanRound(w *Snapshot) *Plan {
-	p := &planner{snapshot: w, plan: &Plan{ReservationBlocked: map[ident.Team]jobs.Resources{}}, reserved: maps.Clone(w.Reserved), reservedTasks: map[*jobs.Job]int{}, reservationChecked: map[*jobs.Job]bool{}, usage: map[ident.Team]jobs.Resources{}, evictedUsage: map[ident.Team]jobs.Resources{},
-		plannedReplicas: map[*candidateMachine]int{}, claimedTasks: map[*jobs.Job]indexset.Set{}, startTimes: map[*jobs.Job]float64{}, lowestPrices: map[*jobs.Job]float64{},
-		plannedByZone: map[*jobs.Job]map[ident.Zone]int{}, evicted: map[*jobs.Placement]bool{}, recordRooms: map[*jobs.Job]jobs.SpareBytes{},
-		demand: map[ident.Class]int{}, unplaceable: map[placementShape]bool{}, machinesByZone: map[ident.Zone]int{},
-		oldestPlacements: map[*jobs.Job]*jobs.Placement{}, workAhead: map[*jobs.Job]jobs.Resources{}, usableCapacity: map[placementShape]jobs.Resources{}, startedTasks: map[*jobs.Job]int{}, tasksAwaitingMachines: map[*jobs.Job]int{}, provisionZone: map[*jobs.Job]ident.Zone{}}
-	p.plan.Record = roundlog.Record{SchemaVersion: roundlog.SchemaPlain, RoundNo: w.RoundNo, Epoch: w.Epoch}
-	p.recordSize = p.plan.Record.MaxJSONSize()
-	p.countUsage()
-	p.countRunningWork()
-	for _, t := range w.Teams {
-		p.hasGuarantees = p.hasGuarantees || t.CPUGuarantee > 0
+func PlanRound(s *Snapshot) *Plan {
+	plan := &Plan{Retain: map[ident.MachineID]bool{}}
+	p := newPlanner(s, plan)
+	short := p.placeQueue(buildQueue(s.QueuedJobs, p.quotas, p.urgency))
+	p.scaleOut.provision(short)
+	if len(p.scaleOut.provisions) == 0 {
+		p.scaleOut.provision(p.spare.shortages)
 	}
-	p.listMachines()
-	p.buildQueue()
-	p.agedBudget = p.agedCapacity()
+	guarantees := &guaranteeKeeper{policy: s.Policy, teamActive: s.TeamActive, typicalSpecs: s.TypicalSpecs,
+		urgency: p.urgency, machines: p.machines, quotas: p.quotas, scaleOut: p.scaleOut, retain: plan.Retain}
+	surplusCPUs := guarantees.ensure()
+	plan.Evictions = p.preemptor.evictions
+	if s.MayDrain && len(p.spare.shortages) == 0 && p.canWait(short) {
+		c := &consolidation{urgency: p.urgency, machines: p.machines, zones: p.zones, spare: p.spare, surplusCPUs: surplusCPUs,
+			free: map[*candidateMachine]jobs.Resources{}, moved: map[*jobs.Job]bool{}}
+		c.run()
+		plan.Drain = c.drained
+		plan.Evictions = append(plan.Evictions, c.evictions...)
+	}
+	plan.Record.Provisions = p.scaleOut.provisions
+	plan.ProvisionedFor = p.scaleOut.provisionedFor
+	plan.UnplacedTasks = p.scaleOut.unplacedTasks
+	plan.Examined = p.selector.examined + p.preemptor.examined
+	plan.ReservationBlocked = p.quotas.reservationBlocked
+	return plan
+}
+
+func newPlanner(s *Snapshot, plan *Plan) *planner {
+	p := &planner{urgency: newUrgency(s), machines: newMachinePool(s), zones: newZoneTracker(), quotas: newQuotaTracker(s),
+		record: newRecordBuilder(s, &plan.Record)}
+	p.backlog = newBacklog(p.machines, s.PlacedJobs)
+	offers := newOfferCatalog(s)
+	costs := &costPolicy{urgency: p.urgency, offers: offers, quotas: p.quotas, backlog: p.backlog}
+	assigned := &assignments{quotas: p.quotas, zones: p.zones, record: p.record, started: map[*jobs.Job]int{}}
+	p.selector = newMachineSelector(s, p.machines, costs)
+	p.preemptor = &preemptor{urgency: p.urgency, fleet: s.Fleet, machines: p.machines, zones: p.zones, quotas: p.quotas, costs: costs,
+		assignments: assigned, delay: s.Policy.PreemptionDelay,
+		evicted: map[*jobs.Placement]bool{}, oldest: map[*jobs.Job]*jobs.Placement{}}
+	p.scaleOut = &scaleOut{mayProvision: s.MayProvision, roundNo: s.RoundNo, epoch: s.Epoch,
+		urgency: p.urgency, machines: p.machines, zones: p.zones, offers: offers, costs: costs,
+		demand: map[ident.Class]int{}, awaitingMachine: map[*jobs.Job]int{}, zone: map[*jobs.Job]ident.Zone{}}
+	p.spare = &spareCapacity{specs: s.SpareSpecs, tasks: s.Policy.SpareTasks, urgency: p.urgency, machines: p.machines, retain: plan.Retain}
+	p.tasks = &taskPlacer{urgency: p.urgency, machines: p.machines, zones: p.zones, quotas: p.quotas, record: p.record, costs: costs,
+		selector: p.selector, assignments: assigned, preemptor: p.preemptor, scaleOut: p.scaleOut,
+		aging: newAgingBudget(p.machines, s.PlacedJobs, p.urgency), claimed: map[*jobs.Job]indexset.Set{}}
+	p.gangs = &gangPlacer{urgency: p.urgency, allZones: s.Zones, replacementAttempts: s.ReplacementAttempts,
+		machines: p.machines, zones: p.zones, quotas: p.quotas, record: p.record, offers: offers, costs: costs,
+		selector: p.selector, assignments: assigned, preemptor: p.preemptor, scaleOut: p.scaleOut}
+	return p
+}
+
+// placeQueue places the tasks of the queue in its order, and lists those that are short of
+// machines.
+func (p *planner) placeQueue(queue []queueEntry) []shortage {
 	var short []shortage
-	spared := false
-	for _, t := range p.queue {
-		p.countQueuedWork(t.job)
-		if !spared && t.job.Spec.Priority < jobs.PriorityHigh {
+	for _, entry := range queue {
+		p.backlog.addQueued(entry.job)
+		if entry.job.Spec.Priority < jobs.PriorityHigh {
 			// Before work that would yield to it takes the room.
-			spared = true
-			p.measureSpareCapacity()
+			p.spare.measure()
 		}
-		if n := p.placeJob(t); n > 0 && !p.recordFull {
-			short = append(short, shortage{t.job, n})
+		place := p.tasks.place
+		if entry.job.Spec.Gang {
+			place = p.gangs.place
+		}
+		if n := place(entry); n > 0 && !p.record.full {
+			short = append(short, shortage{entry.job, n})
 		}
 	}
-	if !spared {
-		p.measureSpareCapacity()
-	}
-	p.provision(short)
-	p.provisionSpareCapacity()
-	p.ensureGuarantees()
-	p.consolidate(short)
-	return p.plan
-}
-
-type shortage struct {
-	job   *jobs.Job
-	tasks int
+	p.spare.measure()
+	return short
 }
 
-func (p *planner) countUsage() {
-	for _, j := range p.snapshot.PlacedJobs {
-		p.usage[j.Spec.Team] = p.usage[j.Spec.Team].Add(j.Spec.TaskResources().Multiply(len(j.Placements)))
-		for _, v := range j.Placements {
-			if v.Stopping {
-				p.evictedUsage[j.Spec.Team] = p.evictedUsage[j.Spec.Team].Add(j.Spec.TaskResources())
-			}
+// canWait tells whether all work that is short of machines has ample slack.
+func (p *planner) canWait(short []shortage) bool {
+	for _, shortage := range short {
+		if p.urgency.slackSeconds(shortage.job) < ampleSlackSeconds {
+			return false
 		}
 	}
+	return true
 }
--- /dev/null
+++ b/internal/scheduler/plan_bench_test.go
@@ -0,0 +1,24 @@
+package scheduler
+
+import "testing"
+
+// BenchmarkPlanRound plans 40 snapshots of one profile in each iteration.
+func BenchmarkPlanRound(b *testing.B) {
+	for _, c := range []struct {
+		name string
+		only profile
+	}{{"crowded", crowded}, {"sparse", sparse}, {"gangs", gangsQueued}, {"large", large}, {"growing", growing}} {
+		b.Run(c.name, func(b *testing.B) {
+			var snapshots []*Snapshot
+			for seed := uint64(c.only); len(snapshots) < 40; seed += uint64(profiles) {
+				snapshots = append(snapshots, newSnapshot(seed).world)
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				for _, s := range snapshots {
+					PlanRound(s)
+				}
+			}
+		})
+	}
+}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,319 +1,388 @@
 package scheduler
 
 import (
+	"cmp"
 	"container/heap"
 	"maps"
 	"slices"
-	"sort"
+	"time"
 
+	"badgerbay/internal/fleet"
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/jobs"
 )
 
-func (p *planner) mayPreempt(j *jobs.Job) bool {
-	if j.Spec.Priority >= jobs.PriorityHigh || p.slackSeconds(j) < 2*urgentSlackSeconds {
+const (
+	// gangRestartSeconds is what it costs a gang, in seconds of all its tasks, to be placed
+	// anew: room for all of it at once must be found. Without it replicas of one CPU
+	// stopped gangs that had just begun, rather than a task of an array.
+	gangRestartSeconds = 60
+	// notRunningLostSeconds is what a task loses that has been placed and does not run yet.
+	notRunningLostSeconds = 0.5
+	// evictionLostSeconds is what every running task loses that is evicted.
+	evictionLostSeconds = 1
+	// fetchCostPerGB is the cost, in CPU seconds, of making room on a machine that must
+	// fetch the image, beside missingImageCost.
+	fetchCostPerGB   = 4
+	missingImageCost = 1
+)
+
+// machineScope says on which machines room is made.
+type machineScope int
+
+const (
+	allMachines machineScope = iota
+	imageHolders
+)
+
+// preemptor makes room for jobs by evicting what yields to them.
+type preemptor struct {
+	urgency     *urgency
+	fleet       *fleet.Fleet
+	machines    *machinePool
+	zones       *zoneTracker
+	quotas      *quotaTracker
+	costs       *costPolicy
+	assignments *assignments
+	delay       time.Duration // see policy.Policy.PreemptionDelay
+
+	evictions []Eviction
+	evicted   map[*jobs.Placement]bool
+	oldest    map[*jobs.Job]*jobs.Placement // see oldestPlacement
+	examined  int                           // see Plan.Examined
+}
+
+// mayPreempt tells whether lower work may be evicted for the job: at once if it is urgent,
+// else once it has waited.
+func (p *preemptor) mayPreempt(job *jobs.Job) bool {
+	if job.Spec.Priority >= jobs.PriorityHigh || p.urgency.slackSeconds(job) < 2*urgentSlackSeconds {
 		return true
 	}
-	return p.snapshot.Now.Sub(j.QueuedSince) >= p.snapshot.Policy.PreemptionDelay
+	return p.urgency.now.Sub(job.QueuedSince) >= p.delay
 }
 
-// preemptionSite is where room for one task can be made, and what that costs.
+// preemptionSite is a machine where room for one task can be made, and what that costs, in
+// CPU seconds of lost work.
 type preemptionSite struct {
 	machine *candidateMachine
 	victims []*jobs.Placement
 	cost    float64
 }
 
-// preempt makes room for up to n tasks of the job where that costs least
-// work, by stopping what is in their way, and returns for how many it did. Room
-// that is already being made, or is left there, is kept for the job. With
-// holders only machines that hold the image count.
-func (p *planner) preempt(j *jobs.Job, n int, holders bool) int {
+// siteHeap is a heap, the cheapest first.
+type siteHeap []preemptionSite
+
+func (h siteHeap) Len() int           { return len(h) }
+func (h siteHeap) Less(i, k int) bool { return h[i].cost < h[k].cost }
+func (h siteHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *siteHeap) Push(x any)        { *h = append(*h, x.(preemptionSite)) }
+
+func (h *siteHeap) Pop() any {
+	last := len(*h) - 1
+	site := (*h)[last]
+	*h = (*h)[:last]
+	return site
+}
+
+// makeRoom makes room for up to n tasks of the job where that costs least work, and returns
+// for how many it did. Room that is being made already, or is left there, is kept for the
+// job.
+func (p *preemptor) makeRoom(job *jobs.Job, n int, scope machineScope) int {
 	if n <= 0 {
 		return 0
 	}
-	spots := p.preemptionSites(j, holders)
+	sites := p.sites(job, scope)
 	made := 0
-	for made < n && spots.Len() > 0 {
+	for made < n && sites.Len() > 0 {
+		cheapest := &(*sites)[0]
 		// What was decided since may have changed what this one costs.
-		s, ok := p.preemptionSiteAt(j, (*spots)[0].machine)
+		site, ok := p.siteAt(job, cheapest.machine)
 		switch {
-		case !ok || p.zoneRoom(j, s.machine.zone) == 0:
-			heap.Pop(spots)
-		case s.cost > (*spots)[0].cost:
-			(*spots)[0] = s
-			heap.Fix(spots, 0)
+		case !ok || p.zones.room(job, site.machine.zone) == 0:
+			heap.Pop(sites)
+		case site.cost > cheapest.cost:
+			*cheapest = site
+			heap.Fix(sites, 0)
 		default:
 			made++
-			if p.evict(j, s) {
-				// A gang was stopped: it makes room on other machines too.
-				spots = p.preemptionSites(j, holders)
+			if p.evictAt(job, site) {
+				// The gang makes room on other machines too.
+				sites = p.sites(job, scope)
 			}
 		}
 	}
 	return made
 }
 
-// preemptionSites lists where room for one task of the job can be made.
-func (p *planner) preemptionSites(j *jobs.Job, holders bool) *siteHeap {
-	out := &siteHeap{}
-	borrowed := p.mayReclaimGuarantee(j)
-	p.plan.Examined += len(p.machines)
-	for _, b := range p.machines {
-		// On a dear machine that the job may not use, what is free was promised to
-		// it in each plan, never used, and kept from those that could.
-		if !b.mayYield(j, borrowed) || !p.allows(j, b) || !p.mayUseMachine(j, b) || p.zoneRoom(j, b.zone) == 0 || holders && !b.machine.HasImage(j.Spec.Image) {
+// sites lists where room for one task of the job can be made.
+func (p *preemptor) sites(job *jobs.Job, scope machineScope) *siteHeap {
+	sites := &siteHeap{}
+	mayReclaim := p.quotas.mayReclaim(job)
+	p.examined += len(p.machines.up)
+	for _, m := range p.machines.up {
+		if !mayReclaim && !mayYield(m, job) || scope == imageHolders && !m.machine.HasImage(job.Spec.Image) {
 			continue
 		}
-		if s, ok := p.preemptionSiteAt(j, b); ok {
-			*out = append(*out, s)
-		}
-	}
-	heap.Init(out)
-	return out
-}
-
-// mayYield tells whether the bin can hold a task of the job at all after stops.
-func (b *candidateMachine) mayYield(j *jobs.Job, borrowed bool) bool {
-	l := b.machine.Load()
-	return borrowed || l.Stopping > 0 || l.TasksBelow(j.Spec.Priority) > 0 || b.free.Add(b.freeing).Fits(j.Spec.TaskResources())
-}
-
-// mayReclaimGuarantee tells whether work of any priority may be stopped for the job:
-// its team is within its guarantee, and another beyond its own.
-func (p *planner) mayReclaimGuarantee(j *jobs.Job) bool {
-	if !p.hasGuarantees || !p.withinGuarantee(j) {
-		return false
-	}
-	for name, t := range p.snapshot.Teams {
-		if name != j.Spec.Team && p.usage[name].Sub(p.evictedUsage[name]).CPUs > t.CPUGuarantee {
-			return true
-		}
-	}
-	return false
-}
-
-func (p *planner) preemptionSiteAt(j *jobs.Job, b *candidateMachine) (preemptionSite, bool) {
-	stops, cost, ok := p.victims(j, b)
-	if !b.machine.HasImage(j.Spec.Image) {
-		cost += 1 + j.Spec.ImageGB*4
-	}
-	return preemptionSite{b, stops, cost}, ok
-}
-
-// evict stops what is in the way at a spot, gangs whole, and promises the room to a
-// task of the job. It tells whether a gang was stopped.
-func (p *planner) evict(j *jobs.Job, s preemptionSite) bool {
-	wide := false
-	for _, v := range s.victims {
-		if !v.Job.Spec.Gang || v.Stopping {
-			p.evictPlacement(j, v)
+		// On an expensive machine that the job may not use, what is free was promised to it
+		// in each plan, never used, and kept from those that could.
+		if !m.accepts(job, p.urgency.now) || !p.costs.mayUse(job, m) || p.zones.room(job, m.zone) == 0 {
 			continue
 		}
-		for _, i := range slices.Sorted(maps.Keys(v.Job.Placements)) {
-			if member := v.Job.Placements[i]; !p.evicted[member] {
-				p.evictPlacement(j, member)
-				wide = true
-			}
+		if site, ok := p.siteAt(job, m); ok {
+			*sites = append(*sites, site)
 		}
 	}
-	s.machine.reserveTask(j.Spec.TaskResources())
-	p.countPlaced(j, s.machine, 1)
-	return wide
+	heap.Init(sites)
+	return sites
 }
 
-// evictPlacement stops one placement. The room that it leaves is nobody's yet.
-func (p *planner) evictPlacement(j *jobs.Job, v *jobs.Placement) {
-	p.evicted[v] = true
-	if b := p.machineByID(v.Machine); b != nil {
-		b.freeing = b.freeing.Add(v.Job.Spec.TaskResources())
-	}
-	if !v.Stopping {
-		p.plan.Evictions = append(p.plan.Evictions, Eviction{v, j.ID})
-		p.evictedUsage[v.Job.Spec.Team] = p.evictedUsage[v.Job.Spec.Team].Add(v.Job.Spec.TaskResources())
-	}
+// mayYield tells whether the machine may have room for a task of the job after evictions of
+// lower work.
+func mayYield(m *candidateMachine, job *jobs.Job) bool {
+	load := m.machine.Load()
+	return load.Stopping > 0 || load.TasksBelow(job.Spec.Priority) > 0 || m.free.Add(m.freeing).Fits(job.Spec.TaskResources())
 }
 
-// machineByID returns the bin of a machine, or nil if the plan does not use it.
-func (p *planner) machineByID(id ident.MachineID) *candidateMachine {
-	if p.machinesByID == nil {
-		p.machinesByID = make(map[ident.MachineID]*candidateMachine, len(p.machines))
-		for _, b := range p.machines {
-			p.machinesByID[b.machine.ID] = b
-		}
+// siteAt finds what must be evicted on the machine to fit one task of the job, and whether
+// that is enough.
+func (p *preemptor) siteAt(job *jobs.Job, m *candidateMachine) (site preemptionSite, ok bool) {
+	site.machine = m
+	if !m.machine.HasImage(job.Spec.Image) {
+		site.cost = missingImageCost + job.Spec.ImageGB*fetchCostPerGB
 	}
-	return p.machinesByID[id]
-}
-
-// siteHeap is a heap, the cheapest first.
-type siteHeap []preemptionSite
-
-func (s siteHeap) Len() int           { return len(s) }
-func (s siteHeap) Less(a, b int) bool { return s[a].cost < s[b].cost }
-func (s siteHeap) Swap(a, b int)      { s[a], s[b] = s[b], s[a] }
-func (s *siteHeap) Push(x any)        { *s = append(*s, x.(preemptionSite)) }
-func (s *siteHeap) Pop() any          { o := *s; x := o[len(o)-1]; *s = o[:len(o)-1]; return x }
-
-// victims returns what must stop on the bin's machine to fit one task of the
-// job, and what it costs in CPU seconds of lost work.
-func (p *planner) victims(j *jobs.Job, b *candidateMachine) ([]*jobs.Placement, float64, bool) {
-	need := j.Spec.TaskResources()
-	if !b.machineType.Capacity.Fits(need) {
-		return nil, 0, false
+	need := job.Spec.TaskResources()
+	if !m.machineType.Capacity.Fits(need) {
+		return site, false
 	}
-	free, cost := b.free.Add(b.freeing), 0.0
-	var out []*jobs.Placement
+	free, lost := m.free.Add(m.freeing), 0.0
 	var lastGang *jobs.Job
-	for _, v := range p.preemptionCandidates(j, b) {
+	for _, victim := range p.candidates(job, m) {
 		if free.Fits(need) {
 			break
 		}
-		out = append(out, v)
-		free = free.Add(v.Job.Spec.TaskResources())
-		if v.Job != lastGang || v.Stopping {
-			cost += p.lostWork(v)
+		site.victims = append(site.victims, victim)
+		free = free.Add(victim.Job.Spec.TaskResources())
+		if victim.Job != lastGang || victim.Stopping {
+			lost += p.lostWork(victim)
 		}
-		if v.Job.Spec.Gang && !v.Stopping {
-			lastGang = v.Job // it is lost whole, and counted once
+		if victim.Job.Spec.Gang && !victim.Stopping {
+			lastGang = victim.Job // it is lost whole, and counted once
 		}
 	}
-	return out, cost, free.Fits(need)
+	site.cost = lost + site.cost
+	return site, free.Fits(need)
 }
 
-// preemptionCandidates lists what may be stopped for the job: first what is stopping
-// already, then the lowest priority, then what loses least.
-func (p *planner) preemptionCandidates(j *jobs.Job, b *candidateMachine) []*jobs.Placement {
-	var out []*jobs.Placement
-	p.plan.Examined += b.machine.Load().Tasks
-	for _, v := range b.livePlacements() {
-		if !p.evicted[v] && (v.Stopping || p.mayEvict(j, v)) {
-			out = append(out, v)
+// candidates lists what may be evicted for the job: first what is stopping already, then the
+// lowest priority, then what loses least.
+func (p *preemptor) candidates(job *jobs.Job, m *candidateMachine) []*jobs.Placement {
+	var candidates []*jobs.Placement
+	p.examined += m.machine.Load().Tasks
+	for _, placement := range m.livePlacements() {
+		if !p.evicted[placement] && (placement.Stopping || p.mayEvict(job, placement)) {
+			candidates = append(candidates, placement)
 		}
 	}
-	sort.SliceStable(out, func(a, c int) bool {
-		x, y := out[a], out[c]
-		if x.Stopping != y.Stopping {
-			return x.Stopping
-		}
-		if x.Job.Spec.Priority != y.Job.Spec.Priority {
-			return x.Job.Spec.Priority < y.Job.Spec.Priority
-		}
-		if x.Job.Spec.Gang && x.Job != y.Job && p.lostWork(x) == p.lostWork(y) {
-			return x.Job.ID < y.Job.ID // so that those of one gang stay together
-		}
-		return p.lostWork(x) < p.lostWork(y)
-	})
-	return out
+	slices.SortStableFunc(candidates, p.compareVictims)
+	return candidates
 }
 
-// evictionSize is how many tasks end if the placement is stopped: a gang ends whole.
-func evictionSize(v *jobs.Placement) int {
-	if v.Job.Spec.Gang {
-		return len(v.Job.Placements)
+func (p *preemptor) compareVictims(x, y *jobs.Placement) int {
+	if x.Stopping != y.Stopping {
+		return preferTrue(x.Stopping)
 	}
-	return 1
+	if x.Job.Spec.Priority != y.Job.Spec.Priority {
+		return cmp.Compare(x.Job.Spec.Priority, y.Job.Spec.Priority)
+	}
+	lostX, lostY := p.lostWork(x), p.lostWork(y)
+	if lostX == lostY && x.Job.Spec.Gang && x.Job != y.Job {
+		return cmp.Compare(x.Job.ID, y.Job.ID) // so that those of one gang stay together
+	}
+	return cmp.Compare(lostX, lostY)
 }
 
-func (p *planner) mayEvict(j *jobs.Job, v *jobs.Placement) bool {
-	if j.Spec.Priority < jobs.PriorityHigh && p.isProtected(v) {
+// mayEvict tells whether the placement yields to the job.
+func (p *preemptor) mayEvict(job *jobs.Job, placement *jobs.Placement) bool {
+	victim := &placement.Job.Spec
+	if job.Spec.Priority < jobs.PriorityHigh && p.isProtected(placement) {
 		return false
 	}
-	if v.Job.Spec.Priority < j.Spec.Priority {
+	if victim.Priority < job.Spec.Priority {
 		return true
 	}
-	// Work beyond another team's guarantee must yield whatever its priority;
-	// but stopping what would go before the job again is of no use to anybody.
-	if v.Job.Spec.Team == j.Spec.Team || v.Job.Spec.Priority > j.Spec.Priority || !p.withinGuarantee(j) {
+	// Work beyond another team's guarantee must yield whatever its priority; but stopping
+	// what would go before the job again is of no use to anybody.
+	if victim.Team == job.Spec.Team || victim.Priority > job.Spec.Priority || !p.quotas.withinGuarantee(job) {
 		return false
 	}
-	t := p.snapshot.Teams[v.Job.Spec.Team]
-	// Stopping it must leave its team no less than its guarantee.
-	left := p.usage[v.Job.Spec.Team].Sub(p.evictedUsage[v.Job.Spec.Team]).Sub(v.Job.Spec.TaskResources().Multiply(evictionSize(v)))
-	return left.CPUs >= t.CPUGuarantee-1e-6
+	return p.quotas.staysWithinGuarantee(placement, evictionSize(placement))
+}
+
+// evictionSize is how many tasks end if the placement is evicted: a gang ends whole.
+func evictionSize(placement *jobs.Placement) int {
+	if placement.Job.Spec.Gang {
+		return len(placement.Job.Placements)
+	}
+	return 1
 }
 
-// isProtected tells whether the placement belongs to a job that waited long for it,
-// and has not run for long enough to count as started, or has run longest of a
-// job with nothing done, and is let run to its end.
-func (p *planner) isProtected(v *jobs.Placement) bool {
-	j := v.Job
-	if !p.isAged(j) {
+// isProtected tells whether the placement belongs to an aged job and has not run for long
+// enough to count as started, or has run longest of a job with nothing done, and is let run
+// to its end.
+func (p *preemptor) isProtected(placement *jobs.Placement) bool {
+	job := placement.Job
+	if !p.urgency.isAged(job) {
 		return false
 	}
-	fresh := !j.StartedTasks.Contains(v.Task) && (v.State != jobs.PlacementRunning || p.snapshot.Now.Sub(v.RunningSince) < jobs.MinCountedRunTime)
-	return fresh || len(j.Done) == 0 && p.oldestPlacement(j) == v
+	counted := job.StartedTasks.Contains(placement.Task) ||
+		placement.State == jobs.PlacementRunning && p.runTime(placement) >= jobs.MinCountedRunTime
+	return !counted || len(job.Done) == 0 && p.oldestPlacement(job) == placement
+}
+
+func (p *preemptor) runTime(placement *jobs.Placement) time.Duration {
+	return p.urgency.now.Sub(placement.RunningSince)
 }
 
 // oldestPlacement is the placement of the job that has run longest.
-func (p *planner) oldestPlacement(j *jobs.Job) *jobs.Placement {
-	if v, ok := p.oldestPlacements[j]; ok {
-		return v
+func (p *preemptor) oldestPlacement(job *jobs.Job) *jobs.Placement {
+	if placement, ok := p.oldest[job]; ok {
+		return placement
 	}
-	var out *jobs.Placement
-	for _, v := range j.Placements {
-		if out == nil || ranLonger(v, out) {
-			out = v
+	var oldest *jobs.Placement
+	for _, placement := range job.Placements {
+		if oldest == nil || ranLonger(placement, oldest) {
+			oldest = placement
 		}
 	}
-	p.oldestPlacements[j] = out
-	return out
+	p.oldest[job] = oldest
+	return oldest
 }
 
 // ranLonger tells whether one placement of a job has run longer than another.
-func ranLonger(v, w *jobs.Placement) bool {
+func ranLonger(x, y *jobs.Placement) bool {
 	switch {
-	case (v.RunningSince == 0) != (w.RunningSince == 0):
-		return v.RunningSince != 0
-	case v.RunningSince != w.RunningSince:
-		return v.RunningSince < w.RunningSince
+	case (x.RunningSince == 0) != (y.RunningSince == 0):
+		return x.RunningSince != 0
+	case x.RunningSince != y.RunningSince:
+		return x.RunningSince < y.RunningSince
 	}
-	return v.Task < w.Task
+	return x.Task < y.Task
 }
 
-// lostWork is the work, in CPU seconds, that stopping a placement throws away, with
-// that of its whole gang.
-func (p *planner) lostWork(v *jobs.Placement) float64 {
-	if v.Stopping {
+// lostWork is the work, in CPU seconds, that evicting a placement throws away, with that of
+// its whole gang.
+func (p *preemptor) lostWork(placement *jobs.Placement) float64 {
+	if placement.Stopping {
 		return 0
 	}
-	s := &v.Job.Spec
-	cpus := s.CPUs * float64(evictionSize(v))
-	if s.Gang {
-		return (gangRestartSeconds + p.lostSecondsPerTask(v)) * cpus
+	spec := &placement.Job.Spec
+	cpus := spec.CPUs * float64(evictionSize(placement))
+	if spec.Gang {
+		return (gangRestartSeconds + p.lostSecondsPerTask(placement)) * cpus
 	}
-	return p.lostSecondsPerTask(v) * cpus
+	return p.lostSecondsPerTask(placement) * cpus
 }
 
-// gangRestartSeconds is what it costs a gang, in seconds of all its tasks, to be placed
-// anew: room for all of it at once must be found. Without it replicas of one CPU
-// stopped gangs that had just begun, rather than a task of an array.
-const gangRestartSeconds = 60
-
-// lostSecondsPerTask is the work, in seconds, that a task loses which is stopped.
-func (p *planner) lostSecondsPerTask(v *jobs.Placement) float64 {
-	s := &v.Job.Spec
+// lostSecondsPerTask is the work, in seconds, that a task loses which is evicted.
+func (p *preemptor) lostSecondsPerTask(placement *jobs.Placement) float64 {
+	spec := &placement.Job.Spec
 	switch {
-	case v.State != jobs.PlacementRunning:
-		return 0.5
-	case s.CheckpointIntervalSeconds > 0 && s.Gang && !p.gangReachable(v.Job):
-		// Not all of its tasks can be told in time, so it can't save: what it did
-		// since its last checkpoint is lost.
-		return 1 + min(s.CheckpointIntervalSeconds, p.snapshot.Now.Sub(v.RunningSince).Seconds())
-	case s.CheckpointIntervalSeconds > 0:
-		return 1 + s.CheckpointSeconds
+	case placement.State != jobs.PlacementRunning:
+		return notRunningLostSeconds
+	case spec.CheckpointIntervalSeconds > 0 && spec.Gang && !p.gangReachable(placement.Job):
+		// Not all of its tasks can be told in time, so it can't write a checkpoint: what it
+		// did since its last one is lost.
+		return evictionLostSeconds + min(spec.CheckpointIntervalSeconds, p.runTime(placement).Seconds())
+	case spec.CheckpointIntervalSeconds > 0:
+		return evictionLostSeconds + spec.CheckpointSeconds
 	}
-	return 1 + p.snapshot.Now.Sub(v.RunningSince).Seconds()
+	return evictionLostSeconds + p.runTime(placement).Seconds()
 }
 
-// gangReachable tells whether all machines of a gang report, so that its tasks can be told
-// to stop at about the same time.
-func (p *planner) gangReachable(j *jobs.Job) bool {
-	for _, v := range j.Placements {
-		m := p.snapshot.Fleet.Machine(v.Machine)
-		if m == nil || !m.Up || p.snapshot.Fleet.HeartbeatOverdue(p.snapshot.Now, m) {
+// gangReachable tells whether all machines of a gang send heartbeats, so that its tasks can
+// be told to stop at about the same time.
+func (p *preemptor) gangReachable(gang *jobs.Job) bool {
+	for _, placement := range gang.Placements {
+		m := p.fleet.Machine(placement.Machine)
+		if m == nil || !m.Up || p.fleet.HeartbeatOverdue(p.urgency.now, m) {
 			return false
 		}
 	}
 	return true
 }
+
+// evictAt evicts what is in the way at a site, gangs whole, and promises the room to a task
+// of the job. It tells whether a gang was evicted.
+func (p *preemptor) evictAt(job *jobs.Job, site preemptionSite) (gangEvicted bool) {
+	for _, victim := range site.victims {
+		if !victim.Job.Spec.Gang || victim.Stopping {
+			p.evict(job, victim)
+			continue
+		}
+		for _, task := range slices.Sorted(maps.Keys(victim.Job.Placements)) {
+			if member := victim.Job.Placements[task]; !p.evicted[member] {
+				p.evict(job, member)
+				gangEvicted = true
+			}
+		}
+	}
+	site.machine.reserveTask(job.Spec.TaskResources())
+	p.assignments.count(job, site.machine, 1)
+	return gangEvicted
+}
+
+// evict evicts one placement. The room that it leaves is promised to nobody yet.
+func (p *preemptor) evict(job *jobs.Job, placement *jobs.Placement) {
+	p.evicted[placement] = true
+	if m := p.machines.find(placement.Machine); m != nil {
+		m.freeing = m.freeing.Add(placement.Job.Spec.TaskResources())
+	}
+	if !placement.Stopping {
+		p.evictions = append(p.evictions, Eviction{Placement: placement, Preemptor: job.ID})
+		p.quotas.markEvicted(placement)
+	}
+}
+
+// makeRoomForGang evicts what yields to a gang in one zone, if that makes room for all n
+// tasks there with what is free, and tells whether it does. A part would be evicted for
+// nothing; pending machines may never come up, and don't count.
+func (p *preemptor) makeRoomForGang(gang *jobs.Job, zone ident.Zone, n int) bool {
+	there := *gang // the same gang, bound to the zone
+	if zone != "" {
+		there.Spec.Zone = zone
+	}
+	before := p.save()
+	if p.makeRoom(&there, n, allMachines) == n {
+		return true
+	}
+	p.restore(before)
+	return false
+}
+
+// preemptionState is what making room changes of a plan.
+type preemptionState struct {
+	evictions    int
+	evicted      map[*jobs.Placement]bool
+	usage        map[ident.Team]jobs.Resources
+	evictedUsage map[ident.Team]jobs.Resources
+	free         []jobs.Resources // of each machine that is up
+	freeing      []jobs.Resources
+}
+
+func (p *preemptor) save() preemptionState {
+	state := preemptionState{evictions: len(p.evictions), evicted: maps.Clone(p.evicted),
+		usage: maps.Clone(p.quotas.usage), evictedUsage: maps.Clone(p.quotas.evictedUsage)}
+	for _, m := range p.machines.up {
+		state.free, state.freeing = append(state.free, m.free), append(state.freeing, m.freeing)
+	}
+	return state
+}
+
+func (p *preemptor) restore(state preemptionState) {
+	p.evictions = p.evictions[:state.evictions]
+	p.evicted = state.evicted
+	p.quotas.usage, p.quotas.evictedUsage = state.usage, state.evictedUsage
+	for i, m := range p.machines.up {
+		m.free, m.freeing = state.free[i], state.freeing[i]
+	}
+}
--- /dev/null
+++ b/internal/scheduler/quota.go
@@ -0,0 +1,189 @@
+package scheduler
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"badgerbay/internal/config"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+// amountEpsilon forgives the rounding of sums of decimal amounts.
+const amountEpsilon = 1e-6
+
+// quotaTracker counts what the teams use of their guarantees and limits, the plan's own
+// decisions included.
+type quotaTracker struct {
+	teams         map[ident.Team]config.Team
+	hasGuarantees bool // some team has one
+
+	// usage counts all placements that may exist. An evicted one stays in it until its
+	// exit is seen, so that no other takes its place in the team's limit.
+	usage map[ident.Team]jobs.Resources
+	// evictedUsage is the part of usage that is told to stop.
+	evictedUsage map[ident.Team]jobs.Resources
+
+	reserved           map[ident.Team]jobs.Resources // see Snapshot.Reserved
+	reservedTasksOf    func(*jobs.Job) int           // see Snapshot.ReservedTasks
+	unusedReserved     map[*jobs.Job]int             // reserved tasks that are not placed
+	reservationChecked map[*jobs.Job]bool
+	reservationBlocked map[ident.Team]jobs.Resources // see Plan.ReservationBlocked
+}
+
+func newQuotaTracker(s *Snapshot) *quotaTracker {
+	q := &quotaTracker{
+		teams:              s.Teams,
+		usage:              map[ident.Team]jobs.Resources{},
+		evictedUsage:       map[ident.Team]jobs.Resources{},
+		reserved:           maps.Clone(s.Reserved),
+		reservedTasksOf:    s.ReservedTasks,
+		unusedReserved:     map[*jobs.Job]int{},
+		reservationChecked: map[*jobs.Job]bool{},
+		reservationBlocked: map[ident.Team]jobs.Resources{},
+	}
+	for _, team := range s.Teams {
+		q.hasGuarantees = q.hasGuarantees || team.CPUGuarantee > 0
+	}
+	for _, job := range s.PlacedJobs {
+		q.use(job, len(job.Placements))
+		for _, placement := range job.Placements {
+			if placement.Stopping {
+				q.markEvicted(placement)
+			}
+		}
+	}
+	return q
+}
+
+// use counts n more tasks of the job as placed.
+func (q *quotaTracker) use(job *jobs.Job, n int) {
+	team := job.Spec.Team
+	q.usage[team] = q.usage[team].Add(job.Spec.TaskResources().Multiply(n))
+}
+
+// markEvicted notes that a placement is told to stop.
+func (q *quotaTracker) markEvicted(placement *jobs.Placement) {
+	spec := &placement.Job.Spec
+	q.evictedUsage[spec.Team] = q.evictedUsage[spec.Team].Add(spec.TaskResources())
+}
+
+// usageAfterEvictions is what the team will use once all that is told to stop has ended.
+func (q *quotaTracker) usageAfterEvictions(team ident.Team) jobs.Resources {
+	return q.usage[team].Sub(q.evictedUsage[team])
+}
+
+// tasksWithinGuarantee is how many more tasks of the job its team's guarantee covers.
+func (q *quotaTracker) tasksWithinGuarantee(job *jobs.Job) int {
+	team, used := q.teams[job.Spec.Team], q.usage[job.Spec.Team]
+	n := int((team.CPUGuarantee - used.CPUs + amountEpsilon) / job.Spec.CPUs)
+	if job.Spec.GPUs > 0 {
+		n = min(n, int((team.GPUGuarantee-used.GPUs+amountEpsilon)/job.Spec.GPUs))
+	}
+	return max(0, n)
+}
+
+// withinGuarantee tells whether one more task of the job keeps its team within its
+// guarantee.
+func (q *quotaTracker) withinGuarantee(job *jobs.Job) bool {
+	team := q.teams[job.Spec.Team]
+	after := q.usage[job.Spec.Team].Add(job.Spec.TaskResources())
+	return team.CPUGuarantee > 0 && after.CPUs <= team.CPUGuarantee+amountEpsilon &&
+		(after.GPUs == 0 || after.GPUs <= team.GPUGuarantee+amountEpsilon)
+}
+
+// staysWithinGuarantee tells whether the team of a placement keeps its guarantee when n
+// tasks like it end.
+func (q *quotaTracker) staysWithinGuarantee(placement *jobs.Placement, n int) bool {
+	spec := &placement.Job.Spec
+	left := q.usageAfterEvictions(spec.Team).Sub(spec.TaskResources().Multiply(n))
+	return left.CPUs >= q.teams[spec.Team].CPUGuarantee-amountEpsilon
+}
+
+// mayReclaim tells whether work of any priority may be stopped for the job: its team is
+// within its guarantee, and another is beyond its own.
+func (q *quotaTracker) mayReclaim(job *jobs.Job) bool {
+	if !q.hasGuarantees || !q.withinGuarantee(job) {
+		return false
+	}
+	for name, team := range q.teams {
+		if name != job.Spec.Team && q.usageAfterEvictions(name).CPUs > team.CPUGuarantee {
+			return true
+		}
+	}
+	return false
+}
+
+// guaranteedCPUs is what machines should hold for the teams that are active: their
+// guarantees, or what they use beyond these. The order of the teams is fixed, so that
+// the sum is rounded alike in each plan.
+func (q *quotaTracker) guaranteedCPUs(share float64, active func(ident.Team) bool) float64 {
+	sum := 0.0
+	for _, name := range slices.Sorted(maps.Keys(q.teams)) {
+		if team := q.teams[name]; team.CPUGuarantee > 0 && active(name) {
+			sum += max(team.CPUGuarantee*share, q.usage[name].CPUs)
+		}
+	}
+	return sum
+}
+
+// tasksWithinQuota is how many more tasks of the job its team's limit allows: as many as
+// reservations cover, and what usage and reservations for others leave of the limit.
+func (q *quotaTracker) tasksWithinQuota(job *jobs.Job) int {
+	used := q.usage[job.Spec.Team]
+	n := q.tasksWithinLimit(job, used)
+	if reserved, ok := q.reserved[job.Spec.Team]; ok {
+		n = min(n, q.unusedReservedTasks(job)+q.tasksWithinLimit(job, used.Add(reserved)))
+	}
+	return n
+}
+
+// tasksWithinLimit is how many more tasks of the job its team's limit allows beside what
+// is used.
+func (q *quotaTracker) tasksWithinLimit(job *jobs.Job, used jobs.Resources) int {
+	team := q.teams[job.Spec.Team]
+	n := math.MaxInt32
+	if team.CPULimit > 0 && job.Spec.CPUs > 0 {
+		n = min(n, int((team.CPULimit-used.CPUs+amountEpsilon)/job.Spec.CPUs))
+	}
+	if team.GPULimit > 0 && job.Spec.GPUs > 0 {
+		n = min(n, int((team.GPULimit-used.GPUs+amountEpsilon)/job.Spec.GPUs))
+	}
+	return max(0, n)
+}
+
+// unusedReservedTasks is how many more tasks of the job reservations cover.
+func (q *quotaTracker) unusedReservedTasks(job *jobs.Job) int {
+	n, known := q.unusedReserved[job]
+	if !known && q.reservedTasksOf != nil {
+		n = max(0, q.reservedTasksOf(job)-len(job.Placements))
+		q.unusedReserved[job] = n
+	}
+	return n
+}
+
+// useReservation takes n tasks of the job out of what is reserved, as far as reservations
+// cover them: they count as used from now on.
+func (q *quotaTracker) useReservation(job *jobs.Job, n int) {
+	reserved, ok := q.reserved[job.Spec.Team]
+	if !ok {
+		return
+	}
+	n = min(n, q.unusedReservedTasks(job))
+	q.unusedReserved[job] -= n
+	q.reserved[job.Spec.Team] = reserved.Sub(job.Spec.TaskResources().Multiply(n)).Max(jobs.Resources{})
+}
+
+// noteReservationBlocked notes, once for each job, what of n tasks of it fits the limit
+// but for what is reserved.
+func (q *quotaTracker) noteReservationBlocked(job *jobs.Job, n int) {
+	team := job.Spec.Team
+	if _, ok := q.reserved[team]; !ok || q.reservationChecked[job] {
+		return
+	}
+	q.reservationChecked[job] = true
+	if n = min(n, q.tasksWithinLimit(job, q.usage[team])) - q.tasksWithinQuota(job); n > 0 {
+		q.reservationBlocked[team] = q.reservationBlocked[team].Add(job.Spec.TaskResources().Multiply(n))
+	}
+}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -3,129 +3,165 @@
 import (
 	"math"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
+	"badgerbay/internal/roundlog"
+)
+
+const (
+	// latenessUnitSeconds: being late by so many seconds counts as much as the price.
+	latenessUnitSeconds = 30
+	// zoneSpreadCost is the part of its cost that an offer gains with each machine that is
+	// in its zone already.
+	zoneSpreadCost = 0.001
 )
 
-// defaultRunSeconds is the run time, in seconds, over which the boot of a machine
-// is weighed for tasks whose own run time is not known.
-const defaultRunSeconds = 300
+// shortage is a number of a job's tasks that need machines provisioned.
+type shortage struct {
+	job   *jobs.Job
+	tasks int
+}
+
+// scaleOut decides which machines to provision for work that finds no room.
+type scaleOut struct {
+	mayProvision bool
+	roundNo      ident.RoundNo
+	epoch        ident.Epoch
+	urgency      *urgency
+	machines     *machinePool
+	zones        *zoneTracker
+	offers       *offerCatalog
+	costs        *costPolicy
 
-// latenessUnitSeconds: being late by so many seconds counts as much as the price.
-const latenessUnitSeconds = 30
+	unplacedTasks int
+	// demand counts the tasks of a class that found no room, those that wait for pending
+	// machines included: many small jobs that arrive one by one share large machines, as
+	// one large job would.
+	demand          map[ident.Class]int
+	awaitingMachine map[*jobs.Job]int        // tasks that wait for pending machines
+	zone            map[*jobs.Job]ident.Zone // where machines for a gang must be
+	provisions      []roundlog.Provision
+	provisionedFor  ident.JobID
+}
 
-// provision decides on at most one rental: the best offer for the first job that
-// found no room, as many machines as that job and those behind it fill.
-func (p *planner) provision(short []shortage) {
-	if !p.snapshot.MayProvision {
+// noteUnplaced counts n tasks of the job that found no room.
+func (s *scaleOut) noteUnplaced(job *jobs.Job, n int) {
+	s.unplacedTasks += n
+	s.demand[job.Spec.Class] += n
+}
+
+// provision decides on at most one provision: of the best offer for the first job that is
+// short of machines, as many as that job and those behind it fill.
+func (s *scaleOut) provision(short []shortage) {
+	if !s.mayProvision {
 		return
 	}
-	sums := map[ident.Class]int{}
-	for _, s := range short {
-		sums[s.job.Spec.Class] += s.tasks
-	}
-	for class, n := range sums {
-		p.demand[class] = max(p.demand[class], n)
-	}
-	for i, s := range short {
-		offer, typ := p.bestOffer(s.job)
-		if typ == nil {
+	s.raiseDemand(short)
+	for i, first := range short {
+		offer, t := s.bestOffer(first.job)
+		if t == nil {
 			continue
 		}
-		count := p.machinesNeeded(short[i:], offer, typ)
-		if count > 0 {
-			p.plan.ProvisionedFor = s.job.ID
-			p.plan.Record.Provisions = []roundlog.Provision{{Name: roundlog.ProvisionName(p.snapshot.Epoch, p.snapshot.RoundNo, 0), Offer: offer, Count: count}}
+		if count := s.machinesNeeded(short[i:], offer, t); count > 0 {
+			s.provisionedFor = first.job.ID
+			name := roundlog.ProvisionName(s.epoch, s.roundNo, 0)
+			s.provisions = []roundlog.Provision{{Name: name, Offer: offer, Count: count}}
 			return
 		}
 	}
 }
 
-// machinesNeeded tells how many machines of the offer the tasks in need of one take.
-func (p *planner) machinesNeeded(short []shortage, o cloud.Offer, t *fleet.MachineType) int {
+// raiseDemand sees to it that the demand of each class is no less than its shortages.
+func (s *scaleOut) raiseDemand(short []shortage) {
+	byClass := map[ident.Class]int{}
+	for _, shortage := range short {
+		byClass[shortage.job.Spec.Class] += shortage.tasks
+	}
+	for class, n := range byClass {
+		s.demand[class] = max(s.demand[class], n)
+	}
+}
+
+// taskLimit bounds the tasks of the job that may wait for machines of a kind: jobs that need
+// only one start get no more of machines that are expensive for them.
+func (s *scaleOut) taskLimit(job *jobs.Job, t *fleet.MachineType, spot bool) int {
+	if s.urgency.needsOnlyOneStart(job) && !s.offers.isCheap(job, t, spot) {
+		return 1 - min(1, s.awaitingMachine[job])
+	}
+	return math.MaxInt32
+}
+
+// machinesNeeded is how many machines of the offer the shortages fill: the first, and those
+// behind it for which the offer is the best too.
+func (s *scaleOut) machinesNeeded(short []shortage, offer cloud.Offer, t *fleet.MachineType) int {
 	free := jobs.Resources{}
 	count := 0
-	for i, s := range short {
+	for i, shortage := range short {
+		job := shortage.job
 		if i > 0 {
-			if best, _ := p.bestOffer(s.job); best != o {
+			if best, _ := s.bestOffer(job); best != offer {
 				continue
 			}
 		}
-		n := min(s.tasks, p.zoneRoom(s.job, o.Zone))
-		if p.needsOnlyOneStart(s.job) && !p.isCheap(s.job, t, o.Spot) {
-			n = min(n, 1-min(1, p.tasksAwaitingMachines[s.job]))
-		}
+		n := min(shortage.tasks, s.zones.room(job, offer.Zone), s.taskLimit(job, t, offer.Spot))
 		for ; n > 0; n-- {
-			if !free.Fits(s.job.Spec.TaskResources()) {
+			if !free.Fits(job.Spec.TaskResources()) {
 				if count == cloud.MaxProvisionCount {
 					return count
 				}
 				count++
 				free = t.Capacity
 			}
-			free = free.Sub(s.job.Spec.TaskResources())
+			free = free.Sub(job.Spec.TaskResources())
 		}
 	}
 	return count
 }
 
-// bestOffer returns the offer that runs the job's tasks at the least cost,
-// boot and fetch included; offers that can't make its deadline come last.
-func (p *planner) bestOffer(j *jobs.Job) (cloud.Offer, *fleet.MachineType) {
+// bestOffer returns the offer that runs the job's tasks at the least cost; its type is nil if
+// there is none.
+func (s *scaleOut) bestOffer(job *jobs.Job) (cloud.Offer, *fleet.MachineType) {
 	var best cloud.Offer
 	var bestType *fleet.MachineType
-	bestCost := math.Inf(1)
-	p.eachOffer(j, func(o cloud.Offer, t *fleet.MachineType) {
-		if z := p.provisionZone[j]; z != "" && z != o.Zone {
+	lowestCost := math.Inf(1)
+	s.offers.each(job, func(offer cloud.Offer, t *fleet.MachineType) {
+		if zone := s.zone[job]; zone != "" && zone != offer.Zone {
 			return
 		}
-		if p.zoneRoom(j, o.Zone) == 0 || p.snapshot.OfferUnavailable(o) || !p.worthProvisioning(j, t, o.Spot) {
+		if s.zones.room(job, offer.Zone) == 0 || s.offers.unavailable(offer) || !s.costs.worthProvisioning(job, t, offer.Spot) {
 			return
 		}
-		if cost := p.offerCost(j, t, o.Zone, o.Spot); cost < bestCost {
-			best, bestType, bestCost = o, t, cost
+		if cost := s.offerCost(job, offer, t); cost < lowestCost {
+			best, bestType, lowestCost = offer, t, cost
 		}
 	})
 	return best, bestType
 }
 
-// eachOffer calls f for every kind of machine that the job allows.
-func (p *planner) eachOffer(j *jobs.Job, f func(cloud.Offer, *fleet.MachineType)) {
-	for _, t := range p.snapshot.MachineTypes {
-		for _, z := range t.AvailableZones(p.snapshot.Zones) {
-			for _, spot := range []bool{true, false} {
-				if j.Spec.AllowsMachine(t.Name, z, spot) {
-					f(cloud.Offer{Type: t.Name, Zone: z, Spot: spot}, t)
-				}
-			}
-		}
-	}
-}
-
-func (p *planner) offerCost(j *jobs.Job, t *fleet.MachineType, z ident.Zone, spot bool) float64 {
-	per := t.Capacity.MaxCopies(j.Spec.TaskResources())
-	if per == 0 {
+// offerCost is what a task of the job costs on a machine of the offer, boot and fetch
+// included; offers with which the job starts or ends late cost more.
+func (s *scaleOut) offerCost(job *jobs.Job, offer cloud.Offer, t *fleet.MachineType) float64 {
+	tasks := t.Capacity.MaxCopies(job.Spec.TaskResources())
+	if tasks == 0 {
 		return math.Inf(1)
 	}
-	run := j.Spec.EstimatedRunSeconds
-	if j.Spec.Service || run <= 0 {
+	run := job.Spec.EstimatedRunSeconds
+	if job.Spec.Service || run <= 0 {
 		run = defaultRunSeconds
 	}
-	wait := newMachineStartSeconds(j, t)
+	wait := newMachineStartSeconds(job, t)
 	// A machine that the job fills only in part is paid for in whole.
-	filled := min(per, max(1, p.demand[j.Spec.Class]))
-	cost := machinePrice(t, spot) / float64(filled) * (run + wait) / run
-	if within := p.snapshot.Objectives[j.Spec.Class].StartWithin.Seconds(); within > 0 && wait > within {
+	filled := min(tasks, max(1, s.demand[job.Spec.Class]))
+	cost := machinePrice(t, offer.Spot) / float64(filled) * (run + wait) / run
+	if within := s.urgency.startWithinSeconds(job.Spec.Class); within > 0 && wait > within {
 		// It will be late wherever it goes: the sooner the better.
 		cost *= 1 + (wait-within)/latenessUnitSeconds
 	}
-	if left, has := p.secondsToDeadline(j); has && run+wait > left {
+	if left, hasDeadline := s.urgency.secondsToDeadline(job); hasDeadline && run+wait > left {
 		cost *= 2 + (run+wait-left)/run
 	}
 	// A second zone spreads the risk; the fewest machines first.
-	return cost * (1 + 0.001*float64(p.machinesByZone[z]))
+	return cost * (1 + zoneSpreadCost*float64(s.machines.byZone[offer.Zone]))
 }
--- a/internal/scheduler/slack_test.go
+++ b/internal/scheduler/slack_test.go
@@ -53,7 +53,7 @@
 	patienceAfter := func(waited time.Duration) float64 {
 		w := *s.snapshot
 		w.WallMs = waited.Milliseconds()
-		return (&planner{snapshot: &w}).slackSeconds(j)
+		return newUrgency(&w).slackSeconds(j)
 	}
 	for _, c := range []struct {
 		waited time.Duration
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -5,98 +5,82 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
 )
 
-// PendingMachine is a machine that has been rented, or is being rented, and is not up.
-type PendingMachine struct {
-	Offer cloud.Offer
-}
-
-// Snapshot is what a round is planned from.
+// Snapshot is what a round is planned from. Planning changes nothing in it.
 type Snapshot struct {
-	Now              clock.Instant
-	WallMs           int64
-	RoundNo          ident.RoundNo
-	Epoch            ident.Epoch
-	QueuedJobs       []*jobs.Job // those with tasks to place; any order
-	PlacedJobs       []*jobs.Job // those with placements
-	Fleet            *fleet.Fleet
-	MachineTypes     []*fleet.MachineType
-	Zones            []ident.Zone
-	Teams            map[ident.Team]config.Team
-	Objectives       map[ident.Class]Objectives
-	SpareSpecs       []*jobs.Spec // classes to keep room free for
-	TypicalSpecs     []*jobs.Spec // what the classes look like
-	PendingMachines  []PendingMachine
-	MayDrain         bool
-	TeamActive       func(ident.Team) bool // has had work a moment ago
-	OfferUnavailable func(cloud.Offer) bool
-	MayProvision     bool
-	Policy           *policy.Policy
-	ValueBytes       int
-	MaxJobValues     int // values that a job's record may take
-	MaxRoundValues   int // values that a round's record may take
-	// ReplacementAttempts names the attempt of gangs that wait for tasks which were lost before
-	// they began; these may be replaced.
+	Now     clock.Instant
+	WallMs  int64 // time of day, in milliseconds since 1970, as in jobs.Job.AcceptedAtMs
+	RoundNo ident.RoundNo
+	Epoch   ident.Epoch
+	Policy  *policy.Policy
+
+	// QueuedJobs have tasks to place, PlacedJobs have placements; both in any order.
+	QueuedJobs []*jobs.Job
+	PlacedJobs []*jobs.Job
+	// ReplacementAttempts names the attempt of gangs that wait for tasks which were lost
+	// before they began; these may be replaced.
 	ReplacementAttempts map[ident.JobID]ident.Attempt
-	SpecJSONSize        func(*jobs.Job) int
+
+	Fleet           *fleet.Fleet
+	PendingMachines []PendingMachine
+	MachineTypes    []*fleet.MachineType
+	Zones           []ident.Zone
+	MayDrain        bool // machines may be drained in this round
+	MayProvision    bool // machines may be provisioned in this round
+	// OfferUnavailable tells whether the cloud has none of an offer for now.
+	OfferUnavailable func(cloud.Offer) bool
+
+	Teams map[ident.Team]config.Team
+	// TeamActive tells whether the team has had work a moment ago.
+	TeamActive func(ident.Team) bool
 	// Reserved is what of a team's limit is kept for reservations of other nodes, beside
-	// what is placed; Covers is how many tasks of a job they cover. See package quota.
+	// what is placed; ReservedTasks is how many tasks of a job they cover, or nil if there
+	// are none. See package quota.
 	Reserved      map[ident.Team]jobs.Resources
 	ReservedTasks func(*jobs.Job) int
+
+	Objectives   map[ident.Class]Objectives
+	SpareSpecs   []*jobs.Spec // classes to keep room free for
+	TypicalSpecs []*jobs.Spec // what the classes look like, as last seen
+
+	ValueBytes     int                 // that a value of the state service holds, in JSON
+	MaxJobValues   int                 // values that a job's record may take
+	MaxRoundValues int                 // values that a round's record may take
+	SpecJSONSize   func(*jobs.Job) int // of the job's spec, in bytes
 }
 
-// Eviction is a placement to be stopped to make room.
-type Eviction struct {
-	Placement *jobs.Placement
-	Preemptor ident.JobID
+// PendingMachine is a machine that has been provisioned, or is being provisioned, and is not
+// up.
+type PendingMachine struct {
+	Offer cloud.Offer
 }
 
-// Objectives is what the objectives say of a class.
+// Objectives are the service-level objectives of a class of jobs.
 type Objectives struct {
-	StartWithin  time.Duration   // to begin within; 0: nothing is said
+	StartWithin  time.Duration   // to start within; 0: none
 	FinishWithin []time.Duration // to be done within, the shortest first
 }
 
-// With returns the expectations with an objective more.
-func (e Objectives) With(kind string, within time.Duration) Objectives {
+// With returns the objectives with one more, of a kind that settings know: "wait" or
+// "finished". Others are left out.
+func (o Objectives) With(kind string, within time.Duration) Objectives {
 	switch {
 	case within <= 0:
 	case kind == "wait":
-		e.StartWithin = within
+		o.StartWithin = within
 	case kind == "finished":
-		e.FinishWithin = append(slices.Clone(e.FinishWithin), within)
-		slices.Sort(e.FinishWithin)
+		o.FinishWithin = append(slices.Clone(o.FinishWithin), within)
+		slices.Sort(o.FinishWithin)
 	}
-	return e
+	return o
 }
 
-// IsEmpty tells whether nothing is expected of the class.
-func (e Objectives) IsEmpty() bool { return e.StartWithin == 0 && len(e.FinishWithin) == 0 }
-
-// Plan is what a round decides.
-type Plan struct {
-	Record    roundlog.Record
-	Evictions []Eviction
-	// UnplacedTasks counts the tasks that found no room.
-	UnplacedTasks int
-	// ProvisionedFor is the job that the rental was decided for, if it was one.
-	ProvisionedFor ident.JobID
-	// Drain are machines to be emptied, so that they can be returned.
-	Drain []ident.MachineID
-	// Retain are idle machines that hold the room kept free for a class.
-	Retain map[ident.MachineID]bool
-	// Examined counts the machines that were looked at, for one job or another:
-	// what the plan cost.
-	Examined int
-	// ReservationBlocked is what of a team would fit its limit, were it not held.
-	ReservationBlocked map[ident.Team]jobs.Resources
-}
+// IsEmpty tells whether there are no objectives.
+func (o Objectives) IsEmpty() bool { return o.StartWithin == 0 && len(o.FinishWithin) == 0 }
--- a/internal/scheduler/spare_capacity.go
+++ b/internal/scheduler/spare_capacity.go
@@ -1,107 +1,78 @@
 package scheduler
 
 import (
-	"maps"
-	"math"
-	"slices"
-
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/jobs"
 )
 
-// measureSpareCapacity finds how much is missing of the room kept free for classes that
-// must start faster than a machine comes up, and which machines hold it.
-func (p *planner) measureSpareCapacity() {
-	p.plan.Retain = map[ident.MachineID]bool{}
-	for _, s := range p.snapshot.SpareSpecs {
-		missing := p.snapshot.Policy.SpareTasks
-		for _, b := range p.machines {
-			if missing <= 0 {
-				break
-			}
-			if !s.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
-				continue
-			}
-			if n := b.free.Add(p.evictableBelow(s, b)).MaxCopies(s.TaskResources()); n > 0 {
-				missing -= n
-				p.plan.Retain[b.machine.ID] = true
-			}
-		}
-		for _, b := range p.pending {
-			if s.AllowsMachine(b.machineType.Name, b.zone, b.spot) {
-				missing -= b.free.MaxCopies(s.TaskResources())
-			}
-		}
-		if missing > 0 {
-			p.spareShortages = append(p.spareShortages, shortage{job: &jobs.Job{Spec: *s, AcceptedAtMs: p.snapshot.WallMs}, tasks: missing})
-		}
-	}
-}
+// checkpointTimeDivisor: work that writes a checkpoint when it is evicted yields in time if
+// that takes no more than one part in so many of the time in which a class must start.
+const checkpointTimeDivisor = 4
 
-// provisionSpareCapacity rents for the room that is missing, if nothing else was rented.
-func (p *planner) provisionSpareCapacity() {
-	if len(p.spareShortages) > 0 && len(p.plan.Record.Provisions) == 0 {
-		p.provision(p.spareShortages)
-	}
-}
+// spareCapacity keeps room free for classes that must start faster than a machine comes up.
+type spareCapacity struct {
+	specs    []*jobs.Spec // see Snapshot.SpareSpecs
+	tasks    int          // see policy.Policy.SpareTasks
+	urgency  *urgency
+	machines *machinePool
 
-// checkpointTimeDivisor: work that saves makes way in time if it takes no more than one part in
-// so many of the time in which a class must start.
-const checkpointTimeDivisor = 4
+	measured  bool
+	retain    map[ident.MachineID]bool // see Plan.Retain
+	shortages []shortage
+}
 
-// evictableBelow is what work of lower priority holds on the bin's machine, which a
-// task of the spec could have at once.
-func (p *planner) evictableBelow(s *jobs.Spec, b *candidateMachine) jobs.Resources {
-	var sum jobs.Resources
-	if b.machine.Load().TasksBelow(s.Priority) == 0 {
-		return sum
+// measure finds once how much is missing of the room, and which machines hold it.
+func (s *spareCapacity) measure() {
+	if s.measured {
+		return
 	}
-	saving := p.snapshot.Objectives[s.Class].StartWithin.Seconds() / checkpointTimeDivisor
-	for _, v := range b.livePlacements() {
-		soon := v.Job.Spec.CheckpointIntervalSeconds == 0 || v.Job.Spec.CheckpointSeconds <= saving
-		if v.Job.Spec.Priority < s.Priority && soon && !v.Job.Spec.Gang {
-			sum = sum.Add(v.Job.Spec.TaskResources())
+	s.measured = true
+	for _, spec := range s.specs {
+		if missing := s.missingTasks(spec); missing > 0 {
+			job := &jobs.Job{Spec: *spec, AcceptedAtMs: s.urgency.wallMs}
+			s.shortages = append(s.shortages, shortage{job: job, tasks: missing})
 		}
 	}
-	return sum
 }
 
-// ensureGuarantees sees to it that the machines hold what the teams are
-// guaranteed, or use beyond it, as long as they have work: guaranteed work need
-// not wait, and a machine takes long to come up. It keeps idle machines that
-// are needed for that, and rents what is missing.
-func (p *planner) ensureGuarantees() {
-	wanted, have := 0.0, 0.0
-	for _, name := range slices.Sorted(maps.Keys(p.snapshot.Teams)) {
-		if t := p.snapshot.Teams[name]; t.CPUGuarantee > 0 && p.snapshot.TeamActive(name) {
-			wanted += max(t.CPUGuarantee*p.snapshot.Policy.GuaranteeShare, p.usage[name].CPUs)
+// missingTasks is for how many tasks of a class room is missing; it retains the machines that
+// have some.
+func (s *spareCapacity) missingTasks(spec *jobs.Spec) int {
+	missing := s.tasks
+	for _, m := range s.machines.up {
+		if missing <= 0 {
+			break
 		}
-	}
-	for _, b := range append(append([]*candidateMachine(nil), p.machines...), p.pending...) {
-		have += b.machineType.Capacity.CPUs
-	}
-	for _, b := range p.machines {
-		if b.machine.Busy() || p.plan.Retain[b.machine.ID] {
+		if !m.isAllowedBy(spec) {
 			continue
 		}
-		if have-b.machineType.Capacity.CPUs < wanted {
-			p.plan.Retain[b.machine.ID] = true
-		} else {
-			have -= b.machineType.Capacity.CPUs
+		if n := m.free.Add(s.evictable(spec, m)).MaxCopies(spec.TaskResources()); n > 0 {
+			missing -= n
+			s.retain[m.machine.ID] = true
 		}
 	}
-	p.surplusCPUs = have - wanted
-	if have >= wanted || !p.snapshot.MayProvision || len(p.plan.Record.Provisions) > 0 || len(p.snapshot.TypicalSpecs) == 0 {
-		return
+	for _, m := range s.machines.pending {
+		if m.isAllowedBy(spec) {
+			missing -= m.free.MaxCopies(spec.TaskResources())
+		}
 	}
-	spec := *p.snapshot.TypicalSpecs[0]
-	for _, s := range p.snapshot.TypicalSpecs {
-		if s.Spot && !spec.Spot {
-			spec = *s
+	return missing
+}
+
+// evictable is what work of lower priority holds on the machine, which a task of the class
+// could have at once.
+func (s *spareCapacity) evictable(spec *jobs.Spec, m *candidateMachine) jobs.Resources {
+	var sum jobs.Resources
+	if m.machine.Load().TasksBelow(spec.Priority) == 0 {
+		return sum
+	}
+	maxCheckpointSeconds := s.urgency.startWithinSeconds(spec.Class) / checkpointTimeDivisor
+	for _, placement := range m.livePlacements() {
+		victim := &placement.Job.Spec
+		inTime := victim.CheckpointIntervalSeconds == 0 || victim.CheckpointSeconds <= maxCheckpointSeconds
+		if victim.Priority < spec.Priority && inTime && !victim.Gang {
+			sum = sum.Add(victim.TaskResources())
 		}
 	}
-	spec.Priority = jobs.PriorityProd // whatever it costs
-	n := int(math.Ceil((wanted - have) / spec.CPUs))
-	p.provision([]shortage{{job: &jobs.Job{Spec: spec, AcceptedAtMs: p.snapshot.WallMs}, tasks: n}})
+	return sum
 }
--- /dev/null
+++ b/internal/scheduler/zones.go
@@ -0,0 +1,51 @@
+package scheduler
+
+import (
+	"math"
+
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+// zoneTracker keeps zone affinity and zone spread: it counts the tasks that the plan puts
+// into each zone.
+type zoneTracker struct {
+	planned map[*jobs.Job]map[ident.Zone]int
+}
+
+func newZoneTracker() *zoneTracker {
+	return &zoneTracker{planned: map[*jobs.Job]map[ident.Zone]int{}}
+}
+
+// add counts n tasks of the job as being in the zone.
+func (z *zoneTracker) add(job *jobs.Job, zone ident.Zone, n int) {
+	if z.planned[job] == nil {
+		z.planned[job] = map[ident.Zone]int{}
+	}
+	z.planned[job][zone] += n
+}
+
+// room is how many more tasks of the job may be in the zone, given where its other tasks
+// are or are about to be.
+func (z *zoneTracker) room(job *jobs.Job, zone ident.Zone) int {
+	// A machine whose zone is not known yet may be in any.
+	if job.PlacementsByZone[""] > 0 && (job.Spec.ZoneAffinity || job.Spec.ZoneSpread) {
+		return 0
+	}
+	if job.Spec.ZoneAffinity && (hasTasksOutside(job.PlacementsByZone, zone) || hasTasksOutside(z.planned[job], zone)) {
+		return 0
+	}
+	if !job.Spec.ZoneSpread {
+		return math.MaxInt32
+	}
+	return max(0, job.Spec.MaxTasksPerZone()-job.PlacementsByZone[zone]-z.planned[job][zone])
+}
+
+func hasTasksOutside(byZone map[ident.Zone]int, zone ident.Zone) bool {
+	for other, n := range byZone {
+		if n > 0 && other != zone {
+			return true
+		}
+	}
+	return false
+}
