--- a/cmd/badgerbay/client.go
+++ b/cmd/badgerbay/client.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -10,10 +12,16 @@
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/wire"
 )
 
-const clientTimeout = 5 * time.Second
+const (
+	clientTimeout    = 5 * time.Second
+	maxResponseBytes = 64 << 10
+)
 
+// clientFlags are the flags of all verbs that call a node.
 type clientFlags struct {
 	Addr string `required:"" placeholder:"IP:PORT" env:"BADGERBAY_ADDR" help:"Address of a controller node or its load balancer."`
 }
@@ -23,25 +31,24 @@
 	File string `arg:"" help:"Job as JSON; - for standard input."`
 }
 
-// Run submits the job and prints the answer.
+// Run submits the job and prints the response.
 func (c *submitCmd) Run() error {
 	data, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
-	var job map[string]any
-	dec := json.NewDecoder(bytes.NewReader(data))
-	dec.UseNumber()
-	if err := dec.Decode(&job); err != nil {
+	job, err := decodeJob(data)
+	if err != nil {
 		return fmt.Errorf("%s is not a JSON object: %w", c.File, err)
 	}
-	body, err := msgpack.Marshal(decodeNumbers(job))
+	body, err := msgpack.Marshal(job)
 	if err != nil {
 		return err
 	}
 	return c.call(http.MethodPost, "/submissions", body)
 }
 
+// readFile reads a file, or standard input if the name is "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
@@ -49,22 +56,37 @@
 	return os.ReadFile(name)
 }
 
-// decodeNumbers turns the numbers of JSON into whole or decimal numbers, as written.
+// decodeJob decodes a JSON object. Numbers that are written as whole ones stay whole, as
+// the controller requires of counts.
+func decodeJob(data []byte) (map[string]any, error) {
+	var job map[string]any
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	if err := decoder.Decode(&job); err != nil {
+		return nil, err
+	}
+	for name, value := range job {
+		job[name] = decodeNumbers(value)
+	}
+	return job, nil
+}
+
+// decodeNumbers turns all json.Number in a value into int64 or float64.
 func decodeNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
 		if n, err := v.Int64(); err == nil {
 			return n
 		}
-		f, _ := v.Float64()
+		f, _ := v.Float64() // one out of range becomes an infinity, which the controller rejects
 		return f
 	case map[string]any:
-		for k, e := range v {
-			v[k] = decodeNumbers(e)
+		for name, element := range v {
+			v[name] = decodeNumbers(element)
 		}
 	case []any:
-		for i, e := range v {
-			v[i] = decodeNumbers(e)
+		for i, element := range v {
+			v[i] = decodeNumbers(element)
 		}
 	}
 	return v
@@ -83,50 +105,52 @@
 	ID string `arg:"" help:"Job id."`
 }
 
-// Run cancels the job and prints the answer.
+// Run cancels the job and prints the response.
 func (c *cancelCmd) Run() error {
 	return c.call(http.MethodPost, "/submissions/"+c.ID+"/withdraw", nil)
 }
 
 type standbyCmd struct{ clientFlags }
 
-// Run prints how the node stands to the leader.
+// Run prints whether the node leads, and otherwise whether it is ready to.
 func (c *standbyCmd) Run() error { return c.call(http.MethodGet, "/standby", nil) }
 
 type quotaCmd struct{ clientFlags }
 
-// Run prints what the node holds of the teams' limits and, at the leader, how the teams
-// stand.
+// Run prints the node's allotments of the teams' quotas and, at the leader, the usage
+// of the teams.
 func (c *quotaCmd) Run() error { return c.call(http.MethodGet, "/quota", nil) }
 
+// call sends a request to the node and prints its response as JSON.
 func (c *clientFlags) call(method, path string, body []byte) error {
-	req, err := http.NewRequest(method, "http://"+c.Addr+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Content-Type", "application/msgpack")
+	req.Header.Set("Content-Type", wire.ContentType)
 	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusCreated {
 		return statusError(resp)
 	}
-	var answer map[string]any
-	if err := msgpack.Unmarshal(data, &answer); err != nil {
+	var response map[string]any
+	if err := msgpack.Unmarshal(data, &response); err != nil {
 		return fmt.Errorf("answer can't be read: %w", err)
 	}
-	return json.NewEncoder(os.Stdout).Encode(answer)
+	return json.NewEncoder(os.Stdout).Encode(response)
 }
 
+// statusError is the error for a response other than 200 and 201.
 func statusError(resp *http.Response) error {
 	if after := resp.Header.Get("Retry-After"); after != "" {
 		return fmt.Errorf("%s; come back in %s s", resp.Status, after)
 	}
-	return fmt.Errorf("%s", resp.Status)
+	return errors.New(resp.Status)
 }
--- a/cmd/badgerbay/golden_test.go
+++ b/cmd/badgerbay/golden_test.go
@@ -35,15 +35,14 @@
 func help(t *testing.T, verb string) string {
 	t.Helper()
 	var out bytes.Buffer
-	parser := newParser(t, kong.Writers(&out, &out), kong.Exit(func(int) {}))
+	parser := testParser(t, kong.Writers(&out, &out), kong.Exit(func(int) {}))
 	_, _ = parser.Parse(strings.Fields(verb + " --help")) // it goes on after the help, to an error
 	return out.String()
 }
 
-func newParser(t *testing.T, options ...kong.Option) *kong.Kong {
+func testParser(t *testing.T, options ...kong.Option) *kong.Kong {
 	t.Helper()
-	options = append([]kong.Option{kong.Name("badgerbay"), kong.Description("A cluster scheduler's controller node and its client.")}, options...)
-	parser, err := kong.New(new(cli), options...)
+	parser, err := newParser(options...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +115,7 @@
 // output.
 func runVerb(t *testing.T, args string) (string, error) {
 	t.Helper()
-	ctx, err := newParser(t).Parse(strings.Fields(args))
+	ctx, err := testParser(t).Parse(strings.Fields(args))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/badgerbay/main.go
+++ b/cmd/badgerbay/main.go
@@ -1,20 +1,14 @@
-// Command badgerbay is one controller node of the badgerbay cluster scheduler.
+// Command badgerbay is a controller node of the badgerbay cluster scheduler, and the
+// client by which operators submit, query and cancel jobs. It owns the command line,
+// the process's logger and runtime limits, and the exit status; the node itself is
+// package node.
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
-	"math"
 	"os"
-	"os/signal"
 	"runtime"
-	"runtime/debug"
-	"syscall"
-
-	"badgerbay/internal/node"
 
 	"github.com/alecthomas/kong"
 
@@ -26,6 +20,13 @@
 // version is set at build time where a release is made.
 var version = "dev"
 
+// The exit status of a process that has failed.
+const (
+	exitFailure = 1
+	exitUsage   = 2 // arguments, settings or the policy can't be used
+)
+
+// cli is the command line. The names of verbs and flags derive from those of the fields.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller node (the default)."`
 	Check   checkCmd   `cmd:"" help:"Check the settings and the policy, and exit."`
@@ -37,60 +38,40 @@
 	Standby standbyCmd `cmd:"" help:"Tell whether a node is ready to take over from the leader."`
 }
 
-type settingsFlags struct {
-	Config string `required:"" placeholder:"FILE" help:"Settings file (JSON) of this node."`
-	Policy string `placeholder:"FILE" env:"BADGERBAY_POLICY" help:"Starlark script of the operators' settings."`
+func newParser(options ...kong.Option) (*kong.Kong, error) {
+	description := kong.Description("A cluster scheduler's controller node and its client.")
+	return kong.New(new(cli), append(options, kong.Name("badgerbay"), description)...)
 }
 
-func (f *settingsFlags) load() (*config.Settings, *policy.Policy, error) {
-	set, err := config.Load(f.Config)
-	if err != nil {
-		return nil, nil, err
-	}
-	pol, err := policy.Load(f.Policy)
-	if err != nil {
-		return nil, nil, err
+func main() {
+	if err := run(os.Args[1:]); err != nil {
+		fmt.Fprintln(os.Stderr, "badgerbay:", err)
+		os.Exit(exitStatus(err))
 	}
-	return set, pol, pol.Features.Check(set.Params)
 }
 
-type serveCmd struct{ settingsFlags }
-
-// Run serves until the process is told to end.
-func (c *serveCmd) Run() error {
-	set, pol, err := c.load()
+func run(args []string) error {
+	parser, err := newParser()
 	if err != nil {
 		return err
 	}
-	log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
+	command, err := parser.Parse(args)
 	if err != nil {
 		return err
 	}
-	applyMachineLimits(set.Params.MachineLimits)
-	node, err := node.NewNode(set, pol, log)
-	if err != nil {
-		return err
-	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	return node.Run(ctx)
+	return command.Run()
 }
 
-// applyMachineLimits fits the runtime to what the machine grants the process.
-func applyMachineLimits(l config.Limits) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.CPUs))))
-	debug.SetMemoryLimit(int64(l.MemoryMB * 0.7 * (1 << 20)))
-}
-
-type checkCmd struct{ settingsFlags }
-
-// Run checks the settings.
-func (c *checkCmd) Run() error {
-	set, _, err := c.load()
-	if err == nil {
-		fmt.Printf("%s: settings are good\n", set.NodeName)
+// exitStatus tells errors that the operator must mend from failures at run time.
+func exitStatus(err error) int {
+	var parseErr *kong.ParseError
+	var fieldErr *config.FieldError
+	var policyErr *policy.Error
+	var featureErr *featuregate.Error
+	if errors.As(err, &parseErr) || errors.As(err, &fieldErr) || errors.As(err, &policyErr) || errors.As(err, &featureErr) {
+		return exitUsage
 	}
-	return err
+	return exitFailure
 }
 
 type versionCmd struct{}
@@ -100,45 +81,3 @@
 	fmt.Println("badgerbay", version, runtime.Version())
 	return nil
 }
-
-func newLogger(w io.Writer, level string) (*slog.Logger, error) {
-	l := slog.LevelInfo
-	switch level {
-	case "", "info":
-	case "error":
-		l = slog.LevelError
-	case "debug":
-		l = slog.LevelDebug
-	default:
-		return nil, &config.FieldError{Field: "LOG_LEVEL", Reason: fmt.Sprintf("%q is not error, info or debug", level)}
-	}
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l})), nil
-}
-
-// exitUsage is the status for settings or arguments that can't be used.
-const exitUsage = 2
-
-func main() {
-	var c cli
-	parser := kong.Must(&c, kong.Name("badgerbay"), kong.Description("A cluster scheduler's controller node and its client."))
-	ctx, err := parser.Parse(os.Args[1:])
-	if err == nil {
-		err = ctx.Run()
-	}
-	if err == nil {
-		return
-	}
-	fmt.Fprintln(os.Stderr, "badgerbay:", err)
-	os.Exit(exitStatus(err))
-}
-
-func exitStatus(err error) int {
-	var field *config.FieldError
-	var pol *policy.Error
-	var wrong *featuregate.Error
-	var parse *kong.ParseError
-	if errors.As(err, &field) || errors.As(err, &pol) || errors.As(err, &wrong) || errors.As(err, &parse) {
-		return exitUsage
-	}
-	return 1
-}
