--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -36,6 +36,9 @@
 	holders      []*testHolder
 	allocator    *Allocator
 	responses    map[string]*AllocationResponse // that wait for their holders
+	// leaderWaiting names the holders whose requests a concurrent leader has not
+	// answered yet.
+	leaderWaiting map[string]bool
 }
 
 type testHolder struct {
@@ -44,7 +47,7 @@
 }
 
 func newCluster(holders int, teams map[ident.Team]config.Team) *cluster {
-	g := &cluster{store: fake.NewKVStore(), teams: teams, now: clock.Instant(time.Hour), finishedJobs: map[ident.JobID]bool{}, responses: map[string]*AllocationResponse{}}
+	g := &cluster{store: fake.NewKVStore(), teams: teams, now: clock.Instant(time.Hour), finishedJobs: map[ident.JobID]bool{}, responses: map[string]*AllocationResponse{}, leaderWaiting: map[string]bool{}}
 	for i := range holders {
 		g.holders = append(g.holders, &testHolder{node: fmt.Sprintf("n%d", i)})
 		g.restart(i)
@@ -312,29 +315,14 @@
 // every change that is stored nobody has more than the limit, and in the end all is
 // back.
 func TestConcurrentAdmission(t *testing.T) {
-	const holders, rounds = 10, 1500
+	const holders = 10
 	teams := map[ident.Team]config.Team{}
 	for i := range 6 {
 		name := ident.Team(fmt.Sprintf("team %d", i))
 		teams[name] = config.Team{Name: name, CPULimit: 20, GPULimit: float64(i)}
 	}
 	g := newCluster(holders, teams)
-	asks := make(chan AllocationRequest, holders)
-	answers := make([]chan *AllocationResponse, holders)
-	var done sync.WaitGroup
-	stop := make(chan struct{})
-	admitted := make([]int, holders)
-	for i := range holders {
-		answers[i] = make(chan *AllocationResponse, 4)
-		done.Add(1)
-		go func() {
-			defer done.Done()
-			admitted[i] = g.runHolder(i, rounds, asks, answers[i], stop)
-		}()
-	}
-	finished := make(chan struct{})
-	go func() { done.Wait(); close(finished) }()
-	g.runLeader(asks, answers, finished, stop)
+	admitted := g.runConcurrently()
 	if g.violation != nil {
 		t.Fatal(g.violation)
 	}
@@ -353,44 +341,91 @@
 	t.Logf("%d jobs admitted, between %d and %v a holder, in %v of simulated time; %d changes", sum, least, admitted, g.now.Sub(clock.Instant(time.Hour)), g.store.OperationCount)
 }
 
-// runHolder submits jobs, dies now and then, and returns what it has admitted.
-func (g *cluster) runHolder(i, rounds int, asks chan<- AllocationRequest, answers <-chan *AllocationResponse, stop <-chan struct{}) int {
-	rng := rand.New(rand.NewPCG(uint64(i), 1))
-	m, admitted := g.holders[i], 0
-	for round := 0; ; round++ {
-		select {
-		case <-stop:
-			return admitted
-		default:
-		}
-		now := g.advance(0)
-		if round < rounds && rng.IntN(4) == 0 {
-			job := JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, round)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(6))),
-				Tasks: 1 + rng.IntN(8), TaskDemand: Quantity{MilliCPU: 250 * rng.Int64N(8), MilliGPU: 250 * rng.Int64N(2)}, Gang: rng.IntN(5) == 0}
-			before := m.holder.admitted
-			g.stepHolder(m, now, job)
-			admitted += m.holder.admitted - before
-		}
-		if round < rounds && rng.IntN(400) == 0 {
-			g.restart(i)
-		}
-		for _, ask := range g.stepHolder(m, now, Tick{}) {
-			asks <- ask
-			var a *AllocationResponse
-			select {
-			case a = <-answers:
-			case <-stop:
-				return admitted
+const (
+	// stepsOfSubmissions are the steps of 20 ms in which jobs come and holders die, and
+	// stepsInAll those after which everything has been given back.
+	stepsOfSubmissions = 20_000
+	stepsInAll         = 30_000
+	concurrentStep     = 20 * time.Millisecond
+)
+
+// concurrentHolder is a holder with a goroutine of its own.
+type concurrentHolder struct {
+	*testHolder
+	index    int
+	rng      *rand.Rand
+	waiting  bool
+	answers  chan *AllocationResponse // nil: no answer will come
+	admitted int
+}
+
+// runConcurrently lets each holder and the leader take a step at every instant, all of
+// them side by side, and time pass once all have: so a goroutine that the machine
+// starves is not left behind by the others' clock. It returns what each has admitted.
+func (g *cluster) runConcurrently() []int {
+	requests := make(chan AllocationRequest, len(g.holders))
+	members := make([]*concurrentHolder, len(g.holders))
+	ticks := make([]chan clock.Instant, len(g.holders))
+	var step, running sync.WaitGroup
+	for i, m := range g.holders {
+		members[i] = &concurrentHolder{testHolder: m, index: i, rng: rand.New(rand.NewPCG(uint64(i), 1)), answers: make(chan *AllocationResponse, 1)}
+		ticks[i] = make(chan clock.Instant)
+		running.Go(func() {
+			for now := range ticks[i] {
+				g.runHolder(members[i], now, requests)
+				step.Done()
 			}
-			if rng.IntN(10) == 0 {
+		})
+	}
+	for n := range stepsInAll {
+		now := g.advance(concurrentStep)
+		step.Add(len(ticks))
+		for _, tick := range ticks {
+			tick <- now
+		}
+		g.runLeader(n, now, requests, members)
+		step.Wait()
+	}
+	for _, tick := range ticks {
+		close(tick)
+	}
+	running.Wait()
+	admitted := make([]int, len(members))
+	for i, m := range members {
+		admitted[i] = m.admitted
+	}
+	return admitted
+}
+
+// runHolder takes a holder's step: it submits jobs and dies now and then.
+func (g *cluster) runHolder(m *concurrentHolder, now clock.Instant, requests chan<- AllocationRequest) {
+	if m.waiting {
+		select {
+		case a := <-m.answers:
+			m.waiting = false
+			if m.rng.IntN(10) == 0 {
 				a = nil // it is lost
 			}
-			g.stepHolder(m, g.advance(0), ResponseReceived{a})
-		}
-		if round >= rounds {
-			g.finishJobs()
+			g.stepHolder(m.testHolder, now, ResponseReceived{a})
+		default:
+			return
 		}
 	}
+	submitting := now < clock.Instant(time.Hour).Add(stepsOfSubmissions*concurrentStep)
+	if submitting && m.rng.IntN(50) == 0 {
+		job := JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%08d", m.index, now.Sub(0)/time.Millisecond)), Team: ident.Team(fmt.Sprintf("team %d", m.rng.IntN(6))),
+			Tasks: 1 + m.rng.IntN(8), TaskDemand: Quantity{MilliCPU: 250 * m.rng.Int64N(8), MilliGPU: 250 * m.rng.Int64N(2)}, Gang: m.rng.IntN(5) == 0}
+		before := m.holder.admitted
+		g.stepHolder(m.testHolder, now, job)
+		m.admitted += m.holder.admitted - before
+	}
+	if submitting && m.rng.IntN(4000) == 0 {
+		g.restart(m.index)
+	}
+	for _, request := range g.stepHolder(m.testHolder, now, Tick{}) {
+		m.waiting = true
+		requests <- request
+	}
 }
 
 // advance lets time pass, and returns what time it is.
@@ -414,46 +449,34 @@
 	}
 }
 
-// runLeader answers holders until they are done, and has time pass.
-func (g *cluster) runLeader(asks <-chan AllocationRequest, answers []chan *AllocationResponse, finished <-chan struct{}, stop chan struct{}) {
-	waiting := map[string]bool{}
-	answer := func(r Reply) {
-		if node := r.Ticket.(string); waiting[node] {
-			delete(waiting, node)
-			answers[int(node[1]-'0')] <- &r.Response
+// runLeader takes the leader's step: it answers holders, is replaced now and then, and
+// lets jobs end.
+func (g *cluster) runLeader(step int, now clock.Instant, requests <-chan AllocationRequest, members []*concurrentHolder) {
+	for more := true; more; {
+		select {
+		case request := <-requests:
+			g.leaderWaiting[request.Holder.Node] = true
+			g.allocator.Receive(now, request, request.Holder.Node)
+		default:
+			more = false
 		}
 	}
-	for step := 0; ; step++ {
-		now := g.advance(20 * time.Millisecond)
-		for more := true; more; {
-			select {
-			case ask := <-asks:
-				waiting[ask.Holder.Node] = true
-				g.allocator.Receive(now, ask, ask.Holder.Node)
-			default:
-				more = false
-			}
-		}
-		g.stepLeader(now, answer)
-		if step%2000 == 1999 && step < 20_000 {
-			g.elect()
-			for node := range waiting {
-				delete(waiting, node)
-				answers[int(node[1]-'0')] <- nil
-			}
-		}
-		if step%50 == 0 && step > 0 {
-			g.finishJobs()
-		}
-		if step == 30_000 {
-			close(stop)
+	answer := func(node string, response *AllocationResponse) {
+		if g.leaderWaiting[node] {
+			delete(g.leaderWaiting, node)
+			members[int(node[1]-'0')].answers <- response
 		}
-		select {
-		case <-finished:
-			return
-		default:
+	}
+	g.stepLeader(now, func(r Reply) { answer(r.Ticket.(string), &r.Response) })
+	if step%2000 == 1999 && step < stepsOfSubmissions {
+		g.elect()
+		for node := range g.leaderWaiting {
+			answer(node, nil)
 		}
 	}
+	if step%50 == 0 && step > 0 {
+		g.finishJobs()
+	}
 }
 
 // TestMalformedRecordsAreRefused: what no program writes is refused whole, and never counts as
