--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -87,7 +87,7 @@
 
 func (t *term) replyToHolders(replies []quota.Reply) {
 	for _, r := range replies {
-		t.core.emit(QuotaReply{Responder: r.Ticket.(Responder[quota.AllocationResponse]), Response: r.Response})
+		t.core.emit(QuotaReply{Responder: r.Responder, Response: r.Response})
 	}
 }
 
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -5,21 +5,21 @@
 	"badgerbay/internal/wire"
 )
 
-// AllocationRequest is what a holder tells the leader once a second, as long as it holds or wants
-// anything.
+// AllocationRequest is what a holder tells the leader once a second, as long as it has
+// or desires anything.
 type AllocationRequest struct {
 	Holder HolderID                      `msgpack:"h"`
 	Teams  wire.BoundedList[TeamRequest] `msgpack:"t,omitempty"`
-	// Jobs are some of those that it has reservations for: it asks how many of
-	// their tasks may still be under way.
+	// Jobs are some of those that it has reservations for: it asks how many of their
+	// tasks may still be under way.
 	Jobs wire.BoundedList[ident.JobID] `msgpack:"j,omitempty"`
 }
 
-// TeamRequest is what a holder has, and wants, of a team's limit.
+// TeamRequest is what a holder has, and desires, of a team's limit.
 type TeamRequest struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"`
-	// Ceiling is what the holder does not go beyond from now on, in the promise.
+	// Ceiling is what the holder does not go beyond from this release on.
 	Ceiling Quantity `msgpack:"c"`
 	Desired Quantity `msgpack:"w"` // in all
 }
@@ -34,12 +34,12 @@
 	Revoked bool `msgpack:"r,omitempty"`
 }
 
-// TeamAllocation is a holder's allotment, as of a promise.
+// TeamAllocation is what a holder has of a team's limit, as of a release.
 type TeamAllocation struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"`
 	Allocated  Quantity   `msgpack:"u"`
-	// Recall is what is wanted back, as far as nothing is reserved of it.
+	// Recall is what the holder should release, as far as nothing is reserved of it.
 	Recall Quantity `msgpack:"r"`
 }
 
@@ -49,19 +49,27 @@
 	MaxTasks int         `msgpack:"n"`
 }
 
+// Responder takes the response to a holder's request.
+type Responder interface {
+	Respond(AllocationResponse)
+}
+
 // Bounds of messages from other nodes.
 const (
 	maxTeamsPerRequest = 256
 	maxJobsPerRequest  = 64
 )
 
-// valid tells whether an ask can be what a holder has sent.
-func (a *AllocationRequest) valid() bool {
-	if a.Holder.Node == "" || a.Holder.ModRevision == 0 || len(a.Teams) > maxTeamsPerRequest || len(a.Jobs) > maxJobsPerRequest {
+// valid tells whether a request can be what a holder has sent.
+func (r *AllocationRequest) valid() bool {
+	if r.Holder.Node == "" || r.Holder.ModRevision == 0 {
+		return false
+	}
+	if len(r.Teams) > maxTeamsPerRequest || len(r.Jobs) > maxJobsPerRequest {
 		return false
 	}
-	for _, t := range a.Teams {
-		if !t.Ceiling.valid() || !t.Desired.valid() {
+	for _, team := range r.Teams {
+		if !team.Ceiling.valid() || !team.Desired.valid() {
 			return false
 		}
 	}
--- a/internal/quota/quantity.go
+++ b/internal/quota/quantity.go
@@ -1,8 +1,3 @@
-// Package quota lets any controller admit work of a team without asking the leader,
-// while the team's limit holds across all of them at every instant. The leader allots
-// units of a team's limit to holders, in one record for each team; a holder reserves
-// what it was allotted for jobs, in one record of its own. See docs/quota.md. The
-// package does no I/O.
 package quota
 
 import (
@@ -14,8 +9,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// Quantity are an amount of what a team's limit counts, in thousandths of a CPU and of
-// a GPU.
+// Quantity is an amount of what a team's limit counts, in thousandths of a CPU and of a
+// GPU.
 type Quantity struct {
 	MilliCPU int64 `msgpack:"c" json:"c"`
 	MilliGPU int64 `msgpack:"g" json:"g"`
@@ -23,18 +18,18 @@
 
 const (
 	milliPerUnit = 1000
-	// Unlimited stands for a limit that there is none of, and mostUnits bounds what
-	// a record may claim, so that sums of many can't overflow.
+	// Unlimited stands for the absence of a limit.
 	Unlimited = int64(1) << 50
+	// maxMillis bounds what a record may claim, so that sums of many can't overflow.
 	maxMillis = int64(1) << 50
+	// roundingTolerance forgives the rounding of sums of decimal amounts, in
+	// thousandths.
+	roundingTolerance = 1e-6
 )
 
-// ErrOutOfRange says that an amount can't be counted.
+// ErrOutOfRange says that an amount is negative, not a number, or too large to count.
 var ErrOutOfRange = errors.New("amount that can't be counted")
 
-// roundingTolerance forgives the rounding of sums of decimal amounts, in thousandths.
-const roundingTolerance = 1e-6
-
 // checkedMillis checks a number of thousandths.
 func checkedMillis(scaled float64) (int64, error) {
 	if math.IsNaN(scaled) || scaled < 0 || scaled > float64(maxMillis) {
@@ -43,79 +38,80 @@
 	return int64(scaled), nil
 }
 
-// DemandOf is what one task takes, rounded up.
-func DemandOf(s *jobs.Spec) (Quantity, error) {
-	cpu, err := checkedMillis(math.Ceil(s.CPUs*milliPerUnit - roundingTolerance))
-	gpu, err2 := checkedMillis(math.Ceil(s.GPUs*milliPerUnit - roundingTolerance))
-	return Quantity{cpu, gpu}, errors.Join(err, err2)
+// DemandOf is what one task takes, rounded up. The error is an ErrOutOfRange.
+func DemandOf(spec *jobs.Spec) (Quantity, error) {
+	cpu, cpuErr := checkedMillis(math.Ceil(spec.CPUs*milliPerUnit - roundingTolerance))
+	gpu, gpuErr := checkedMillis(math.Ceil(spec.GPUs*milliPerUnit - roundingTolerance))
+	return Quantity{cpu, gpu}, errors.Join(cpuErr, gpuErr)
 }
 
-// LimitOf is the limit of a team, rounded down. Where it has none it is without end.
-func LimitOf(t config.Team) (Quantity, error) {
-	cpu, err := limitMillis(t.CPULimit)
-	gpu, err2 := limitMillis(t.GPULimit)
-	return Quantity{cpu, gpu}, errors.Join(err, err2)
+// LimitOf is the limit of a team, rounded down; Unlimited where it has none. The error
+// is an ErrOutOfRange.
+func LimitOf(team config.Team) (Quantity, error) {
+	cpu, cpuErr := limitMillis(team.CPULimit)
+	gpu, gpuErr := limitMillis(team.GPULimit)
+	return Quantity{cpu, gpu}, errors.Join(cpuErr, gpuErr)
 }
 
-func limitMillis(most float64) (int64, error) {
-	if most == 0 {
+func limitMillis(limit float64) (int64, error) {
+	if limit == 0 {
 		return Unlimited, nil
 	}
-	return checkedMillis(math.Floor(most*milliPerUnit + roundingTolerance))
+	return checkedMillis(math.Floor(limit*milliPerUnit + roundingTolerance))
 }
 
 // IsLimited tells whether a team has any limit to share out.
-func (u Quantity) IsLimited() bool { return u.MilliCPU < Unlimited || u.MilliGPU < Unlimited }
+func (q Quantity) IsLimited() bool { return q.MilliCPU < Unlimited || q.MilliGPU < Unlimited }
 
 // Add returns the sum.
-func (u Quantity) Add(o Quantity) Quantity {
-	return Quantity{u.MilliCPU + o.MilliCPU, u.MilliGPU + o.MilliGPU}
+func (q Quantity) Add(o Quantity) Quantity {
+	return Quantity{q.MilliCPU + o.MilliCPU, q.MilliGPU + o.MilliGPU}
 }
 
 // Sub returns the difference, which may be negative.
-func (u Quantity) Sub(o Quantity) Quantity {
-	return Quantity{u.MilliCPU - o.MilliCPU, u.MilliGPU - o.MilliGPU}
+func (q Quantity) Sub(o Quantity) Quantity {
+	return Quantity{q.MilliCPU - o.MilliCPU, q.MilliGPU - o.MilliGPU}
 }
 
-// Mul returns n of u.
-func (u Quantity) Mul(n int) Quantity { return Quantity{u.MilliCPU * int64(n), u.MilliGPU * int64(n)} }
+// Mul returns n times q.
+func (q Quantity) Mul(n int) Quantity { return Quantity{q.MilliCPU * int64(n), q.MilliGPU * int64(n)} }
 
 // Min returns the smaller of each amount.
-func (u Quantity) Min(o Quantity) Quantity {
-	return Quantity{min(u.MilliCPU, o.MilliCPU), min(u.MilliGPU, o.MilliGPU)}
+func (q Quantity) Min(o Quantity) Quantity {
+	return Quantity{min(q.MilliCPU, o.MilliCPU), min(q.MilliGPU, o.MilliGPU)}
 }
 
 // Max returns the larger of each amount.
-func (u Quantity) Max(o Quantity) Quantity {
-	return Quantity{max(u.MilliCPU, o.MilliCPU), max(u.MilliGPU, o.MilliGPU)}
+func (q Quantity) Max(o Quantity) Quantity {
+	return Quantity{max(q.MilliCPU, o.MilliCPU), max(q.MilliGPU, o.MilliGPU)}
 }
 
 // IsZero tells whether there is none of anything.
-func (u Quantity) IsZero() bool { return u == Quantity{} }
+func (q Quantity) IsZero() bool { return q == Quantity{} }
 
-// Within tells whether u is at most o.
-func (u Quantity) Within(o Quantity) bool {
-	return u.MilliCPU <= o.MilliCPU && u.MilliGPU <= o.MilliGPU
+// Within tells whether q is at most o in each amount.
+func (q Quantity) Within(o Quantity) bool {
+	return q.MilliCPU <= o.MilliCPU && q.MilliGPU <= o.MilliGPU
 }
 
-// CapacityFor is how many of need fit into u.
-func (u Quantity) CapacityFor(need Quantity) int {
+// CapacityFor is how many of the demand fit into q.
+func (q Quantity) CapacityFor(demand Quantity) int {
 	n := int64(math.MaxInt32)
-	if need.MilliCPU > 0 {
-		n = min(n, u.MilliCPU/need.MilliCPU)
+	if demand.MilliCPU > 0 {
+		n = min(n, q.MilliCPU/demand.MilliCPU)
 	}
-	if need.MilliGPU > 0 {
-		n = min(n, u.MilliGPU/need.MilliGPU)
+	if demand.MilliGPU > 0 {
+		n = min(n, q.MilliGPU/demand.MilliGPU)
 	}
 	return int(max(0, n))
 }
 
 // valid tells whether a record may claim the amount.
-func (u Quantity) valid() bool {
-	return u.MilliCPU >= 0 && u.MilliGPU >= 0 && u.MilliCPU <= maxMillis && u.MilliGPU <= maxMillis
+func (q Quantity) valid() bool {
+	return q.MilliCPU >= 0 && q.MilliGPU >= 0 && q.MilliCPU <= maxMillis && q.MilliGPU <= maxMillis
 }
 
-// Resources is the amount as the planner counts it.
-func (u Quantity) Resources() jobs.Resources {
-	return jobs.Resources{CPUs: float64(u.MilliCPU) / milliPerUnit, GPUs: float64(u.MilliGPU) / milliPerUnit}
+// Resources is the quantity in whole CPUs and GPUs, as the scheduler counts it.
+func (q Quantity) Resources() jobs.Resources {
+	return jobs.Resources{CPUs: float64(q.MilliCPU) / milliPerUnit, GPUs: float64(q.MilliGPU) / milliPerUnit}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -250,11 +250,11 @@
 				g.stepHolder(m, g.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, step)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(teams))), Tasks: 1 + rng.IntN(4), TaskDemand: Quantity{MilliCPU: 1000}})
 			}
 			for _, ask := range g.stepHolder(m, g.now, Tick{}) {
-				g.allocator.Receive(g.now, ask, m.node)
+				g.allocator.Receive(g.now, ask, nil)
 			}
 		}
 		g.stepLeader(g.now, func(r Reply) {
-			g.stepHolder(g.holders[int(r.Ticket.(string)[1]-'0')], g.now, ResponseReceived{&r.Response})
+			g.stepHolder(g.holders[int(r.Response.Holder.Node[1]-'0')], g.now, ResponseReceived{&r.Response})
 		})
 		if step%100 == 0 {
 			g.finishJobs()
@@ -278,9 +278,9 @@
 		switch what - len(g.holders) {
 		case 0: // the leader acts
 			for _, ask := range asks {
-				g.allocator.Receive(g.now, ask, ask.Holder.Node)
+				g.allocator.Receive(g.now, ask, nil)
 			}
-			g.stepLeader(g.now, func(r Reply) { g.responses[r.Ticket.(string)] = &r.Response })
+			g.stepLeader(g.now, func(r Reply) { g.responses[r.Response.Holder.Node] = &r.Response })
 		case 1: // answers are lost
 			for node := range g.responses {
 				delete(g.responses, node)
@@ -456,7 +456,7 @@
 		select {
 		case request := <-requests:
 			g.leaderWaiting[request.Holder.Node] = true
-			g.allocator.Receive(now, request, request.Holder.Node)
+			g.allocator.Receive(now, request, nil)
 		default:
 			more = false
 		}
@@ -467,7 +467,7 @@
 			members[int(node[1]-'0')].answers <- response
 		}
 	}
-	g.stepLeader(now, func(r Reply) { answer(r.Ticket.(string), &r.Response) })
+	g.stepLeader(now, func(r Reply) { answer(r.Response.Holder.Node, &r.Response) })
 	if step%2000 == 1999 && step < stepsOfSubmissions {
 		g.elect()
 		for node := range g.leaderWaiting {
@@ -546,7 +546,7 @@
 		t.Error("not replaced, or the holder is still one")
 	}
 	if asks := g.stepHolder(m, g.now, Tick{}); len(asks) == 1 {
-		g.allocator.Receive(g.now, asks[0], "n0")
+		g.allocator.Receive(g.now, asks[0], nil)
 		for range 3 {
 			g.now = g.now.Add(time.Second)
 			g.stepLeader(g.now, func(r Reply) { g.stepHolder(m, g.now, ResponseReceived{&r.Response}) })
@@ -570,7 +570,7 @@
 		for range seconds {
 			g.now = g.now.Add(1100 * time.Millisecond)
 			for _, ask := range g.stepHolder(m, g.now, Tick{}) {
-				g.allocator.Receive(g.now, ask, m.node)
+				g.allocator.Receive(g.now, ask, nil)
 			}
 			g.stepLeader(g.now, func(r Reply) { g.stepHolder(m, g.now, ResponseReceived{&r.Response}) })
 			m.holder.requestInFlight = false
--- /dev/null
+++ b/internal/quota/reservationrecord.go
@@ -0,0 +1,158 @@
+package quota
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"badgerbay/internal/ident"
+	"badgerbay/internal/wire"
+)
+
+// Reservation is what a holder has admitted of a job: so many tasks may be under way at
+// a time on its allocation.
+type Reservation struct {
+	Job        ident.JobID
+	Team       ident.Team
+	Tasks      int
+	TaskDemand Quantity // of a task
+}
+
+// ReservationRecord is the value of a node's reservations.
+type ReservationRecord struct {
+	SchemaVersion  int            `msgpack:"v" json:"v"`
+	HolderRevision ident.Revision `msgpack:"h" json:"h"` // of its holder key
+	// TeamTotals are the sums by team, for those who do not read the jobs.
+	TeamTotals map[ident.Team]Quantity `msgpack:"u,omitempty" json:"u,omitempty"`
+	Packed     wire.Packed             `msgpack:"pk,omitempty" json:"pk,omitempty"`
+}
+
+// NewReservationRecord packs the reservations of the holder whose key has the revision.
+func NewReservationRecord(holder ident.Revision, reservations []Reservation) (*ReservationRecord, error) {
+	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holder, TeamTotals: teamTotals(reservations)}
+	if len(reservations) == 0 {
+		return out, nil
+	}
+	packed, err := wire.Pack(func(e *msgpack.Encoder) error { return packReservations(e, reservations) })
+	if err != nil {
+		return nil, fmt.Errorf("reservations: %w", err)
+	}
+	out.Packed = packed
+	return out, nil
+}
+
+// DecodeReservationRecord reads a node's reservations and checks them. The error is an
+// ErrNewerSchema or an ErrMalformedRecord.
+func DecodeReservationRecord(data []byte) (*ReservationRecord, []Reservation, error) {
+	r := new(ReservationRecord)
+	if err := decodeRecord(data, r, &r.SchemaVersion); err != nil {
+		return nil, nil, err
+	}
+	var reservations []Reservation
+	if r.Packed != "" {
+		err := r.Packed.Unpack(func(d *msgpack.Decoder) (err error) {
+			reservations, err = unpackReservations(d)
+			return err
+		})
+		if err != nil {
+			return nil, nil, fmt.Errorf("%w: %w", ErrMalformedRecord, err)
+		}
+	}
+	return r, reservations, r.check(reservations)
+}
+
+// check compares the totals with the reservations.
+func (r *ReservationRecord) check(reservations []Reservation) error {
+	for _, one := range reservations {
+		if one.Tasks < 1 || one.Tasks > maxTasksPerReservation || !one.TaskDemand.valid() || one.Job == "" {
+			return fmt.Errorf("%w: reservation %+v", ErrMalformedRecord, one)
+		}
+	}
+	totals := teamTotals(reservations)
+	for team, stored := range r.TeamTotals {
+		if totals[team] != stored {
+			return fmt.Errorf("%w: %s has %v, not %v", ErrMalformedRecord, team, totals[team], stored)
+		}
+	}
+	if len(totals) != len(r.TeamTotals) {
+		return fmt.Errorf("%w: totals of %d teams, not %d", ErrMalformedRecord, len(r.TeamTotals), len(totals))
+	}
+	return nil
+}
+
+// teamTotals are the sums of reservations by team.
+func teamTotals(reservations []Reservation) map[ident.Team]Quantity {
+	totals := map[ident.Team]Quantity{}
+	for _, r := range reservations {
+		totals[r.Team] = totals[r.Team].Add(r.TaskDemand.Mul(r.Tasks))
+	}
+	return totals
+}
+
+func packReservations(e *msgpack.Encoder, reservations []Reservation) error {
+	if err := e.EncodeArrayLen(len(reservations)); err != nil {
+		return err
+	}
+	for _, r := range reservations {
+		if err := r.pack(e); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func unpackReservations(d *msgpack.Decoder) ([]Reservation, error) {
+	n, err := wire.DecodeArrayLen(d)
+	if err != nil {
+		return nil, err
+	}
+	var reservations []Reservation
+	for range n {
+		var r Reservation
+		if err := r.unpack(d); err != nil {
+			return nil, err
+		}
+		reservations = append(reservations, r)
+	}
+	return reservations, nil
+}
+
+func (r *Reservation) pack(e *msgpack.Encoder) error {
+	return errors.Join(
+		e.EncodeString(string(r.Job)),
+		e.EncodeString(string(r.Team)),
+		e.EncodeUint(uint64(r.Tasks)),
+		e.EncodeUint(uint64(r.TaskDemand.MilliCPU)),
+		e.EncodeUint(uint64(r.TaskDemand.MilliGPU)))
+}
+
+// unpack reads what pack wrote. Numbers beyond what check allows are clamped to just
+// beyond it, so that they don't overflow before they are refused.
+func (r *Reservation) unpack(d *msgpack.Decoder) error {
+	job, err := wire.DecodeString(d)
+	if err != nil {
+		return err
+	}
+	team, err := wire.DecodeString(d)
+	if err != nil {
+		return err
+	}
+	var numbers [3]uint64
+	for i := range numbers {
+		if numbers[i], err = wire.DecodeCount(d); err != nil {
+			return err
+		}
+	}
+	const beyondMax = uint64(maxMillis) + 1
+	*r = Reservation{
+		Job:   ident.JobID(job),
+		Team:  ident.Team(team),
+		Tasks: int(min(numbers[0], beyondMax)),
+		TaskDemand: Quantity{
+			MilliCPU: int64(min(numbers[1], beyondMax)),
+			MilliGPU: int64(min(numbers[2], beyondMax)),
+		},
+	}
+	return nil
+}
