--- a/internal/roundlog/record_golden_test.go
+++ b/internal/roundlog/record_golden_test.go
@@ -8,22 +8,21 @@
 	"strings"
 	"testing"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/wire"
 )
 
-// goldenRecord is a record whose stored form is in testdata/golden/records.txt:
-// for each value a line with its name, its MessagePack in hex and its JSON.
+// goldenRecord is a record whose stored form is in testdata/golden/records.txt: for each
+// value a line with its name, its MessagePack in hex and its JSON.
 type goldenRecord struct {
 	name   string
 	schema int
@@ -58,7 +57,7 @@
 	}
 }
 
-// stored returns the values of the record: the record itself, then its parts.
+// stored returns the values of the record: the record itself, then its chunks.
 func (g *goldenRecord) stored(t *testing.T, r *Record) []any {
 	t.Helper()
 	if g.values == 0 {
@@ -71,8 +70,8 @@
 		t.Fatal(err)
 	}
 	values := []any{head}
-	for _, part := range rest {
-		values = append(values, part)
+	for _, value := range rest {
+		values = append(values, value)
 	}
 	return values
 }
--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -7,14 +7,13 @@
 	"os"
 	"testing"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/indexset"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/wire"
 )
@@ -27,8 +26,8 @@
 		Deprovisions: wire.BoundedList[ident.MachineID]{"host-000007"}}
 }
 
-// TestRecordRoundTrip: what a successor reads is what was decided, from
-// records of this schema and of the one before.
+// TestRecordRoundTrip: what a new leader reads is what was decided, from records of this
+// schema and of the one before.
 func TestRecordRoundTrip(t *testing.T) {
 	want := sampleRecord()
 	stored, err := want.Encode()
@@ -37,8 +36,8 @@
 	}
 	old := *want
 	old.SchemaVersion = 1
-	for _, form := range []*Record{stored, &old} {
-		data, err := msgpack.Marshal(form)
+	for _, record := range []*Record{stored, &old} {
+		data, err := msgpack.Marshal(record)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,14 +66,14 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if r, err := Decode(data, nil); err == nil {
 			if _, err := r.Encode(); err != nil {
-				t.Errorf("read and can't be written: %v", err)
+				t.Errorf("was read and can't be written: %v", err)
 			}
 		}
 	})
 }
 
-// TestRecordOfPreviousVersion: a round that the production version has stored
-// is read, and written again byte by byte.
+// TestRecordOfPreviousVersion: a round that the program in production has stored is read, and
+// written again byte by byte.
 func TestRecordOfPreviousVersion(t *testing.T) {
 	data, err := os.ReadFile("testdata/production/round.msgpack")
 	if err != nil {
@@ -85,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if len(r.Starts) != 120 || len(r.Provisions) != 1 || len(r.Deprovisions) != 2 || r.RoundNo != 4501 || r.LowWatermark != 4490 {
-		t.Errorf("%d starts, %d rentals, %d releases of round %d", len(r.Starts), len(r.Provisions), len(r.Deprovisions), r.RoundNo)
+		t.Errorf("%d starts, %d provisions, %d deprovisions of round %d", len(r.Starts), len(r.Provisions), len(r.Deprovisions), r.RoundNo)
 	}
 	again, err := r.Encode()
 	if err != nil {
@@ -106,9 +105,9 @@
 	return r
 }
 
-// TestRecordInChunks: a round that does not fit into one value is split into parts
-// of the smaller limit, and read back whole or not at all. One that fits is what
-// the version before reads.
+// TestRecordInChunks: a round that does not fit into one value is split into chunks of the
+// smaller limit, and read back whole or not at all. One that fits is what the program before
+// reads.
 func TestRecordInChunks(t *testing.T) {
 	const limit, values = 2048, 4
 	want := wideRecord(600)
@@ -116,8 +115,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rest) == 0 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > limit {
-		t.Fatalf("%d parts, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
+	if len(rest) < 2 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > limit {
+		t.Fatalf("%d chunks, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
 	}
 	stored := func(v any) []byte {
 		data, err := msgpack.Marshal(v)
@@ -126,9 +125,9 @@
 		}
 		return data
 	}
-	for _, p := range rest {
-		if n := kvstore.JSONSize(p); n > limit {
-			t.Errorf("a part of %d bytes", n)
+	for _, value := range rest {
+		if n := kvstore.JSONSize(value); n > limit {
+			t.Errorf("a chunk of %d bytes", n)
 		}
 	}
 	got, err := Decode(stored(head), func(n int) []byte { return stored(rest[n-1]) })
@@ -141,34 +140,37 @@
 	}
 	torn := *rest[0]
 	torn.Checksum++
-	for what, part := range map[string]func(int) []byte{
-		"missing":         func(int) []byte { return nil },
-		"of another time": func(int) []byte { return stored(torn) },
-		"surplus":         func(n int) []byte { return stored(rest[len(rest)-n]) },
+	for _, c := range []struct {
+		what   string
+		chunks func(n int) []byte
+	}{
+		{"missing chunks", func(int) []byte { return nil }},
+		{"chunks of another record", func(int) []byte { return stored(torn) }},
+		{"chunks in another order", func(n int) []byte { return stored(rest[len(rest)-n]) }},
 	} {
-		if _, err := Decode(stored(head), part); what != "surplus" && !errors.Is(err, chunk.ErrTorn) || what == "surplus" && len(rest) > 1 && err == nil {
-			t.Errorf("%s: %v", what, err)
+		if _, err := Decode(stored(head), c.chunks); !errors.Is(err, chunk.ErrTorn) {
+			t.Errorf("%s: %v", c.what, err)
 		}
 	}
 	if small, none, err := wideRecord(3).Split(limit, values, kvstore.JSONSize); err != nil || len(none) > 0 || small.SchemaVersion != SchemaPlain {
-		t.Errorf("a small round: %d parts, schema %d, %v", len(none), small.SchemaVersion, err)
+		t.Errorf("a small round: %d chunks, schema %d, %v", len(none), small.SchemaVersion, err)
 	}
 	if plain, none, err := want.Split(8192, 1, kvstore.JSONSize); err != nil || len(none) > 0 || plain.SchemaVersion != SchemaPlain {
-		t.Errorf("where the version before may serve: %d parts, schema %d, %v", len(none), plain.SchemaVersion, err)
+		t.Errorf("where the program before may serve: %d chunks, schema %d, %v", len(none), plain.SchemaVersion, err)
 	}
 	if _, _, err := wideRecord(9000).Split(limit, values, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
 		t.Errorf("9,000 starts: %v", err)
 	}
 }
 
-// TestReplacementKeepsAttempt: a replacement in a gang that waits keeps the gang's
-// attempt, in a record that the version before refuses to read.
+// TestReplacementKeepsAttempt: a replacement in a gang that waits keeps the gang's attempt, in
+// a record that the program before refuses to read.
 func TestReplacementKeepsAttempt(t *testing.T) {
 	r := wideRecord(2)
 	r.Starts[1].Attempt = 4700
 	head, rest, err := r.Split(2048, 4, kvstore.JSONSize)
 	if err != nil || len(rest) > 0 || head.SchemaVersion != schemaChunked {
-		t.Fatalf("%d parts, schema %d, %v", len(rest), head.SchemaVersion, err)
+		t.Fatalf("%d chunks, schema %d, %v", len(rest), head.SchemaVersion, err)
 	}
 	data, err := msgpack.Marshal(head)
 	if err != nil {
--- a/internal/roundlog/ring_test.go
+++ b/internal/roundlog/ring_test.go
@@ -4,66 +4,90 @@
 	"fmt"
 	"testing"
 
-	"badgerbay/internal/ident"
-
 	"pgregory.net/rapid"
+
+	"badgerbay/internal/ident"
 )
 
-// TestRingReusesSettledSlots draws rounds, folds and takeovers: a record is
-// never overwritten before what it decided is settled, and a successor finds
-// every round that is not.
+// ringModel is a ring beside what is stored of it, and the rounds that are not settled.
+type ringModel struct {
+	slots        int
+	ring         *Ring
+	stored       map[string]StoredRecord
+	open         map[ident.RoundNo]ident.JobID
+	lastRevision ident.Revision
+}
+
+// TestRingReusesSettledSlots draws rounds, folds and failovers: a record is never overwritten
+// before what it decided is settled, and a new leader finds every round that is not.
 func TestRingReusesSettledSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const slots = 4
-		ring := NewRing(slots)
-		stored := map[string]StoredRecord{}
-		open := map[ident.RoundNo]ident.JobID{}
-		version := ident.Revision(0)
+		m := &ringModel{slots: 4, ring: NewRing(4), stored: map[string]StoredRecord{}, open: map[ident.RoundNo]ident.JobID{}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				no, free := ring.Next()
-				if !free {
-					continue
-				}
-				if old, ok := stored[ring.Key(no)]; ok && open[old.Record.RoundNo] != "" {
-					t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.RoundNo)
-				}
-				job := ident.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "job")))
-				r := &Record{RoundNo: no, LowWatermark: min(ring.LowWatermark(), no), Starts: []Start{{Job: job}}}
-				version++
-				ring.Add(r, version)
-				stored[ring.Key(no)] = StoredRecord{ring.Key(no), r, version}
-				open[no] = job
+				m.storeRound(t)
 			case 1:
-				job := ident.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, "folded")))
-				no, _ := ring.Next()
-				ring.JobFolded(job, no-1)
-				for r, j := range open {
-					if j == job && r < no {
-						delete(open, r)
-					}
-				}
+				m.fold(t)
 			case 2:
-				var all []StoredRecord
-				for _, s := range stored {
-					all = append(all, s)
-				}
-				next, _ := ring.Next()
-				again, found := RestoreRing(slots, all)
-				if got, _ := again.Next(); got != next {
-					t.Fatalf("a successor goes on at round %d, not %d", got, next)
-				}
-				seen := map[ident.RoundNo]bool{}
-				for _, r := range found {
-					seen[r.RoundNo] = true
-				}
-				for r := range open {
-					if !seen[r] {
-						t.Fatalf("a successor does not find round %d", r)
-					}
-				}
+				m.failOver(t)
 			}
 		}
 	})
 }
+
+func drawJob(t *rapid.T, label string) ident.JobID {
+	return ident.JobID(fmt.Sprintf("wk-%06d", rapid.IntRange(0, 2).Draw(t, label)))
+}
+
+// storeRound stores a round that starts tasks of a job, if a slot is free.
+func (m *ringModel) storeRound(t *rapid.T) {
+	no, free := m.ring.Next()
+	if !free {
+		return
+	}
+	key := m.ring.Key(no)
+	if old, ok := m.stored[key]; ok && m.open[old.Record.RoundNo] != "" {
+		t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.RoundNo)
+	}
+	job := drawJob(t, "job")
+	record := &Record{RoundNo: no, LowWatermark: min(m.ring.LowWatermark(), no), Starts: []Start{{Job: job}}}
+	m.lastRevision++
+	m.ring.Add(record, m.lastRevision)
+	m.stored[key] = StoredRecord{Key: key, Record: record, Revision: m.lastRevision}
+	m.open[no] = job
+}
+
+// fold folds all rounds into the checkpoint of a job.
+func (m *ringModel) fold(t *rapid.T) {
+	folded := drawJob(t, "folded")
+	next, _ := m.ring.Next()
+	m.ring.JobFolded(folded, next-1)
+	for no, job := range m.open {
+		if job == folded && no < next {
+			delete(m.open, no)
+		}
+	}
+}
+
+// failOver checks what a new leader would find.
+func (m *ringModel) failOver(t *rapid.T) {
+	var stored []StoredRecord
+	for _, record := range m.stored {
+		stored = append(stored, record)
+	}
+	next, _ := m.ring.Next()
+	restored, found := RestoreRing(m.slots, stored)
+	if got, _ := restored.Next(); got != next {
+		t.Fatalf("a new leader goes on at round %d, not %d", got, next)
+	}
+	seen := map[ident.RoundNo]bool{}
+	for _, record := range found {
+		seen[record.RoundNo] = true
+	}
+	for no := range m.open {
+		if !seen[no] {
+			t.Fatalf("a new leader does not find round %d", no)
+		}
+	}
+}
