--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -189,7 +189,7 @@
 	failed := make(chan error, 2)
 	go func() { failed <- server.Serve(limited) }()
 	go func() {
-		failed <- peer.Serve(netutil.LimitListener(peers, max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))), &peerServer{n: n}, maxQueuedRequests(n.settings))
+		failed <- peer.Serve(ctx, netutil.LimitListener(peers, max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))), &peerServer{n: n}, maxQueuedRequests(n.settings))
 	}()
 	go n.runCore(ctx)
 	go n.runRelayUplink(ctx)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go peer.Serve(l, &peerServer{n: other.n}, minQueuedRequests)
+	go peer.Serve(t.Context(), l, &peerServer{n: other.n}, minQueuedRequests)
 	if b.n.peers, err = peer.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,6 +1,8 @@
 package peer
 
 import (
+	"context"
+	"errors"
 	"net"
 	"time"
 
@@ -15,9 +17,10 @@
 	minKeepaliveInterval = 5 * time.Second // that clients may use
 )
 
-// Serve answers the calls of other nodes on the listener until it is closed. It runs
-// up to maxCalls calls of each node at the same time. The error is never nil.
-func Serve(l net.Listener, impl meshpb.MeshServer, maxCalls int) error {
+// Serve answers the calls of other nodes on the listener, up to maxCalls of each at the
+// same time. It returns nil once ctx is done, after it has closed the listener and all
+// connections, and otherwise the error that ended it.
+func Serve(ctx context.Context, l net.Listener, impl meshpb.MeshServer, maxCalls int) error {
 	s := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.ReadBufferSize(bufferBytes),
@@ -27,5 +30,11 @@
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}),
 	)
 	meshpb.RegisterMeshServer(s, impl)
-	return s.Serve(l)
+	cancelStop := context.AfterFunc(ctx, s.Stop)
+	defer cancelStop()
+	err := s.Serve(l)
+	if ctx.Err() != nil && (err == nil || errors.Is(err, grpc.ErrServerStopped)) {
+		return nil
+	}
+	return err
 }
