--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -102,7 +102,7 @@
 		query.Set("since", string(after))
 	}
 	var answer wireMachineList
-	if err := c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &answer); err != nil {
+	if err = c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &answer); err != nil {
 		return nil, false, fmt.Errorf("listing machines: %w", err)
 	}
 	return answer.Machines, answer.More && len(answer.Machines) > 0, nil
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -138,7 +138,7 @@
 	t.noteRegained(now, m)
 	// A report overtaken by the answer to a direct command is stale, and the
 	// worker still waits for its answer.
-	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat, true); !changes.Stale {
+	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat); !changes.Stale {
 		t.applyChanges(now, m, changes)
 	}
 	reply.Commands = t.fleet.Commands(m, true)
@@ -155,7 +155,7 @@
 		return
 	}
 	t.noteRegained(now, t.fleet.Machine(in.Machine))
-	changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat, false)
+	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
 	if !changes.Stale {
 		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
 	}
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -7,6 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// TestForgetOnlyWhatNoLateStartCanRevive: an exit is forgotten only once its meaning is
+// stored and the worker has seen a higher fencing token than its start command's.
 func TestForgetOnlyWhatNoLateStartCanRevive(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
@@ -30,6 +32,8 @@
 	}
 }
 
+// TestTombstoneOutlivesNextAttempt: the next attempt on the same machine must not push
+// the tombstone of the last one out.
 func TestTombstoneOutlivesNextAttempt(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
@@ -42,6 +46,8 @@
 	}
 }
 
+// TestMissedHeartbeatIsProbed: a machine that has missed a heartbeat is probed, and its
+// answer shows that it lives without renewing its lease.
 func TestMissedHeartbeatIsProbed(t *testing.T) {
 	f := newFixture(1)
 	if got := f.fleet.ClaimProbes(f.now.Add(4 * time.Second)); got != nil {
@@ -52,7 +58,7 @@
 		t.Fatal("not probed, or probed twice at once")
 	}
 	f.fleet.FinishCommand(f.now, "host-1", true)
-	f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 9, FencingToken: epoch}, false)
+	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 9, FencingToken: epoch})
 	if f.machine.LastContact != f.now || f.machine.LastRenewal == f.now {
 		t.Error("the answer must show life, and not count for the lease")
 	}
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -15,7 +15,6 @@
 )
 
 // fixture is a fleet with one job and one machine that has just come up.
-
 type fixture struct {
 	fleet   *Fleet
 	job     *jobs.Job
@@ -23,6 +22,7 @@
 	now     clock.Instant
 }
 
+// newFixture returns a fixture whose job has so many tasks.
 func newFixture(tasks int) *fixture {
 	spec := jobs.Spec{Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 2}
 	f := &fixture{job: jobs.NewJob("wk-000001", jobs.NewRecord(spec, 0), 1, t0), now: t0}
@@ -38,10 +38,12 @@
 	return f
 }
 
+// sendHeartbeat applies a heartbeat of host-1.
 func (f *fixture) sendHeartbeat(session ident.Session, seq ident.HeartbeatSeq, token ident.Epoch, tasks ...TaskStatus) Changes {
-	return f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: session, HeartbeatSeq: seq, FencingToken: token, Tasks: tasks}, true)
+	return f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: session, HeartbeatSeq: seq, FencingToken: token, Tasks: tasks})
 }
 
+// place places a task on host-1, to be started.
 func (f *fixture) place(task ident.TaskIndex, attempt ident.Attempt) *jobs.Placement {
 	p := &jobs.Placement{Job: f.job, Task: task, Machine: "host-1", Session: f.machine.Session, Attempt: attempt, StartAllowed: true}
 	f.fleet.Place(f.now, p)
@@ -52,6 +54,7 @@
 	return TaskStatus{Task: ident.TaskID{Job: "wk-000001", Index: index}, Attempt: attempt, State: state, Cause: cause}
 }
 
+// describeCommands returns commands as "kind task/attempt".
 func describeCommands(commands []Command) []string {
 	var out []string
 	for _, c := range commands {
@@ -59,69 +62,3 @@
 	}
 	return out
 }
-
-// TestAbsenceProvesNothingUnderSameFencingToken: a start command may be on its way, so a
-
-// heartbeat that lacks the task ends the placement only under a higher fencing token.
-
-// TestForgetOnlyWhatNoLateStartCanRevive: an exit is forgotten only once its meaning is
-
-// stored and the worker has seen a higher fencing token than its start command's.
-
-// TestTombstoneOutlivesNextAttempt: the next attempt on the same machine must not push
-
-// the tombstone of the last one out.
-
-// TestLeaseCountsFromLastRenewal: placements on a silent machine end only when
-
-// the lease has surely expired, counted from the last answer, and for a successor from
-
-// the failover.
-
-// TestNewSessionHasAFullLease guards against a task once run twice: a session that becomes
-
-// known by the refusal of a direct command has had no heartbeat answered yet, and its
-
-// lease still lasts in full.
-
-// TestStrayTasksAreAdopted: what runs without a record counts as a placement, so that
-
-// it is not started elsewhere; what is done counts as done.
-
-// TestStopBeforeStartIsSent: a start that was never sent ends at once when it is stopped;
-
-// one that may have been sent is stopped until it surely has ended.
-
-// TestMissedHeartbeatIsProbed: a machine that has missed a heartbeat is probed, and its
-
-// answer shows that it lives without renewing its lease.
-
-// TestDuplicatesRenewNoLease: copies of heartbeats go on arriving after their machine has
-
-// died. They must not put off the moment at which its tasks are surely gone.
-
-// TestUnconfirmedMachinesGetNoTasks: the heartbeat of an unconfirmed machine may be a copy,
-
-// long after an earlier leader deprovisioned the machine.
-
-// TestUnreachableMachinesGetNoTasks: where heartbeats arrive and no command does, no task is
-
-// placed, in a later session either; after a while it is tried again.
-
-// TestPhantomOfOldHeartbeat: a copy of a heartbeat of before the failover names a task that
-
-// ended long ago. The next heartbeat, under this leader's fencing token, proves it gone;
-
-// with the leader's own token on it, its task waited until the epoch was advanced for
-
-// something else.
-
-// TestMachineWithoutHeartbeatsGetsNoTasks: a machine whose heartbeats no longer come
-
-// gets no task, though it answers commands: its lease expires all the same.
-
-// TestCommandAnswersCountAfterFailover: a machine that answers a command may get tasks
-
-// for as long as its worker may still wait for the lost leader, and no longer without a
-
-// heartbeat.
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -26,24 +26,32 @@
 	InterruptionNoticed bool // the cloud has given notice that it takes the machine back
 }
 
-// ApplyHeartbeat applies a heartbeat, or the status in the answer to a command. With
-// renewsLease it is a heartbeat, and the answer that leaves now renews the worker's lease.
-func (f *Fleet) ApplyHeartbeat(now clock.Instant, h *Heartbeat, renewsLease bool) Changes {
+// ApplyHeartbeat applies a heartbeat whose answer leaves now and renews the worker's lease.
+func (f *Fleet) ApplyHeartbeat(now clock.Instant, h *Heartbeat) Changes {
 	m := f.Ensure(now, h.Machine)
 	if m.isStale(h) {
-		if renewsLease {
-			// The answer to an old heartbeat may renew the lease too, but from when
-			// the heartbeat was sent: before the newest that is known. Duplicates of
-			// a dead machine's heartbeats must not keep its lease alive.
-			m.LastRenewal = max(m.LastRenewal, m.LastContact)
-		}
+		// The answer to an old heartbeat may renew the lease too, but from when the
+		// heartbeat was sent: before the newest that is known. Duplicates of a dead
+		// machine's heartbeats must not keep its lease alive.
+		m.LastRenewal = max(m.LastRenewal, m.LastContact)
 		return Changes{Stale: true}
 	}
-	if renewsLease {
-		m.LastRenewal, m.LastHeartbeat = now, now
-	} else {
-		m.Confirmed = true
+	m.LastRenewal, m.LastHeartbeat = now, now
+	return f.applyStatus(now, m, h)
+}
+
+// ApplyCommandAnswer applies the status in the answer to a direct command. It shows that
+// the machine exists, and renews no lease.
+func (f *Fleet) ApplyCommandAnswer(now clock.Instant, h *Heartbeat) Changes {
+	m := f.Ensure(now, h.Machine)
+	if m.isStale(h) {
+		return Changes{Stale: true}
 	}
+	m.Confirmed = true
+	return f.applyStatus(now, m, h)
+}
+
+func (f *Fleet) applyStatus(now clock.Instant, m *Machine, h *Heartbeat) Changes {
 	changes := Changes{CameUp: !m.Up, HigherFencingToken: h.FencingToken > f.epoch}
 	if h.Session > m.Session {
 		f.beginSession(now, m, &changes)
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -9,6 +9,8 @@
 	"badgerbay/internal/jobs"
 )
 
+// TestAbsenceProvesNothingUnderSameFencingToken: a start command may be on its way, so a
+// heartbeat that lacks the task ends the placement only under a higher fencing token.
 func TestAbsenceProvesNothingUnderSameFencingToken(t *testing.T) {
 	f := newFixture(1)
 	p := f.place(0, 5)
@@ -45,6 +47,8 @@
 	}
 }
 
+// TestStrayTasksAreAdopted: what runs without a record counts as a placement, so that
+// it is not started elsewhere; what is done counts as done.
 func TestStrayTasksAreAdopted(t *testing.T) {
 	f := newFixture(3)
 	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 3, TaskRunning, ""), taskStatus(1, 3, TaskExited, ExitDone))
@@ -63,6 +67,10 @@
 	}
 }
 
+// TestPhantomOfOldHeartbeat: a copy of a heartbeat of before the failover names a task that
+// ended long ago. The next heartbeat, under this leader's fencing token, proves it gone;
+// with the leader's own token on it, its task waited until the epoch was advanced for
+// something else.
 func TestPhantomOfOldHeartbeat(t *testing.T) {
 	f := newFixture(1)
 	f.machine.HeartbeatSeq = 0 // a leader that knows nothing newer
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -7,6 +7,9 @@
 	"badgerbay/internal/jobs"
 )
 
+// TestLeaseCountsFromLastRenewal: placements on a silent machine end only when
+// the lease has surely expired, counted from the last answer, and for a successor from
+// the failover.
 func TestLeaseCountsFromLastRenewal(t *testing.T) {
 	f := newFixture(1)
 	p := f.place(0, 5)
@@ -23,16 +26,21 @@
 	}
 }
 
+// TestNewSessionHasAFullLease guards against a task once run twice: a session that becomes
+// known by the refusal of a direct command has had no heartbeat answered yet, and its
+// lease still lasts in full.
 func TestNewSessionHasAFullLease(t *testing.T) {
 	f := newFixture(1)
 	f.now = t0.Add(40 * time.Second)
-	f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 2, HeartbeatSeq: 1, FencingToken: epoch}, false)
+	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 2, HeartbeatSeq: 1, FencingToken: epoch})
 	p := f.place(0, 7)
 	if c := f.fleet.ExpireLeases(f.now.Add(5 * time.Second)); len(c.Ended) != 0 || p.State == jobs.PlacementEnded {
 		t.Error("the new session was taken for expired")
 	}
 }
 
+// TestDuplicatesRenewNoLease: copies of heartbeats go on arriving after their machine has
+// died. They must not put off the moment at which its tasks are surely gone.
 func TestDuplicatesRenewNoLease(t *testing.T) {
 	f := newFixture(1)
 	f.sendHeartbeat(1, 20, epoch)
@@ -49,7 +57,7 @@
 	// The answer to a heartbeat that a direct command has overtaken does renew the
 	// lease, but from before the command.
 	f.now = f.now.Add(time.Second)
-	f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 22, FencingToken: epoch}, false)
+	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 22, FencingToken: epoch})
 	overtaken := f.now
 	f.now = f.now.Add(time.Second)
 	f.sendHeartbeat(1, 21, epoch)
--- a/internal/fleet/placement_test.go
+++ b/internal/fleet/placement_test.go
@@ -10,6 +10,8 @@
 	"badgerbay/internal/jobs"
 )
 
+// TestStopBeforeStartIsSent: a start that was never sent ends at once when it is stopped;
+// one that may have been sent is stopped until it surely has ended.
 func TestStopBeforeStartIsSent(t *testing.T) {
 	f := newFixture(2)
 	p, q := f.place(0, 5), f.place(1, 5)
@@ -27,10 +29,12 @@
 	}
 }
 
+// TestUnconfirmedMachinesGetNoTasks: the heartbeat of an unconfirmed machine may be a copy,
+// long after an earlier leader deprovisioned the machine.
 func TestUnconfirmedMachinesGetNoTasks(t *testing.T) {
 	f := newFixture(1)
 	copied := &Heartbeat{Machine: "host-9", Addr: "10.0.0.9:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 70, FencingToken: epoch - 3}
-	f.fleet.ApplyHeartbeat(f.now, copied, true)
+	f.fleet.ApplyHeartbeat(f.now, copied)
 	m := f.fleet.Machine("host-9")
 	if f.fleet.Schedulable(m) {
 		t.Fatal("a machine known by one old heartbeat may get tasks")
@@ -45,7 +49,7 @@
 	answer := *copied
 	answer.HeartbeatSeq++
 	f.fleet.FinishCommand(f.now, m.ID, true)
-	f.fleet.ApplyHeartbeat(f.now, &answer, false)
+	f.fleet.ApplyCommandAnswer(f.now, &answer)
 	if !f.fleet.Schedulable(m) {
 		t.Error("it has answered and gets no tasks")
 	}
@@ -54,6 +58,8 @@
 	}
 }
 
+// TestUnreachableMachinesGetNoTasks: where heartbeats arrive and no command does, no task is
+// placed, in a later session either; after a while it is tried again.
 func TestUnreachableMachinesGetNoTasks(t *testing.T) {
 	f := newFixture(1)
 	f.fleet.FinishCommand(f.now, f.machine.ID, false)
@@ -72,11 +78,13 @@
 	}
 }
 
+// TestMachineWithoutHeartbeatsGetsNoTasks: a machine whose heartbeats no longer come
+// gets no task, though it answers commands: its lease expires all the same.
 func TestMachineWithoutHeartbeatsGetsNoTasks(t *testing.T) {
 	f := newFixture(1)
 	for range 4 {
 		f.now = f.now.Add(3 * time.Second)
-		f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch}, false)
+		f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch})
 	}
 	if !f.fleet.HeartbeatOverdue(f.now, f.machine) {
 		t.Error("a machine that only answers commands may get tasks")
@@ -87,6 +95,9 @@
 	}
 }
 
+// TestCommandAnswersCountAfterFailover: a machine that answers a command may get tasks
+// for as long as its worker may still wait for the lost leader, and no longer without a
+// heartbeat.
 func TestCommandAnswersCountAfterFailover(t *testing.T) {
 	const wait = 8 * time.Second
 	f := New(Timing{HeartbeatInterval: time.Second, LeaseTTL: 27 * time.Second, RejoinGrace: wait}, epoch, t0, func(ident.JobID) *jobs.Job { return nil })
@@ -94,7 +105,7 @@
 	if !f.HeartbeatOverdue(t0, m) {
 		t.Error("a machine that nothing was heard of")
 	}
-	f.ApplyHeartbeat(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1}, false)
+	f.ApplyCommandAnswer(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1})
 	if f.HeartbeatOverdue(t0.Add(wait-time.Second), m) {
 		t.Error("its worker may still be waiting for the lost leader")
 	}
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -36,9 +36,10 @@
 // Isolations.
 const (
 	Connected Isolation = iota
-	// NodeIsolated: the state service does not answer this node.
+	// NodeIsolated means that the state service does not answer this node.
 	NodeIsolated
-	// StateServiceOutage: it answers none of the nodes, and all of these are reachable.
+	// StateServiceOutage means that it answers none of the nodes, and all of these are
+	// reachable.
 	StateServiceOutage
 )
 
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -261,7 +261,7 @@
 		}
 		exit := s.place(j, 2, "host-3")
 		s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2, FencingToken: 10,
-			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: "exited", Cause: fleet.ExitNoCapacity}}}, true)
+			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: "exited", Cause: fleet.ExitNoCapacity}}})
 		if starts := s.plan().Record.Starts; len(starts) > 0 {
 			t.Errorf("starts %+v where the exit is known, or in another zone", starts)
 		}
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -211,7 +211,7 @@
 func (s *snapshotGenerator) report(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
 	s.beats[r.Machine]++
 	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.beats[r.Machine], snapshotEpoch
-	s.world.Fleet.ApplyHeartbeat(at, r, true)
+	s.world.Fleet.ApplyHeartbeat(at, r)
 	return s.world.Fleet.Machine(r.Machine)
 }
 
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -44,7 +44,7 @@
 }
 
 func (s *fixture) addMachine(id ident.MachineID, zone ident.Zone, spot bool) {
-	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10}, true)
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10})
 }
 
 // sendHeartbeat has a machine report what it holds of a job, all running.
@@ -53,7 +53,7 @@
 	for _, v := range s.snapshot.Fleet.Machine(id).LivePlacements() {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: v.ID(), Attempt: v.Attempt, State: "running"})
 	}
-	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, r, true)
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, r)
 }
 
 func (s *fixture) addJob(id ident.JobID, spec jobs.Spec) *jobs.Job {
@@ -118,7 +118,7 @@
 	p := s.place(old, 0, "host-2")
 	p.State = jobs.PlacementFetching
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2,
-		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: "running"}}}, true)
+		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: "running"}}})
 	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 1))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Machine != "host-2" {
--- a/internal/schemaversion/negotiator.go
+++ b/internal/schemaversion/negotiator.go
@@ -20,10 +20,10 @@
 const (
 	// First is what nodes know that report nothing.
 	First Version = 1
-	// ChunkedJobs: a job's record may be compressed, and continue in numbered chunks.
+	// ChunkedJobs lets a job's record be compressed, and continue in numbered chunks.
 	ChunkedJobs Version = 2
-	// ChunkedRounds: a round's record may continue in chunks and name the attempts of its
-	// starts; a job's record may be written in several transactions.
+	// ChunkedRounds lets a round's record continue in chunks and name the attempts of its
+	// starts, and a job's record be written in several transactions.
 	ChunkedRounds Version = 3
 	// Latest is the latest version that this program knows.
 	Latest = ChunkedRounds
