--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -21,12 +21,7 @@
 
 // Core is the state machine of one node. It is not safe for concurrent use.
 type Core struct {
-	settings     *config.Settings
-	policy       *policy.Policy
-	log          *slog.Logger
-	metrics      *Metrics
-	budget       *kvstore.Budget
-	clock        clock.Clock
+	*environment
 	election     *election.Elector
 	machineTypes []*fleet.MachineType
 	term         *term // nil unless this node holds the leader key
@@ -40,7 +35,6 @@
 	lastStep         clock.Instant // the last step
 	stallEnded       clock.Instant // the last step after a long rest
 	nextMachineTypes clock.Instant
-	effects          []Effect
 }
 
 // ElectionInput carries an input of the election.
@@ -57,7 +51,7 @@
 	rng *rand.Rand, log *slog.Logger, met *Metrics) *Core {
 	lead := election.New(set.NodeName, electionTimes(set, pol), rng)
 	lead.SetNodes(append(set.PeerNames(), set.NodeName))
-	return &Core{settings: set, policy: pol, log: log, metrics: met, budget: budget, clock: clock,
+	return &Core{environment: &environment{settings: set, policy: pol, log: log, metrics: met, budget: budget, clock: clock},
 		election: lead, delegate: leasedelegation.NewDelegate(ident.Zone(set.Zone), set.Params.Workers, clock.Now()),
 		probeNode: nodeOutsideZone(set)}
 }
@@ -141,8 +135,6 @@
 	return false
 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
-
 // stepElection runs the leadership machine and follows what it decides.
 func (c *Core) stepElection(now clock.Instant, in election.Input) {
 	before := c.election.Epoch()
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -128,9 +128,9 @@
 // jobs are left out: those must be gone in time, whatever is cut. If their names
 // do not fit into a message, nothing is granted.
 func (t *term) delegationGrant(epoch ident.Epoch) leasedelegation.Status {
-	s := leasedelegation.Status{Epoch: epoch, GrantDuration: leasedelegation.GrantDuration(t.core.settings.Params.Workers)}
+	s := leasedelegation.Status{Epoch: epoch, GrantDuration: leasedelegation.GrantDuration(t.settings.Params.Workers)}
 	excluded := map[ident.MachineID]bool{}
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if j.Phase != jobs.PhaseCancelled {
 			continue
 		}
--- /dev/null
+++ b/internal/controller/environment.go
@@ -0,0 +1,24 @@
+package controller
+
+import (
+	"log/slog"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/config"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/policy"
+)
+
+// environment is what all parts of the core share: the node's settings and policy, where it logs and counts, its share
+// of the requests to the state service, and the effects of the step under way.
+type environment struct {
+	settings *config.Settings
+	policy   *policy.Policy
+	log      *slog.Logger
+	metrics  *Metrics
+	budget   *kvstore.Budget
+	clock    clock.Clock
+	effects  []Effect
+}
+
+func (e *environment) emit(effect Effect) { e.effects = append(e.effects, effect) }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -26,7 +26,7 @@
 	for _, e := range ch.Ended {
 		t.replanNeeded = true
 		j, m := e.Placement.Job, t.fleet.Machine(e.Placement.Machine)
-		t.core.log.Debug("task ended", "job", j.ID, "task", e.Placement.Task, "machine", e.Placement.Machine,
+		t.log.Debug("task ended", "job", j.ID, "task", e.Placement.Task, "machine", e.Placement.Machine,
 			"cause", e.Cause, "attempt", e.Placement.Attempt, "epoch", t.epoch)
 		switch e.Cause {
 		case fleet.ExitError:
@@ -34,7 +34,7 @@
 		case fleet.ExitNoCapacity, fleet.ExitBusy, fleet.ExitUnknownTask:
 			t.avoidMachine(now, j, e.Placement.Machine, refusalAvoidance)
 			j.BackoffUntil = max(j.BackoffUntil, now.Add(time.Second))
-			t.core.metrics.StartRefusals.Inc()
+			t.metrics.StartRefusals.Inc()
 		case fleet.ExitGangIncomplete, fleet.ExitGangPeersLost:
 			t.gangFailed(now, e.Placement)
 		case fleet.ExitDone:
@@ -68,6 +68,6 @@
 	m.ConsecutiveFailures++
 	if m.ConsecutiveFailures >= maxMachineFailures && !m.Quarantined {
 		m.Quarantined = true
-		t.core.log.Info("machine drained as faulty", "machine", m.ID, "epoch", t.epoch)
+		t.log.Info("machine drained as faulty", "machine", m.ID, "epoch", t.epoch)
 	}
 }
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -34,7 +34,7 @@
 	if l == nil {
 		t.Fatal("nobody leads")
 	}
-	j := l.core.term.jobs[id]
+	j := l.core.term.jobs.get(id)
 	if j.Done.Len() < 200 {
 		t.Errorf("%d tasks done in a minute", j.Done.Len())
 	}
@@ -445,7 +445,7 @@
 	if j.startedAt == 0 {
 		t.Fatal("the largest job has not begun in four minutes")
 	}
-	if p := s.leader().core.term.jobs[id]; s.now.Sub(j.startedAt) > 70*time.Second && len(p.Done) == 0 {
+	if p := s.leader().core.term.jobs.get(id); s.now.Sub(j.startedAt) > 70*time.Second && len(p.Done) == 0 {
 		t.Errorf("it began %v ago, and nothing of it is done", s.now.Sub(j.startedAt))
 	}
 }
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -56,7 +56,7 @@
 		use, batch = kvstore.PurposeUrgentFold, urgent
 	}
 	limits := t.storeLimits()
-	may := t.core.budget.AvailableWrites(now, use)
+	may := t.budget.AvailableWrites(now, use)
 	n := min(len(batch), may, limits.MaxTxnOps, maxFoldedJobs)
 	if n <= 0 {
 		return
@@ -81,9 +81,9 @@
 	if len(f.jobs) == 0 {
 		return
 	}
-	t.core.budget.ForceTakeWrites(now, len(txn.Operations))
+	t.budget.ForceTakeWrites(now, len(txn.Operations))
 	t.foldInFlight = f
-	t.core.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: txn})
+	t.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: txn})
 }
 
 // foldOperations are the changes that store a job's checkpoint: its record, and the
@@ -93,10 +93,10 @@
 	whole := j.Record(t.epoch)
 	rec, rest, err := whole.Split(t.storeLimits().MaxValueBytes(), t.jobChunkLimit(), kvstore.JSONSize)
 	if err != nil {
-		t.core.metrics.OversizedRecords.Inc()
+		t.metrics.OversizedRecords.Inc()
 		if !t.beginStaging(j, whole) {
 			t.oversizedUntil[j.ID] = now.Add(oversizedRetryDelay)
-			t.core.log.Warn("checkpoint is too large for one transaction", "job", j.ID, "err", err, "epoch", t.epoch)
+			t.log.Warn("checkpoint is too large for one transaction", "job", j.ID, "err", err, "epoch", t.epoch)
 		}
 		return nil, foldedJob{}, false
 	}
@@ -108,18 +108,18 @@
 // or the ring waits for, and those that have lagged long enough.
 func (t *term) jobsToFold(now clock.Instant) (urgent, late []*jobs.Job) {
 	pressed := map[ident.JobID]bool{}
-	if t.roundRing.FreeSlots() <= t.core.policy.RingSlots/3 {
+	if t.roundRing.FreeSlots() <= t.policy.RingSlots/3 {
 		for _, id := range t.roundRing.OldestOpenJobs() {
 			pressed[id] = true
 		}
 	}
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if !j.Dirty() || j.FoldInFlight || now.Before(t.oversizedUntil[j.ID]) || t.roundInFlight != nil && t.roundInFlight.jobs[j.ID] {
 			continue
 		}
-		if j.NeedsUrgentFold() || pressed[j.ID] || len(t.pendingCancels[j.ID]) > 0 {
+		if j.NeedsUrgentFold() || pressed[j.ID] || t.jobs.isAwaited(j.ID) {
 			urgent = append(urgent, j)
-		} else if now.Sub(j.DirtySince) >= t.core.policy.MaxFoldDelay {
+		} else if now.Sub(j.DirtySince) >= t.policy.MaxFoldDelay {
 			late = append(late, j)
 		}
 	}
@@ -147,7 +147,7 @@
 		t.foldFailed(now, in)
 		return
 	}
-	t.core.metrics.Folds.Inc()
+	t.metrics.Folds.Inc()
 	for _, fj := range f.jobs {
 		j := fj.job
 		j.ModRevision, j.StoredSeq, j.StoredRound, j.StoredPhase, j.StoredChunkOffset = in.Revision, fj.seq, fj.round, fj.phase, f.firstChunk
@@ -157,8 +157,8 @@
 		}
 		t.roundRing.JobFolded(j.ID, fj.round)
 		if fj.phase.Final() {
-			t.core.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
-			t.answerPendingCancels(j.ID, api.JobFound, t.core.election.LeaseValidUntil())
+			t.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
+			t.jobs.answerCancellations(j.ID, api.JobFound, t.core.election.LeaseValidUntil())
 		}
 	}
 }
@@ -166,11 +166,10 @@
 func (t *term) foldFailed(now clock.Instant, in TransactionCompleted) {
 	t.foldRetryAt = now.Add(200 * time.Millisecond)
 	for _, key := range in.FailedConditions {
-		t.core.metrics.CASConflicts.Inc()
+		t.metrics.CASConflicts.Inc()
 		id := ident.JobID(strings.TrimPrefix(key, jobs.KeyPrefix))
-		if t.jobs[id] != nil && !t.readsInFlight[id] {
-			t.readsInFlight[id] = true
-			t.core.emit(ReadJobRecord{Job: id})
+		if t.jobs.get(id) != nil {
+			t.jobs.read(id)
 		}
 	}
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -25,7 +25,7 @@
 // have lost a peer. The gang is placed anew once the end of each is proven. One
 // whose lost tasks may still be replaced goes on waiting.
 func (t *term) stopBrokenGangs(now clock.Instant) {
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.roundInFlight != nil && t.roundInFlight.jobs[j.ID] {
 			continue
 		}
@@ -69,7 +69,7 @@
 // is there before the others give up. What an earlier leader placed is left to end:
 // it is not known since when it waits.
 func (t *term) replacementAttempt(now clock.Instant, j *jobs.Job) (ident.Attempt, bool) {
-	wait := clock.Seconds(t.core.settings.Params.Workers.GangWaitSeconds)
+	wait := clock.Seconds(t.settings.Params.Workers.GangWaitSeconds)
 	if t.schemaCluster.Version() < schemaversion.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
 		return 0, false
 	}
@@ -100,12 +100,12 @@
 // replaceableGangs lists the gangs whose lost tasks may be replaced, with the attempts.
 func (t *term) replaceableGangs(now clock.Instant) map[ident.JobID]ident.Attempt {
 	out := map[ident.JobID]ident.Attempt{}
-	for id, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if !j.Spec.Gang {
 			continue
 		}
 		if attempt, may := t.replacementAttempt(now, j); may {
-			out[id] = attempt
+			out[j.ID] = attempt
 		}
 	}
 	return out
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -94,7 +94,7 @@
 	id := s.submit(1, g, 60*time.Second)
 	s.runFor(25 * sec)
 	tm := s.leader().core.term
-	j := tm.jobs[id]
+	j := tm.jobs.get(id)
 	if j.RunningTasks() != g.Tasks {
 		t.Fatalf("%d of %d tasks run", j.RunningTasks(), g.Tasks)
 	}
@@ -133,7 +133,7 @@
 	id := s.submit(1, g, 60*time.Second)
 	s.runFor(30 * sec)
 	tm := s.leader().core.term
-	j := tm.jobs[id]
+	j := tm.jobs.get(id)
 	if j.RunningTasks() != g.Tasks {
 		t.Fatalf("%d of %d tasks run", j.RunningTasks(), g.Tasks)
 	}
@@ -231,8 +231,8 @@
 		placed := func() *jobs.Job {
 			for range 400 {
 				s.runFor(50 * time.Millisecond)
-				if l := s.leader(); l != nil && l.core.term.jobs[id] != nil && len(l.core.term.jobs[id].Placements) == g.Tasks {
-					return l.core.term.jobs[id]
+				if l := s.leader(); l != nil && l.core.term.jobs.get(id) != nil && len(l.core.term.jobs.get(id).Placements) == g.Tasks {
+					return l.core.term.jobs.get(id)
 				}
 			}
 			t.Fatalf("%s: the gang is not placed", what)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -92,7 +92,7 @@
 		if !due(p) {
 			return false
 		}
-		t.core.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
+		t.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
 		return true
 	})
 }
@@ -104,7 +104,7 @@
 	for _, p := range waited {
 		if t.core.term != t {
 			// One of them has shown a later leader.
-			t.core.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
+			t.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
 			continue
 		}
 		t.core.handleHeartbeat(now, p.received)
@@ -119,20 +119,20 @@
 	case in.Heartbeat.FencingToken > t.epoch:
 		// Somebody else was elected, or a raise of ours came through late.
 		t.core.stepElection(now, election.LeadershipLost{})
-		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	case !t.loaded:
 		t.deferHeartbeat(now, in)
 		return
 	}
 	if t.fleet.WasRemoved(in.Heartbeat.Machine) {
-		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	}
 	m := t.fleet.Ensure(now, in.Heartbeat.Machine)
 	if in.Heartbeat.Session < m.Session {
 		// Its lease is surely over; the answer would be dropped.
-		t.core.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 		return
 	}
 	t.noteRegained(now, m)
@@ -142,7 +142,7 @@
 		t.applyChanges(now, m, changes)
 	}
 	reply.Commands = t.fleet.Commands(m, true)
-	t.core.emit(reply)
+	t.emit(reply)
 }
 
 func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
@@ -165,14 +165,14 @@
 func (t *term) applyChanges(now clock.Instant, m *fleet.Machine, ch fleet.Changes) {
 	if ch.CameUp {
 		t.replanNeeded = true
-		t.core.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "session", m.Session, "epoch", t.epoch)
+		t.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "session", m.Session, "epoch", t.epoch)
 	}
 	if ch.InterruptionNoticed {
 		t.stopForInterruption(now, m)
 	}
 	for _, s := range ch.Started {
 		m.ConsecutiveFailures = 0
-		t.core.log.Debug("task running", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", m.ID, "epoch", t.epoch)
+		t.log.Debug("task running", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", m.ID, "epoch", t.epoch)
 	}
 	t.tasksEnded(now, ch)
 }
@@ -182,7 +182,7 @@
 func (t *term) stopForInterruption(now clock.Instant, m *fleet.Machine) {
 	t.replanNeeded = true
 	left := m.InterruptionAt.Sub(now)
-	t.core.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
+	t.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
 	for _, p := range m.LivePlacements() {
 		if p.Job.Spec.Gang {
 			t.stopGang(now, p.Job, clock.Seconds(p.Job.Spec.CheckpointSeconds))
@@ -195,7 +195,7 @@
 // probeSilentMachines sends commands to machines that have missed a report.
 func (t *term) probeSilentMachines(now clock.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
-		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
+		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
 	}
 }
 
@@ -207,6 +207,6 @@
 			t.fleet.FinishCommand(now, m.ID, true)
 			continue
 		}
-		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: orders})
+		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: orders})
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/jobrequests.go
@@ -1,7 +1,8 @@
 package controller
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
@@ -55,33 +56,21 @@
 func (JobReply) effect()      {}
 func (ReadJobRecord) effect() {}
 
-// pendingCancel is a cancellation whose answer waits for the checkpoint.
-type pendingCancel struct {
-	responder Responder[JobReply]
-	deadline  clock.Instant
-}
-
 // cancelStoreTimeout bounds how long a cancellation waits for its checkpoint.
 const cancelStoreTimeout = 1500 * time.Millisecond
 
 func (t *term) jobChanged(in JobChanged) {
-	j := t.jobs[in.Job]
-	if t.readsInFlight[in.Job] || (j != nil && (in.ModRevision <= j.ModRevision || j.FoldInFlight)) || !t.loaded {
-		return
-	}
-	if j != nil && in.ModRevision == 0 {
-		return
+	if t.loaded {
+		t.jobs.changed(in.Job, in.ModRevision)
 	}
-	t.readsInFlight[in.Job] = true
-	t.core.emit(ReadJobRecord{Job: in.Job})
 }
 
 func (t *term) jobRecordRead(now clock.Instant, in JobRecordRead) {
-	delete(t.readsInFlight, in.Job)
+	t.jobs.readCompleted(in.Job)
 	if !t.loaded || !in.OK || in.Item.ModRevision == 0 {
 		return
 	}
-	j := t.jobs[in.Job]
+	j := t.jobs.get(in.Job)
 	if j == nil {
 		t.acceptJob(now, in)
 		return
@@ -91,7 +80,7 @@
 	}
 	// Only we change records, under the guard of our epoch: this is a write
 	// of ours whose answer was lost. Write again, on top of it.
-	t.core.metrics.CASConflicts.Inc()
+	t.metrics.CASConflicts.Inc()
 	j.ModRevision, j.StoredChunkOffset = in.Item.ModRevision, 0
 	if r, err := jobs.Decode(in.Item.Value); err == nil {
 		t.adoptStoredRecord(now, j, r)
@@ -108,7 +97,7 @@
 	}
 	t.addJob(now, stored)
 	spec := &stored.Record.Spec
-	t.core.log.Info("job taken in", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
+	t.log.Info("job accepted", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
 }
 
 // adoptStoredRecord takes in what a record says, read without its parts, that a write
@@ -129,26 +118,26 @@
 
 // handleJobRequest answers a poll, or begins a cancellation.
 func (t *term) handleJobRequest(now clock.Instant, in JobRequest) {
-	j := t.jobs[in.Job]
+	j := t.jobs.get(in.Job)
 	if j == nil {
 		t.jobChanged(JobChanged{Job: in.Job})
-		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
+		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
 	if !in.Cancel && isFinalPhaseInFlight(j) {
-		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
+		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
 	if !in.Cancel || j.StoredPhase.Final() {
-		t.core.emit(JobReply{Responder: in.Responder, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
+		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
 		return
 	}
 	if !j.Phase.Final() {
-		t.core.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
+		t.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
 	}
 	j.Cancel(now)
 	t.stopCancelledTasks(now, j)
-	t.pendingCancels[j.ID] = append(t.pendingCancels[j.ID], pendingCancel{in.Responder, now.Add(cancelStoreTimeout)})
+	t.jobs.awaitCancellation(now, j.ID, in.Responder)
 	t.replanNeeded = true
 }
 
@@ -163,25 +152,9 @@
 	if j.Phase != jobs.PhaseCancelled {
 		return
 	}
-	ids := make([]ident.TaskIndex, 0, len(j.Placements))
-	for i := range j.Placements {
-		ids = append(ids, i)
-	}
-	sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
-	for _, i := range ids {
+	for _, i := range slices.Sorted(maps.Keys(j.Placements)) {
 		if !t.isProposed(j.Placements[i]) {
 			t.fleet.StopPlacement(now, j.Placements[i], 0)
 		}
 	}
 }
-
-func (t *term) answerPendingCancels(id ident.JobID, o api.QueryOutcome, until clock.Instant) {
-	for _, w := range t.pendingCancels[id] {
-		reply := JobReply{Responder: w.responder, Outcome: o, ValidUntil: until}
-		if j := t.jobs[id]; j != nil {
-			reply.Status = api.StatusOfJob(j)
-		}
-		t.core.emit(reply)
-	}
-	delete(t.pendingCancels, id)
-}
--- /dev/null
+++ b/internal/controller/jobtable.go
@@ -0,0 +1,125 @@
+package controller
+
+import (
+	"iter"
+	"maps"
+	"slices"
+
+	"badgerbay/internal/api"
+	"badgerbay/internal/clock"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/recovery"
+)
+
+// jobTable is the leader's copy of all jobs, with the reads of job records in flight and the cancel requests whose
+// answers wait for a checkpoint.
+type jobTable struct {
+	*environment
+	byID           map[ident.JobID]*jobs.Job
+	specBytes      map[ident.JobID]int // as JSON
+	readsInFlight  map[ident.JobID]bool
+	pendingCancels map[ident.JobID][]pendingCancel
+	typicalSpecs   map[ident.Class]*jobs.Spec // the last that was seen of each class
+}
+
+// pendingCancel is a cancel request whose answer waits for the checkpoint.
+type pendingCancel struct {
+	responder Responder[JobReply]
+	deadline  clock.Instant
+}
+
+func newJobTable(env *environment) *jobTable {
+	return &jobTable{environment: env, byID: map[ident.JobID]*jobs.Job{}, specBytes: map[ident.JobID]int{},
+		readsInFlight: map[ident.JobID]bool{}, pendingCancels: map[ident.JobID][]pendingCancel{},
+		typicalSpecs: map[ident.Class]*jobs.Spec{}}
+}
+
+// get returns a job, or nil if it is not known.
+func (t *jobTable) get(id ident.JobID) *jobs.Job { return t.byID[id] }
+
+func (t *jobTable) len() int { return len(t.byID) }
+
+// all goes through the jobs, in no particular order.
+func (t *jobTable) all() iter.Seq[*jobs.Job] { return maps.Values(t.byID) }
+
+// add makes a job of its record, without placements.
+func (t *jobTable) add(now clock.Instant, stored recovery.JobRecord) *jobs.Job {
+	spec := &stored.Record.Spec
+	j := jobs.NewJob(stored.ID, stored.Record, stored.Revision, now)
+	t.byID[j.ID] = j
+	if t.typicalSpecs[spec.Class] == nil || stored.Record.Phase == jobs.PhaseActive {
+		t.typicalSpecs[spec.Class] = &j.Spec
+	}
+	t.specBytes[j.ID] = kvstore.JSONSize(spec)
+	return j
+}
+
+// specJSONSize is the size of a job's spec as JSON.
+func (t *jobTable) specJSONSize(j *jobs.Job) int { return t.specBytes[j.ID] }
+
+// typicalByClass lists the typical spec of each class, in the order of their names.
+func (t *jobTable) typicalByClass() []*jobs.Spec {
+	var specs []*jobs.Spec
+	for _, class := range slices.Sorted(maps.Keys(t.typicalSpecs)) {
+		specs = append(specs, t.typicalSpecs[class])
+	}
+	return specs
+}
+
+// changed reads a job's record, unless what it would bring is known.
+func (t *jobTable) changed(id ident.JobID, revision ident.Revision) {
+	j := t.byID[id]
+	known := j != nil && (revision <= j.ModRevision || j.FoldInFlight)
+	if !known {
+		t.read(id)
+	}
+}
+
+// read reads a job's record, unless a read of it is in flight.
+func (t *jobTable) read(id ident.JobID) {
+	if t.readsInFlight[id] {
+		return
+	}
+	t.readsInFlight[id] = true
+	t.emit(ReadJobRecord{Job: id})
+}
+
+func (t *jobTable) readCompleted(id ident.JobID) { delete(t.readsInFlight, id) }
+
+// awaitCancellation lets a cancel request wait for the checkpoint of its job.
+func (t *jobTable) awaitCancellation(now clock.Instant, id ident.JobID, responder Responder[JobReply]) {
+	t.pendingCancels[id] = append(t.pendingCancels[id], pendingCancel{responder, now.Add(cancelStoreTimeout)})
+}
+
+// isAwaited tells whether a cancel request waits for the checkpoint of a job.
+func (t *jobTable) isAwaited(id ident.JobID) bool { return len(t.pendingCancels[id]) > 0 }
+
+// answerCancellations answers the cancel requests for a job.
+func (t *jobTable) answerCancellations(id ident.JobID, outcome api.QueryOutcome, validUntil clock.Instant) {
+	for _, waiting := range t.pendingCancels[id] {
+		reply := JobReply{Responder: waiting.responder, Outcome: outcome, ValidUntil: validUntil}
+		if j := t.byID[id]; j != nil {
+			reply.Status = api.StatusOfJob(j)
+		}
+		t.emit(reply)
+	}
+	delete(t.pendingCancels, id)
+}
+
+// answerOverdueCancellations answers the cancel requests whose deadline has passed.
+func (t *jobTable) answerOverdueCancellations(now clock.Instant) {
+	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
+		if waiting := t.pendingCancels[id]; len(waiting) > 0 && !now.Before(waiting[0].deadline) {
+			t.answerCancellations(id, api.LeaderBusy, 0)
+		}
+	}
+}
+
+// abandonCancellations answers all cancel requests when leadership ends.
+func (t *jobTable) abandonCancellations() {
+	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
+		t.answerCancellations(id, api.NoLeader, 0)
+	}
+}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -120,7 +120,7 @@
 	g := newCoreFixture(t, largeFleetMachines)
 	job := jobs.NewJob("wk-000001", jobs.NewRecord(arraySpec, 0), 1, g.now)
 	job.Phase = jobs.PhaseCancelled
-	g.core.term.jobs[job.ID] = job
+	g.core.term.jobs.byID[job.ID] = job
 	for i := range g.machines {
 		p := &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: g.machines[i].Machine, Session: 1, Attempt: 1}
 		g.core.term.fleet.Place(g.now, p)
--- a/internal/controller/leadtransfer.go
+++ b/internal/controller/leadtransfer.go
@@ -12,7 +12,7 @@
 	if t.roundInFlight != nil || t.foldInFlight != nil || t.core.election.AdvancingEpoch() {
 		return false
 	}
-	if t.core.recentlyStalled(now) || now.Sub(t.acquiredAt) < t.core.settings.Params.Workers.MaxHeartbeatGap() {
+	if t.core.recentlyStalled(now) || now.Sub(t.acquiredAt) < t.settings.Params.Workers.MaxHeartbeatGap() {
 		// It has heard nobody because it stood still itself, or because the
 		// workers have not had the time to come.
 		t.workerReach.ResetDelay()
@@ -23,7 +23,7 @@
 		return false
 	}
 	t.core.transferHistory.RecordTransfer(now)
-	t.core.log.Info("giving leadership up: the workers do not reach this node", "heir", heir, "epoch", t.epoch)
+	t.log.Info("giving leadership up: the workers do not reach this node", "heir", heir, "epoch", t.epoch)
 	t.core.stepElection(now, election.Resign{Cooldown: leadtransfer.Cooldown, Transferee: heir})
 	return true
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -133,7 +133,7 @@
 // observeTerm sets the gauges of a leader.
 func (m *Metrics) observeTerm(t *term, now clock.Instant) {
 	age, pending, queued := 0.0, 0, 0
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if j.Dirty() {
 			age = max(age, now.Sub(j.DirtySince).Seconds())
 		}
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	tm.acceptJob(g.now, JobRecordRead{Job: "wk-000001", OK: true, Item: kvstore.KeyValue{Key: "job/wk-000001", Value: data, ModRevision: 5}})
-	tm.jobs["wk-000001"].Cancel(g.now)
+	tm.jobs.get("wk-000001").Cancel(g.now)
 	guards := map[ident.Revision]bool{}
 	version := ident.Revision(100)
 	var follow func([]Effect)
@@ -142,7 +142,7 @@
 	if len(guards) < 2 {
 		t.Errorf("%d transactions with parts", len(guards))
 	}
-	if !tm.jobs["wk-000001"].FoldInFlight {
+	if !tm.jobs.get("wk-000001").FoldInFlight {
 		t.Error("the record itself is not being written")
 	}
 	if chunk.Key("stage", 1) == stagingKey {
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -67,7 +67,7 @@
 	}
 	if ids := t.provisioning.NextDeprovision(now); len(ids) > 0 {
 		t.cloudCalls.Take(now, 1, 0)
-		t.core.emit(DeprovisionMachines{Machines: ids})
+		t.emit(DeprovisionMachines{Machines: ids})
 	}
 	for t.cloudCalls.Available(now) >= 1 {
 		h := t.provisioning.NextProvision(now)
@@ -75,14 +75,14 @@
 			break
 		}
 		t.cloudCalls.Take(now, 1, 0)
-		t.core.emit(ProvisionMachines{Name: h.Name, Offer: h.Offer, Count: h.Count})
+		t.emit(ProvisionMachines{Name: h.Name, Offer: h.Offer, Count: h.Count})
 	}
 	if t.listing.PageDue(now) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
-		t.core.emit(ListMachines{After: t.listing.RequestPage(now)})
+		t.emit(ListMachines{After: t.listing.RequestPage(now)})
 	}
 	if !now.Before(t.nextMachineTypes) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
 		t.nextMachineTypes = now.Add(time.Minute)
-		t.core.emit(ReadMachineTypes{})
+		t.emit(ReadMachineTypes{})
 	}
 }
 
@@ -95,7 +95,7 @@
 // reservedCloudCalls is how many calls reading lists leaves to rentals and releases: one,
 // if the rate allows more than one at a time.
 func (t *term) reservedCloudCalls() float64 {
-	return min(1, cloudCallBurst(t.core.settings.Params.Cloud)-1)
+	return min(1, cloudCallBurst(t.settings.Params.Cloud)-1)
 }
 
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
@@ -114,7 +114,7 @@
 			m.Type, m.Zone, m.Spot, m.ProvisionedAt = in.Offer.Type, in.Offer.Zone, in.Offer.Spot, in.SentAt
 		}
 	}
-	t.core.log.Info("provision request answered", "provision", in.Name, "result", in.Result.String(), "machines", len(in.Machines), "epoch", t.epoch)
+	t.log.Info("provision request answered", "provision", in.Name, "result", in.Result.String(), "machines", len(in.Machines), "epoch", t.epoch)
 }
 
 func (t *term) deprovisionCompleted(now clock.Instant, in DeprovisionCompleted) {
@@ -136,7 +136,7 @@
 // Absence proves that a machine is gone only if it was listed before, so long ago
 // that even an old list would show it.
 func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
-	lag := t.core.settings.Params.Cloud.ListLag()
+	lag := t.settings.Params.Cloud.ListLag()
 	list, complete := t.listing.AddPage(now, in.Page, max(lag, minListInterval))
 	if !complete {
 		return
@@ -157,7 +157,7 @@
 		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+3*time.Second
 		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+10*time.Second
 		if gone || never {
-			t.core.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
+			t.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
 			t.removeMachine(now, m)
 		}
 	}
@@ -184,7 +184,7 @@
 		t.replanNeeded = true
 	}
 	if l.State == cloud.MachineFailed && !m.Failed {
-		t.core.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
+		t.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
 		t.tasksEnded(now, t.fleet.MarkFailed(now, m))
 		t.replanNeeded = true
 	}
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -67,27 +67,27 @@
 // stepQuotas lets the ledger read, change and answer.
 func (t *term) stepQuotas(now clock.Instant) {
 	if t.quotas.BeginReadIfDue(now) {
-		t.core.emit(ReadQuotaRecords{Epoch: t.epoch})
+		t.emit(ReadQuotaRecords{Epoch: t.epoch})
 	}
 	if t.core.election.AdvancingEpoch() {
 		return
 	}
 	// Two changes beside the records remove a holder.
-	most := min(t.storeLimits().MaxTxnOps-2, t.core.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-2)
+	most := min(t.storeLimits().MaxTxnOps-2, t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-2)
 	if most < 1 {
 		return
 	}
 	txn, replies := t.quotas.Step(now, t.quotaUsage(), t.allEnforceQuotas(now), most)
 	t.replyToHolders(replies)
 	if txn != nil {
-		t.core.budget.ForceTakeWrites(now, len(txn.Operations))
-		t.core.emit(CommitTransaction{Kind: QuotaTransaction, Epoch: t.epoch, Txn: *txn})
+		t.budget.ForceTakeWrites(now, len(txn.Operations))
+		t.emit(CommitTransaction{Kind: QuotaTransaction, Epoch: t.epoch, Txn: *txn})
 	}
 }
 
 func (t *term) replyToHolders(replies []quota.Reply) {
 	for _, r := range replies {
-		t.core.emit(QuotaReply{Responder: r.Responder, Response: r.Response})
+		t.emit(QuotaReply{Responder: r.Responder, Response: r.Response})
 	}
 }
 
@@ -98,14 +98,14 @@
 
 func (t *term) quotaRecordsRead(now clock.Instant, in QuotaRecordsRead) {
 	if err := t.quotas.Load(now, in.Epoch, in.Items, in.OK); err != nil {
-		t.core.emit(StopNode{Err: err})
+		t.emit(StopNode{Err: err})
 	}
 }
 
 // allEnforceQuotas tells whether every node has said lately that it would keep to
 // allotments if it led: one of a version before would not.
 func (t *term) allEnforceQuotas(now clock.Instant) bool {
-	for _, p := range t.core.settings.Peers {
+	for _, p := range t.settings.Peers {
 		if last, said := t.quotaEnforcers[p.NodeName]; !said || now.Sub(last) > quotaEnforcerTTL {
 			return false
 		}
@@ -130,8 +130,8 @@
 
 func (t *term) uncovered() map[ident.Team]quota.Quantity {
 	out := map[ident.Team]quota.Quantity{}
-	for id, j := range t.jobs {
-		if n := len(j.Placements) - t.quotas.CoveredTasks(id, j.Spec.Team); n > 0 {
+	for j := range t.jobs.all() {
+		if n := len(j.Placements) - t.quotas.CoveredTasks(j.ID, j.Spec.Team); n > 0 {
 			// A spec was checked when it was submitted.
 			if need, err := quota.DemandOf(&j.Spec); err == nil {
 				out[j.Spec.Team] = out[j.Spec.Team].Add(need.Mul(n))
@@ -145,7 +145,7 @@
 // not stored as done, or may be on a machine. Tasks that find no place keep their
 // reservation for a while only.
 func (t *term) remaining(id ident.JobID) (int, bool) {
-	j := t.jobs[id]
+	j := t.jobs.get(id)
 	if j == nil {
 		return 0, false
 	}
@@ -172,7 +172,7 @@
 		return nil, nil
 	}
 	covers := func(j *jobs.Job) int { return t.quotas.CoveredTasks(j.ID, j.Spec.Team) }
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		u, allocated := allotted[j.Spec.Team]
 		n := min(len(j.Placements), covers(j))
 		need, err := quota.DemandOf(&j.Spec)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -9,7 +9,6 @@
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/jobs"
-	"badgerbay/internal/kvstore"
 	"badgerbay/internal/recovery"
 	"badgerbay/internal/schemaversion"
 )
@@ -41,7 +40,7 @@
 		return // of an earlier term
 	}
 	if !in.OK {
-		t.core.emit(ReadRecords{Epoch: t.epoch})
+		t.emit(ReadRecords{Epoch: t.epoch})
 		return
 	}
 	records := recovery.DecodeRecords(in.Stored, stagingKey)
@@ -49,11 +48,11 @@
 		t.reportUnreadable(u)
 	}
 	t.schemaRevision, t.staging.revision = records.SchemaRevision, records.StageRevision
-	t.schemaCluster = schemaversion.New(t.core.settings.PeerNames(), records.SchemaAgreement.Version)
+	t.schemaCluster = schemaversion.New(t.settings.PeerNames(), records.SchemaAgreement.Version)
 	for _, j := range records.Jobs {
 		t.addJob(now, j)
 	}
-	ring, open := roundlog.RestoreRing(t.core.policy.RingSlots, records.Rounds)
+	ring, open := roundlog.RestoreRing(t.policy.RingSlots, records.Rounds)
 	t.roundRing = ring
 	for _, item := range records.LostRounds {
 		t.roundRing.SkipUnreadable(item.Key, item.ModRevision)
@@ -65,29 +64,23 @@
 	t.loaded, t.replanNeeded = true, true
 	t.adoptSnapshot(now, in.KnownMachines)
 	t.answerDeferred(now)
-	t.core.log.Info("checkpoints read", "epoch", t.epoch, "jobs", len(t.jobs), "open_rounds", len(open))
+	t.log.Info("checkpoints read", "epoch", t.epoch, "jobs", t.jobs.len(), "open_rounds", len(open))
 }
 
 // reportUnreadable handles a record that can't be read. One of a later schema stops
 // the node.
 func (t *term) reportUnreadable(u recovery.UnreadableRecord) {
-	t.core.metrics.UnreadableRecords.Inc()
-	t.core.log.Error("record can't be read", "key", u.Key, "err", u.Err, "epoch", t.epoch)
+	t.metrics.UnreadableRecords.Inc()
+	t.log.Error("record can't be read", "key", u.Key, "err", u.Err, "epoch", t.epoch)
 	if u.FromNewerSchema() {
-		t.core.emit(StopNode{Err: fmt.Errorf("%s: %w; run the newer program", u.Key, u.Err)})
+		t.emit(StopNode{Err: fmt.Errorf("%s: %w; run the newer program", u.Key, u.Err)})
 	}
 }
 
 // addJob takes in a job record with the placements it holds.
 func (t *term) addJob(now clock.Instant, stored recovery.JobRecord) {
-	r := stored.Record
-	j := jobs.NewJob(stored.ID, r, stored.Revision, now)
-	t.jobs[j.ID] = j
-	if old := t.typicalSpecs[r.Spec.Class]; old == nil || r.Phase == jobs.PhaseActive {
-		t.typicalSpecs[r.Spec.Class] = &j.Spec
-	}
-	t.specBytes[j.ID] = kvstore.JSONSize(&r.Spec)
-	for _, g := range r.Placements {
+	j := t.jobs.add(now, stored)
+	for _, g := range stored.Record.Placements {
 		t.restorePlacements(now, j, g)
 	}
 	t.replanNeeded = true
@@ -98,7 +91,7 @@
 // repeated under their names, releases are sent again.
 func (t *term) replayRound(now clock.Instant, r *roundlog.Record) {
 	for _, s := range r.Starts {
-		j := t.jobs[s.Job]
+		j := t.jobs.get(s.Job)
 		if j == nil || j.StoredRound >= r.RoundNo {
 			t.roundRing.JobFolded(s.Job, r.RoundNo)
 			continue
@@ -151,12 +144,12 @@
 // is a warm standby: workers that wait for an answer of the lost leader come by
 // themselves only when they have given it up.
 func (t *term) inquireMachines(now clock.Instant) {
-	if t.schedulingOpen || t.core.policy.Features.WarmStandby == nil || !t.machinesListed && !t.machinesHinted {
+	if t.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.machinesListed && !t.machinesHinted {
 		return
 	}
 	asked := t.fleet.ClaimHeartbeatRequests(maxInquiriesPerStep)
 	for _, m := range asked {
-		t.core.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
+		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
 	}
 	t.inquiry.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
@@ -177,7 +170,7 @@
 // are: a list that was read as a standby is too old for that, unless the new one is
 // late.
 func (t *term) knowsAllMachines(now clock.Instant) bool {
-	return t.machinesListed || !t.machinesHinted || now.Sub(t.acquiredAt) >= t.core.settings.Params.Workers.MaxHeartbeatGap()
+	return t.machinesListed || !t.machinesHinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
 }
 
 // openScheduling lets placing begin once enough is known of what earlier leaders did.
@@ -185,12 +178,12 @@
 	if t.schedulingOpen {
 		return
 	}
-	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.core.settings.Params.Workers,
+	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.settings.Params.Workers,
 		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.roundRing.IsUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
 	t.schedulingOpen, t.replanNeeded = true, true
-	t.core.metrics.Recoveries.Inc()
-	t.core.log.Info("reconciled", "epoch", t.epoch, "machines", t.fleet.Len(), "after", now.Sub(t.acquiredAt))
+	t.metrics.Recoveries.Inc()
+	t.log.Info("reconciled", "epoch", t.epoch, "machines", t.fleet.Len(), "after", now.Sub(t.acquiredAt))
 }
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -126,7 +126,7 @@
 	g := newCoreFixture(t, 0)
 	g.submit(1, arraySpec)
 	const id = "wk-000001"
-	j := g.core.term.jobs[id]
+	j := g.core.term.jobs.get(id)
 	poll := func() JobReply {
 		for _, e := range g.core.Step(g.now, JobRequest{Job: id}) {
 			if reply, ok := e.(JobReply); ok {
@@ -199,7 +199,7 @@
 	}
 	g.core.Step(g.now, RecordsRead{Epoch: tm.epoch, OK: true, Stored: recovery.StoredRecords{Rounds: rounds,
 		Jobs: []kvstore.KeyValue{{Key: "job/wk-000001", Value: job, ModRevision: 9}}}})
-	j := tm.jobs["wk-000001"]
+	j := tm.jobs.get("wk-000001")
 	if p := j.Placements[0]; p == nil || p.Machine != "m1" || p.Attempt != 5 {
 		t.Errorf("task 0: %+v", p)
 	}
@@ -330,7 +330,7 @@
 	g := newCoreFixture(t, 0)
 	item := kvstore.KeyValue{Key: "job/wk-000001", Value: []byte{0xc1}, ModRevision: 9}
 	g.step(JobRecordRead{Job: "wk-000001", OK: true, Item: item})
-	if g.core.term == nil || len(g.core.term.jobs) != 0 {
+	if g.core.term == nil || g.core.term.jobs.len() != 0 {
 		t.Error("taken in, or the term is over")
 	}
 }
@@ -349,7 +349,7 @@
 		if class == "small" {
 			spec.MachineTypes = []ident.MachineType{"small"} // 40 s, large 15 s
 		}
-		tm.typicalSpecs[class] = &spec
+		tm.jobs.typicalSpecs[class] = &spec
 	}
 	var kept []ident.Class
 	for _, s := range tm.spareSpecs() {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -28,9 +28,9 @@
 }
 
 func (t *term) bootLimit(m *fleet.Machine) time.Duration {
-	limit := t.core.policy.MinBootTimeout
+	limit := t.policy.MinBootTimeout
 	if typ := t.fleet.MachineType(m.Type); typ != nil {
-		limit = max(limit, time.Duration(t.core.policy.BootTimeoutFactor*float64(typ.BootTime)))
+		limit = max(limit, time.Duration(t.policy.BootTimeoutFactor*float64(typ.BootTime)))
 	}
 	return limit
 }
@@ -41,7 +41,7 @@
 // came.
 func (t *term) isLate(now clock.Instant, m *fleet.Machine) bool {
 	typ := t.fleet.MachineType(m.Type)
-	return typ != nil && now.Sub(m.ProvisionedAt) > time.Duration(t.core.policy.LateBootFactor*float64(typ.BootTime))+bootReportMargin
+	return typ != nil && now.Sub(m.ProvisionedAt) > time.Duration(t.policy.LateBootFactor*float64(typ.BootTime))+bootReportMargin
 }
 
 // bootReportMargin is added to the time to boot for the first report.
@@ -81,9 +81,9 @@
 // idleTimeout is how long a machine may be idle: as long as its like takes to
 // come up again, and some. Longer costs more than to rent it anew.
 func (t *term) idleTimeout(m *fleet.Machine) time.Duration {
-	limit := t.core.policy.IdleTimeout
+	limit := t.policy.IdleTimeout
 	if typ := t.fleet.MachineType(m.Type); typ != nil && typ.BootTime > 0 {
-		limit = min(limit, max(t.core.policy.MinIdleTimeout, time.Duration(t.core.policy.IdleBootFactor*float64(typ.BootTime))))
+		limit = min(limit, max(t.policy.MinIdleTimeout, time.Duration(t.policy.IdleBootFactor*float64(typ.BootTime))))
 	}
 	return limit
 }
@@ -101,7 +101,7 @@
 	}
 	zones := map[ident.Zone]*silenceCount{}
 	var all silenceCount
-	limit, interval := t.silenceTimeout(), t.core.settings.Params.Workers.HeartbeatInterval()
+	limit, interval := t.silenceTimeout(), t.settings.Params.Workers.HeartbeatInterval()
 	for _, m := range t.fleet.Machines() {
 		if !m.Up {
 			continue
@@ -172,5 +172,5 @@
 // question in between: at six seconds fixed, with reports every five, healthy
 // machines were returned by the hundred with all that ran on them.
 func (t *term) silenceTimeout() time.Duration {
-	return max(t.core.policy.SilenceTimeout, 2*t.core.settings.Params.Workers.HeartbeatInterval())
+	return max(t.policy.SilenceTimeout, 2*t.settings.Params.Workers.HeartbeatInterval())
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"math"
 	"slices"
 	"time"
@@ -43,16 +42,16 @@
 // shrinks, and with what the last plan cost of the processor, so that rounds
 // come seldomer and decide more each.
 func (t *term) minRoundInterval(now clock.Instant) time.Duration {
-	cpu := t.core.settings.Params.MachineLimits.CPUs
+	cpu := t.settings.Params.MachineLimits.CPUs
 	if cpu <= 0 {
 		cpu = 1
 	}
-	g := max(t.core.policy.MinRoundInterval, time.Duration(float64(t.planCost)/(cpu*maxPlanCPUShare)))
-	switch level := t.core.budget.AvailableWrites(now, kvstore.PurposeRound); {
+	g := max(t.policy.MinRoundInterval, time.Duration(float64(t.planCost)/(cpu*maxPlanCPUShare)))
+	switch level := t.budget.AvailableWrites(now, kvstore.PurposeRound); {
 	case level < 2:
-		return max(g, 16*t.core.policy.MinRoundInterval)
+		return max(g, 16*t.policy.MinRoundInterval)
 	case level < 4:
-		return max(g, 6*t.core.policy.MinRoundInterval)
+		return max(g, 6*t.policy.MinRoundInterval)
 	}
 	return g
 }
@@ -65,7 +64,7 @@
 		return
 	}
 	no, free := t.roundRing.Next()
-	if !free || t.core.budget.AvailableWrites(now, kvstore.PurposeRound) < 1 {
+	if !free || t.budget.AvailableWrites(now, kvstore.PurposeRound) < 1 {
 		return
 	}
 	t.replanNeeded, t.lastRoundAt, t.nextPlanAt = false, now, now.Add(time.Second)
@@ -75,12 +74,12 @@
 	for _, id := range plan.Drain {
 		t.lastDrainAt = now
 		t.fleet.Machine(id).Draining = true
-		t.core.log.Info("emptying", "machine", id, "epoch", t.epoch)
+		t.log.Info("emptying", "machine", id, "epoch", t.epoch)
 	}
 	for _, s := range plan.Evictions {
-		t.core.log.Debug("task stopped to make room", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", s.Placement.Machine, "for", s.Preemptor, "epoch", t.epoch)
+		t.log.Debug("task stopped to make room", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", s.Placement.Machine, "for", s.Preemptor, "epoch", t.epoch)
 		t.fleet.StopPlacement(now, s.Placement, clock.Seconds(s.Placement.Job.Spec.CheckpointSeconds))
-		t.core.metrics.Preemptions.Inc()
+		t.metrics.Preemptions.Inc()
 	}
 	t.propose(now, plan)
 }
@@ -90,7 +89,7 @@
 	r := &plan.Record
 	f := &roundInFlight{record: r, provisionFor: plan.ProvisionedFor, jobs: map[ident.JobID]bool{}}
 	for _, s := range r.Starts {
-		j := t.jobs[s.Job]
+		j := t.jobs.get(s.Job)
 		f.jobs[s.Job] = true
 		s.Tasks.Each(func(i ident.TaskIndex) bool {
 			p := &jobs.Placement{Job: j, Task: i, Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), RoundNo: r.RoundNo, PlacedAt: now}
@@ -106,21 +105,21 @@
 	r.LowWatermark = min(t.roundRing.LowWatermark(), r.RoundNo)
 	writes, err := t.roundOperations(r)
 	if err != nil {
-		t.core.metrics.OversizedRecords.Inc()
-		t.core.log.Error("round can't be written", "round", r.RoundNo, "err", err, "epoch", t.epoch)
+		t.metrics.OversizedRecords.Inc()
+		t.log.Error("round can't be written", "round", r.RoundNo, "err", err, "epoch", t.epoch)
 		t.abortRound(now, f)
 		return
 	}
-	if !t.core.budget.TakeWrites(now, kvstore.PurposeRound, 1) {
+	if !t.budget.TakeWrites(now, kvstore.PurposeRound, 1) {
 		t.abortRound(now, f)
 		return
 	}
-	t.core.budget.ForceTakeWrites(now, len(writes)-1)
+	t.budget.ForceTakeWrites(now, len(writes)-1)
 	for _, id := range r.Deprovisions {
 		t.fleet.Machine(id).Deprovisioning = true
 	}
 	t.roundInFlight = f
-	t.core.emit(CommitTransaction{Kind: RoundTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
+	t.emit(CommitTransaction{Kind: RoundTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
 		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: writes[0].SetKey, ModRevision: t.roundRing.Revision(r.RoundNo)}},
 		Operations: writes,
 	}})
@@ -163,24 +162,24 @@
 	}
 	r := f.record
 	t.roundRing.Add(r, in.Revision)
-	t.core.metrics.Rounds.Inc()
+	t.metrics.Rounds.Inc()
 	for _, p := range f.placements {
 		t.startPlacement(now, p, r.RoundNo)
 	}
 	for id := range f.jobs {
-		j := t.jobs[id]
+		j := t.jobs.get(id)
 		j.LastRound = max(j.LastRound, r.RoundNo)
 		j.MarkDirty(now)
 	}
 	for _, h := range r.Provisions {
-		t.core.log.Info("renting", "hire", h.Name, "type", h.Offer.Type, "zone", h.Offer.Zone, "spot", h.Offer.Spot, "count", h.Count, "job", f.provisionFor, "round", r.RoundNo, "epoch", t.epoch)
+		t.log.Info("renting", "hire", h.Name, "type", h.Offer.Type, "zone", h.Offer.Zone, "spot", h.Offer.Spot, "count", h.Count, "job", f.provisionFor, "round", r.RoundNo, "epoch", t.epoch)
 		t.provisioning.AddProvision(now, h.Name, h.Offer, h.Count, false)
 	}
 	if len(r.Deprovisions) > 0 {
-		t.core.log.Info("returning", "machines", r.Deprovisions, "round", r.RoundNo, "epoch", t.epoch)
+		t.log.Info("returning", "machines", r.Deprovisions, "round", r.RoundNo, "epoch", t.epoch)
 		t.provisioning.AddDeprovision(r.Deprovisions...)
 	}
-	t.core.log.Debug("round", "round", r.RoundNo, "epoch", t.epoch, "starts", len(f.placements), "hires", len(r.Provisions), "releases", len(r.Deprovisions))
+	t.log.Debug("round", "round", r.RoundNo, "epoch", t.epoch, "starts", len(f.placements), "hires", len(r.Provisions), "releases", len(r.Deprovisions))
 }
 
 // startPlacement lets a recorded placement start, unless its job or its machine has
@@ -196,25 +195,25 @@
 	}
 	p.StartAllowed = true
 	t.fleet.ScheduleCommand(p.Machine)
-	t.core.log.Debug("launch", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "round", no, "epoch", t.epoch)
+	t.log.Debug("launch", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "round", no, "epoch", t.epoch)
 }
 
 // snapshot gathers what a round is planned from.
 func (t *term) snapshot(now clock.Instant, no ident.RoundNo) *scheduler.Snapshot {
-	p := t.core.settings.Params
-	w := &scheduler.Snapshot{Now: now, WallMs: t.core.clock.Wall().UnixMilli(), RoundNo: no, Epoch: t.epoch, Fleet: t.fleet,
+	p := t.settings.Params
+	w := &scheduler.Snapshot{Now: now, WallMs: t.clock.Wall().UnixMilli(), RoundNo: no, Epoch: t.epoch, Fleet: t.fleet,
 		MachineTypes: t.core.machineTypes, Zones: p.Zones, Teams: t.teams, PendingMachines: t.pendingMachines(now),
 		OfferUnavailable: func(o cloud.Offer) bool { return t.provisioning.Blocked(now, o) },
-		Policy:           t.core.policy, Objectives: t.objectives, SpareSpecs: t.spareSpecs(), TypicalSpecs: t.typicalByClass(),
-		MayDrain:     now.Sub(max(t.lastDrainAt, t.acquiredAt)) >= t.core.policy.DrainInterval && !t.core.peersUnreachable,
+		Policy:           t.policy, Objectives: t.objectives, SpareSpecs: t.spareSpecs(), TypicalSpecs: t.jobs.typicalByClass(),
+		MayDrain:     now.Sub(max(t.lastDrainAt, t.acquiredAt)) >= t.policy.DrainInterval && !t.core.peersUnreachable,
 		MayProvision: len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.cloudCalls.Available(now) >= 1 && len(t.provisioning.PendingProvisions()) < 4,
-		ValueBytes:   t.storeLimits().MaxValueBytes(), MaxJobValues: t.jobChunkLimit(), MaxRoundValues: t.roundChunkLimit(), ReplacementAttempts: t.replaceableGangs(now), SpecJSONSize: func(j *jobs.Job) int { return t.specBytes[j.ID] }}
+		ValueBytes:   t.storeLimits().MaxValueBytes(), MaxJobValues: t.jobChunkLimit(), MaxRoundValues: t.roundChunkLimit(), ReplacementAttempts: t.replaceableGangs(now), SpecJSONSize: t.jobs.specJSONSize}
 	w.Reserved, w.ReservedTasks = t.reservedByTeam()
 	w.TeamActive = func(team ident.Team) bool {
 		last, ok := t.teamActiveAt[team]
-		return ok && now.Sub(last) <= t.core.policy.GuaranteeHoldTime
+		return ok && now.Sub(last) <= t.policy.GuaranteeHoldTime
 	}
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		if len(j.Placements) > 0 || len(j.Queue) > 0 {
 			t.teamActiveAt[j.Spec.Team] = now
 		}
@@ -237,7 +236,7 @@
 // come up, as last seen.
 func (t *term) spareSpecs() []*jobs.Spec {
 	var out []*jobs.Spec
-	for _, s := range t.typicalByClass() {
+	for _, s := range t.jobs.typicalByClass() {
 		if within := t.objectives[s.Class].StartWithin; within > 0 && within < t.fastestBoot(s) {
 			out = append(out, s)
 		}
@@ -249,7 +248,7 @@
 func (t *term) fastestBoot(s *jobs.Spec) time.Duration {
 	fastest := time.Duration(math.MaxInt64)
 	for _, typ := range t.core.machineTypes {
-		allowed := slices.ContainsFunc(typ.AvailableZones(t.core.settings.Params.Zones), func(z ident.Zone) bool { return s.AllowsMachine(typ.Name, z, false) })
+		allowed := slices.ContainsFunc(typ.AvailableZones(t.settings.Params.Zones), func(z ident.Zone) bool { return s.AllowsMachine(typ.Name, z, false) })
 		if allowed && typ.Capacity.Fits(s.TaskResources()) {
 			fastest = min(fastest, typ.BootTime)
 		}
@@ -257,15 +256,6 @@
 	return fastest
 }
 
-// typicalByClass lists what the classes look like, as last seen.
-func (t *term) typicalByClass() []*jobs.Spec {
-	var out []*jobs.Spec
-	for _, class := range slices.Sorted(maps.Keys(t.typicalSpecs)) {
-		out = append(out, t.typicalSpecs[class])
-	}
-	return out
-}
-
 // advanceEpochIfDue raises the token when exits wait to be reaped, or when a retracted
 // launch has not been seen: under a higher token no late copy can start.
 func (t *term) advanceEpochIfDue(now clock.Instant) {
@@ -277,16 +267,16 @@
 		return
 	}
 	t.nextStuckCheckAt = now.Add(time.Second)
-	if !(t.hasStuckStop(now) || t.fleet.TombstoneCount() > 0 && since >= t.core.policy.EpochAdvanceInterval) {
+	if !(t.hasStuckStop(now) || t.fleet.TombstoneCount() > 0 && since >= t.policy.EpochAdvanceInterval) {
 		return
 	}
-	t.core.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
+	t.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
 	t.epochAdvancedAt = now
 	t.core.stepElection(now, election.AdvanceEpoch{})
 }
 
 func (t *term) hasStuckStop(now clock.Instant) bool {
-	for _, j := range t.jobs {
+	for j := range t.jobs.all() {
 		for _, p := range j.Placements {
 			if p.Stopping && p.State == jobs.PlacementPending && now.Sub(p.PlacedAt) > 3*time.Second && p.FencingToken == t.epoch {
 				return true
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -13,9 +13,9 @@
 // them; until then records are those that the version before reads and keeps.
 func (t *term) storeLimits() config.State {
 	if t.schemaCluster.Version() < schemaversion.ChunkedJobs {
-		return t.core.settings.Params.StateService
+		return t.settings.Params.StateService
 	}
-	return t.core.settings.Params.StateService.Strictest()
+	return t.settings.Params.StateService.Strictest()
 }
 
 // jobChunkLimit is how many values a job's record may take.
@@ -35,7 +35,7 @@
 
 // agreeSchemaVersion stores the latest form that all nodes know, once they have said so.
 func (t *term) agreeSchemaVersion(now clock.Instant) {
-	t.core.metrics.OutdatedNodes.Set(float64(t.schemaCluster.BehindCount(now)))
+	t.metrics.OutdatedNodes.Set(float64(t.schemaCluster.BehindCount(now)))
 	if t.core.election.AdvancingEpoch() {
 		return
 	}
@@ -43,8 +43,8 @@
 	if form == 0 {
 		return
 	}
-	t.core.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
-	t.core.emit(CommitTransaction{Kind: SchemaVersionTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
+	t.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
+	t.emit(CommitTransaction{Kind: SchemaVersionTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
 		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: schemaversion.Key, ModRevision: t.schemaRevision}},
 		Operations: []kvstore.Operation{{SetKey: schemaversion.Key, Value: schemaversion.Agreement{Version: form}}},
 	}})
@@ -55,7 +55,7 @@
 	t.schemaCluster.Settle(stored)
 	if stored {
 		t.schemaRevision = in.Revision
-		t.core.log.Info("all nodes know a later form of records", "form", t.schemaCluster.Version(), "epoch", t.epoch)
+		t.log.Info("all nodes know a later form of records", "form", t.schemaCluster.Version(), "epoch", t.epoch)
 	}
 }
 
@@ -64,7 +64,7 @@
 // if one of them is out of reach and can't say so.
 func (t *term) limitsLowered() {
 	if t.schemaCluster.Version() < schemaversion.ChunkedJobs {
-		t.core.log.Info("the state service keeps to its later limits", "epoch", t.epoch)
+		t.log.Info("the state service keeps to its later limits", "epoch", t.epoch)
 	}
 	t.schemaCluster.ObserveReducedLimits()
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -105,7 +105,7 @@
 			return
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
-			j, known := s.jobs[id], l.core.term.jobs[id]
+			j, known := s.jobs[id], l.core.term.jobs.get(id)
 			if known == nil || known.Phase.Final() || len(known.Queue) == 0 || j.starts != j.startsSeen || !s.couldStart(l.core.term, known, past) {
 				j.startableSince, j.startsSeen = 0, j.starts
 				continue
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -46,10 +46,10 @@
 	}
 	head, rest, err := rec.SplitMultiTxn(min(t.storeLimits().MaxValueBytes(), maxStagedChunkBytes), j.StoredChunkOffset)
 	if err != nil {
-		t.core.log.Error("checkpoint can't be written in parts", "job", j.ID, "err", err, "epoch", t.epoch)
+		t.log.Error("checkpoint can't be written in parts", "job", j.ID, "err", err, "epoch", t.epoch)
 		return false
 	}
-	t.core.log.Info("checkpoint is written in several transactions", "job", j.ID, "parts", len(rest), "epoch", t.epoch)
+	t.log.Info("checkpoint is written in several transactions", "job", j.ID, "parts", len(rest), "epoch", t.epoch)
 	t.staging = stagedWrite{revision: t.staging.revision, job: j, head: head, chunks: rest, folded: foldedJob{j, j.ChangeSeq, rec.LastRound, rec.Phase, rec.Done.Len()}}
 	j.FoldInFlight = true
 	return true
@@ -66,7 +66,7 @@
 		t.commitStagedHead(now)
 		return
 	}
-	n := min(len(s.chunks)-s.written, max(1, t.storeLimits().MaxTxnValues()-1), t.core.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-1)
+	n := min(len(s.chunks)-s.written, max(1, t.storeLimits().MaxTxnValues()-1), t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-1)
 	if n <= 0 {
 		return
 	}
@@ -79,20 +79,20 @@
 		txn.Operations = append(txn.Operations, kvstore.Operation{SetKey: jobs.ChunkKey(s.job.ID, first+i), Value: part})
 	}
 	s.inFlight = n
-	t.core.budget.ForceTakeWrites(now, len(txn.Operations))
-	t.core.emit(CommitTransaction{Kind: StagingTransaction, Epoch: t.epoch, Txn: txn})
+	t.budget.ForceTakeWrites(now, len(txn.Operations))
+	t.emit(CommitTransaction{Kind: StagingTransaction, Epoch: t.epoch, Txn: txn})
 }
 
 // commitStagedHead stores the record itself, as a fold of its own.
 func (t *term) commitStagedHead(now clock.Instant) {
 	s := &t.staging
-	if t.core.budget.AvailableWrites(now, kvstore.PurposeUrgentFold) < 1 {
+	if t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold) < 1 {
 		return
 	}
-	t.core.budget.ForceTakeWrites(now, 1)
+	t.budget.ForceTakeWrites(now, 1)
 	t.foldInFlight = &foldInFlight{jobs: []foldedJob{s.folded}, firstChunk: s.head.ChunkInfo.Offset}
 	key := jobs.Key(s.job.ID)
-	t.core.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
+	t.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
 		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: key, ModRevision: s.job.ModRevision}},
 		Operations: []kvstore.Operation{{SetKey: key, Value: s.head}},
 	}})
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -1,19 +1,15 @@
 package controller
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
 	"badgerbay/internal/roundlog"
 
-	"badgerbay/internal/api"
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/leadtransfer"
 	"badgerbay/internal/leasedelegation"
@@ -26,6 +22,7 @@
 // term is what a node holds while it leads: the working copy of everything
 // that the state service, the workers and the cloud are the authority of.
 type term struct {
+	*environment
 	core          *Core
 	epoch         ident.Epoch
 	acquiredAt    clock.Instant
@@ -34,9 +31,7 @@
 	// schemaRevision is the version of the key that holds the form agreed on.
 	schemaRevision ident.Revision
 	schedulingOpen bool // reconciled: places from now on
-	jobs           map[ident.JobID]*jobs.Job
-	specBytes      map[ident.JobID]int
-	readsInFlight  map[ident.JobID]bool
+	jobs           *jobTable
 	fleet          *fleet.Fleet
 	roundRing      *roundlog.Ring
 	provisioning   *cloud.Tracker
@@ -57,7 +52,6 @@
 	nextMachineTypes clock.Instant
 	nextSweepAt      clock.Instant
 	nextStuckCheckAt clock.Instant
-	pendingCancels   map[ident.JobID][]pendingCancel
 	deferred         []deferredHeartbeat
 	oversizedUntil   map[ident.JobID]clock.Instant // checkpoints not to be tried before
 	staging          stagedWrite
@@ -72,19 +66,17 @@
 	delegations    *leasedelegation.GrantTracker
 	objectives     map[ident.Class]scheduler.Objectives
 	teamActiveAt   map[ident.Team]clock.Instant // when the team last had work
-	typicalSpecs   map[ident.Class]*jobs.Spec
 }
 
 func newTerm(c *Core, now clock.Instant, epoch ident.Epoch) *term {
-	t := &term{core: c, epoch: epoch, acquiredAt: now, jobs: map[ident.JobID]*jobs.Job{},
-		specBytes: map[ident.JobID]int{}, readsInFlight: map[ident.JobID]bool{},
+	t := &term{environment: c.environment, core: c, epoch: epoch, acquiredAt: now, jobs: newJobTable(c.environment),
 		provisioning: cloud.NewTracker(c.policy.ProvisionBackoff), roundRing: roundlog.NewRing(c.policy.RingSlots),
-		pendingCancels: map[ident.JobID][]pendingCancel{}, teams: c.settings.Params.TeamsByName(),
-		teamActiveAt: map[ident.Team]clock.Instant{}, objectives: map[ident.Class]scheduler.Objectives{}, typicalSpecs: map[ident.Class]*jobs.Spec{}, oversizedUntil: map[ident.JobID]clock.Instant{},
+		teams:        c.settings.Params.TeamsByName(),
+		teamActiveAt: map[ident.Team]clock.Instant{}, objectives: map[ident.Class]scheduler.Objectives{}, oversizedUntil: map[ident.JobID]clock.Instant{},
 		quotaEnforcers: map[string]clock.Instant{}, epochAdvancedAt: now, nextMachineTypes: now.Add(5 * time.Second)}
 	p := c.settings.Params
 	t.schemaCluster = schemaversion.New(c.settings.PeerNames(), 0)
-	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.job)
+	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.jobs.get)
 	t.fleet.SetMachineTypes(c.machineTypes)
 	t.delegations = leasedelegation.NewGrantTracker(c.settings, now)
 	t.fleet.SetDelegatedRenewals(t.delegations.RenewalIn)
@@ -103,13 +95,11 @@
 }
 
 func (t *term) readObjectives() {
-	for _, o := range t.core.settings.Params.Objectives {
+	for _, o := range t.settings.Params.Objectives {
 		t.objectives[o.Class] = t.objectives[o.Class].With(o.Kind, clock.Seconds(o.WithinSeconds))
 	}
 }
 
-func (t *term) job(id ident.JobID) *jobs.Job { return t.jobs[id] }
-
 func (t *term) setEpoch(e ident.Epoch) {
 	t.epoch = e
 	t.fleet.SetEpoch(e)
@@ -118,9 +108,7 @@
 
 // abandon answers those who wait when leadership ends.
 func (t *term) abandon() {
-	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
-		t.answerPendingCancels(id, api.NoLeader, 0)
-	}
+	t.jobs.abandonCancellations()
 	t.refuseDeferred(func(deferredHeartbeat) bool { return true })
 }
 
@@ -185,10 +173,6 @@
 	if t.core.election.LeaseValid(now) {
 		t.probeSilentMachines(now)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
-		if ws := t.pendingCancels[id]; len(ws) > 0 && !now.Before(ws[0].deadline) {
-			t.answerPendingCancels(id, api.LeaderBusy, 0)
-		}
-	}
-	t.core.metrics.observeTerm(t, now)
+	t.jobs.answerOverdueCancellations(now)
+	t.metrics.observeTerm(t, now)
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -188,8 +188,8 @@
 		}
 		tm.acceptJob(g.now, JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: 5}})
 	}
-	tm.jobs["wk-000001"].Cancel(g.now)
-	tm.jobs["wk-000002"].Cancel(g.now.Add(time.Millisecond))
+	tm.jobs.get("wk-000001").Cancel(g.now)
+	tm.jobs.get("wk-000002").Cancel(g.now.Add(time.Millisecond))
 	for range 40 {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for g.core.budget.AvailableWrites(g.now, kvstore.PurposeUrgentFold) > 1 {
