--- a/internal/api/retry_test.go
+++ b/internal/api/retry_test.go
@@ -6,32 +6,31 @@
 	"time"
 )
 
-// TestRetryPacerSpreadsRetries: users who are refused in a flood come back at different
-// times, well within the minute for which they try; one who is refused alone
-// comes back soon.
+// TestRetryPacerSpreadsRetries: in an overload the retries are spread, well within the
+// minute for which users retry; after a single rejection the retry comes soon.
 func TestRetryPacerSpreadsRetries(t *testing.T) {
-	p := NewRetryPacer(rand.New(rand.NewPCG(1, 2)))
-	if d := p.Rejected(); d > time.Second || p.Overloaded() {
-		t.Errorf("refused alone, one is told to wait %v more", d)
+	pacer := NewRetryPacer(rand.New(rand.NewPCG(1, 2)))
+	if d := pacer.Rejected(); d > time.Second || pacer.Overloaded() {
+		t.Errorf("a single rejection delays the retry by %v", d)
 	}
 	early, late := 0, 0
 	for range 400 {
-		switch d := p.Rejected(); {
+		switch d := pacer.Rejected(); {
 		case d > maxRetrySpread:
-			t.Fatalf("told to wait %v", d)
+			t.Fatalf("retry delay %v beyond %v", d, maxRetrySpread)
 		case d < maxRetrySpread/4:
 			early++
 		case d > maxRetrySpread*3/4:
 			late++
 		}
 	}
-	if early < 50 || late < 30 || !p.Overloaded() {
-		t.Errorf("%d come early and %d late, of 400", early, late)
+	if early < 50 || late < 30 || !pacer.Overloaded() {
+		t.Errorf("%d retries early and %d late, of 400", early, late)
 	}
 	for range 100 {
-		p.Accepted()
+		pacer.Accepted()
 	}
-	if p.Overloaded() {
-		t.Error("still flooded when all are taken")
+	if pacer.Overloaded() {
+		t.Error("still overloaded when all are accepted")
 	}
 }
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -8,8 +8,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestDoneOnlyAfterCheckpoint: a job whose last task has just completed is not
-// called done before its checkpoint says so.
+// TestDoneOnlyAfterCheckpoint: a job whose last task has just completed is
+// not done before its checkpoint says so.
 func TestDoneOnlyAfterCheckpoint(t *testing.T) {
 	j := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: 1}, 0), 1, 0)
 	j.CompleteTask(1, 0)
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -1,11 +1,14 @@
 package api
 
 import (
+	"errors"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// submissionBody encodes a valid submission with some fields changed, or left out
+// where the change is "absent".
 func submissionBody(change map[string]any) []byte {
 	m := map[string]any{"id": "wk-000412", "ledgerClass": "train", "desk": "red", "shape": "batch", "rank": "high",
 		"entries": 16, "cpus": 2.0, "accelerators": 0.0, "memoryGb": 4.0, "bundle": "img-07", "imageGb": 6.2,
@@ -25,6 +28,7 @@
 	return data
 }
 
+// TestDecodeSubmission: what is well-formed is decoded, and all else is ErrMalformed.
 func TestDecodeSubmission(t *testing.T) {
 	for name, change := range map[string]map[string]any{
 		"plain": {}, "unknown field": {"novel": []any{1, map[string]any{"a": nil}}}, "whole amounts": {"cpus": 2, "dueS": nil},
@@ -44,15 +48,15 @@
 		"types a text": {"frames": "m"}, "types of numbers": {"frames": []any{1}}, "empty zone": {"hall": ""},
 		"binary text": {"bundle": []byte("img")}, "nested too deep": {"novel": nestedLists(40)},
 	} {
-		if s, err := DecodeSubmission(submissionBody(change)); err == nil {
-			t.Errorf("%s: taken as %+v", name, s)
+		if s, err := DecodeSubmission(submissionBody(change)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: decoded as %+v, %v", name, s, err)
 		}
 	}
 	for name, data := range map[string][]byte{"empty": {}, "no map": {0x93, 1, 2, 3}, "text": []byte("hello"),
 		"cut off": submissionBody(nil)[:40], "more after it": append(submissionBody(nil), 0xc0), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 		"huge list": {0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
-		if _, err := DecodeSubmission(data); err == nil {
-			t.Errorf("%s: taken", name)
+		if s, err := DecodeSubmission(data); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: decoded as %+v, %v", name, s, err)
 		}
 	}
 }
@@ -71,7 +75,7 @@
 	f.Add([]byte{0x81, 0xa6, 'f', 'r', 'a', 'm', 'e', 's', 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if s, err := DecodeSubmission(data); err == nil && (s.Spec.Tasks < 1 || s.Spec.CPUs <= 0 || s.ID == "") {
-			t.Errorf("impossible submission taken: %+v", s)
+			t.Errorf("invalid submission decoded: %+v", s)
 		}
 	})
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestBatchesFromPreviousVersion: what the production version sends through the
-// state service is read, and means the same when it is written again.
+// key-value store is read, and written again as it was.
 func TestBatchesFromPreviousVersion(t *testing.T) {
 	b, err := DecompressBatch(readProduction(t, "batch.msgpack"))
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	r, err := b.Heartbeats[1].Unpack()
 	if err != nil || r.Session != 3 || r.HeartbeatSeq != 12 || r.FencingToken != 40 || !r.Spot || r.InterruptionIn != 12500*time.Millisecond || len(r.Tasks) != 2 {
-		t.Fatalf("report %+v, %v", r, err)
+		t.Fatalf("heartbeat %+v, %v", r, err)
 	}
 	stored := map[fleet.ExitCause]bool{}
 	for _, e := range r.Tasks {
@@ -66,9 +66,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders := a.Heartbeats[0].UnpackCommands()
-	if a.ID != b.ID || len(a.Heartbeats) != 2 || a.Heartbeats[0].Code != 200 || len(orders) != 3 || orders[1].GracePeriod != 10*time.Second {
-		t.Errorf("answers %+v, orders %+v", a, orders)
+	commands := a.Heartbeats[0].UnpackCommands()
+	if a.ID != b.ID || len(a.Heartbeats) != 2 || a.Heartbeats[0].Code != 200 || len(commands) != 3 || commands[1].GracePeriod != 10*time.Second {
+		t.Errorf("reply %+v, commands %+v", a, commands)
 	}
 	checkReencoded(t, "answers.msgpack", a)
 }
@@ -92,7 +92,7 @@
 	req := roundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
 	q, err := DecodeBatch(req.Batch)
 	if err != nil || !q.WantsDelegation || q.Node != "n1" {
-		t.Errorf("question %+v, %v", q, err)
+		t.Errorf("batch %+v, %v", q, err)
 	}
 	reply := roundTrip(t, "grant-reply.pb", &meshpb.RelayReply{})
 	a, err := DecodeReply(reply.Answers)
