--- a/cmd/badgerbay/main.go
+++ b/cmd/badgerbay/main.go
@@ -13,8 +13,6 @@
 	"github.com/alecthomas/kong"
 
 	"badgerbay/internal/config"
-	"badgerbay/internal/featuregate"
-	"badgerbay/internal/policy"
 )
 
 // version is set at build time where a release is made.
@@ -66,9 +64,7 @@
 func exitStatus(err error) int {
 	var parseErr *kong.ParseError
 	var fieldErr *config.FieldError
-	var policyErr *policy.Error
-	var featureErr *featuregate.Error
-	if errors.As(err, &parseErr) || errors.As(err, &fieldErr) || errors.As(err, &policyErr) || errors.As(err, &featureErr) {
+	if errors.As(err, &parseErr) || errors.As(err, &fieldErr) {
 		return exitUsage
 	}
 	return exitFailure
--- a/cmd/badgerbay/serve.go
+++ b/cmd/badgerbay/serve.go
@@ -81,7 +81,7 @@
 	case "debug":
 		minLevel = slog.LevelDebug
 	default:
-		return nil, &config.FieldError{Field: "LOG_LEVEL", Reason: fmt.Sprintf("%q is not error, info or debug", level)}
+		return nil, config.FieldErrorf("LOG_LEVEL", "%q is not error, info or debug", level)
 	}
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/netip"
@@ -191,24 +192,11 @@
 	return max(1, min(s.MaxTxnOps, (maxTxnBytes-txnOverheadBytes)/max(1, s.MaxValueBytes())))
 }
 
-// FieldError names the setting that is wrong.
-type FieldError struct {
-	Field  string
-	Reason string
-}
-
-// Error implements error on one line.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
-func fieldErrorf(field, format string, args ...any) error {
-	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
-}
-
 // Load reads and checks the settings file at path.
 func Load(path string) (*Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fieldErrorf("config", "%v", err)
+		return nil, FieldErrorf("config", "%w", err)
 	}
 	defer f.Close()
 	return Read(f)
@@ -218,10 +206,10 @@
 func Read(r io.Reader) (*Settings, error) {
 	data, err := io.ReadAll(io.LimitReader(r, maxFileBytes+1))
 	if err != nil {
-		return nil, fieldErrorf("config", "%v", err)
+		return nil, FieldErrorf("config", "%w", err)
 	}
 	if len(data) > maxFileBytes {
-		return nil, fieldErrorf("config", "larger than %d bytes", maxFileBytes)
+		return nil, FieldErrorf("config", "larger than %d bytes", maxFileBytes)
 	}
 	s := new(Settings)
 	if err := json.Unmarshal(data, s); err != nil {
@@ -234,15 +222,16 @@
 }
 
 func jsonError(err error) error {
-	if te, ok := err.(*json.UnmarshalTypeError); ok && te.Field != "" {
-		return fieldErrorf(te.Field, "a %s can't be used as %s", te.Value, te.Type)
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) && mismatch.Field != "" {
+		return FieldErrorf(mismatch.Field, "a %s can't be used as %s", mismatch.Value, mismatch.Type)
 	}
-	return fieldErrorf("config", "not a JSON object of settings: %v", err)
+	return FieldErrorf("config", "not a JSON object of settings: %w", err)
 }
 
 func (s *Settings) validate() error {
 	if s.NodeName == "" {
-		return fieldErrorf("label", "missing")
+		return FieldErrorf("label", "missing")
 	}
 	for _, a := range []struct{ field, addr string }{
 		{"client_listen", s.ClientListen}, {"mesh_addr", s.PeerListen},
@@ -274,10 +263,10 @@
 func (s *Settings) validateCapacity() error {
 	l := s.Params.MachineLimits
 	if least := minSockets + minSocketsPerPeer*len(s.Peers); l.MaxSockets < least {
-		return fieldErrorf("params.machine_limits.max_sockets", "%d are too few to serve with %d peers: at least %d", l.MaxSockets, len(s.Peers), least)
+		return FieldErrorf("params.machine_limits.max_sockets", "%d are too few to serve with %d peers: at least %d", l.MaxSockets, len(s.Peers), least)
 	}
 	if l.MemoryMB < minMemoryMB {
-		return fieldErrorf("params.machine_limits.mem_mb", "%v is too little to serve: at least %d", l.MemoryMB, minMemoryMB)
+		return FieldErrorf("params.machine_limits.mem_mb", "%v is too little to serve: at least %d", l.MemoryMB, minMemoryMB)
 	}
 	return nil
 }
@@ -287,7 +276,7 @@
 	for i, p := range s.Peers {
 		field := fmt.Sprintf("peers[%d]", i)
 		if p.NodeName == "" || seen[p.NodeName] {
-			return fieldErrorf(field+".label", "%q is missing or used twice", p.NodeName)
+			return FieldErrorf(field+".label", "%q is missing or used twice", p.NodeName)
 		}
 		seen[p.NodeName] = true
 		if err := validateAddr(field+".peer_addr", p.Addr); err != nil {
@@ -300,7 +289,7 @@
 func validateAddr(field, addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 || !ap.Addr().Is4() {
-		return fieldErrorf(field, "%q is not an IPv4 address with a port", addr)
+		return FieldErrorf(field, "%q is not an IPv4 address with a port", addr)
 	}
 	return nil
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -25,12 +25,12 @@
 
 func (p *Params) validateZones() error {
 	if len(p.Zones) == 0 {
-		return fieldErrorf("params.zones", "missing")
+		return FieldErrorf("params.zones", "missing")
 	}
 	seen := map[ident.Zone]bool{}
 	for i, z := range p.Zones {
 		if z == "" || seen[z] {
-			return fieldErrorf(fmt.Sprintf("params.zones[%d]", i), "%q is missing or used twice", z)
+			return FieldErrorf(fmt.Sprintf("params.zones[%d]", i), "%q is missing or used twice", z)
 		}
 		seen[z] = true
 	}
@@ -42,7 +42,7 @@
 	for i, t := range p.Teams {
 		field := fmt.Sprintf("params.teams[%d]", i)
 		if t.Name == "" || seen[t.Name] {
-			return fieldErrorf(field+".name", "%q is missing or used twice", t.Name)
+			return FieldErrorf(field+".name", "%q is missing or used twice", t.Name)
 		}
 		seen[t.Name] = true
 		for _, n := range []namedNumber{{"cpus", t.CPUGuarantee}, {"cpus_max", t.CPULimit}, {"gpus", t.GPUGuarantee}, {"gpus_max", t.GPULimit}} {
@@ -72,7 +72,7 @@
 // requirePositive refuses numbers that are not above 0 and at most most.
 func requirePositive(field string, value, most float64) error {
 	if !(value > 0) || value > most {
-		return fieldErrorf(field, "%v is not a number above 0 and up to %v", value, most)
+		return FieldErrorf(field, "%v is not a number above 0 and up to %v", value, most)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 // requireNonNegative refuses numbers that are below 0 or beyond mostNumber.
 func requireNonNegative(field string, value float64) error {
 	if !(value >= 0) || value > maxNumber {
-		return fieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
+		return FieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 		}
 	}
 	if s.Next.MaxValueKB < minValueKB {
-		return fieldErrorf("params.state.next.value_kb", "%v holds no job: at least %d", s.Next.MaxValueKB, minValueKB)
+		return FieldErrorf("params.state.next.value_kb", "%v holds no job: at least %d", s.Next.MaxValueKB, minValueKB)
 	}
 	return nil
 }
@@ -138,11 +138,11 @@
 func (w Workers) validateTimes() error {
 	switch {
 	case w.LeaseSeconds <= 2*w.HeartbeatSeconds:
-		return fieldErrorf("params.workers.lease_s", "%v leaves no room for a lost report (report_s %v)", w.LeaseSeconds, w.HeartbeatSeconds)
+		return FieldErrorf("params.workers.lease_s", "%v leaves no room for a lost report (report_s %v)", w.LeaseSeconds, w.HeartbeatSeconds)
 	case w.LeaseTTL() < w.MaxHeartbeatGap()+minFailoverTime:
-		return fieldErrorf("params.workers.lease_s", "%v leaves no room for a takeover (report_s %v, and %v)", w.LeaseSeconds, w.HeartbeatSeconds, minFailoverTime)
+		return FieldErrorf("params.workers.lease_s", "%v leaves no room for a takeover (report_s %v, and %v)", w.LeaseSeconds, w.HeartbeatSeconds, minFailoverTime)
 	case w.CancelSeconds <= w.LeaseSeconds:
-		return fieldErrorf("params.workers.cancel_s", "%v is no longer than lease_s, %v, for which a machine out of reach keeps its tasks", w.CancelSeconds, w.LeaseSeconds)
+		return FieldErrorf("params.workers.cancel_s", "%v is no longer than lease_s, %v, for which a machine out of reach keeps its tasks", w.CancelSeconds, w.LeaseSeconds)
 	}
 	return nil
 }
--- a/internal/featuregate/check.go
+++ b/internal/featuregate/check.go
@@ -29,18 +29,18 @@
 // checkTeams refuses limits that can't be shared out.
 func checkTeams(p config.Params) error {
 	if p.Nodes > quota.MaxHolders {
-		return &Error{"params.nodes", fmt.Sprintf("%d holders are more than a team's record can name: at most %d", p.Nodes, quota.MaxHolders)}
+		return config.FieldErrorf("params.nodes", "%d holders are more than a team's record can name: at most %d", p.Nodes, quota.MaxHolders)
 	}
 	for i, t := range p.Teams {
 		field := fmt.Sprintf("params.teams[%d].", i)
 		if t.CPULimit > 0 && t.CPUGuarantee > t.CPULimit {
-			return &Error{field + "cpus", fmt.Sprintf("a guarantee of %v is beyond the limit of %v", t.CPUGuarantee, t.CPULimit)}
+			return config.FieldErrorf(field+"cpus", "a guarantee of %v is beyond the limit of %v", t.CPUGuarantee, t.CPULimit)
 		}
 		if t.GPULimit > 0 && t.GPUGuarantee > t.GPULimit {
-			return &Error{field + "gpus", fmt.Sprintf("a guarantee of %v is beyond the limit of %v", t.GPUGuarantee, t.GPULimit)}
+			return config.FieldErrorf(field+"gpus", "a guarantee of %v is beyond the limit of %v", t.GPUGuarantee, t.GPULimit)
 		}
 		if _, err := quota.LimitOf(t); err != nil {
-			return &Error{field + "cpus_max", err.Error()}
+			return config.FieldErrorf(field+"cpus_max", "%w", err)
 		}
 	}
 	return nil
@@ -48,7 +48,7 @@
 
 func (w *WarmStandby) check(p config.Params) error {
 	wrong := func(field, format string, args ...any) error {
-		return &Error{Field: "policy.warm_standby." + field, Reason: fmt.Sprintf(format, args...)}
+		return config.FieldErrorf("policy.warm_standby."+field, format, args...)
 	}
 	if least := election.MinHeartbeatTTL(w.HeartbeatInterval, kvstore.RequestTimeout); w.HeartbeatTTL < least {
 		return wrong("takeover_s", "%v leaves no room for a heartbeat every %v that takes up to %v: at least %v", w.HeartbeatTTL, w.HeartbeatInterval, kvstore.RequestTimeout, least)
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -14,12 +14,13 @@
 	"sync"
 	"time"
 
-	"badgerbay/internal/clock"
-
 	"github.com/santhosh-tekuri/jsonschema/v6"
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 	"golang.org/x/text/language"
 	"golang.org/x/text/message"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/config"
 )
 
 //go:embed features.schema.json
@@ -54,15 +55,6 @@
 	defaultMaxReplicaMB      = 24
 )
 
-// Error names the field of a section that is wrong.
-type Error struct {
-	Field  string
-	Reason string
-}
-
-// Error implements error on one line.
-func (e *Error) Error() string { return e.Field + ": " + e.Reason }
-
 // compiledSchema compiles the schema once. Names are sections of the schema.
 var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
@@ -103,17 +95,17 @@
 func firstFieldError(err error) error {
 	var ve *jsonschema.ValidationError
 	if !errors.As(err, &ve) {
-		return &Error{Field: "features", Reason: err.Error()}
+		return config.FieldErrorf("features", "%w", err)
 	}
 	for len(ve.Causes) > 0 {
 		ve = ve.Causes[0]
 	}
 	path := slices.Clone(ve.InstanceLocation)
 	if extra, ok := ve.ErrorKind.(*kind.AdditionalProperties); ok && len(extra.Properties) > 0 {
-		return &Error{Field: strings.Join(append(path, extra.Properties[0]), "."), Reason: "is not a setting"}
+		return config.FieldErrorf(strings.Join(append(path, extra.Properties[0]), "."), "is not a setting")
 	}
 	reason := ve.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	return &Error{Field: strings.Join(path, "."), Reason: strings.ReplaceAll(reason, "\n", " ")}
+	return config.FieldErrorf(strings.Join(path, "."), "%s", strings.ReplaceAll(reason, "\n", " "))
 }
 
 func decodeWarmStandby(section map[string]any) *WarmStandby {
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -37,7 +37,7 @@
 		"warm_standby.poll_s":      {"warm_standby": map[string]any{"poll_s": []any{}}},
 	} {
 		_, err := Decode(sections)
-		var fe *Error
+		var fe *config.FieldError
 		if !errors.As(err, &fe) || fe.Field != field || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v, want one line naming %s", sections, err, field)
 		}
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		err = set.Check(c.params)
-		var fe *Error
+		var fe *config.FieldError
 		switch {
 		case c.field == "" && err != nil:
 			t.Errorf("the defaults are refused: %v", err)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -12,11 +12,11 @@
 	"slices"
 	"time"
 
-	"badgerbay/internal/clock"
-
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
+	"badgerbay/internal/clock"
+	"badgerbay/internal/config"
 	"badgerbay/internal/featuregate"
 )
 
@@ -57,15 +57,11 @@
 	Features featuregate.Features
 }
 
-// Error names the setting that is wrong.
-type Error struct {
-	Field  string
-	Reason string
+// fieldErrorf names a setting of the script, or the script itself.
+func fieldErrorf(field, format string, args ...any) error {
+	return config.FieldErrorf("policy."+field, format, args...)
 }
 
-// Error implements error on one line.
-func (e *Error) Error() string { return "policy." + e.Field + ": " + e.Reason }
-
 // Default returns the embedded policy.
 func Default() (*Policy, error) { return Parse("default.star", defaultScript) }
 
@@ -76,7 +72,7 @@
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{"script", err.Error()}
+		return nil, fieldErrorf("script", "%w", err)
 	}
 	return Parse(path, string(data))
 }
@@ -91,7 +87,7 @@
 		return nil, err
 	}
 	if p.LeaseRenewInterval*2 > p.LeaseTTL {
-		return nil, &Error{"renew_s", "must be at most half of lease_s"}
+		return nil, fieldErrorf("renew_s", "must be at most half of lease_s")
 	}
 	return p, nil
 }
@@ -110,7 +106,7 @@
 		if slices.Contains(featuregate.SectionNames(), key) {
 			section, err := jsonValue(globals[key])
 			if err != nil {
-				return &Error{key, err.Error()}
+				return fieldErrorf(key, "%w", err)
 			}
 			sections[key] = section
 			continue
@@ -120,7 +116,7 @@
 			continue
 		}
 		if !ok {
-			return &Error{key, "is not a setting; known are " + fmt.Sprint(knownNames(fields))}
+			return fieldErrorf(key, "is not a setting; known are %v", knownNames(fields))
 		}
 		if err := p.setField(i, key, globals[key]); err != nil {
 			return err
@@ -147,12 +143,14 @@
 		return nil
 	}
 	features, err := featuregate.Decode(sections)
-	var wrong *featuregate.Error
-	if errors.As(err, &wrong) {
-		return &Error{wrong.Field, wrong.Reason}
+	if field := (*config.FieldError)(nil); errors.As(err, &field) {
+		return fieldErrorf(field.Field, "%w", field.Err)
+	}
+	if err != nil {
+		return fieldErrorf("features", "%w", err)
 	}
 	p.Features = features
-	return err
+	return nil
 }
 
 func knownNames(fields map[string]int) []string {
@@ -161,13 +159,13 @@
 
 func evaluate(name, script string) (starlark.StringDict, error) {
 	if len(script) > maxScriptBytes {
-		return nil, &Error{"script", fmt.Sprintf("larger than %d bytes", maxScriptBytes)}
+		return nil, fieldErrorf("script", "larger than %d bytes", maxScriptBytes)
 	}
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true}, thread, name, script, nil)
 	if err != nil {
-		return nil, &Error{"script", oneLine(err.Error())}
+		return nil, fieldErrorf("script", "%s", oneLine(err.Error()))
 	}
 	return globals, nil
 }
@@ -187,14 +185,14 @@
 	if field.Kind() == reflect.Bool {
 		b, ok := v.(starlark.Bool)
 		if !ok {
-			return &Error{key, "must be True or False, not " + v.Type()}
+			return fieldErrorf(key, "must be True or False, not %s", v.Type())
 		}
 		field.SetBool(bool(b))
 		return nil
 	}
 	x, ok := starlark.AsFloat(v)
 	if _, isBool := v.(starlark.Bool); !ok || isBool {
-		return &Error{key, "must be a number, not " + v.Type()}
+		return fieldErrorf(key, "must be a number, not %s", v.Type())
 	}
 	if err := checkRange(i, key, x); err != nil {
 		return err
@@ -204,7 +202,7 @@
 		field.SetInt(int64(clock.Seconds(x)))
 	case int:
 		if x != float64(int(x)) {
-			return &Error{key, "must be a whole number"}
+			return fieldErrorf(key, "must be a whole number")
 		}
 		field.SetInt(int64(x))
 	default:
@@ -219,7 +217,7 @@
 	fmt.Sscan(tag.Get("min"), &low)
 	fmt.Sscan(tag.Get("max"), &high)
 	if !(x >= low && x <= high) {
-		return &Error{key, fmt.Sprintf("%v is not between %v and %v", x, low, high)}
+		return fieldErrorf(key, "%v is not between %v and %v", x, low, high)
 	}
 	return nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"badgerbay/internal/config"
 )
 
 func TestScriptOverridesDefaults(t *testing.T) {
@@ -59,8 +61,8 @@
 		"cold_standby = {}":                                 "policy.cold_standby",
 	} {
 		_, err := Parse("site.star", script)
-		var pe *Error
-		if !errors.As(err, &pe) || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		var fe *config.FieldError
+		if !errors.As(err, &fe) || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want one line naming %s", script, err, field)
 		}
 	}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -7,11 +7,10 @@
 	"strings"
 	"testing"
 
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/ident"
 	"badgerbay/internal/quota"
 )
 
--- a/internal/standby/catchup.go
+++ b/internal/standby/catchup.go
@@ -3,13 +3,12 @@
 import (
 	"fmt"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/recovery"
+	"badgerbay/internal/roundlog"
 )
 
 // WatchFunc reads the changes of a prefix since a revision, without waiting, and the
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -6,7 +6,6 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-
 	"badgerbay/internal/kvstore"
 )
 
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -8,14 +8,13 @@
 	"fmt"
 	"strings"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 	"badgerbay/internal/chunk"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 )
 
 // Prefixes are those of the keys that hold a leader's decisions.
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -8,13 +8,12 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"badgerbay/internal/clock"
 	"badgerbay/internal/fake"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
 
