--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -44,7 +44,7 @@
 const standbyTickInterval = 100 * time.Millisecond
 
 func newStandbyActor(n *Node, w *featuregate.WarmStandby) *standbyActor {
-	a := &standbyActor{n: n, follower: standby.NewFollower(standby.Options{SyncInterval: w.SyncInterval}, w.ReplicaBytes())}
+	a := &standbyActor{n: n, follower: standby.NewFollower(w.SyncInterval, w.ReplicaBytes())}
 	a.publish()
 	a.machines.Store(&controller.MachineSnapshot{})
 	return a
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -1,11 +1,15 @@
-// Package standby keeps what a node that does not lead needs to take over quickly: a
-// replica of the leader's records, which follows each decision in the order in which
-// the state service stored it. It does no I/O.
+// Package standby keeps what a node that does not lead needs for a quick failover: a
+// replica of the leader's records, which follows each decision in the order in which the
+// state service stored it. It owns the replica and the state machine that syncs it;
+// callers carry out its reads, package election decides when to take over, and package
+// recovery what the records mean. It does no I/O.
 package standby
 
 import (
 	"errors"
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
@@ -20,12 +24,16 @@
 // Prefixes are those of the keys that hold a leader's decisions.
 var Prefixes = []string{jobs.KeyPrefix, roundlog.KeyPrefix, chunk.KeyPrefix}
 
-// Errors of changes that can't be applied. The keys must be read anew.
 var (
-	ErrOutOfOrder    = errors.New("changes are out of order")
+	// ErrOutOfOrder says that changes do not continue what the replica holds, which
+	// must be read anew.
+	ErrOutOfOrder = errors.New("changes are out of order")
+	// ErrUnexpectedKey says that a key does not belong to the prefix that was read.
 	ErrUnexpectedKey = errors.New("a change of a key that is not followed")
-	ErrReplicaFull   = errors.New("the records exceed the replica's bound")
-	ErrNotLoaded     = errors.New("the keys were never read")
+	// ErrReplicaFull says that the replica may not hold the records.
+	ErrReplicaFull = errors.New("the records exceed the replica's bound")
+	// ErrNotLoaded says that a prefix must be read whole first.
+	ErrNotLoaded = errors.New("the keys were never read")
 )
 
 // Replica is a copy of the records as of some revision of the state service, for
@@ -35,12 +43,12 @@
 	items     *iradix.Tree[kvstore.KeyValue]
 	revisions map[string]ident.Revision // of each prefix; absent: never read
 	bytes     int
-	maxBytes  int // bytes that it may hold
+	maxBytes  int
 }
 
-// NewReplica returns an empty replica that may hold so many bytes.
-func NewReplica(mostBytes int) *Replica {
-	return &Replica{items: iradix.New[kvstore.KeyValue](), revisions: map[string]ident.Revision{}, maxBytes: mostBytes}
+// NewReplica returns an empty replica that may hold maxBytes.
+func NewReplica(maxBytes int) *Replica {
+	return &Replica{items: iradix.New[kvstore.KeyValue](), revisions: map[string]ident.Revision{}, maxBytes: maxBytes}
 }
 
 // Len counts the records.
@@ -53,6 +61,14 @@
 // if it was never read.
 func (r *Replica) Revision(prefix string) ident.Revision { return r.revisions[prefix] }
 
+// MinRevision is the revision up to which all of the replica is complete; 0: it is not.
+func (r *Replica) MinRevision() ident.Revision {
+	if !r.Complete() {
+		return 0
+	}
+	return slices.Min(slices.Collect(maps.Values(r.revisions)))
+}
+
 // Complete tells whether every prefix has been read.
 func (r *Replica) Complete() bool { return len(r.revisions) == len(Prefixes) }
 
@@ -66,6 +82,7 @@
 	return out
 }
 
+// itemBytes is what a record and its key take.
 func itemBytes(item kvstore.KeyValue) int { return len(item.Key) + len(item.Value) }
 
 // Load replaces what the replica holds of a prefix by what was read at a revision. A
@@ -90,7 +107,7 @@
 
 // Apply applies the changes of a prefix since the replica's revision of it, up to
 // another: all of them, or none.
-func (r *Replica) Apply(prefix string, log []kvstore.WatchEvent, revision ident.Revision) (*Replica, error) {
+func (r *Replica) Apply(prefix string, changes []kvstore.WatchEvent, revision ident.Revision) (*Replica, error) {
 	since, read := r.revisions[prefix]
 	if !read {
 		return r, ErrNotLoaded
@@ -98,12 +115,12 @@
 	if revision < since {
 		return r, fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, revision, since)
 	}
-	if len(log) == 0 && revision == since {
+	if len(changes) == 0 && revision == since {
 		return r, nil
 	}
 	txn := r.items.Txn()
 	bytes, last := r.bytes, since
-	for _, c := range log {
+	for _, c := range changes {
 		if c.ModRevision < last || c.ModRevision <= since || c.ModRevision > revision {
 			return r, fmt.Errorf("%w: %d after %d, in changes from %d to %d", ErrOutOfOrder, c.ModRevision, last, since, revision)
 		}
@@ -140,14 +157,13 @@
 	return grown + itemBytes(item), nil
 }
 
+// withRevision is the replica that a transaction makes, complete up to the revision of
+// the prefix.
 func (r *Replica) withRevision(txn *iradix.Txn[kvstore.KeyValue], prefix string, revision ident.Revision, bytes int) (*Replica, error) {
 	if bytes > r.maxBytes {
 		return r, fmt.Errorf("%w: %d bytes of %d", ErrReplicaFull, bytes, r.maxBytes)
 	}
-	out := &Replica{items: txn.Commit(), revisions: make(map[string]ident.Revision, len(Prefixes)), bytes: bytes, maxBytes: r.maxBytes}
-	for p, v := range r.revisions {
-		out.revisions[p] = v
-	}
-	out.revisions[prefix] = revision
-	return out, nil
+	revisions := maps.Clone(r.revisions)
+	revisions[prefix] = revision
+	return &Replica{items: txn.Commit(), revisions: revisions, bytes: bytes, maxBytes: r.maxBytes}, nil
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -22,155 +22,153 @@
 	startTime    = clock.Instant(time.Hour)
 )
 
-var testOptions = Options{SyncInterval: time.Second}
-
-// put stores a value under a key, without a guard.
-func put(t *testing.T, state *fake.KVStore, key string, value any) {
+// put stores a value under a key, without a condition.
+func put(t *testing.T, store *fake.KVStore, key string, value any) {
 	t.Helper()
-	if _, err := state.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
+	if _, err := store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // fixture is a follower of a stand-in for the state service.
 type fixture struct {
-	state    *fake.KVStore
+	store    *fake.KVStore
 	follower *Follower
 	now      clock.Instant
 	reads    []string
 }
 
-func newFixture(most int) *fixture {
-	return &fixture{state: fake.NewKVStore(), follower: NewFollower(testOptions, most), now: startTime}
+func newFixture(maxBytes int) *fixture {
+	return &fixture{store: fake.NewKVStore(), follower: NewFollower(time.Second, maxBytes), now: startTime}
 }
 
-// sync lets the follower look once, a second after the last time.
-func (r *fixture) sync() {
-	r.now = r.now.Add(time.Second)
-	for _, e := range r.follower.Step(r.now, Tick{}) {
+// sync lets the follower sync once, a second after the last time.
+func (f *fixture) sync() {
+	f.now = f.now.Add(time.Second)
+	for _, e := range f.follower.Step(f.now, Tick{}) {
 		switch e := e.(type) {
 		case List:
-			r.reads = append(r.reads, "list "+e.Prefix)
-			items, revision, err := r.state.List(e.Prefix)
-			r.follower.Step(r.now, ListDone{Prefix: e.Prefix, Err: err, Items: items, Revision: revision})
+			f.reads = append(f.reads, "list "+e.Prefix)
+			items, revision, err := f.store.List(e.Prefix)
+			f.follower.Step(f.now, ListDone{Prefix: e.Prefix, Err: err, Items: items, Revision: revision})
 		case Watch:
-			r.reads = append(r.reads, "watch "+e.Prefix)
-			log, revision, err := r.state.Watch(e.Prefix, e.Since)
-			r.follower.Step(r.now, WatchDone{Prefix: e.Prefix, Err: err, Changes: log, Revision: revision})
+			f.reads = append(f.reads, "watch "+e.Prefix)
+			changes, revision, err := f.store.Watch(e.Prefix, e.Since)
+			f.follower.Step(f.now, WatchDone{Prefix: e.Prefix, Err: err, Changes: changes, Revision: revision})
 		}
 	}
 }
 
-func (r *fixture) followerState() State { return r.follower.Status(r.now).State }
+func (f *fixture) followerState() State { return f.follower.Status(f.now).State }
 
 // check compares the replica with what is stored.
-func (r *fixture) check(t *testing.T) {
+func (f *fixture) check(t *testing.T) {
 	t.Helper()
 	for _, prefix := range Prefixes {
-		want, _, _ := r.state.List(prefix)
-		if diff := cmp.Diff(want, r.follower.Replica().Items(prefix), cmpopts.EquateEmpty()); diff != "" {
+		want, _, _ := f.store.List(prefix)
+		if diff := cmp.Diff(want, f.follower.Replica().Items(prefix), cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%s: %s", prefix, diff)
 		}
 	}
 }
 
-// TestReplicaFollows: after each look the replica holds what is stored, whatever was
+// TestReplicaFollows: after each sync the replica holds what is stored, whatever was
 // set, set again or removed; and older replicas do not change.
 func TestReplicaFollows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	r := newFixture(testMaxBytes)
+	f := newFixture(testMaxBytes)
 	var kept *Replica
 	var before []kvstore.KeyValue
 	for i := range 300 {
 		for range rng.IntN(4) {
 			key := Prefixes[rng.IntN(len(Prefixes))] + fmt.Sprint(rng.IntN(20))
 			if rng.IntN(5) == 0 {
-				if _, err := r.state.Commit(kvstore.Txn{Operations: []kvstore.Operation{{DeleteKey: key}}}); err != nil {
+				if _, err := f.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{DeleteKey: key}}}); err != nil {
 					t.Fatal(err)
 				}
 				continue
 			}
-			put(t, r.state, key, rng.IntN(1000))
+			put(t, f.store, key, rng.IntN(1000))
 		}
-		put(t, r.state, "relay/up/n1", i)
-		r.sync()
-		r.check(t)
+		put(t, f.store, "relay/up/n1", i)
+		f.sync()
+		f.check(t)
 		if i == 100 {
-			kept, before = r.follower.Replica(), r.follower.Replica().Items("job/")
+			kept, before = f.follower.Replica(), f.follower.Replica().Items("job/")
 		}
 	}
 	if !cmp.Equal(before, kept.Items("job/")) {
 		t.Error("a replica has changed")
 	}
-	if bytes, want := r.follower.Replica().Bytes(), totalBytes(r.follower.Replica()); bytes != want {
+	if bytes, want := f.follower.Replica().Bytes(), totalBytes(f.follower.Replica()); bytes != want {
 		t.Errorf("counted %d bytes, there are %d", bytes, want)
 	}
-	if !slices.Contains(r.reads, "list part/") || r.reads[len(r.reads)-1] != "watch part/" || len(r.reads) != 900 {
-		t.Errorf("%d reads, the last %v", len(r.reads), r.reads[len(r.reads)-1])
+	if !slices.Contains(f.reads, "list part/") || f.reads[len(f.reads)-1] != "watch part/" || len(f.reads) != 900 {
+		t.Errorf("%d reads, the last %v", len(f.reads), f.reads[len(f.reads)-1])
 	}
 }
 
-func totalBytes(r *Replica) int {
+func totalBytes(replica *Replica) int {
 	n := 0
 	for _, prefix := range Prefixes {
-		for _, item := range r.Items(prefix) {
+		for _, item := range replica.Items(prefix) {
 			n += itemBytes(item)
 		}
 	}
 	return n
 }
 
-// TestReadyOnlyWhileUpToDate: a replica is ready after a whole look, and no longer than a
+// TestReadyOnlyWhileUpToDate: a replica is ready after a complete sync, and no longer than a
 // few intervals after the last.
 func TestReadyOnlyWhileUpToDate(t *testing.T) {
-	r := newFixture(testMaxBytes)
-	if r.followerState() != StateReading {
-		t.Errorf("%v before anything was read", r.followerState())
+	f := newFixture(testMaxBytes)
+	if f.followerState() != StateReading {
+		t.Errorf("%v before anything was read", f.followerState())
 	}
-	put(t, r.state, "job/1", 1)
-	r.sync()
-	if s := r.follower.Status(r.now); s.State != StateReady || s.Records != 1 || s.Revision == 0 {
+	put(t, f.store, "job/1", 1)
+	f.sync()
+	if s := f.follower.Status(f.now); s.State != StateReady || s.Records != 1 || s.Revision == 0 {
 		t.Errorf("%+v", s)
 	}
-	r.state.Down = true
+	f.store.Down = true
 	for range 4 {
-		r.sync()
+		f.sync()
 	}
-	if s := r.follower.Status(r.now); s.State != StateLagging || s.Reason == nil || s.Lag < 4*time.Second {
+	if s := f.follower.Status(f.now); s.State != StateLagging || s.Reason == nil || s.Lag < 4*time.Second {
 		t.Errorf("in an outage: %+v", s)
 	}
-	r.state.Down = false
-	r.sync()
-	if s := r.follower.Status(r.now); s.State != StateReady || s.Reason != nil {
+	f.store.Down = false
+	f.sync()
+	if s := f.follower.Status(f.now); s.State != StateReady || s.Reason != nil {
 		t.Errorf("after it: %+v", s)
 	}
-	r.follower.Step(r.now, LeadershipChanged{Leading: true})
-	if r.followerState() != StateLeading || len(r.follower.Step(r.now.Add(time.Minute), Tick{})) != 0 {
+	f.follower.Step(f.now, LeadershipChanged{Leading: true})
+	if f.followerState() != StateLeading || len(f.follower.Step(f.now.Add(time.Minute), Tick{})) != 0 {
 		t.Error("it follows itself")
 	}
-	r.follower.Step(r.now, LeadershipChanged{Leading: false})
-	put(t, r.state, "job/2", 1)
-	r.sync()
-	r.check(t)
+	f.follower.Step(f.now, LeadershipChanged{Leading: false})
+	put(t, f.store, "job/2", 1)
+	f.sync()
+	f.check(t)
 }
 
 // TestCompactedChangesAreReloaded: changes that the state service keeps no more are replaced by a
 // fresh read.
 func TestCompactedChangesAreReloaded(t *testing.T) {
-	r := newFixture(testMaxBytes)
-	r.state.RetainedChanges = 5
-	put(t, r.state, "job/1", 1)
-	r.sync()
+	f := newFixture(testMaxBytes)
+	f.store.RetainedChanges = 5
+	put(t, f.store, "job/1", 1)
+	f.sync()
 	for i := range 20 {
-		put(t, r.state, fmt.Sprintf("round/%d", i), i)
+		put(t, f.store, fmt.Sprintf("round/%d", i), i)
 	}
-	r.sync()
-	if s := r.follower.Status(r.now); s.State == StateReady || s.Reloads != 1 {
+	f.sync()
+	if s := f.follower.Status(f.now); s.State == StateReady || s.Reloads != 1 {
 		t.Errorf("after a gap: %+v", s)
 	}
-	r.sync()
-	r.check(t)
-	if r.followerState() != StateReady {
+	f.sync()
+	f.check(t)
+	if f.followerState() != StateReady {
 		t.Error("not ready after the fresh read")
 	}
 }
@@ -181,7 +179,7 @@
 	set := func(key string, stamp ident.Revision) kvstore.WatchEvent {
 		return kvstore.WatchEvent{SetKey: key, ModRevision: stamp}
 	}
-	for what, in := range map[string]WatchDone{
+	for name, in := range map[string]WatchDone{
 		"out of order":          {Changes: []kvstore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
 		"known already":         {Changes: []kvstore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
 		"beyond their revision": {Changes: []kvstore.WatchEvent{set("job/1", 13)}, Revision: 12},
@@ -190,75 +188,75 @@
 		"neither":               {Changes: []kvstore.WatchEvent{{ModRevision: 11}}, Revision: 12},
 		"of an earlier state":   {Revision: 3},
 	} {
-		r := newFixture(testMaxBytes)
+		f := newFixture(testMaxBytes)
 		for i := range 10 {
-			put(t, r.state, "job/"+fmt.Sprint(i), i)
+			put(t, f.store, "job/"+fmt.Sprint(i), i)
 		}
-		r.sync()
-		replica := r.follower.Replica()
+		f.sync()
+		replica := f.follower.Replica()
 		if _, err := replica.Apply("job/", in.Changes, in.Revision); err == nil {
-			t.Errorf("%s: applied", what)
+			t.Errorf("%s: applied", name)
 		}
-		r.follower.Step(r.now.Add(time.Second), Tick{})
+		f.follower.Step(f.now.Add(time.Second), Tick{})
 		in.Prefix = "job/"
-		r.follower.Step(r.now, in)
+		f.follower.Step(f.now, in)
 		for _, prefix := range Prefixes[1:] {
-			r.follower.Step(r.now, WatchDone{Prefix: prefix, Revision: 10})
+			f.follower.Step(f.now, WatchDone{Prefix: prefix, Revision: 10})
 		}
-		if s := r.follower.Status(r.now); s.State != StateReading || s.Reason == nil || s.Reloads != 1 || s.Records != 0 {
-			t.Errorf("%s: %+v", what, s)
+		if s := f.follower.Status(f.now); s.State != StateReading || s.Reason == nil || s.Reloads != 1 || s.Records != 0 {
+			t.Errorf("%s: %+v", name, s)
 		}
-		r.now = r.now.Add(time.Second)
-		r.sync()
-		r.check(t)
+		f.now = f.now.Add(time.Second)
+		f.sync()
+		f.check(t)
 	}
 }
 
 // TestRecordsBeyondMaxBytes: a node without the memory for the records says so, and
 // keeps nothing of them.
 func TestRecordsBeyondMaxBytes(t *testing.T) {
-	r := newFixture(200)
-	put(t, r.state, "job/1", "short")
-	r.sync()
-	if r.followerState() != StateReady {
+	f := newFixture(200)
+	put(t, f.store, "job/1", "short")
+	f.sync()
+	if f.followerState() != StateReady {
 		t.Fatal("not ready")
 	}
-	put(t, r.state, "job/2", string(make([]byte, 300)))
-	r.sync()
-	s := r.follower.Status(r.now)
+	put(t, f.store, "job/2", string(make([]byte, 300)))
+	f.sync()
+	s := f.follower.Status(f.now)
 	if s.State != StateFull || s.Bytes != 0 || !errors.Is(s.Reason, ErrReplicaFull) {
 		t.Errorf("%+v", s)
 	}
-	reads := len(r.reads)
+	reads := len(f.reads)
 	for range 30 {
-		r.sync()
+		f.sync()
 	}
-	if len(r.reads) != reads {
-		t.Errorf("%d reads within half a minute", len(r.reads)-reads)
+	if len(f.reads) != reads {
+		t.Errorf("%d reads within half a minute", len(f.reads)-reads)
 	}
 }
 
 // TestCatchUp: a replica is brought up to the epoch, and is of no use if it can't be
 // shown to be complete up to it.
 func TestCatchUp(t *testing.T) {
-	r := newFixture(testMaxBytes)
-	if _, _, err := CatchUp(r.follower.Replica(), 1, r.state.Watch); !errors.Is(err, ErrNotLoaded) {
+	f := newFixture(testMaxBytes)
+	if _, _, err := CatchUp(f.follower.Replica(), 1, f.store.Watch); !errors.Is(err, ErrNotLoaded) {
 		t.Errorf("without a replica: %v", err)
 	}
-	put(t, r.state, "job/1", 1)
-	r.sync()
-	put(t, r.state, "job/2", 1)
-	put(t, r.state, "round/1", 1)
-	put(t, r.state, "leader", "n0")
-	stored, since, err := CatchUp(r.follower.Replica(), 4, r.state.Watch)
+	put(t, f.store, "job/1", 1)
+	f.sync()
+	put(t, f.store, "job/2", 1)
+	put(t, f.store, "round/1", 1)
+	put(t, f.store, "leader", "n0")
+	stored, since, err := CatchUp(f.follower.Replica(), 4, f.store.Watch)
 	if err != nil || len(stored.Jobs) != 2 || len(stored.Rounds) != 1 || since != 4 {
 		t.Errorf("%+v since %d, %v", stored, since, err)
 	}
-	if _, _, err := CatchUp(r.follower.Replica(), 5, r.state.Watch); !errors.Is(err, ErrOutOfOrder) {
+	if _, _, err := CatchUp(f.follower.Replica(), 5, f.store.Watch); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("complete up to before the epoch: %v", err)
 	}
-	r.state.RetainedChanges = 1
-	if _, _, err := CatchUp(r.follower.Replica(), 4, r.state.Watch); !errors.Is(err, kvstore.ErrCompacted) {
+	f.store.RetainedChanges = 1
+	if _, _, err := CatchUp(f.follower.Replica(), 4, f.store.Watch); !errors.Is(err, kvstore.ErrCompacted) {
 		t.Errorf("after a gap: %v", err)
 	}
 }
