--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock holds the monotonic instants by which the pure parts reckon, and the clock of
 // a running process. Time reaches the pure parts as an argument of every step; only the actors
-// read a Clock.
+// around them read a Clock.
 package clock
 
 import "time"
 
-// Instant is a reading of this process's steady clock. It means nothing to
+// Instant is a reading of this process's monotonic clock. It means nothing to
 // any other process and is never stored.
 type Instant time.Duration
 
@@ -18,9 +18,11 @@
 // Before tells whether t comes before u.
 func (t Instant) Before(u Instant) bool { return t < u }
 
-// Clock reads the steady clock and the time of day.
+// Clock reads the monotonic clock and the time of day.
 type Clock interface {
+	// Now reads the monotonic clock.
 	Now() Instant
+	// Wall reads the time of day, which may jump.
 	Wall() time.Time
 }
 
@@ -35,17 +37,16 @@
 func (c *System) Now() Instant { return Instant(time.Since(c.start)) }
 
 // Wall implements Clock.
-func (c *System) Wall() time.Time { return time.Now() }
+func (*System) Wall() time.Time { return time.Now() }
 
-// Seconds turns a number of seconds, as settings and messages carry them,
-// into a duration. Numbers out of range are clamped.
+// maxSeconds bounds what Seconds returns: some 68 years.
+const maxSeconds = 1 << 31
+
+// Seconds turns a number of seconds, as settings and messages carry them, into a duration. What
+// is not above 0 counts as 0, and what is above maxSeconds as maxSeconds.
 func Seconds(s float64) time.Duration {
-	const most = 1 << 31
-	if !(s > 0) {
+	if !(s > 0) { // also if it is not a number
 		return 0
 	}
-	if s > most {
-		s = most
-	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,6 +1,6 @@
 // Package ident holds the identifiers and version numbers that all packages share. Each has a
 // type of its own, so that an epoch cannot be mistaken for an attempt, nor a job for a task.
-// Where they are stored and compared is up to the callers.
+// It owns their text forms; where they come from and are stored is left to the callers.
 package ident
 
 import (
@@ -24,56 +24,62 @@
 // MachineID names a machine of the cloud. Names sort in order of creation.
 type MachineID string
 
-// Team names the team whose guarantee and limit a job counts against.
+// Team names the team against whose quota a job counts.
 type Team string
 
-// Zone names a zone.
+// Zone names a zone of the cloud.
 type Zone string
 
-// MachineType names a kind of machine that the cloud rents.
+// MachineType names a kind of machine that the cloud provisions.
 type MachineType string
 
-// Image names the bundle a task needs on its machine.
+// Image names what a task needs to be fetched to its machine.
 type Image string
 
-// Class names the class of jobs that an objective speaks of.
+// Class names a class of jobs with a service-level objective of its own.
 type Class string
 
-// Epoch is the stamp of the leader key: the fencing token of the leader and
-// the token of the workers.
+// Epoch is the revision of the leader key: the fencing token of the leader's writes and of its
+// commands to agents; 0 means no leader.
 type Epoch uint64
 
-// Revision is the stamp of a key of the state service; 0 means absent.
+// Revision counts the changes of the state service. That of a key is the revision that last
+// changed it; 0 means that it does not exist.
 type Revision uint64
 
-// Attempt numbers the launches of a task. It is the number of the round that
-// decided the launch, so it rises for ever.
+// Attempt numbers the starts of a task. It is the number of the round that decided the start,
+// so it rises for ever.
 type Attempt uint64
 
-// RoundNo numbers rounds; it never repeats.
+// RoundNo numbers scheduling rounds; it never repeats.
 type RoundNo uint64
 
-// Session numbers the sessions of a worker.
+// Session numbers the incarnations of a machine's agent.
 type Session uint64
 
-// HeartbeatSeq orders the messages of one worker within a session.
+// HeartbeatSeq orders the messages of one agent within a session.
 type HeartbeatSeq uint64
 
-// LeaseID is the id of a lease at the state service.
+// LeaseID names a lease of the state service.
 type LeaseID uint64
 
-const jobIDPrefix = "wk-"
+const (
+	jobIDPrefix      = "wk-"
+	minJobIDDigits   = 6
+	maxJobIDDigits   = 12
+	maxTaskNumDigits = 9
+)
 
-// ParseJobID checks the form of a job id: "wk-" and 6 to 12 digits.
+// ParseJobID reads a job id, which is "wk-" and 6 to 12 digits.
 func ParseJobID(s string) (JobID, error) {
 	digits, ok := strings.CutPrefix(s, jobIDPrefix)
-	if !ok || len(digits) < 6 || len(digits) > 12 || !allDigits(digits) {
+	if !ok || len(digits) < minJobIDDigits || len(digits) > maxJobIDDigits || !allDigits(digits) {
 		return "", fmt.Errorf("job id %.32q is not %s and digits", s, jobIDPrefix)
 	}
 	return JobID(s), nil
 }
 
-// String renders a task as its workers know it, such as wk-000412/3.
+// String returns the id as agents know it, such as wk-000412/3.
 func (t TaskID) String() string {
 	return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10)
 }
@@ -81,7 +87,7 @@
 // ParseTaskID reads what String writes.
 func ParseTaskID(s string) (TaskID, error) {
 	job, index, ok := strings.Cut(s, "/")
-	if !ok || len(index) > 9 || !allDigits(index) {
+	if !ok || len(index) > maxTaskNumDigits || !allDigits(index) {
 		return TaskID{}, fmt.Errorf("task id %.48q has no task number", s)
 	}
 	id, err := ParseJobID(job)
