--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,67 +1,20 @@
-// Package wire holds what the decoders of outside messages share. The library
-// that reads MessagePack allocates what a list claims to hold before reading
-// it, and coerces types; these types bound the one and refuse the other.
 package wire
 
 import (
-	"bytes"
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"math"
-	"net/http"
 
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// NewRequest makes a request whose body, if any, is MessagePack.
-func NewRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
-	var rd io.Reader
-	if body != nil {
-		data, err := msgpack.Marshal(body)
-		if err != nil {
-			return nil, fmt.Errorf("encoding: %w", err)
-		}
-		rd = bytes.NewReader(data)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, url, rd)
-	if err != nil {
-		return nil, err
-	}
-	req.Header.Set("Content-Type", ContentType)
-	return req, nil
-}
-
-// ErrResponseTooLarge says that an answer is larger than what is read of one.
-var ErrResponseTooLarge = errors.New("answer too large")
-
-// Do sends a request and reads the whole answer, up to limit bytes.
-func Do(c *http.Client, req *http.Request, limit int64) (int, []byte, error) {
-	resp, err := c.Do(req)
-	if err != nil {
-		return 0, nil, err
-	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
-	if err != nil {
-		return 0, nil, err
-	}
-	if int64(len(data)) > limit {
-		return 0, nil, ErrResponseTooLarge
-	}
-	return resp.StatusCode, data, nil
-}
-
-// ContentType is the media type of every body.
-const ContentType = "application/msgpack"
-
-// maxListElements bounds a list whatever it claims.
-const maxListElements = 1 << 17
-
-// maxNestingDepth bounds how deep a value that is skipped may nest.
-const maxNestingDepth = 16
+const (
+	// maxListElements bounds a list whatever it claims.
+	maxListElements = 1 << 17
+	// maxNestingDepth bounds how deep a value that is skipped may nest.
+	maxNestingDepth = 16
+)
 
 // BoundedList is a list whose memory grows with what is read, not with what the
 // message claims.
@@ -69,15 +22,12 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (l *BoundedList[T]) DecodeMsgpack(d *msgpack.Decoder) error {
-	n, err := d.DecodeArrayLen()
+	n, err := DecodeArrayLen(d)
 	if err != nil {
 		return err
 	}
-	if n > maxListElements {
-		return fmt.Errorf("list of %d elements", n)
-	}
 	*l = nil
-	for range max(n, 0) {
+	for range n {
 		var v T
 		if err := d.Decode(&v); err != nil {
 			return err
@@ -87,6 +37,18 @@
 	return nil
 }
 
+// DecodeArrayLen reads the head of a list and bounds what it claims. Null has no elements.
+func DecodeArrayLen(d *msgpack.Decoder) (int, error) {
+	n, err := d.DecodeArrayLen()
+	if err != nil {
+		return 0, err
+	}
+	if n > maxListElements {
+		return 0, fmt.Errorf("list of %d elements", n)
+	}
+	return max(n, 0), nil
+}
+
 // Skip passes over a value that nests no deeper than allowed.
 func Skip(d *msgpack.Decoder) error { return skip(d, 0) }
 
@@ -97,7 +59,7 @@
 	}
 	n := 0
 	switch {
-	case msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32:
+	case isMap(code):
 		n, err = d.DecodeMapLen()
 		n *= 2
 	case msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32:
@@ -119,15 +81,15 @@
 	return nil
 }
 
-// DecodeMap reads a map with text keys, handing each value to the reader of its key;
-// what has no reader is skipped.
+// DecodeMap reads a map with text keys, handing each value to the decoder of its key;
+// what has no decoder is skipped.
 func DecodeMap(d *msgpack.Decoder, fields map[string]func(*msgpack.Decoder) error) error {
 	code, err := d.PeekCode()
 	if err != nil {
 		return err
 	}
-	if !msgpcode.IsFixedMap(code) && code != msgpcode.Map16 && code != msgpcode.Map32 {
-		return fmt.Errorf("not a map")
+	if !isMap(code) {
+		return errors.New("not a map")
 	}
 	n, err := d.DecodeMapLen()
 	if err != nil {
@@ -138,11 +100,11 @@
 		if err != nil {
 			return err
 		}
-		read := fields[key]
-		if read == nil {
-			read = Skip
+		decode := fields[key]
+		if decode == nil {
+			decode = Skip
 		}
-		if err := read(d); err != nil {
+		if err := decode(d); err != nil {
 			return fmt.Errorf("%.40s: %w", key, err)
 		}
 	}
@@ -165,7 +127,7 @@
 		return "", err
 	}
 	if !msgpcode.IsString(code) {
-		return "", fmt.Errorf("not a text")
+		return "", errors.New("not a text")
 	}
 	return d.DecodeString()
 }
@@ -177,7 +139,7 @@
 		return false, err
 	}
 	if code != msgpcode.True && code != msgpcode.False {
-		return false, fmt.Errorf("not a truth value")
+		return false, errors.New("not a truth value")
 	}
 	return d.DecodeBool()
 }
@@ -190,7 +152,7 @@
 		return 0, err
 	}
 	if !isInt(code) && code != msgpcode.Float && code != msgpcode.Double {
-		return 0, fmt.Errorf("not a number")
+		return 0, errors.New("not a number")
 	}
 	v, err := d.DecodeFloat64()
 	if err != nil {
@@ -209,7 +171,7 @@
 		return 0, err
 	}
 	if !isInt(code) {
-		return 0, fmt.Errorf("not a whole number")
+		return 0, errors.New("not a whole number")
 	}
 	if isSigned(code) {
 		v, err := d.DecodeInt64()
@@ -221,6 +183,10 @@
 	return d.DecodeUint64()
 }
 
+func isMap(code byte) bool {
+	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
+}
+
 func isInt(code byte) bool {
 	switch code {
 	case msgpcode.Uint8, msgpcode.Uint16, msgpcode.Uint32, msgpcode.Uint64:
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -17,11 +17,11 @@
 
 // goldenForms are the encodings that others read.
 type goldenForms struct {
-	Packed            string `json:"packed"`
-	Squeezed          string `json:"squeezed"` // hex of the MessagePack value
-	SqueezedForRecord string `json:"squeezed_for_record"`
-	Request           string `json:"request"` // method, address, media type, body in hex
-	PackedLen         []int  `json:"packed_len"`
+	Packed           string `json:"packed"`
+	Compressed       string `json:"squeezed"` // hex of the MessagePack value
+	CompressedRecord string `json:"squeezed_for_record"`
+	Request          string `json:"request"` // method, address, media type, body in hex
+	PackedLen        []int  `json:"packed_len"`
 }
 
 type goldenBody struct {
@@ -42,15 +42,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	squeezed, err := CompressMessage(bodyForGolden())
+	compressed, err := CompressMessage(bodyForGolden())
 	if err != nil {
 		t.Fatal(err)
 	}
-	value, err := msgpack.Marshal(squeezed)
+	value, err := msgpack.Marshal(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	forRecord, err := CompressRecord(encodeBody)
+	record, err := CompressRecord(encodeBody)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return goldenForms{Packed: string(packed), Squeezed: hex.EncodeToString(value), SqueezedForRecord: string(forRecord),
+	return goldenForms{Packed: string(packed), Compressed: hex.EncodeToString(value), CompressedRecord: string(record),
 		Request:   req.Method + " " + req.URL.String() + " " + req.Header.Get("Content-Type") + " " + hex.EncodeToString(body),
 		PackedLen: []int{PackedLen(0), PackedLen(1), PackedLen(2), PackedLen(3), PackedLen(1000)}}
 }
@@ -70,11 +70,11 @@
 // readForms decodes each form and returns the body that it holds.
 func readForms(t *testing.T, f goldenForms) map[string]goldenBody {
 	t.Helper()
-	var packed, squeezed, forRecord goldenBody
+	var packed, compressed, record goldenBody
 	if err := Packed(f.Packed).Unpack(func(d *msgpack.Decoder) error { return d.Decode(&packed) }); err != nil {
 		t.Error(err)
 	}
-	value, err := hex.DecodeString(f.Squeezed)
+	value, err := hex.DecodeString(f.Compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,14 +82,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(data, &squeezed); err != nil {
+	if err := msgpack.Unmarshal(data, &compressed); err != nil {
 		t.Error(err)
 	}
-	read := func(d *msgpack.Decoder) error { return d.Decode(&forRecord) }
-	if err := Packed(f.SqueezedForRecord).DecompressRecord(1<<10, read); err != nil {
+	read := func(d *msgpack.Decoder) error { return d.Decode(&record) }
+	if err := Packed(f.CompressedRecord).DecompressRecord(1<<10, read); err != nil {
 		t.Error(err)
 	}
-	return map[string]goldenBody{"packed": packed, "squeezed": squeezed, "squeezed for a record": forRecord}
+	return map[string]goldenBody{"packed": packed, "compressed message": compressed, "compressed record": record}
 }
 
 // TestGoldenForms: what is packed is the same byte by byte. Compressed forms are read
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	written.Squeezed, written.SqueezedForRecord = golden.Squeezed, golden.SqueezedForRecord
+	written.Compressed, written.CompressedRecord = golden.Compressed, golden.CompressedRecord
 	if diff := cmp.Diff(golden, written); diff != "" {
 		t.Errorf("written otherwise: %s", diff)
 	}
