--- a/internal/chunk/golden_test.go
+++ b/internal/chunk/golden_test.go
@@ -13,21 +13,21 @@
 	"badgerbay/internal/wire"
 )
 
-//go:embed testdata/golden/parts.json
-var goldenParts []byte
+//go:embed testdata/golden/chunks.json
+var goldenChunks []byte
 
-// goldenText is a text as it is stored: what its record keeps, and its parts.
+// goldenText is a text as it is stored: what its record keeps, and its chunks.
 type goldenText struct {
 	Head     string   `json:"head"`
 	Sum      uint32   `json:"sum"`
 	Keys     []string `json:"keys"`
-	MsgPack  []string `json:"msgpack"` // hex, of each part
+	MsgPack  []string `json:"msgpack"` // hex, of each chunk
 	JSON     []string `json:"json"`    // the form in which sizes are counted
 	Capacity int      `json:"capacity"`
 }
 
 const (
-	goldenRoom   = 10
+	goldenHead   = 10
 	goldenLimit  = 104 // bytes
 	goldenSchema = 3
 )
@@ -43,17 +43,17 @@
 
 func encodeText(t *testing.T, text wire.Packed) goldenText {
 	t.Helper()
-	head, rest, err := Split(text, goldenRoom, goldenLimit, MaxChunks, goldenSchema)
+	head, chunks, err := Split(text, Limits{HeadBytes: goldenHead, ValueBytes: goldenLimit, Chunks: MaxChunks}, goldenSchema)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := goldenText{Head: string(head), Sum: Checksum(text), Capacity: Capacity(goldenLimit, len(rest))}
-	for i, part := range rest {
-		data, err := msgpack.Marshal(part)
+	out := goldenText{Head: string(head), Sum: Checksum(text), Capacity: Capacity(goldenLimit, len(chunks))}
+	for i, value := range chunks {
+		data, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		inJSON, err := json.Marshal(part)
+		inJSON, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,10 +64,10 @@
 	return out
 }
 
-// TestGoldenParts: what this version splits is what versions before and after join.
-func TestGoldenParts(t *testing.T) {
+// TestGoldenChunks: what this version splits is what versions before and after join.
+func TestGoldenChunks(t *testing.T) {
 	var golden map[string]goldenText
-	if err := json.Unmarshal(goldenParts, &golden); err != nil {
+	if err := json.Unmarshal(goldenChunks, &golden); err != nil {
 		t.Fatal(err)
 	}
 	texts := storedTexts()
--- a/internal/indexset/golden_test.go
+++ b/internal/indexset/golden_test.go
@@ -16,7 +16,7 @@
 //go:embed testdata/golden/sets.json
 var goldenSets []byte
 
-// goldenSet holds both stored forms of a set, and what is reckoned for the packed one.
+// goldenSet holds both stored forms of a set, and the bound of the packed one's size.
 type goldenSet struct {
 	List   string `json:"list"`   // hex
 	Packed string `json:"packed"` // hex
@@ -34,17 +34,17 @@
 	}
 }
 
-func encodeSet(t *testing.T, r Set) goldenSet {
+func encodeSet(t *testing.T, set Set) goldenSet {
 	t.Helper()
-	list, err := msgpack.Marshal(r)
+	list, err := msgpack.Marshal(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var packed bytes.Buffer
-	if err := r.EncodeDelta(msgpack.NewEncoder(&packed)); err != nil {
+	if err := set.EncodeDelta(msgpack.NewEncoder(&packed)); err != nil {
 		t.Fatal(err)
 	}
-	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: r.DeltaSizeBound()}
+	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: set.DeltaSizeBound()}
 }
 
 func unhex(t *testing.T, s string) []byte {
--- a/internal/indexset/indexset.go
+++ b/internal/indexset/indexset.go
@@ -4,12 +4,10 @@
 package indexset
 
 import (
-	"errors"
-	"math"
+	"iter"
+	"slices"
 	"sort"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"badgerbay/internal/ident"
 )
 
@@ -29,103 +27,6 @@
 // spans. The zero value is the empty set.
 type Set []Span
 
-// EncodeDelta writes the set as one list of numbers: what lies between a span and the
-// one before it, then its length less one, and so on. Most take one byte.
-func (r Set) EncodeDelta(e *msgpack.Encoder) error {
-	if err := e.EncodeArrayLen(2 * len(r)); err != nil {
-		return err
-	}
-	next := ident.TaskIndex(0)
-	for _, s := range r {
-		if err := e.EncodeUint(uint64(s.First - next)); err != nil {
-			return err
-		}
-		if err := e.EncodeUint(uint64(s.Last - s.First)); err != nil {
-			return err
-		}
-		next = s.Last
-	}
-	return nil
-}
-
-// DecodeDelta reads what Pack wrote. The caller checks it with Valid.
-func (r *Set) DecodeDelta(d *msgpack.Decoder) error {
-	n, err := d.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	if n > 2*maxSpans || n%2 != 0 {
-		return errors.New("set of too many spans, or of half a one")
-	}
-	*r = nil
-	next := uint64(0)
-	for range max(n, 0) / 2 {
-		gap, err := d.DecodeUint64()
-		if err != nil {
-			return err
-		}
-		more, err := d.DecodeUint64()
-		if err != nil {
-			return err
-		}
-		if gap > math.MaxUint32 || more > math.MaxUint32 || next+gap+more > math.MaxUint32 {
-			return errors.New("set with an index out of range")
-		}
-		*r = append(*r, Span{First: ident.TaskIndex(next + gap), Last: ident.TaskIndex(next + gap + more)})
-		next += gap + more
-	}
-	return nil
-}
-
-// DeltaSizeBound is the number of bytes that Pack writes.
-func (r Set) DeltaSizeBound() int {
-	n := 5
-	next := ident.TaskIndex(0)
-	for _, s := range r {
-		n += UintSize(uint64(s.First-next)) + UintSize(uint64(s.Last-s.First))
-		next = s.Last
-	}
-	return n
-}
-
-// UintSize is the number of bytes that a number takes in MessagePack.
-func UintSize(n uint64) int {
-	switch {
-	case n < 1<<7:
-		return 1
-	case n < 1<<8:
-		return 2
-	case n < 1<<16:
-		return 3
-	case n < 1<<32:
-		return 5
-	}
-	return 9
-}
-
-// maxSpans bounds what is read back of a set.
-const maxSpans = 1 << 16
-
-// DecodeMsgpack reads a set, allocating no more than is there.
-func (r *Set) DecodeMsgpack(d *msgpack.Decoder) error {
-	n, err := d.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	if n > maxSpans {
-		return errors.New("set of too many spans")
-	}
-	*r = nil
-	for range max(n, 0) {
-		var s Span
-		if err := d.Decode(&s); err != nil {
-			return err
-		}
-		*r = append(*r, s)
-	}
-	return nil
-}
-
 // Full returns the set of the first n indexes.
 func Full(n int) Set {
 	if n <= 0 {
@@ -135,96 +36,120 @@
 }
 
 // Len counts the indexes in the set.
-func (r Set) Len() int {
+func (s Set) Len() int {
 	n := 0
-	for _, s := range r {
-		n += s.Len()
+	for _, span := range s {
+		n += span.Len()
 	}
 	return n
 }
 
 // Contains tells whether i is in the set.
-func (r Set) Contains(i ident.TaskIndex) bool {
-	k := sort.Search(len(r), func(k int) bool { return r[k].Last >= i })
-	return k < len(r) && r[k].First <= i
+func (s Set) Contains(i ident.TaskIndex) bool {
+	k := s.search(i)
+	return k < len(s) && s[k].First <= i
+}
+
+// search returns the position of the first span that ends at i or later.
+func (s Set) search(i ident.TaskIndex) int {
+	return sort.Search(len(s), func(k int) bool { return s[k].Last >= i })
 }
 
 // Valid tells whether the spans are sorted, disjoint, non-adjacent and below n.
-func (r Set) Valid(n int) bool {
+func (s Set) Valid(n int) bool {
 	next := 0
-	for k, s := range r {
-		if s.First > s.Last || int(s.Last) >= n || int(s.First) < next || (k > 0 && int(s.First) == next) {
+	for k, span := range s {
+		if span.First > span.Last || int(span.Last) >= n || int(span.First) < next || (k > 0 && int(span.First) == next) {
 			return false
 		}
-		next = int(s.Last) + 1
+		next = int(span.Last) + 1
 	}
 	return true
 }
 
 // Add puts i into the set and tells whether it was new.
-func (r *Set) Add(i ident.TaskIndex) bool {
-	s := *r
-	k := sort.Search(len(s), func(k int) bool { return s[k].Last >= i })
-	if k < len(s) && s[k].First <= i {
+func (s *Set) Add(i ident.TaskIndex) bool {
+	spans := *s
+	k := spans.search(i)
+	if k < len(spans) && spans[k].First <= i {
 		return false
 	}
-	joinsLeft := k > 0 && s[k-1].Last+1 == i
-	joinsRight := k < len(s) && s[k].First == i+1
+	joinsLeft := k > 0 && spans[k-1].Last+1 == i
+	joinsRight := k < len(spans) && spans[k].First == i+1
 	switch {
 	case joinsLeft && joinsRight:
-		s[k-1].Last = s[k].Last
-		s = append(s[:k], s[k+1:]...)
+		spans[k-1].Last = spans[k].Last
+		spans = deleteSpan(spans, k)
 	case joinsLeft:
-		s[k-1].Last = i
+		spans[k-1].Last = i
 	case joinsRight:
-		s[k].First = i
+		spans[k].First = i
 	default:
-		s = append(s, Span{})
-		copy(s[k+1:], s[k:])
-		s[k] = Span{First: i, Last: i}
+		spans = slices.Insert(spans, k, Span{First: i, Last: i})
 	}
-	*r = s
+	*s = spans
 	return true
 }
 
 // Remove takes i out of the set and tells whether it was there.
-func (r *Set) Remove(i ident.TaskIndex) bool {
-	s := *r
-	k := sort.Search(len(s), func(k int) bool { return s[k].Last >= i })
-	if k == len(s) || s[k].First > i {
+func (s *Set) Remove(i ident.TaskIndex) bool {
+	spans := *s
+	k := spans.search(i)
+	if k == len(spans) || spans[k].First > i {
 		return false
 	}
-	old := s[k]
+	old := spans[k]
 	switch {
 	case old.First == i && old.Last == i:
-		s = append(s[:k], s[k+1:]...)
+		spans = deleteSpan(spans, k)
 	case old.First == i:
-		s[k].First++
+		spans[k].First++
 	case old.Last == i:
-		s[k].Last--
+		spans[k].Last--
 	default:
-		s = append(s, Span{})
-		copy(s[k+1:], s[k:])
-		s[k].Last = i - 1
-		s[k+1].First = i + 1
+		spans = slices.Insert(spans, k+1, Span{First: i + 1, Last: old.Last})
+		spans[k].Last = i - 1
 	}
-	*r = s
+	*s = spans
 	return true
 }
 
+// deleteSpan takes span k out. Unlike slices.Delete it does not clear the element that is left
+// over: an iteration under way over the same array would take a zero span for index 0.
+func deleteSpan(spans Set, k int) Set { return append(spans[:k], spans[k+1:]...) }
+
+// Complement returns the set of those of the first n indexes that are not in s.
+func (s Set) Complement(n int) Set {
+	var missing Set
+	next := ident.TaskIndex(0)
+	for _, span := range s {
+		if span.First > next {
+			missing = append(missing, Span{First: next, Last: span.First - 1})
+		}
+		next = span.Last + 1
+	}
+	if int(next) < n {
+		missing = append(missing, Span{First: next, Last: ident.TaskIndex(n - 1)})
+	}
+	return missing
+}
+
+// All iterates over the indexes in order.
+func (s Set) All() iter.Seq[ident.TaskIndex] { return s.Each }
+
 // Each calls f for every index in order until f returns false.
-func (r Set) Each(f func(ident.TaskIndex) bool) {
-	for _, s := range r {
-		for i := s.First; ; i++ {
+func (s Set) Each(f func(ident.TaskIndex) bool) {
+	for _, span := range s {
+		for i := span.First; ; i++ {
 			if !f(i) {
 				return
 			}
-			if i == s.Last {
+			if i == span.Last {
 				break
 			}
 		}
 	}
 }
 
-// Clone returns a copy that shares nothing with r.
-func (r Set) Clone() Set { return append(Set(nil), r...) }
+// Clone returns a copy that shares nothing with s.
+func (s Set) Clone() Set { return append(Set(nil), s...) }
--- a/internal/indexset/indexset_test.go
+++ b/internal/indexset/indexset_test.go
@@ -1,6 +1,8 @@
 package indexset
 
 import (
+	"maps"
+	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -10,42 +12,52 @@
 	"badgerbay/internal/ident"
 )
 
-// TestRangesAgainstSet compares Ranges with a plain set under random changes.
-func TestRangesAgainstSet(t *testing.T) {
+// TestSetAgainstMap compares a Set with a map under random changes.
+func TestSetAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 40
-		var r Set
-		set := map[ident.TaskIndex]bool{}
+		var set Set
+		model := map[ident.TaskIndex]bool{}
 		for _, step := range rapid.SliceOf(rapid.IntRange(-n, n-1)).Draw(t, "steps") {
 			if step >= 0 {
 				i := ident.TaskIndex(step)
-				if r.Add(i) == set[i] {
+				if set.Add(i) == model[i] {
 					t.Fatalf("Add(%d) misjudged", i)
 				}
-				set[i] = true
+				model[i] = true
 			} else {
 				i := ident.TaskIndex(-step - 1)
-				if r.Remove(i) != set[i] {
+				if set.Remove(i) != model[i] {
 					t.Fatalf("Remove(%d) misjudged", i)
 				}
-				delete(set, i)
+				delete(model, i)
 			}
-			if !r.Valid(n) {
-				t.Fatalf("not normal: %v", r)
+			if !set.Valid(n) {
+				t.Fatalf("not normal: %v", set)
 			}
 		}
-		if r.Len() != len(set) {
-			t.Fatalf("Len %d, want %d", r.Len(), len(set))
+		if set.Len() != len(model) {
+			t.Fatalf("Len %d, want %d", set.Len(), len(model))
+		}
+		if got, want := slices.Collect(set.All()), slices.Sorted(maps.Keys(model)); !slices.Equal(got, want) {
+			t.Fatalf("All() = %v, want %v", got, want)
+		}
+		complement := set.Complement(n)
+		if !complement.Valid(n) {
+			t.Fatalf("complement not normal: %v", complement)
 		}
 		for i := range ident.TaskIndex(n) {
-			if r.Contains(i) != set[i] {
-				t.Fatalf("Has(%d) = %v", i, r.Contains(i))
+			if complement.Contains(i) == model[i] {
+				t.Fatalf("complement of %v contains %d: %v", set, i, complement.Contains(i))
+			}
+			if set.Contains(i) != model[i] {
+				t.Fatalf("Contains(%d) = %v", i, set.Contains(i))
 			}
 		}
 	})
 }
 
-func TestRangesRoundTrip(t *testing.T) {
+func TestSetRoundTrip(t *testing.T) {
 	in := Set{{First: 0, Last: 3}, {First: 5, Last: 5}}
 	data, err := msgpack.Marshal(in)
 	if err != nil {
--- a/internal/jobs/chunks.go
+++ b/internal/jobs/chunks.go
@@ -10,32 +10,45 @@
 	"badgerbay/internal/wire"
 )
 
-// ChunkKey is the key of a part of a job's record; the first is number 1.
-func ChunkKey(id ident.JobID, n int) string { return chunk.Key(string(id), n) }
+const (
+	// chunkBankSize is how many chunks one write of a record may have. A record of
+	// schemaMultiTxn uses one of two banks of chunk numbers, the one that the stored
+	// record does not.
+	chunkBankSize = chunk.MaxChunks / 2
+	// maxDecompressedBytes bounds what a compressed record may hold.
+	maxDecompressedBytes = 4 << 20
+)
 
-// chunkBankSize is how many parts one write of a record may have. A staged record
-// uses one of two banks of part numbers, the one that the stored record does not.
-const chunkBankSize = chunk.MaxChunks / 2
+// ChunkKey is the key of a chunk of a job's record; the first is number 1.
+func ChunkKey(id ident.JobID, number int) string { return chunk.Key(string(id), number) }
 
-// ChunkInfo is what a record says of its parts.
+// ChunkInfo is what a record says of its chunks.
 type ChunkInfo struct {
 	Chunks   int    `msgpack:"n" json:"n"`
 	Checksum uint32 `msgpack:"s" json:"s"`
-	// DoneTasks and Live count tasks, for those who read the record alone.
+	// DoneTasks and LiveTasks are counts for those who read the record without its chunks.
 	DoneTasks int `msgpack:"d" json:"d"`
 	LiveTasks int `msgpack:"l" json:"l"`
-	// Offset is the number before that of the first part; see Stage.
+	// Offset is the number before that of the first chunk; see SplitMultiTxn.
 	Offset int `msgpack:"f,omitempty" json:"f,omitempty"`
 }
 
-func (r *Record) newChunkInfo(text wire.Packed) *ChunkInfo {
-	return &ChunkInfo{Checksum: chunk.Checksum(text), DoneTasks: r.Done.Len(), LiveTasks: r.LiveTasks(), Chunks: chunk.MaxChunks}
+// validate refuses numbers of chunks that no version of the program writes.
+func (c *ChunkInfo) validate() error {
+	if c.Chunks < 0 || c.Chunks > chunk.MaxChunks || c.Offset < 0 || c.Offset > chunk.MaxChunks {
+		return fmt.Errorf("%w: impossible chunks", ErrInvalidRecord)
+	}
+	return nil
 }
 
-// Split returns the record as it is stored where a value holds limit bytes in
-// JSON and at most values may be written, the record's own included. size
-// measures a value. With one value only, the record is plain, and may be too
-// large: versions that know no parts serve.
+func (r *Record) newChunkInfo(text wire.Packed, chunks int) *ChunkInfo {
+	return &ChunkInfo{Chunks: chunks, Checksum: chunk.Checksum(text), DoneTasks: r.Done.Len(), LiveTasks: r.LiveTasks()}
+}
+
+// Split returns the record as it is stored, and its chunks, where a value holds limit bytes in
+// JSON and at most so many values may be written, the record's own included. size measures a
+// value. With one value only, the record has schemaPlain and may be too large: versions of the
+// program serve that know no chunks.
 func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
 	if err != nil || values <= 1 || size(plain) <= limit {
@@ -46,109 +59,87 @@
 		return nil, nil, err
 	}
 	out := *plain
-	out.SchemaVersion, out.Packed = schemaChunked, text[:1] // for its name to be counted
-	out.ChunkInfo = r.newChunkInfo(text)
-	head, rest, err := chunk.Split(text, limit-size(&out), limit, values-1, schemaChunked)
+	out.SchemaVersion = schemaChunked
+	out.Packed = text[:1] // so that the measure has its field's name
+	out.ChunkInfo = r.newChunkInfo(text, chunk.MaxChunks)
+	limits := chunk.Limits{HeadBytes: limit - size(&out), ValueBytes: limit, Chunks: values - 1}
+	head, chunks, err := chunk.Split(text, limits, schemaChunked)
 	if err != nil {
 		return nil, nil, fmt.Errorf("job record: %w", err)
 	}
-	out.Packed, out.ChunkInfo.Chunks = head, len(rest)
-	return &out, rest, nil
+	out.Packed, out.ChunkInfo.Chunks = head, len(chunks)
+	return &out, chunks, nil
 }
 
 // SplitMultiTxn returns the record as it is stored in several transactions, whatever its
-// size: the parts first, in the bank that the stored record does not use, then
+// size: the chunks first, in the bank that the stored record does not use, then
 // the record itself, which holds neither spec nor placements. Until that is
-// written the stored one stays whole.
-func (r *Record) SplitMultiTxn(limit, storedFirst int) (*Record, []*chunk.Value, error) {
+// written the stored one stays whole. storedOffset is the offset of the stored record's chunks.
+func (r *Record) SplitMultiTxn(limit, storedOffset int) (*Record, []*chunk.Value, error) {
 	text, err := wire.CompressRecord(r.encodeSpecAndProgress)
 	if err != nil {
 		return nil, nil, err
 	}
-	_, rest, err := chunk.Split(text, 0, limit, chunkBankSize, schemaMultiTxn)
+	_, chunks, err := chunk.Split(text, chunk.Limits{ValueBytes: limit, Chunks: chunkBankSize}, schemaMultiTxn)
 	if err != nil {
 		return nil, nil, fmt.Errorf("job record: %w", err)
 	}
 	out := *r
 	out.SchemaVersion, out.Spec, out.Done, out.Placements, out.Packed = schemaMultiTxn, Spec{}, nil, nil, ""
-	out.ChunkInfo = r.newChunkInfo(text)
-	out.ChunkInfo.Chunks = len(rest)
-	if storedFirst == 0 {
+	out.ChunkInfo = r.newChunkInfo(text, len(chunks))
+	if storedOffset == 0 {
 		out.ChunkInfo.Offset = chunkBankSize
 	}
-	return &out, rest, nil
-}
-
-// encodeSpecAndProgress writes the spec before what pack writes.
-func (r *Record) encodeSpecAndProgress(e *msgpack.Encoder) error {
-	if err := e.Encode(&r.Spec); err != nil {
-		return err
-	}
-	return r.encodeProgress(e)
-}
-
-func (r *Record) decodeSpecAndProgress(d *msgpack.Decoder) error {
-	if err := d.Decode(&r.Spec); err != nil {
-		return err
-	}
-	return r.decodeProgress(d)
-}
-
-// LiveTasks counts the tasks under way.
-func (r *Record) LiveTasks() int {
-	n := 0
-	for _, g := range r.Placements {
-		n += g.Tasks.Len()
-	}
-	return n
+	return &out, chunks, nil
 }
 
-// ChunkNumbers lists the numbers of the parts that a stored record has.
+// ChunkNumbers lists the numbers of the chunks that a stored record has.
 func ChunkNumbers(data []byte) []int {
 	r := new(Record)
-	if err := msgpack.Unmarshal(data, r); err != nil || r.ChunkInfo == nil || !r.ChunkInfo.valid() {
+	if err := msgpack.Unmarshal(data, r); err != nil || r.ChunkInfo == nil || r.ChunkInfo.validate() != nil {
 		return nil
 	}
-	out := make([]int, r.ChunkInfo.Chunks)
-	for i := range out {
-		out[i] = r.ChunkInfo.Offset + i + 1
+	numbers := make([]int, r.ChunkInfo.Chunks)
+	for i := range numbers {
+		numbers[i] = r.ChunkInfo.Offset + i + 1
 	}
-	return out
-}
-
-// valid refuses what no program writes.
-func (o *ChunkInfo) valid() bool {
-	return o.Chunks >= 0 && o.Chunks <= chunk.MaxChunks && o.Offset >= 0 && o.Offset <= chunk.MaxChunks
+	return numbers
 }
 
-// maxDecompressedBytes bounds what a compressed record may hold.
-const maxDecompressedBytes = 4 << 20
-
-// DecodeWithChunks reads a record with its parts. part returns the value of the part
-// with a number, or nil.
-func DecodeWithChunks(data []byte, part func(n int) []byte) (*Record, error) {
+// DecodeWithChunks reads a record with its chunks. chunkData returns the value of the chunk
+// with a number, or nil. The error wraps chunk.ErrTorn if chunks are missing or of another
+// write.
+func DecodeWithChunks(data []byte, chunkData func(number int) []byte) (*Record, error) {
 	r, err := Decode(data)
 	if err != nil || r.ChunkInfo == nil {
 		return r, err
 	}
-	o := r.ChunkInfo
-	text, err := chunk.Join(r.Packed, o.Chunks, o.Checksum, func(k int) []byte { return part(o.Offset + k) })
+	info := r.ChunkInfo
+	text, err := chunk.Join(r.Packed, info.Chunks, info.Checksum, func(n int) []byte { return chunkData(info.Offset + n) })
 	if err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
 	}
-	unpack := r.decodeProgress
+	decode := r.decodeProgress
 	if r.SchemaVersion == schemaMultiTxn {
-		unpack = r.decodeSpecAndProgress
+		decode = r.decodeSpecAndProgress
 	}
-	if err := text.DecompressRecord(maxDecompressedBytes, unpack); err != nil {
+	if err := text.DecompressRecord(maxDecompressedBytes, decode); err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
 	}
-	r.Packed, r.ChunkInfo, r.ChunkOffset = "", nil, o.Offset
+	r.Packed, r.ChunkInfo, r.ChunkOffset = "", nil, info.Offset
 	return r, r.validate()
 }
 
-// RecordCapacity is how much text a record may hold beside its spec where a value
-// holds limit bytes and so many values may be written.
-func RecordCapacity(limit, values, specSize int) int {
-	return limit - specSize - recordOverheadBytes + chunk.Capacity(limit, values-1)
+func (r *Record) encodeSpecAndProgress(e *msgpack.Encoder) error {
+	if err := e.Encode(&r.Spec); err != nil {
+		return err
+	}
+	return r.encodeProgress(e)
+}
+
+func (r *Record) decodeSpecAndProgress(d *msgpack.Decoder) error {
+	if err := d.Decode(&r.Spec); err != nil {
+		return err
+	}
+	return r.decodeProgress(d)
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -19,13 +19,13 @@
 //go:embed testdata/golden/records.json
 var goldenRecords []byte
 
-// goldenRecord is a job's record as it is stored: its value and those of its parts.
+// goldenRecord is a job's record as it is stored: its value and those of its chunks.
 type goldenRecord struct {
 	MsgPack string   `json:"msgpack"` // hex
 	JSON    string   `json:"json"`    // the form in which its size is counted
-	Parts   []string `json:"parts,omitempty"`
-	// First is the number before that of the first part.
-	First int `json:"first,omitempty"`
+	Chunks  []string `json:"parts,omitempty"`
+	// Offset is the number before that of the first chunk.
+	Offset int `json:"first,omitempty"`
 }
 
 func (g goldenRecord) data(t *testing.T) []byte {
@@ -33,8 +33,8 @@
 	return unhex(t, g.MsgPack)
 }
 
-func (g goldenRecord) part(t *testing.T) func(int) []byte {
-	return func(n int) []byte { return unhex(t, g.Parts[n-g.First-1]) }
+func (g goldenRecord) chunkData(t *testing.T) func(int) []byte {
+	return func(number int) []byte { return unhex(t, g.Chunks[number-g.Offset-1]) }
 }
 
 func unhex(t *testing.T, s string) []byte {
@@ -52,7 +52,7 @@
 		Image: "mutabakat-07", ImageGB: 1.5, EstimatedRunSeconds: 33.5, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6, DeadlineSeconds: 95}
 }
 
-func underWay() *Record {
+func withPlacements() *Record {
 	r := NewRecord(fullSpec(), 1764642000123)
 	r.Epoch, r.LastRound, r.Next = 982, 4500, ActionReconcile
 	r.Done = indexset.Set{{First: 0, Last: 3}, {First: 200, Last: 299}}
@@ -70,11 +70,11 @@
 }
 
 const (
-	goldenLimit  = 560 // bytes of a value of a record with parts
+	goldenLimit  = 560 // bytes of a value of a record with chunks
 	goldenValues = 4
 )
 
-func encodeRecord(t *testing.T, r *Record, rest []*chunk.Value) goldenRecord {
+func encodeRecord(t *testing.T, r *Record, chunks []*chunk.Value) goldenRecord {
 	t.Helper()
 	out := goldenRecord{MsgPack: hex.EncodeToString(stored(t, r))}
 	text, err := json.Marshal(r)
@@ -82,11 +82,11 @@
 		t.Fatal(err)
 	}
 	out.JSON = string(text)
-	for _, p := range rest {
-		out.Parts = append(out.Parts, hex.EncodeToString(stored(t, p)))
+	for _, value := range chunks {
+		out.Chunks = append(out.Chunks, hex.EncodeToString(stored(t, value)))
 	}
 	if r.ChunkInfo != nil {
-		out.First = r.ChunkInfo.Offset
+		out.Offset = r.ChunkInfo.Offset
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 // plainRecords are those whose stored form is the same byte by byte.
 func plainRecords(t *testing.T) map[string]goldenRecord {
 	out := map[string]goldenRecord{}
-	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": underWay(), "cancelled": cancelled()} {
+	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": withPlacements(), "cancelled": cancelled()} {
 		plain, err := r.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -104,27 +104,27 @@
 	return out
 }
 
-// compressedRecords are those with compressed parts.
+// compressedRecords are those with compressed chunks.
 func compressedRecords(t *testing.T) map[string]goldenRecord {
-	inParts, parts, err := underWay().Split(goldenLimit, goldenValues, jsonLen)
+	chunked, chunkedValues, err := withPlacements().Split(goldenLimit, goldenValues, jsonLen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	staged, stagedParts, err := underWay().SplitMultiTxn(goldenLimit, 0)
+	staged, stagedValues, err := withPlacements().SplitMultiTxn(goldenLimit, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, againParts, err := underWay().SplitMultiTxn(goldenLimit, chunkBankSize)
+	firstBank, firstBankValues, err := withPlacements().SplitMultiTxn(goldenLimit, chunkBankSize)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return map[string]goldenRecord{"in parts": encodeRecord(t, inParts, parts), "staged": encodeRecord(t, staged, stagedParts),
-		"staged in the first bank": encodeRecord(t, again, againParts)}
+	return map[string]goldenRecord{"in parts": encodeRecord(t, chunked, chunkedValues), "staged": encodeRecord(t, staged, stagedValues),
+		"staged in the first bank": encodeRecord(t, firstBank, firstBankValues)}
 }
 
 func checkRead(t *testing.T, name string, g goldenRecord, want *Record) {
 	t.Helper()
-	got, err := DecodeWithChunks(g.data(t), g.part(t))
+	got, err := DecodeWithChunks(g.data(t), g.chunkData(t))
 	if err != nil {
 		t.Errorf("%s: %v", name, err)
 		return
@@ -133,8 +133,8 @@
 	if diff := cmp.Diff(want, got, ignore, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("%s read otherwise: %s", name, diff)
 	}
-	if got.ChunkOffset != g.First {
-		t.Errorf("%s: parts after number %d, want %d", name, got.ChunkOffset, g.First)
+	if got.ChunkOffset != g.Offset {
+		t.Errorf("%s: chunks after number %d, want %d", name, got.ChunkOffset, g.Offset)
 	}
 }
 
@@ -156,15 +156,15 @@
 	if err := msgpack.Unmarshal(g.data(t), &r); err != nil {
 		t.Fatal(err)
 	}
-	var rest []*chunk.Value
-	for _, text := range g.Parts {
-		p := new(chunk.Value)
-		if err := msgpack.Unmarshal(unhex(t, text), p); err != nil {
+	var chunks []*chunk.Value
+	for _, text := range g.Chunks {
+		value := new(chunk.Value)
+		if err := msgpack.Unmarshal(unhex(t, text), value); err != nil {
 			t.Fatal(err)
 		}
-		rest = append(rest, p)
+		chunks = append(chunks, value)
 	}
-	if diff := cmp.Diff(g, encodeRecord(t, &r, rest)); diff != "" {
+	if diff := cmp.Diff(g, encodeRecord(t, &r, chunks)); diff != "" {
 		t.Errorf("%s rewritten otherwise: %s", name, diff)
 	}
 }
@@ -176,8 +176,8 @@
 	if err := json.Unmarshal(goldenRecords, &golden); err != nil {
 		t.Fatal(err)
 	}
-	wanted := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelled(), "under way": underWay(),
-		"schema 1": underWay(), "in parts": underWay(), "staged": underWay(), "staged in the first bank": underWay()}
+	wanted := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelled(), "under way": withPlacements(),
+		"schema 1": withPlacements(), "in parts": withPlacements(), "staged": withPlacements(), "staged in the first bank": withPlacements()}
 	if len(golden) != len(wanted) {
 		t.Fatalf("%d golden records, want %d", len(golden), len(wanted))
 	}
@@ -196,8 +196,8 @@
 	for name, written := range compressedRecords(t) {
 		checkSchema(t, name+", written", written, schemas[name])
 		checkRead(t, name+", written", written, wanted[name])
-		if written.First != golden[name].First {
-			t.Errorf("%s: parts after number %d, want %d", name, written.First, golden[name].First)
+		if written.Offset != golden[name].Offset {
+			t.Errorf("%s: chunks after number %d, want %d", name, written.Offset, golden[name].Offset)
 		}
 	}
 }
@@ -211,19 +211,18 @@
 	}
 }
 
-// TestGoldenRoom: how many tasks may be under way follows from these figures, and so
+// TestGoldenSpareBytes: how many tasks may be placed follows from these figures, and so
 // does what is scheduled.
-func TestGoldenRoom(t *testing.T) {
-	r := underWay()
+func TestGoldenSpareBytes(t *testing.T) {
+	r := withPlacements()
 	j := NewJob("wk-000412", r, 1, 0)
 	for _, g := range r.Placements {
-		g.Tasks.Each(func(i ident.TaskIndex) bool {
+		for i := range g.Tasks.All() {
 			j.AddPlacement(&Placement{Job: j, Task: i, Machine: g.Machine, Session: g.Session, Attempt: g.Attempt}, "ankara")
-			return true
-		})
+		}
 	}
-	room := j.SpareBytes(8<<10, 1, 420)
-	got := []int{int(room), int(j.SpareBytes(2<<10, 4, 420)), j.FittingTasks(room, "host-000007", 10_000), j.FittingSingleTasks(room),
+	spare := j.SpareBytes(8<<10, 1, 420)
+	got := []int{int(spare), int(j.SpareBytes(2<<10, 4, 420)), j.FittingTasks(spare, "host-000007", 10_000), j.FittingSingleTasks(spare),
 		int(j.GroupBytes("host-000007", 9)), RecordCapacity(8<<10, 4, 420), r.LiveTasks(), len(j.Queue), j.Queue.Len()}
 	if diff := cmp.Diff([]int{2022, 1878, 332, 37, 81, 31900, 465, 31, 1431}, got); diff != "" {
 		t.Error(diff)
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -14,20 +14,34 @@
 // KeyPrefix begins the keys of the job records.
 const KeyPrefix = "job/"
 
-// SchemaVersion is the version of Record. A reader refuses a record of a later
-// schema rather than guess what it means; see docs/operations.md. Up to
-// schema 1 the done ranges and the placements were lists; since 2 they are
-// packed, and lists are still read. schemaPlain is written wherever it fits: the
-// version before reads it. A record of schemaParts is compressed and may continue
-// in parts; one of schemaStaged has all but its phase and counts in parts.
+// Key is the key of a job's record.
+func Key(id ident.JobID) string { return KeyPrefix + string(id) }
+
+// SchemaVersion is the newest version of Record. A reader refuses a record of a newer
+// schema rather than guess what it means; see docs/operations.md.
+const SchemaVersion = schemaMultiTxn
+
+// The schemas that are written. Up to schema 1 the done set and the placements were lists,
+// which are still read.
 const (
-	SchemaVersion  = schemaMultiTxn
-	schemaPlain    = 2
-	schemaChunked  = 3
+	// schemaPlain has the done set and the placements packed. It is written wherever it
+	// fits, since the program's version before reads it.
+	schemaPlain = 2
+	// schemaChunked has them compressed, and may continue in chunks.
+	schemaChunked = 3
+	// schemaMultiTxn has all but phase and counts in chunks, which are written in
+	// transactions before that of the record.
 	schemaMultiTxn = 4
 )
 
-// Phase of a job. Done and Cancelled are final.
+var (
+	// ErrNewerSchema means that a record was written by a newer version of the program.
+	ErrNewerSchema = errors.New("record has a later schema")
+	// ErrInvalidRecord means that a record holds what no version of the program writes.
+	ErrInvalidRecord = errors.New("invalid job record")
+)
+
+// Phase of a job. PhaseDone and PhaseCancelled are final.
 type Phase string
 
 // Phases.
@@ -40,7 +54,7 @@
 // Final tells whether a job in this phase stays in it for ever.
 func (p Phase) Final() bool { return p == PhaseDone || p == PhaseCancelled }
 
-// NextAction is the next safe action for whoever takes a job over.
+// NextAction is the next safe action for a new leader.
 type NextAction string
 
 // Actions.
@@ -63,23 +77,50 @@
 type Record struct {
 	SchemaVersion int                              `msgpack:"v" json:"v"`
 	Spec          Spec                             `msgpack:"spec" json:"spec"`
-	AcceptedAtMs  int64                            `msgpack:"at" json:"at"` // time of day, ms
+	AcceptedAtMs  int64                            `msgpack:"at" json:"at"` // time of day
 	Phase         Phase                            `msgpack:"ph" json:"ph"`
-	Epoch         ident.Epoch                      `msgpack:"e" json:"e"`
+	Epoch         ident.Epoch                      `msgpack:"e" json:"e"` // of the leader that wrote it
 	LastRound     ident.RoundNo                    `msgpack:"r" json:"r"` // the last round folded in
 	Done          indexset.Set                     `msgpack:"d,omitempty" json:"-"`
 	Placements    wire.BoundedList[PlacementGroup] `msgpack:"l,omitempty" json:"-"`
 	Packed        wire.Packed                      `msgpack:"pk,omitempty" json:"pk,omitempty"`
 	Next          NextAction                       `msgpack:"nx" json:"nx"`
-	// ChunkInfo is set in a record that is compressed and may have parts. One
-	// that Decode returns with it lacks the done ranges and the placements.
+	// ChunkInfo is set in a record that is compressed and may have chunks. One
+	// that Decode returns with it lacks the done set and the placements.
 	ChunkInfo *ChunkInfo `msgpack:"ov,omitempty" json:"ov,omitempty"`
-	// ChunkOffset is the number before that of the first part which DecodeWhole has
+	// ChunkOffset is the number before that of the first chunk which DecodeWithChunks has
 	// put into the record.
 	ChunkOffset int `msgpack:"-" json:"-"`
 }
 
-// Encode returns the record as it is stored.
+// NewRecord is the record of a job just accepted, at a time of day in milliseconds.
+func NewRecord(spec Spec, acceptedAtMs int64) *Record {
+	return &Record{SchemaVersion: schemaPlain, Spec: spec, AcceptedAtMs: acceptedAtMs, Phase: PhaseActive, Next: ActionPlace}
+}
+
+// LiveTasks counts the tasks that are placed.
+func (r *Record) LiveTasks() int {
+	n := 0
+	for _, group := range r.Placements {
+		n += group.Tasks.Len()
+	}
+	return n
+}
+
+func (r *Record) nextAction() NextAction {
+	placed := len(r.Placements) > 0
+	switch {
+	case r.Phase.Final() && placed:
+		return ActionStop
+	case r.Phase.Final():
+		return ActionNone
+	case placed:
+		return ActionReconcile
+	}
+	return ActionPlace
+}
+
+// Encode returns the record as it is stored in one value.
 func (r *Record) Encode() (*Record, error) {
 	out := *r
 	out.Done, out.Placements = nil, nil
@@ -91,6 +132,45 @@
 	return &out, err
 }
 
+// Decode reads a record and validates it. If the result has ChunkInfo, it lacks what is in the
+// chunks; see DecodeWithChunks.
+func Decode(data []byte) (*Record, error) {
+	r := new(Record)
+	if err := msgpack.Unmarshal(data, r); err != nil {
+		return nil, fmt.Errorf("decoding job record: %w", err)
+	}
+	if r.SchemaVersion > SchemaVersion {
+		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
+	}
+	if (r.SchemaVersion > schemaPlain) != (r.ChunkInfo != nil) {
+		return nil, fmt.Errorf("%w: schema %d does not agree with its chunks", ErrInvalidRecord, r.SchemaVersion)
+	}
+	if r.SchemaVersion == schemaMultiTxn {
+		return r, r.ChunkInfo.validate()
+	}
+	if r.ChunkInfo == nil && r.Packed != "" {
+		if err := r.Packed.Unpack(r.decodeProgress); err != nil {
+			return nil, fmt.Errorf("job record: %w", err)
+		}
+		r.Packed = ""
+	}
+	return r, r.validate()
+}
+
+// validate refuses sets that no version of the program writes.
+func (r *Record) validate() error {
+	if r.Spec.Tasks < 1 || !r.Done.Valid(r.Spec.Tasks) {
+		return fmt.Errorf("%w: impossible set of done tasks", ErrInvalidRecord)
+	}
+	for _, group := range r.Placements {
+		if !group.Tasks.Valid(r.Spec.Tasks) {
+			return fmt.Errorf("%w: impossible placement", ErrInvalidRecord)
+		}
+	}
+	return nil
+}
+
+// encodeProgress writes the done set and the placements.
 func (r *Record) encodeProgress(e *msgpack.Encoder) error {
 	if err := r.Done.EncodeDelta(e); err != nil {
 		return err
@@ -98,10 +178,8 @@
 	if err := e.EncodeArrayLen(len(r.Placements)); err != nil {
 		return err
 	}
-	for _, g := range r.Placements {
-		err := errors.Join(e.EncodeString(string(g.Machine)), e.EncodeUint(uint64(g.Session)),
-			e.EncodeUint(uint64(g.Attempt)), g.Tasks.EncodeDelta(e))
-		if err != nil {
+	for _, group := range r.Placements {
+		if err := group.encode(e); err != nil {
 			return err
 		}
 	}
@@ -113,17 +191,30 @@
 		return err
 	}
 	n, err := wire.DecodeArrayLen(d)
-	for ; n > 0 && err == nil; n-- {
-		var g PlacementGroup
-		if err = g.decode(d); err == nil {
-			r.Placements = append(r.Placements, g)
+	if err != nil {
+		return err
+	}
+	for range n {
+		var group PlacementGroup
+		if err := group.decode(d); err != nil {
+			return err
 		}
+		r.Placements = append(r.Placements, group)
 	}
-	return err
+	return nil
+}
+
+func (g *PlacementGroup) encode(e *msgpack.Encoder) error {
+	return errors.Join(
+		e.EncodeString(string(g.Machine)),
+		e.EncodeUint(uint64(g.Session)),
+		e.EncodeUint(uint64(g.Attempt)),
+		g.Tasks.EncodeDelta(e),
+	)
 }
 
 func (g *PlacementGroup) decode(d *msgpack.Decoder) error {
-	name, err := wire.DecodeString(d)
+	machine, err := wire.DecodeString(d)
 	if err != nil {
 		return err
 	}
@@ -135,66 +226,6 @@
 	if err != nil {
 		return err
 	}
-	g.Machine, g.Session, g.Attempt = ident.MachineID(name), ident.Session(session), ident.Attempt(attempt)
+	g.Machine, g.Session, g.Attempt = ident.MachineID(machine), ident.Session(session), ident.Attempt(attempt)
 	return g.Tasks.DecodeDelta(d)
 }
-
-// ErrNewerSchema says that a record was written by a later version.
-var ErrNewerSchema = errors.New("record has a later schema")
-
-// Key is the key of a job's record.
-func Key(id ident.JobID) string { return KeyPrefix + string(id) }
-
-// Decode reads a record and checks it.
-func Decode(data []byte) (*Record, error) {
-	r := new(Record)
-	if err := msgpack.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("decoding job record: %w", err)
-	}
-	if r.SchemaVersion > SchemaVersion {
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
-	}
-	if (r.SchemaVersion > schemaPlain) != (r.ChunkInfo != nil) {
-		return nil, errors.New("job record whose schema and parts differ")
-	}
-	if r.SchemaVersion == schemaMultiTxn {
-		return r, r.validateMultiTxn()
-	}
-	if r.ChunkInfo != nil {
-		return r, r.validate()
-	}
-	if r.Packed != "" {
-		if err := r.Packed.Unpack(r.decodeProgress); err != nil {
-			return nil, fmt.Errorf("job record: %w", err)
-		}
-		r.Packed = ""
-	}
-	return r, r.validate()
-}
-
-// validate refuses what no program writes.
-func (r *Record) validate() error {
-	if r.Spec.Tasks < 1 || !r.Done.Valid(r.Spec.Tasks) {
-		return errors.New("job record holds impossible ranges")
-	}
-	for _, g := range r.Placements {
-		if !g.Tasks.Valid(r.Spec.Tasks) {
-			return errors.New("job record holds an impossible placement")
-		}
-	}
-	return nil
-}
-
-// validateMultiTxn refuses a staged record that no program writes. Its spec is in the
-// parts.
-func (r *Record) validateMultiTxn() error {
-	if !r.ChunkInfo.valid() {
-		return errors.New("job record that claims impossible parts")
-	}
-	return nil
-}
-
-// NewRecord is the record of a job just accepted.
-func NewRecord(spec Spec, acceptedMs int64) *Record {
-	return &Record{SchemaVersion: schemaPlain, Spec: spec, AcceptedAtMs: acceptedMs, Phase: PhaseActive, Next: ActionPlace}
-}
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := *want
-	old.SchemaVersion = 1
-	list, err := msgpack.Marshal(&old)
+	schema1 := *want
+	schema1.SchemaVersion = 1
+	list, err := msgpack.Marshal(&schema1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestLaterSchemaIsRefused(t *testing.T) {
+func TestNewerSchemaIsRefused(t *testing.T) {
 	r := NewRecord(Spec{Tasks: 1}, 0)
 	r.SchemaVersion = SchemaVersion + 1
 	data, err := msgpack.Marshal(r)
@@ -65,28 +65,28 @@
 		t.Fatal(err)
 	}
 	if _, err := Decode(data); !errors.Is(err, ErrNewerSchema) {
-		t.Errorf("%v, want ErrSchema", err)
+		t.Errorf("%v, want ErrNewerSchema", err)
 	}
 }
 
-func TestFinalPhasesStay(t *testing.T) {
-	j := NewJob("wk-000001", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
-	j.Cancel(1)
-	j.CompleteTask(2, 0)
-	if j.Phase != PhaseCancelled {
-		t.Errorf("a cancelled job is %s", j.Phase)
-	}
-	k := NewJob("wk-000002", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
-	k.CompleteTask(1, 0)
-	k.Cancel(2)
-	if k.Phase != PhaseDone {
-		t.Errorf("a done job is %s", k.Phase)
+func TestFinalPhasesAreKept(t *testing.T) {
+	cancelled := NewJob("wk-000001", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
+	cancelled.Cancel(1)
+	cancelled.CompleteTask(2, 0)
+	if cancelled.Phase != PhaseCancelled {
+		t.Errorf("a cancelled job is %s", cancelled.Phase)
+	}
+	done := NewJob("wk-000002", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
+	done.CompleteTask(1, 0)
+	done.Cancel(2)
+	if done.Phase != PhaseDone {
+		t.Errorf("a done job is %s", done.Phase)
 	}
 }
 
-// TestRecordFitsAValue draws how tasks of a large job start and end, as far as
-// Room lets them, and checks that its record never outgrows a value.
-func TestRecordFitsAValue(t *testing.T) {
+// TestRecordFitsOneValue draws how tasks of a large job start and end, as far as
+// SpareBytes lets them, and checks that its record never outgrows a value.
+func TestRecordFitsOneValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 8 << 10
 		j := NewJob("wk-999999", NewRecord(Spec{Team: "a-team-name", Tasks: 100_000, CPUs: 1.25, Image: "image"}, 1<<41), 1, 0)
@@ -102,16 +102,16 @@
 		}
 		live := map[ident.TaskIndex]*Placement{}
 		for round := range 60 {
-			for room := j.SpareBytes(limit, 1, len(spec)); len(j.Queue) > 0; {
-				m := ident.MachineID(fmt.Sprintf("host-%06d", next(machines)))
-				n := j.FittingTasks(room, m, min(1+next(9), j.Queue.Len()))
+			for spare := j.SpareBytes(limit, 1, len(spec)); len(j.Queue) > 0; {
+				machine := ident.MachineID(fmt.Sprintf("host-%06d", next(machines)))
+				n := j.FittingTasks(spare, machine, min(1+next(9), j.Queue.Len()))
 				if n == 0 {
 					break
 				}
-				room -= j.GroupBytes(m, n)
+				spare -= j.GroupBytes(machine, n)
 				for range n {
 					i := j.Queue[0].First
-					p := &Placement{Job: j, Task: i, Machine: m, Session: 12, Attempt: ident.Attempt(123456 + round)}
+					p := &Placement{Job: j, Task: i, Machine: machine, Session: 12, Attempt: ident.Attempt(123456 + round)}
 					j.AddPlacement(p, "a")
 					live[i] = p
 				}
@@ -178,9 +178,9 @@
 	})
 }
 
-// TestSavingIsNoRun: a task that is told to stop too early has not started to
-// its user, however long it takes to save.
-func TestSavingIsNoRun(t *testing.T) {
+// TestCheckpointTimeIsNotRunTime: a task that is told to stop too early has not started to
+// its user, however long its checkpoint takes.
+func TestCheckpointTimeIsNotRunTime(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	j := NewJob("wk-000001", NewRecord(Spec{Tasks: 2, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6}, 0), 1, now)
 	for i, stopped := range []time.Duration{MinCountedRunTime - time.Second, MinCountedRunTime + time.Second} {
@@ -188,7 +188,7 @@
 		j.AddPlacement(p, "a")
 		j.EndPlacement(now.Add(stopped+6*time.Second), p, "a", true)
 	}
-	if fresh := j.UnstartedTasks(2); len(fresh) != 1 || fresh[0] != 0 {
-		t.Errorf("tasks %v have never run for long enough, want task 0", fresh)
+	if unstarted := j.UnstartedTasks(2); len(unstarted) != 1 || unstarted[0] != 0 {
+		t.Errorf("tasks %v have never run for long enough, want task 0", unstarted)
 	}
 }
