--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -179,7 +179,7 @@
 		m.Addr = l.Addr
 	}
 	if m.Type == "" || !known {
-		t.fleet.SetAttributes(m, l.Type, l.Zone, l.Spot)
+		m.SetAttributes(l.Type, l.Zone, l.Spot)
 		m.ProvisionedAt = sent.Add(-clock.Seconds(l.AgeSeconds))
 		t.replanNeeded = true
 	}
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"badgerbay/internal/ident"
 )
 
 // TestForgetOnlyWhatNoLateStartCanRevive: an exit is forgotten only once its meaning is
@@ -63,3 +65,39 @@
 		t.Error("the answer must show life, and not count for the lease")
 	}
 }
+
+// TestDueCommandIsSentOnce: a machine is sent one command at a time, and only when it is
+// up.
+func TestDueCommandIsSentOnce(t *testing.T) {
+	f := newFixture(1)
+	f.fleet.Ensure(f.now, "host-2").Addr = "10.0.0.2:1"
+	f.fleet.ScheduleCommand("host-2")
+	f.fleet.ScheduleCommand("host-1")
+	if got := f.fleet.ClaimDueCommands(); len(got) != 1 || got[0] != f.machine {
+		t.Fatalf("claimed %v", got)
+	}
+	f.fleet.ScheduleCommand("host-1")
+	if got := f.fleet.ClaimDueCommands(); got != nil {
+		t.Errorf("claimed %v while a command is in flight", got)
+	}
+	f.fleet.FinishCommand(f.now, "host-1", true)
+	if got := f.fleet.ClaimDueCommands(); len(got) != 1 {
+		t.Error("a command that became due in flight is lost")
+	}
+}
+
+// TestHeartbeatIsRequestedOnce: after a failover each machine with an address that was not
+// heard from is asked for a heartbeat, once.
+func TestHeartbeatIsRequestedOnce(t *testing.T) {
+	f := newFixture(1)
+	for _, id := range []ident.MachineID{"host-2", "host-3", "host-4"} {
+		f.fleet.Ensure(f.now, id).Addr = "10.0.0.2:1"
+	}
+	f.fleet.Ensure(f.now, "host-5")
+	if got := f.fleet.ClaimHeartbeatRequests(2); len(got) != 2 || got[0].ID != "host-2" || !got[0].HeartbeatRequested() {
+		t.Errorf("claimed %v", got)
+	}
+	if got := f.fleet.ClaimHeartbeatRequests(2); len(got) != 1 || got[0].ID != "host-4" {
+		t.Errorf("claimed %v", got)
+	}
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -157,9 +157,3 @@
 		}
 	}
 }
-
-// SetAttributes describes a machine that has sent no heartbeat yet.
-func (f *Fleet) SetAttributes(m *Machine, machineType ident.MachineType, zone ident.Zone, spot bool) {
-	m.moveToZone(zone)
-	m.Type, m.Spot = machineType, spot
-}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -143,6 +143,12 @@
 	return false
 }
 
+// SetAttributes describes a machine that has sent no heartbeat yet.
+func (m *Machine) SetAttributes(machineType ident.MachineType, zone ident.Zone, spot bool) {
+	m.moveToZone(zone)
+	m.Type, m.Spot = machineType, spot
+}
+
 // moveToZone corrects the zone counts of jobs whose placements were restored before the
 // machine's zone was known.
 func (m *Machine) moveToZone(zone ident.Zone) {
--- /dev/null
+++ b/internal/fleet/machine_test.go
@@ -0,0 +1,116 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+// TestRemovedMachinesAreRemembered: what ran on a removed machine has ended, and old lists
+// that name it are told apart from new machines for a while.
+func TestRemovedMachinesAreRemembered(t *testing.T) {
+	const retention = time.Minute
+	f := newFixture(1)
+	p := f.place(0, 5)
+	changes := f.fleet.Remove(f.now, "host-1")
+	if p.State != jobs.PlacementEnded || len(changes.Ended) != 1 || changes.Ended[0].Cause != ExitMachineLost {
+		t.Errorf("changes %+v", changes)
+	}
+	if f.fleet.Len() != 0 || f.fleet.TombstoneCount() != 0 || !f.fleet.WasRemoved("host-1") || !f.machine.Removed {
+		t.Error("not removed, or not remembered")
+	}
+	if changes := f.fleet.Remove(f.now, "host-1"); len(changes.Ended) != 0 {
+		t.Errorf("removed twice: %+v", changes)
+	}
+	f.fleet.PruneRemoved(f.now.Add(retention), retention)
+	if !f.fleet.WasRemoved("host-1") {
+		t.Error("forgotten before its time")
+	}
+	f.fleet.PruneRemoved(f.now.Add(retention+1), retention)
+	if f.fleet.WasRemoved("host-1") {
+		t.Error("never forgotten")
+	}
+}
+
+// TestFailedMachinesAreNotActive: what ran on a failed machine has ended, and it gets no
+// task; a machine that is being deprovisioned is not active either.
+func TestFailedMachinesAreNotActive(t *testing.T) {
+	f := newFixture(1)
+	f.fleet.Ensure(f.now, "host-2").Up = true
+	if n := f.fleet.ActiveCount(); n != 2 {
+		t.Fatalf("%d active", n)
+	}
+	p := f.place(0, 5)
+	changes := f.fleet.MarkFailed(f.now, f.machine)
+	if p.State != jobs.PlacementEnded || len(changes.Ended) != 1 || f.fleet.Schedulable(f.machine) {
+		t.Errorf("changes %+v", changes)
+	}
+	f.fleet.Machine("host-2").Deprovisioning = true
+	if n := f.fleet.ActiveCount(); n != 0 {
+		t.Errorf("%d active", n)
+	}
+}
+
+// TestZoneOfPlacementsIsCorrected: a placement that was restored before the zone of its
+// machine was known counts in the right zone once it is.
+func TestZoneOfPlacementsIsCorrected(t *testing.T) {
+	f := newFixture(1)
+	m := f.fleet.Ensure(f.now, "host-2")
+	m.Session = 1 // as the record has it
+	f.fleet.Place(f.now, &jobs.Placement{Job: f.job, Task: 0, Machine: m.ID, Session: 1, Attempt: 5})
+	m.SetAttributes("m", "b", true)
+	if f.job.PlacementsByZone[""] != 0 || f.job.PlacementsByZone["b"] != 1 || !m.Spot || m.Type != "m" {
+		t.Errorf("placements by zone %v", f.job.PlacementsByZone)
+	}
+	f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: m.ID, Type: "m", Zone: "c", Session: 1, HeartbeatSeq: 1})
+	if f.job.PlacementsByZone["b"] != 0 || f.job.PlacementsByZone["c"] != 1 {
+		t.Errorf("placements by zone %v", f.job.PlacementsByZone)
+	}
+}
+
+// TestLoadFollowsPlacements: the counts of a machine and its free capacity follow its
+// placements.
+func TestLoadFollowsPlacements(t *testing.T) {
+	f := newFixture(2)
+	f.place(0, 5)
+	q := f.place(1, 6)
+	load := f.machine.Load()
+	if load.Tasks != 2 || load.TasksBelow(f.job.Spec.Priority+1) != 2 || load.TasksBelow(f.job.Spec.Priority) != 0 {
+		t.Errorf("load %+v", load)
+	}
+	if free := f.fleet.FreeCapacity(f.machine); free.CPUs != 2 || free.MemoryGB != 6 {
+		t.Errorf("free %+v", free)
+	}
+	f.fleet.Commands(f.machine, false) // sends the starts
+	f.fleet.StopPlacement(f.now, q, time.Second)
+	if load.Stopping != 1 || !f.machine.HasAttempt(f.job.ID, 6) || f.machine.HasAttempt(f.job.ID, 7) {
+		t.Errorf("load %+v", load)
+	}
+	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 5, TaskExited, ExitError), taskStatus(1, 6, TaskExited, ExitStopped))
+	if *load != (Load{}) || f.machine.Busy() {
+		t.Errorf("load %+v of an idle machine", load)
+	}
+}
+
+// TestInterruptionNoticeIsToldOnce: a machine that the cloud takes back gets no tasks until
+// the notice is withdrawn.
+func TestInterruptionNoticeIsToldOnce(t *testing.T) {
+	f := newFixture(1)
+	seq := ident.HeartbeatSeq(1)
+	heartbeat := func(noticed bool) Changes {
+		seq++
+		return f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: seq,
+			FencingToken: epoch, InterruptionNoticed: noticed, InterruptionIn: 30 * time.Second})
+	}
+	if !heartbeat(true).InterruptionNoticed || f.machine.InterruptionAt != f.now.Add(30*time.Second) || f.fleet.Schedulable(f.machine) {
+		t.Errorf("interrupted at %v", f.machine.InterruptionAt)
+	}
+	if heartbeat(true).InterruptionNoticed {
+		t.Error("told twice")
+	}
+	if heartbeat(false).InterruptionNoticed || f.machine.InterruptionAt != 0 || !f.fleet.Schedulable(f.machine) {
+		t.Error("the notice was withdrawn, and still counts")
+	}
+}
