--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -196,7 +196,7 @@
 		c.delegate.AcceptStatus(in.SentAt, in.Status)
 		if c.term != nil {
 			c.term.delegations.ConfirmIdle(in.Node, in.SentAt, now, in.Status.IdleFor)
-			c.term.schemaCluster.RecordReport(now, in.Node, in.SchemaVersion)
+			c.term.schema.nodeReported(now, in.Node, in.SchemaVersion)
 			if in.EnforcesQuotas {
 				c.term.quotaEnforcers[in.Node] = now
 			}
@@ -219,7 +219,7 @@
 	c.machineTypes = in.Types
 	if c.term != nil {
 		c.term.fleet.SetMachineTypes(in.Types)
-		c.term.replanNeeded = true
+		c.term.rounds.requestPlan()
 	}
 }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -81,9 +81,9 @@
 // to a write of its last term for that of the round under way.
 func TestRepliesOfAnEarlierTerm(t *testing.T) {
 	c, now := newLeadingCore(t)
-	c.term.roundInFlight = &roundInFlight{record: &roundlog.Record{RoundNo: 1}}
+	c.term.rounds.inFlight = &roundInFlight{record: &roundlog.Record{RoundNo: 1}}
 	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: election.OutcomeOK, Revision: 60})
-	if c.term.roundInFlight == nil {
+	if !c.term.rounds.isWriting() {
 		t.Error("the round under way was taken for stored")
 	}
 	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: election.OutcomeGone})
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -24,7 +24,7 @@
 
 func (t *term) tasksEnded(now clock.Instant, ch fleet.Changes) {
 	for _, e := range ch.Ended {
-		t.replanNeeded = true
+		t.rounds.requestPlan()
 		j, m := e.Placement.Job, t.fleet.Machine(e.Placement.Machine)
 		t.log.Debug("task ended", "job", j.ID, "task", e.Placement.Task, "machine", e.Placement.Machine,
 			"cause", e.Cause, "attempt", e.Placement.Attempt, "epoch", t.epoch)
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -55,14 +55,14 @@
 	if len(urgent) > 0 {
 		use, batch = kvstore.PurposeUrgentFold, urgent
 	}
-	limits := t.storeLimits()
+	limits := t.schema.storeLimits()
 	may := t.budget.AvailableWrites(now, use)
 	n := min(len(batch), may, limits.MaxTxnOps, maxFoldedJobs)
 	if n <= 0 {
 		return
 	}
 	f := &foldInFlight{}
-	txn := kvstore.Txn{Conditions: []kvstore.Condition{t.leaderCondition()}}
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(t.epoch)}}
 	size := 0
 	for _, j := range batch[:n] {
 		writes, folded, ok := t.foldOperations(now, j)
@@ -91,7 +91,7 @@
 // tried again a little later; it keeps no others from their turn.
 func (t *term) foldOperations(now clock.Instant, j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
 	whole := j.Record(t.epoch)
-	rec, rest, err := whole.Split(t.storeLimits().MaxValueBytes(), t.jobChunkLimit(), kvstore.JSONSize)
+	rec, rest, err := whole.Split(t.schema.storeLimits().MaxValueBytes(), t.schema.maxJobValues(), kvstore.JSONSize)
 	if err != nil {
 		t.metrics.OversizedRecords.Inc()
 		if !t.beginStaging(j, whole) {
@@ -107,17 +107,12 @@
 // jobsToFold lists the jobs whose record may be written now: those that a user
 // or the ring waits for, and those that have lagged long enough.
 func (t *term) jobsToFold(now clock.Instant) (urgent, late []*jobs.Job) {
-	pressed := map[ident.JobID]bool{}
-	if t.roundRing.FreeSlots() <= t.policy.RingSlots/3 {
-		for _, id := range t.roundRing.OldestOpenJobs() {
-			pressed[id] = true
-		}
-	}
+	blocking := t.rounds.jobsBlockingRing()
 	for j := range t.jobs.all() {
-		if !j.Dirty() || j.FoldInFlight || now.Before(t.oversizedUntil[j.ID]) || t.roundInFlight != nil && t.roundInFlight.jobs[j.ID] {
+		if !j.Dirty() || j.FoldInFlight || now.Before(t.oversizedUntil[j.ID]) || t.rounds.isChanging(j.ID) {
 			continue
 		}
-		if j.NeedsUrgentFold() || pressed[j.ID] || t.jobs.isAwaited(j.ID) {
+		if j.NeedsUrgentFold() || blocking[j.ID] || t.jobs.isAwaited(j.ID) {
 			urgent = append(urgent, j)
 		} else if now.Sub(j.DirtySince) >= t.policy.MaxFoldDelay {
 			late = append(late, j)
@@ -155,7 +150,7 @@
 		if j.Dirty() {
 			j.DirtySince = now
 		}
-		t.roundRing.JobFolded(j.ID, fj.round)
+		t.rounds.jobFolded(j.ID, fj.round)
 		if fj.phase.Final() {
 			t.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
 			t.jobs.answerCancellations(j.ID, api.JobFound, t.core.election.LeaseValidUntil())
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -14,7 +14,7 @@
 // can't save.
 func (t *term) stopGang(now clock.Instant, j *jobs.Job, leave time.Duration) {
 	for _, p := range j.Placements {
-		if !p.Stopping && !t.isProposed(p) {
+		if !p.Stopping && !t.rounds.isProposed(p) {
 			t.fleet.StopPlacement(now, p, leave)
 		}
 	}
@@ -26,7 +26,7 @@
 // whose lost tasks may still be replaced goes on waiting.
 func (t *term) stopBrokenGangs(now clock.Instant) {
 	for j := range t.jobs.all() {
-		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.roundInFlight != nil && t.roundInFlight.jobs[j.ID] {
+		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.rounds.isChanging(j.ID) {
 			continue
 		}
 		stopping, leave := false, time.Duration(0)
@@ -50,7 +50,8 @@
 	case len(j.Queue) == 0:
 		j.IncompleteSince = 0
 	case j.IncompleteSince == 0:
-		j.IncompleteSince, t.replanNeeded = now, true
+		j.IncompleteSince = now
+		t.rounds.requestPlan()
 	}
 	return len(j.Queue) > 0
 }
@@ -70,7 +71,7 @@
 // it is not known since when it waits.
 func (t *term) replacementAttempt(now clock.Instant, j *jobs.Job) (ident.Attempt, bool) {
 	wait := clock.Seconds(t.settings.Params.Workers.GangWaitSeconds)
-	if t.schemaCluster.Version() < schemaversion.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
+	if t.schema.version() < schemaversion.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
 		return 0, false
 	}
 	attempt, placed := ident.Attempt(0), now
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -164,7 +164,7 @@
 // applyChanges follows what a report brought.
 func (t *term) applyChanges(now clock.Instant, m *fleet.Machine, ch fleet.Changes) {
 	if ch.CameUp {
-		t.replanNeeded = true
+		t.rounds.requestPlan()
 		t.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "session", m.Session, "epoch", t.epoch)
 	}
 	if ch.InterruptionNoticed {
@@ -180,7 +180,7 @@
 // stopForInterruption stops what is on a machine that the cloud takes away, with leave to
 // save as much as the notice allows.
 func (t *term) stopForInterruption(now clock.Instant, m *fleet.Machine) {
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 	left := m.InterruptionAt.Sub(now)
 	t.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
 	for _, p := range m.LivePlacements() {
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -138,7 +138,7 @@
 	j.Cancel(now)
 	t.stopCancelledTasks(now, j)
 	t.jobs.awaitCancellation(now, j.ID, in.Responder)
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 }
 
 // isFinalPhaseInFlight tells whether the end of a job is being stored, and may be already:
@@ -153,7 +153,7 @@
 		return
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.Placements)) {
-		if !t.isProposed(j.Placements[i]) {
+		if !t.rounds.isProposed(j.Placements[i]) {
 			t.fleet.StopPlacement(now, j.Placements[i], 0)
 		}
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -149,7 +149,7 @@
 	m.QueuedTasks.Set(float64(queued))
 	m.UncertainProvisions.Set(float64(t.provisioning.UnknownOutcomeCount()))
 	m.Machines.Set(float64(t.fleet.Len()))
-	m.FreeRoundSlots.Set(float64(t.roundRing.FreeSlots()))
+	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
 	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
 	m.Epoch.Set(float64(t.epoch))
 }
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -103,7 +103,7 @@
 	g := newCoreFixture(t, 0)
 	g.core.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
 	tm := g.core.term
-	tm.schemaCluster = schemaversion.New(nil, schemaversion.Latest)
+	tm.schema.negotiator = schemaversion.New(nil, schemaversion.Latest)
 	r := jobs.NewRecord(arraySpec, 0)
 	r.Spec.Tasks = 8000
 	rng := rand.New(rand.NewPCG(1, 1))
--- /dev/null
+++ b/internal/controller/planning.go
@@ -0,0 +1,253 @@
+package controller
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/cloud"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/roundlog"
+	"badgerbay/internal/scheduler"
+)
+
+// maxPendingProvisions bounds the provision requests that are in flight when a round makes others.
+const maxPendingProvisions = 4
+
+// scheduleIfDue plans a round, if one is due, and writes its record.
+func (t *term) scheduleIfDue(now clock.Instant) {
+	if !t.schedulingOpen || !t.quotas.Ready() || t.core.election.AdvancingEpoch() {
+		return
+	}
+	no, due := t.rounds.beginIfDue(now)
+	if !due {
+		return
+	}
+	plan := scheduler.PlanRound(t.snapshot(now, no))
+	t.rounds.planned(now, plan)
+	t.reportBlocked(now, plan.ReservationBlocked)
+	t.drain(plan.Drain)
+	t.evict(now, plan.Evictions)
+	t.propose(now, plan)
+}
+
+func (t *term) drain(machines []ident.MachineID) {
+	for _, id := range machines {
+		t.fleet.Machine(id).Draining = true
+		t.log.Info("machine drain started", "machine", id, "epoch", t.epoch)
+	}
+}
+
+func (t *term) evict(now clock.Instant, evictions []scheduler.Eviction) {
+	for _, e := range evictions {
+		t.log.Debug("task preempted", "job", e.Placement.Job.ID, "task", e.Placement.Task, "machine", e.Placement.Machine, "for", e.Preemptor, "epoch", t.epoch)
+		t.fleet.StopPlacement(now, e.Placement, clock.Seconds(e.Placement.Job.Spec.CheckpointSeconds))
+		t.metrics.Preemptions.Inc()
+	}
+}
+
+// propose reserves what the plan decides and writes the record of the round.
+func (t *term) propose(now clock.Instant, plan *scheduler.Plan) {
+	round := t.reserve(now, plan)
+	record := round.record
+	record.Deprovisions = t.machinesToDeprovision(now, plan.Retain, max(0, t.schema.storeLimits().MaxValueBytes()-record.MaxJSONSize()))
+	if record.IsEmpty() {
+		return
+	}
+	if !t.rounds.write(now, t.epoch, t.schema, round) {
+		t.abortRound(now, round)
+		return
+	}
+	for _, id := range record.Deprovisions {
+		t.fleet.Machine(id).Deprovisioning = true
+	}
+}
+
+// reserve places the tasks that a plan starts. None starts before the record is stored.
+func (t *term) reserve(now clock.Instant, plan *scheduler.Plan) *roundInFlight {
+	record := &plan.Record
+	round := &roundInFlight{record: record, provisionFor: plan.ProvisionedFor, jobs: map[ident.JobID]bool{}}
+	for _, start := range record.Starts {
+		j := t.jobs.get(start.Job)
+		round.jobs[start.Job] = true
+		for i := range start.Tasks.All() {
+			p := &jobs.Placement{Job: j, Task: i, Machine: start.Machine, Session: start.Session,
+				Attempt: start.AttemptInRound(record.RoundNo), RoundNo: record.RoundNo, PlacedAt: now}
+			t.fleet.Place(now, p)
+			round.placements = append(round.placements, p)
+		}
+	}
+	return round
+}
+
+// abortRound takes back a round that surely was not stored.
+func (t *term) abortRound(now clock.Instant, round *roundInFlight) {
+	for _, p := range round.placements {
+		t.fleet.Retract(now, p)
+	}
+	for _, id := range round.record.Deprovisions {
+		if m := t.fleet.Machine(id); m != nil {
+			m.Deprovisioning = false
+		}
+	}
+	t.rounds.requestPlan()
+}
+
+// roundCompleted carries out a round that is stored.
+func (t *term) roundCompleted(now clock.Instant, in TransactionCompleted) {
+	round, stored := t.rounds.completed(now, in)
+	if round == nil {
+		return
+	}
+	if !stored {
+		t.abortRound(now, round)
+		return
+	}
+	record := round.record
+	for _, p := range round.placements {
+		t.startPlacement(now, p, record.RoundNo)
+	}
+	for id := range round.jobs {
+		j := t.jobs.get(id)
+		j.LastRound = max(j.LastRound, record.RoundNo)
+		j.MarkDirty(now)
+	}
+	t.provision(now, round)
+	t.log.Debug("round stored", "round", record.RoundNo, "epoch", t.epoch, "starts", len(round.placements),
+		"provisions", len(record.Provisions), "deprovisions", len(record.Deprovisions))
+}
+
+// provision has the machines of a stored round requested and returned.
+func (t *term) provision(now clock.Instant, round *roundInFlight) {
+	record := round.record
+	for _, p := range record.Provisions {
+		t.log.Info("provision requested", "provision", p.Name, "type", p.Offer.Type, "zone", p.Offer.Zone, "spot", p.Offer.Spot,
+			"count", p.Count, "job", round.provisionFor, "round", record.RoundNo, "epoch", t.epoch)
+		t.provisioning.AddProvision(now, p.Name, p.Offer, p.Count, false)
+	}
+	if len(record.Deprovisions) > 0 {
+		t.log.Info("deprovision requested", "machines", record.Deprovisions, "round", record.RoundNo, "epoch", t.epoch)
+		t.provisioning.AddDeprovision(record.Deprovisions...)
+	}
+}
+
+// startPlacement lets a recorded placement start, unless its job or its machine has changed while the record was being
+// written.
+func (t *term) startPlacement(now clock.Instant, p *jobs.Placement, no ident.RoundNo) {
+	if p.State == jobs.PlacementEnded {
+		return
+	}
+	m := t.fleet.Machine(p.Machine)
+	if p.Job.Phase.Final() || m == nil || m.Session != p.Session || !t.fleet.Schedulable(m) {
+		t.fleet.Retract(now, p)
+		return
+	}
+	p.StartAllowed = true
+	t.fleet.ScheduleCommand(p.Machine)
+	t.log.Debug("task start commanded", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "round", no, "epoch", t.epoch)
+}
+
+// snapshot gathers what a round is planned from.
+func (t *term) snapshot(now clock.Instant, no ident.RoundNo) *scheduler.Snapshot {
+	s := &scheduler.Snapshot{
+		Now:                 now,
+		WallMs:              t.clock.Wall().UnixMilli(),
+		RoundNo:             no,
+		Epoch:               t.epoch,
+		Fleet:               t.fleet,
+		MachineTypes:        t.core.machineTypes,
+		Zones:               t.settings.Params.Zones,
+		Teams:               t.teams,
+		PendingMachines:     t.pendingMachines(now),
+		OfferUnavailable:    func(o cloud.Offer) bool { return t.provisioning.Blocked(now, o) },
+		Policy:              t.policy,
+		Objectives:          t.rounds.objectivesByClass(),
+		SpareSpecs:          t.spareSpecs(),
+		TypicalSpecs:        t.jobs.typicalByClass(),
+		MayDrain:            t.rounds.mayDrain(now, t.acquiredAt) && !t.core.peersUnreachable,
+		MayProvision:        t.mayProvision(now),
+		ValueBytes:          t.schema.storeLimits().MaxValueBytes(),
+		MaxJobValues:        t.schema.maxJobValues(),
+		MaxRoundValues:      t.schema.maxRoundValues(),
+		ReplacementAttempts: t.replaceableGangs(now),
+		SpecJSONSize:        t.jobs.specJSONSize,
+		TeamActive:          func(team ident.Team) bool { return t.rounds.isActive(now, team) },
+	}
+	s.Reserved, s.ReservedTasks = t.reservedByTeam()
+	t.addJobsTo(s, now)
+	return s
+}
+
+// addJobsTo adds the jobs that have tasks on machines, and those whose tasks wait for one, to a snapshot.
+func (t *term) addJobsTo(s *scheduler.Snapshot, now clock.Instant) {
+	for j := range t.jobs.all() {
+		if len(j.Placements) > 0 || len(j.Queue) > 0 {
+			t.rounds.noteActive(now, j.Spec.Team)
+		}
+		if len(j.Placements) > 0 {
+			s.PlacedJobs = append(s.PlacedJobs, j)
+		}
+		if len(j.Queue) > 0 && !j.Phase.Final() && !now.Before(j.BackoffUntil) {
+			s.QueuedJobs = append(s.QueuedJobs, j)
+		}
+	}
+	// Sums of decimal numbers depend on the order of their terms.
+	slices.SortFunc(s.PlacedJobs, byID)
+	slices.SortFunc(s.QueuedJobs, byID)
+}
+
+func byID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
+
+// mayProvision tells whether machines may be requested by what is known of those there are, and of the cloud.
+func (t *term) mayProvision(now clock.Instant) bool {
+	return len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.cloudCalls.Available(now) >= 1 &&
+		len(t.provisioning.PendingProvisions()) < maxPendingProvisions
+}
+
+// spareSpecs are the typical specs of the classes that must start faster than machines boot.
+func (t *term) spareSpecs() []*jobs.Spec {
+	var specs []*jobs.Spec
+	for _, s := range t.jobs.typicalByClass() {
+		if within := t.rounds.objectivesOf(s.Class).StartWithin; within > 0 && within < t.fastestBoot(s) {
+			specs = append(specs, s)
+		}
+	}
+	return specs
+}
+
+// fastestBoot is the shortest boot time among the machine types that a spec allows.
+func (t *term) fastestBoot(s *jobs.Spec) time.Duration {
+	fastest := time.Duration(math.MaxInt64)
+	for _, typ := range t.core.machineTypes {
+		allowed := slices.ContainsFunc(typ.AvailableZones(t.settings.Params.Zones), func(z ident.Zone) bool { return s.AllowsMachine(typ.Name, z, false) })
+		if allowed && typ.Capacity.Fits(s.TaskResources()) {
+			fastest = min(fastest, typ.BootTime)
+		}
+	}
+	return fastest
+}
+
+// replayRound applies a round that is not folded into all its jobs. Whether its effects came about is not known:
+// placements wait for heartbeats, provision requests are repeated under their names, machines are returned again.
+func (t *term) replayRound(now clock.Instant, r *roundlog.Record) {
+	for _, s := range r.Starts {
+		j := t.jobs.get(s.Job)
+		if j == nil || j.StoredRound >= r.RoundNo {
+			t.rounds.jobFolded(s.Job, r.RoundNo)
+			continue
+		}
+		t.restorePlacements(now, j, jobs.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), Tasks: s.Tasks})
+		j.LastRound = max(j.LastRound, r.RoundNo)
+		j.MarkDirty(now)
+	}
+	for _, p := range r.Provisions {
+		t.provisioning.AddProvision(now, p.Name, p.Offer, p.Count, true)
+	}
+	for _, id := range r.Deprovisions {
+		t.fleet.Ensure(now, id).Deprovisioning = true
+		t.provisioning.AddDeprovision(id)
+	}
+}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -100,9 +100,9 @@
 
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
 	if t.provisioning.FinishProvision(now, in.Name, in.Result, len(in.Machines)) {
-		t.roundRing.SettleProvision(in.Name)
+		t.rounds.provisionSettled(in.Name)
 	}
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
 			continue // a repeated rental names what it rented the first time
@@ -123,10 +123,10 @@
 		return
 	}
 	for _, id := range in.Machines {
-		t.roundRing.SettleDeprovision(id)
+		t.rounds.deprovisionSettled(id)
 		t.tasksEnded(now, t.fleet.Remove(now, id))
 	}
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 }
 
 // minListInterval is the least time between two machine lists.
@@ -166,7 +166,7 @@
 func (t *term) removeMachine(now clock.Instant, m *fleet.Machine) {
 	id := m.ID
 	t.tasksEnded(now, t.fleet.Remove(now, id))
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 }
 
 func (t *term) observeListed(now, sent clock.Instant, l cloud.Machine) {
@@ -181,11 +181,11 @@
 	if m.Type == "" || !known {
 		m.SetAttributes(l.Type, l.Zone, l.Spot)
 		m.ProvisionedAt = sent.Add(-clock.Seconds(l.AgeSeconds))
-		t.replanNeeded = true
+		t.rounds.requestPlan()
 	}
 	if l.State == cloud.MachineFailed && !m.Failed {
 		t.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
 		t.tasksEnded(now, t.fleet.MarkFailed(now, m))
-		t.replanNeeded = true
+		t.rounds.requestPlan()
 	}
 }
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -73,7 +73,7 @@
 		return
 	}
 	// Two changes beside the records remove a holder.
-	most := min(t.storeLimits().MaxTxnOps-2, t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-2)
+	most := min(t.schema.storeLimits().MaxTxnOps-2, t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-2)
 	if most < 1 {
 		return
 	}
@@ -93,7 +93,7 @@
 
 func (t *term) quotaCompleted(now clock.Instant, in TransactionCompleted) {
 	t.replyToHolders(t.quotas.CompleteChange(now, in.Outcome == election.OutcomeOK, in.Revision, t.quotaUsage()))
-	t.replanNeeded = true
+	t.rounds.requestPlan()
 }
 
 func (t *term) quotaRecordsRead(now clock.Instant, in QuotaRecordsRead) {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -5,12 +5,10 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/recovery"
-	"badgerbay/internal/schemaversion"
 )
 
 // ReadRecords is the effect that reads all records.
@@ -47,21 +45,18 @@
 	for _, u := range records.UnreadableRecords {
 		t.reportUnreadable(u)
 	}
-	t.schemaRevision, t.staging.revision = records.SchemaRevision, records.StageRevision
-	t.schemaCluster = schemaversion.New(t.settings.PeerNames(), records.SchemaAgreement.Version)
+	t.schema.load(records.SchemaAgreement.Version, records.SchemaRevision)
+	t.staging.revision = records.StageRevision
 	for _, j := range records.Jobs {
 		t.addJob(now, j)
 	}
-	ring, open := roundlog.RestoreRing(t.policy.RingSlots, records.Rounds)
-	t.roundRing = ring
-	for _, item := range records.LostRounds {
-		t.roundRing.SkipUnreadable(item.Key, item.ModRevision)
-	}
+	open := t.rounds.restore(records.Rounds, records.LostRounds)
 	t.roundsUnreadable = len(records.LostRounds) > 0
 	for _, r := range open {
 		t.replayRound(now, r)
 	}
-	t.loaded, t.replanNeeded = true, true
+	t.loaded = true
+	t.rounds.requestPlan()
 	t.adoptSnapshot(now, in.KnownMachines)
 	t.answerDeferred(now)
 	t.log.Info("checkpoints read", "epoch", t.epoch, "jobs", t.jobs.len(), "open_rounds", len(open))
@@ -83,30 +78,7 @@
 	for _, g := range stored.Record.Placements {
 		t.restorePlacements(now, j, g)
 	}
-	t.replanNeeded = true
-}
-
-// replayRound applies a round that is not folded into all its jobs yet. Whether its
-// effects came about is not known: placements wait for reports, rentals are
-// repeated under their names, releases are sent again.
-func (t *term) replayRound(now clock.Instant, r *roundlog.Record) {
-	for _, s := range r.Starts {
-		j := t.jobs.get(s.Job)
-		if j == nil || j.StoredRound >= r.RoundNo {
-			t.roundRing.JobFolded(s.Job, r.RoundNo)
-			continue
-		}
-		t.restorePlacements(now, j, jobs.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), Tasks: s.Tasks})
-		j.LastRound = max(j.LastRound, r.RoundNo)
-		j.MarkDirty(now)
-	}
-	for _, h := range r.Provisions {
-		t.provisioning.AddProvision(now, h.Name, h.Offer, h.Count, true)
-	}
-	for _, id := range r.Deprovisions {
-		t.fleet.Ensure(now, id).Deprovisioning = true
-		t.provisioning.AddDeprovision(id)
-	}
+	t.rounds.requestPlan()
 }
 
 // restorePlacements puts placements back that an earlier leader recorded. They may or
@@ -179,11 +151,12 @@
 		return
 	}
 	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.settings.Params.Workers,
-		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.roundRing.IsUnused() && t.fleet.Len() == 0}
+		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.rounds.isUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
-	t.schedulingOpen, t.replanNeeded = true, true
+	t.schedulingOpen = true
+	t.rounds.requestPlan()
 	t.metrics.Recoveries.Inc()
 	t.log.Info("reconciled", "epoch", t.epoch, "machines", t.fleet.Len(), "after", now.Sub(t.acquiredAt))
 }
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -102,19 +102,19 @@
 	}
 	g.step(RecordsRead{Epoch: tm.epoch, OK: true, Stored: recovery.StoredRecords{Rounds: []kvstore.KeyValue{
 		{Key: "round/5", Value: whole, ModRevision: 11}, {Key: "round/6", Value: torn, ModRevision: 12}}}})
-	if tm.roundRing.Revision(6) != 12 {
-		t.Errorf("the slot is written under version %d", tm.roundRing.Revision(6))
+	if tm.rounds.ring.Revision(6) != 12 {
+		t.Errorf("the slot is written under version %d", tm.rounds.ring.Revision(6))
 	}
 	g.submit(1, arraySpec)
 	begun := g.now
-	for tm.roundRing.FreeSlots() == g.core.policy.RingSlots && g.now.Sub(begun) < 2*time.Minute {
+	for tm.rounds.ring.FreeSlots() == g.core.policy.RingSlots && g.now.Sub(begun) < 2*time.Minute {
 		g.advance(200 * time.Millisecond)
 	}
 	waited := g.now.Sub(begun)
 	if least := g.core.settings.Params.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.core.settings.Params.Workers); waited < least || waited > least+10*time.Second {
 		t.Errorf("placed after %v, want a little more than %v", waited, least)
 	}
-	if next, _ := tm.roundRing.Next(); next <= 6+ident.RoundNo(g.core.policy.RingSlots)-1 {
+	if next, _ := tm.rounds.ring.Next(); next <= 6+ident.RoundNo(g.core.policy.RingSlots)-1 {
 		t.Errorf("round %d comes after one that can't be read", next)
 	}
 }
@@ -195,7 +195,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rounds = append(rounds, kvstore.KeyValue{Key: tm.roundRing.Key(r.RoundNo), Value: value, ModRevision: 20 + ident.Revision(r.RoundNo)})
+		rounds = append(rounds, kvstore.KeyValue{Key: tm.rounds.ring.Key(r.RoundNo), Value: value, ModRevision: 20 + ident.Revision(r.RoundNo)})
 	}
 	g.core.Step(g.now, RecordsRead{Epoch: tm.epoch, OK: true, Stored: recovery.StoredRecords{Rounds: rounds,
 		Jobs: []kvstore.KeyValue{{Key: "job/wk-000001", Value: job, ModRevision: 9}}}})
@@ -341,9 +341,9 @@
 func TestSpareCapacityForFastStarts(t *testing.T) {
 	g := newCoreFixture(t, 0)
 	tm := g.core.term
-	tm.objectives = map[ident.Class]scheduler.Objectives{}
+	tm.rounds.objectives = map[ident.Class]scheduler.Objectives{}
 	for class, within := range map[ident.Class]time.Duration{"fast": 12 * time.Second, "slow": 30 * time.Second, "small": 30 * time.Second} {
-		tm.objectives[class] = scheduler.Objectives{}.With("wait", within)
+		tm.rounds.objectives[class] = scheduler.Objectives{}.With("wait", within)
 		spec := serviceSpec
 		spec.Class = class
 		if class == "small" {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -1,22 +1,43 @@
 package controller
 
 import (
-	"cmp"
-	"math"
-	"slices"
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
-	"badgerbay/internal/cloud"
 	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 	"badgerbay/internal/scheduler"
 )
 
+const (
+	// candidateCost is about the processor time that examining one machine for one job takes.
+	candidateCost = 60 * time.Nanosecond
+	// maxPlanCPUShare is the share of the node's processors that planning may take.
+	maxPlanCPUShare = 0.25
+	// idlePlanInterval is the pause between two plans while nothing changes.
+	idlePlanInterval = time.Second
+	// roundRetryDelay is the pause after a round that was not stored.
+	roundRetryDelay = 200 * time.Millisecond
+)
+
+// schedulingLoop times the rounds, of which one at a time is in flight, and owns the ring of round records. A round takes
+// effect only once its record is stored.
+type schedulingLoop struct {
+	*environment
+	ring         *roundlog.Ring
+	inFlight     *roundInFlight // nil: no record is being written
+	planNeeded   bool           // something has changed since the last plan
+	lastRoundAt  clock.Instant
+	nextPlanAt   clock.Instant
+	planCost     time.Duration // processor time of the last plan, estimated
+	lastDrainAt  clock.Instant
+	objectives   map[ident.Class]scheduler.Objectives
+	teamActiveAt map[ident.Team]clock.Instant // when the team last had work
+}
+
 // roundInFlight is a round whose record is being written.
 type roundInFlight struct {
 	provisionFor ident.JobID
@@ -25,263 +46,177 @@
 	jobs         map[ident.JobID]bool
 }
 
-// isProposed tells whether a placement belongs to the round under way: its
-// launch has not left, and won't before the record is stored.
-func (t *term) isProposed(p *jobs.Placement) bool {
-	return t.roundInFlight != nil && p.RoundNo == t.roundInFlight.record.RoundNo
+func newSchedulingLoop(env *environment) *schedulingLoop {
+	l := &schedulingLoop{environment: env, ring: roundlog.NewRing(env.policy.RingSlots),
+		objectives: map[ident.Class]scheduler.Objectives{}, teamActiveAt: map[ident.Team]clock.Instant{}}
+	for _, o := range env.settings.Params.Objectives {
+		l.objectives[o.Class] = l.objectives[o.Class].With(o.Kind, clock.Seconds(o.WithinSeconds))
+	}
+	return l
 }
 
-const (
-	// candidateCost is about what it takes to look at one machine for one job.
-	candidateCost = 60 * time.Nanosecond
-	// maxPlanCPUShare is the part of the node's processor that planning may take.
-	maxPlanCPUShare = 0.25
-)
-
-// minRoundInterval is the least time between two rounds. It grows as the write budget
-// shrinks, and with what the last plan cost of the processor, so that rounds
-// come seldomer and decide more each.
-func (t *term) minRoundInterval(now clock.Instant) time.Duration {
-	cpu := t.settings.Params.MachineLimits.CPUs
-	if cpu <= 0 {
-		cpu = 1
-	}
-	g := max(t.policy.MinRoundInterval, time.Duration(float64(t.planCost)/(cpu*maxPlanCPUShare)))
-	switch level := t.budget.AvailableWrites(now, kvstore.PurposeRound); {
-	case level < 2:
-		return max(g, 16*t.policy.MinRoundInterval)
-	case level < 4:
-		return max(g, 6*t.policy.MinRoundInterval)
+// restore makes the ring of the records that an earlier leader has stored, and returns the rounds that may not be folded
+// into all their jobs.
+func (l *schedulingLoop) restore(records []roundlog.StoredRecord, unreadable []kvstore.KeyValue) []*roundlog.Record {
+	ring, open := roundlog.RestoreRing(l.policy.RingSlots, records)
+	l.ring = ring
+	for _, item := range unreadable {
+		l.ring.SkipUnreadable(item.Key, item.ModRevision)
 	}
-	return g
+	return open
 }
 
-func (t *term) scheduleIfDue(now clock.Instant) {
-	if !t.schedulingOpen || !t.quotas.Ready() || t.roundInFlight != nil || t.core.election.AdvancingEpoch() || now.Sub(t.lastRoundAt) < t.minRoundInterval(now) {
-		return
-	}
-	if !t.replanNeeded && now.Before(t.nextPlanAt) {
-		return
-	}
-	no, free := t.roundRing.Next()
-	if !free || t.budget.AvailableWrites(now, kvstore.PurposeRound) < 1 {
-		return
-	}
-	t.replanNeeded, t.lastRoundAt, t.nextPlanAt = false, now, now.Add(time.Second)
-	plan := scheduler.PlanRound(t.snapshot(now, no))
-	t.planCost = time.Duration(plan.Examined) * candidateCost
-	t.reportBlocked(now, plan.ReservationBlocked)
-	for _, id := range plan.Drain {
-		t.lastDrainAt = now
-		t.fleet.Machine(id).Draining = true
-		t.log.Info("emptying", "machine", id, "epoch", t.epoch)
-	}
-	for _, s := range plan.Evictions {
-		t.log.Debug("task stopped to make room", "job", s.Placement.Job.ID, "task", s.Placement.Task, "machine", s.Placement.Machine, "for", s.Preemptor, "epoch", t.epoch)
-		t.fleet.StopPlacement(now, s.Placement, clock.Seconds(s.Placement.Job.Spec.CheckpointSeconds))
-		t.metrics.Preemptions.Inc()
-	}
-	t.propose(now, plan)
+// objectivesByClass are the service-level objectives of all classes.
+func (l *schedulingLoop) objectivesByClass() map[ident.Class]scheduler.Objectives {
+	return l.objectives
 }
 
-// propose reserves what the round decides and writes its record.
-func (t *term) propose(now clock.Instant, plan *scheduler.Plan) {
-	r := &plan.Record
-	f := &roundInFlight{record: r, provisionFor: plan.ProvisionedFor, jobs: map[ident.JobID]bool{}}
-	for _, s := range r.Starts {
-		j := t.jobs.get(s.Job)
-		f.jobs[s.Job] = true
-		s.Tasks.Each(func(i ident.TaskIndex) bool {
-			p := &jobs.Placement{Job: j, Task: i, Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), RoundNo: r.RoundNo, PlacedAt: now}
-			t.fleet.Place(now, p)
-			f.placements = append(f.placements, p)
-			return true
-		})
-	}
-	r.Deprovisions = t.machinesToDeprovision(now, plan.Retain, max(0, t.storeLimits().MaxValueBytes()-r.MaxJSONSize()))
-	if r.IsEmpty() {
-		return
-	}
-	r.LowWatermark = min(t.roundRing.LowWatermark(), r.RoundNo)
-	writes, err := t.roundOperations(r)
-	if err != nil {
-		t.metrics.OversizedRecords.Inc()
-		t.log.Error("round can't be written", "round", r.RoundNo, "err", err, "epoch", t.epoch)
-		t.abortRound(now, f)
-		return
-	}
-	if !t.budget.TakeWrites(now, kvstore.PurposeRound, 1) {
-		t.abortRound(now, f)
-		return
-	}
-	t.budget.ForceTakeWrites(now, len(writes)-1)
-	for _, id := range r.Deprovisions {
-		t.fleet.Machine(id).Deprovisioning = true
-	}
-	t.roundInFlight = f
-	t.emit(CommitTransaction{Kind: RoundTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
-		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: writes[0].SetKey, ModRevision: t.roundRing.Revision(r.RoundNo)}},
-		Operations: writes,
-	}})
+// objectivesOf are the service-level objectives of a class.
+func (l *schedulingLoop) objectivesOf(class ident.Class) scheduler.Objectives {
+	return l.objectives[class]
 }
 
-// roundOperations are the changes that store a round: its record, and the parts of it.
-func (t *term) roundOperations(r *roundlog.Record) ([]kvstore.Operation, error) {
-	key := t.roundRing.Key(r.RoundNo)
-	stored, rest, err := r.Split(t.storeLimits().MaxValueBytes(), t.roundChunkLimit(), kvstore.JSONSize)
-	if err != nil {
-		return nil, err
-	}
-	return recordOperations(key, stored, rest, func(n int) string { return roundlog.ChunkKey(key, n) }), nil
+// requestPlan has the next round planned as soon as it may be.
+func (l *schedulingLoop) requestPlan() { l.planNeeded = true }
+
+// isWriting tells whether the record of a round is being written.
+func (l *schedulingLoop) isWriting() bool { return l.inFlight != nil }
+
+// isChanging tells whether the round in flight starts tasks of a job.
+func (l *schedulingLoop) isChanging(id ident.JobID) bool {
+	return l.inFlight != nil && l.inFlight.jobs[id]
 }
 
-// abortRound takes back a round that surely was not stored.
-func (t *term) abortRound(now clock.Instant, f *roundInFlight) {
-	for _, p := range f.placements {
-		t.fleet.Retract(now, p)
-	}
-	for _, id := range f.record.Deprovisions {
-		if m := t.fleet.Machine(id); m != nil {
-			m.Deprovisioning = false
-		}
-	}
-	t.replanNeeded = true
+// isProposed tells whether a placement belongs to the round in flight: its start has not left, and won't before the
+// record is stored.
+func (l *schedulingLoop) isProposed(p *jobs.Placement) bool {
+	return l.inFlight != nil && p.RoundNo == l.inFlight.record.RoundNo
 }
 
-// roundCompleted sends the effects of a round that is stored.
-func (t *term) roundCompleted(now clock.Instant, in TransactionCompleted) {
-	f := t.roundInFlight
-	if f == nil {
-		return
-	}
-	t.roundInFlight = nil
-	if in.Outcome != election.OutcomeOK {
-		t.abortRound(now, f)
-		t.lastRoundAt = now.Add(200 * time.Millisecond)
-		return
-	}
-	r := f.record
-	t.roundRing.Add(r, in.Revision)
-	t.metrics.Rounds.Inc()
-	for _, p := range f.placements {
-		t.startPlacement(now, p, r.RoundNo)
-	}
-	for id := range f.jobs {
-		j := t.jobs.get(id)
-		j.LastRound = max(j.LastRound, r.RoundNo)
-		j.MarkDirty(now)
+// minRoundInterval is the least time between two rounds. It grows as the write budget shrinks, and with what the last
+// plan took of the processor, so that there are fewer rounds and each decides more.
+func (l *schedulingLoop) minRoundInterval(now clock.Instant) time.Duration {
+	cpus := l.settings.Params.MachineLimits.CPUs
+	if cpus <= 0 {
+		cpus = 1
+	}
+	interval := max(l.policy.MinRoundInterval, time.Duration(float64(l.planCost)/(cpus*maxPlanCPUShare)))
+	switch writes := l.budget.AvailableWrites(now, kvstore.PurposeRound); {
+	case writes < 2:
+		return max(interval, 16*l.policy.MinRoundInterval)
+	case writes < 4:
+		return max(interval, 6*l.policy.MinRoundInterval)
+	}
+	return interval
+}
+
+// beginIfDue returns the number of the round to plan now, if one is due and its record can be written.
+func (l *schedulingLoop) beginIfDue(now clock.Instant) (ident.RoundNo, bool) {
+	if l.inFlight != nil || now.Sub(l.lastRoundAt) < l.minRoundInterval(now) {
+		return 0, false
 	}
-	for _, h := range r.Provisions {
-		t.log.Info("renting", "hire", h.Name, "type", h.Offer.Type, "zone", h.Offer.Zone, "spot", h.Offer.Spot, "count", h.Count, "job", f.provisionFor, "round", r.RoundNo, "epoch", t.epoch)
-		t.provisioning.AddProvision(now, h.Name, h.Offer, h.Count, false)
+	if !l.planNeeded && now.Before(l.nextPlanAt) {
+		return 0, false
 	}
-	if len(r.Deprovisions) > 0 {
-		t.log.Info("returning", "machines", r.Deprovisions, "round", r.RoundNo, "epoch", t.epoch)
-		t.provisioning.AddDeprovision(r.Deprovisions...)
+	no, free := l.ring.Next()
+	if !free || l.budget.AvailableWrites(now, kvstore.PurposeRound) < 1 {
+		return 0, false
 	}
-	t.log.Debug("round", "round", r.RoundNo, "epoch", t.epoch, "starts", len(f.placements), "hires", len(r.Provisions), "releases", len(r.Deprovisions))
+	l.planNeeded, l.lastRoundAt, l.nextPlanAt = false, now, now.Add(idlePlanInterval)
+	return no, true
 }
 
-// startPlacement lets a recorded placement start, unless its job or its machine has
-// changed while the record was being written.
-func (t *term) startPlacement(now clock.Instant, p *jobs.Placement, no ident.RoundNo) {
-	if p.State == jobs.PlacementEnded {
-		return
+// planned notes what a plan has cost, and whether it drains machines.
+func (l *schedulingLoop) planned(now clock.Instant, plan *scheduler.Plan) {
+	l.planCost = time.Duration(plan.Examined) * candidateCost
+	if len(plan.Drain) > 0 {
+		l.lastDrainAt = now
 	}
-	m := t.fleet.Machine(p.Machine)
-	if p.Job.Phase.Final() || m == nil || m.Session != p.Session || !t.fleet.Schedulable(m) {
-		t.fleet.Retract(now, p)
-		return
-	}
-	p.StartAllowed = true
-	t.fleet.ScheduleCommand(p.Machine)
-	t.log.Debug("launch", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "round", no, "epoch", t.epoch)
 }
 
-// snapshot gathers what a round is planned from.
-func (t *term) snapshot(now clock.Instant, no ident.RoundNo) *scheduler.Snapshot {
-	p := t.settings.Params
-	w := &scheduler.Snapshot{Now: now, WallMs: t.clock.Wall().UnixMilli(), RoundNo: no, Epoch: t.epoch, Fleet: t.fleet,
-		MachineTypes: t.core.machineTypes, Zones: p.Zones, Teams: t.teams, PendingMachines: t.pendingMachines(now),
-		OfferUnavailable: func(o cloud.Offer) bool { return t.provisioning.Blocked(now, o) },
-		Policy:           t.policy, Objectives: t.objectives, SpareSpecs: t.spareSpecs(), TypicalSpecs: t.jobs.typicalByClass(),
-		MayDrain:     now.Sub(max(t.lastDrainAt, t.acquiredAt)) >= t.policy.DrainInterval && !t.core.peersUnreachable,
-		MayProvision: len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.cloudCalls.Available(now) >= 1 && len(t.provisioning.PendingProvisions()) < 4,
-		ValueBytes:   t.storeLimits().MaxValueBytes(), MaxJobValues: t.jobChunkLimit(), MaxRoundValues: t.roundChunkLimit(), ReplacementAttempts: t.replaceableGangs(now), SpecJSONSize: t.jobs.specJSONSize}
-	w.Reserved, w.ReservedTasks = t.reservedByTeam()
-	w.TeamActive = func(team ident.Team) bool {
-		last, ok := t.teamActiveAt[team]
-		return ok && now.Sub(last) <= t.policy.GuaranteeHoldTime
-	}
-	for j := range t.jobs.all() {
-		if len(j.Placements) > 0 || len(j.Queue) > 0 {
-			t.teamActiveAt[j.Spec.Team] = now
-		}
-		if len(j.Placements) > 0 {
-			w.PlacedJobs = append(w.PlacedJobs, j)
-		}
-		if len(j.Queue) > 0 && !j.Phase.Final() && !now.Before(j.BackoffUntil) {
-			w.QueuedJobs = append(w.QueuedJobs, j)
-		}
-	}
-	// Sums of decimal numbers depend on the order of their terms.
-	slices.SortFunc(w.PlacedJobs, byID)
-	slices.SortFunc(w.QueuedJobs, byID)
-	return w
+// mayDrain tells whether the last drain is long enough ago.
+func (l *schedulingLoop) mayDrain(now, acquiredAt clock.Instant) bool {
+	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.DrainInterval
 }
 
-func byID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
+// noteActive notes that a team has work.
+func (l *schedulingLoop) noteActive(now clock.Instant, team ident.Team) { l.teamActiveAt[team] = now }
 
-// spareSpecs are the specs of the classes that must start faster than machines
-// come up, as last seen.
-func (t *term) spareSpecs() []*jobs.Spec {
-	var out []*jobs.Spec
-	for _, s := range t.jobs.typicalByClass() {
-		if within := t.objectives[s.Class].StartWithin; within > 0 && within < t.fastestBoot(s) {
-			out = append(out, s)
-		}
-	}
-	return out
+// isActive tells whether a team has had work lately, so that its guarantee is held for it.
+func (l *schedulingLoop) isActive(now clock.Instant, team ident.Team) bool {
+	last, ok := l.teamActiveAt[team]
+	return ok && now.Sub(last) <= l.policy.GuaranteeHoldTime
 }
 
-// fastestBoot is how long the fastest machine takes to come up that the spec allows.
-func (t *term) fastestBoot(s *jobs.Spec) time.Duration {
-	fastest := time.Duration(math.MaxInt64)
-	for _, typ := range t.core.machineTypes {
-		allowed := slices.ContainsFunc(typ.AvailableZones(t.settings.Params.Zones), func(z ident.Zone) bool { return s.AllowsMachine(typ.Name, z, false) })
-		if allowed && typ.Capacity.Fits(s.TaskResources()) {
-			fastest = min(fastest, typ.BootTime)
-		}
-	}
-	return fastest
+// write writes the record of a round; it returns false if the record can't be written now.
+func (l *schedulingLoop) write(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, r *roundInFlight) bool {
+	r.record.LowWatermark = min(l.ring.LowWatermark(), r.record.RoundNo)
+	operations, err := l.operations(schema, r.record)
+	if err != nil {
+		l.metrics.OversizedRecords.Inc()
+		l.log.Error("round record rejected", "round", r.record.RoundNo, "err", err, "epoch", epoch)
+		return false
+	}
+	if !l.budget.TakeWrites(now, kvstore.PurposeRound, 1) {
+		return false
+	}
+	l.budget.ForceTakeWrites(now, len(operations)-1)
+	l.inFlight = r
+	l.emit(CommitTransaction{Kind: RoundTransaction, Epoch: epoch, Txn: kvstore.Txn{
+		Conditions: []kvstore.Condition{election.EpochCondition(epoch), {Key: operations[0].SetKey, ModRevision: l.ring.Revision(r.record.RoundNo)}},
+		Operations: operations,
+	}})
+	return true
 }
 
-// advanceEpochIfDue raises the token when exits wait to be reaped, or when a retracted
-// launch has not been seen: under a higher token no late copy can start.
-func (t *term) advanceEpochIfDue(now clock.Instant) {
-	if t.roundInFlight != nil || t.foldInFlight != nil || t.quotas.ChangeInFlight() || t.core.election.AdvancingEpoch() {
-		return
+// operations store a round: its record and its chunks.
+func (l *schedulingLoop) operations(schema *schemaAgreement, r *roundlog.Record) ([]kvstore.Operation, error) {
+	key := l.ring.Key(r.RoundNo)
+	head, chunks, err := r.Split(schema.storeLimits().MaxValueBytes(), schema.maxRoundValues(), kvstore.JSONSize)
+	if err != nil {
+		return nil, err
 	}
-	since := now.Sub(t.epochAdvancedAt)
-	if since < 5*time.Second || now.Before(t.nextStuckCheckAt) {
-		return
+	return recordOperations(key, head, chunks, func(n int) string { return roundlog.ChunkKey(key, n) }), nil
+}
+
+// completed returns the round that was in flight, or nil, and whether it is stored.
+func (l *schedulingLoop) completed(now clock.Instant, in TransactionCompleted) (r *roundInFlight, stored bool) {
+	r = l.inFlight
+	if r == nil {
+		return nil, false
 	}
-	t.nextStuckCheckAt = now.Add(time.Second)
-	if !(t.hasStuckStop(now) || t.fleet.TombstoneCount() > 0 && since >= t.policy.EpochAdvanceInterval) {
-		return
+	l.inFlight = nil
+	if in.Outcome != election.OutcomeOK {
+		l.lastRoundAt = now.Add(roundRetryDelay)
+		return r, false
 	}
-	t.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
-	t.epochAdvancedAt = now
-	t.core.stepElection(now, election.AdvanceEpoch{})
+	l.ring.Add(r.record, in.Revision)
+	l.metrics.Rounds.Inc()
+	return r, true
 }
 
-func (t *term) hasStuckStop(now clock.Instant) bool {
-	for j := range t.jobs.all() {
-		for _, p := range j.Placements {
-			if p.Stopping && p.State == jobs.PlacementPending && now.Sub(p.PlacedAt) > 3*time.Second && p.FencingToken == t.epoch {
-				return true
-			}
+// jobFolded notes that the rounds of a job up to one are in its record.
+func (l *schedulingLoop) jobFolded(id ident.JobID, no ident.RoundNo) { l.ring.JobFolded(id, no) }
+
+// provisionSettled notes that a provision request of a round needs no repetition.
+func (l *schedulingLoop) provisionSettled(name string) { l.ring.SettleProvision(name) }
+
+// deprovisionSettled notes that a machine is returned.
+func (l *schedulingLoop) deprovisionSettled(id ident.MachineID) { l.ring.SettleDeprovision(id) }
+
+// isUnused tells whether no round was ever stored.
+func (l *schedulingLoop) isUnused() bool { return l.ring.IsUnused() }
+
+// freeSlots is how many rounds can be stored before a job must be folded.
+func (l *schedulingLoop) freeSlots() int { return l.ring.FreeSlots() }
+
+// jobsBlockingRing are the jobs whose folds free the oldest slot, while few slots are free.
+func (l *schedulingLoop) jobsBlockingRing() map[ident.JobID]bool {
+	blocking := map[ident.JobID]bool{}
+	if l.ring.FreeSlots() <= l.policy.RingSlots/3 {
+		for _, id := range l.ring.OldestOpenJobs() {
+			blocking[id] = true
 		}
 	}
-	return false
+	return blocking
 }
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -4,67 +4,92 @@
 	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
 	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/schemaversion"
 )
 
-// storeLimits are those of the state service that this term's writes keep to. The
-// later ones hold from some moment after all nodes have the version that knows
-// them; until then records are those that the version before reads and keeps.
-func (t *term) storeLimits() config.State {
-	if t.schemaCluster.Version() < schemaversion.ChunkedJobs {
-		return t.settings.Params.StateService
+// schemaAgreement follows which schema version all nodes can read, stores it, and derives from it the limits that the
+// leader's writes keep to.
+type schemaAgreement struct {
+	*environment
+	negotiator *schemaversion.Negotiator
+	revision   ident.Revision // of the key that holds the agreed version
+}
+
+func newSchemaAgreement(env *environment) *schemaAgreement {
+	return &schemaAgreement{environment: env, negotiator: schemaversion.New(env.settings.PeerNames(), 0)}
+}
+
+// load takes over what an earlier leader has stored.
+func (a *schemaAgreement) load(agreed schemaversion.Version, revision ident.Revision) {
+	a.negotiator, a.revision = schemaversion.New(a.settings.PeerNames(), agreed), revision
+}
+
+// nodeReported notes the newest version that a node can read.
+func (a *schemaAgreement) nodeReported(now clock.Instant, node string, version schemaversion.Version) {
+	a.negotiator.RecordReport(now, node, version)
+}
+
+// version is the newest schema version that all nodes are known to read.
+func (a *schemaAgreement) version() schemaversion.Version { return a.negotiator.Version() }
+
+// storeLimits are the limits of the state service that writes keep to. The announced stricter ones come into force at
+// some moment after all nodes run the version that knows them; until then records stay readable to the version before.
+func (a *schemaAgreement) storeLimits() config.State {
+	if a.version() < schemaversion.ChunkedJobs {
+		return a.settings.Params.StateService
 	}
-	return t.settings.Params.StateService.Strictest()
+	return a.settings.Params.StateService.Strictest()
 }
 
-// jobChunkLimit is how many values a job's record may take.
-func (t *term) jobChunkLimit() int { return t.chunkLimitSince(schemaversion.ChunkedJobs) }
+// maxJobValues is how many values the record of a job may take.
+func (a *schemaAgreement) maxJobValues() int { return a.maxValuesSince(schemaversion.ChunkedJobs) }
 
-// roundChunkLimit is how many values a round's record may take.
-func (t *term) roundChunkLimit() int { return t.chunkLimitSince(schemaversion.ChunkedRounds) }
+// maxRoundValues is how many values the record of a round may take.
+func (a *schemaAgreement) maxRoundValues() int { return a.maxValuesSince(schemaversion.ChunkedRounds) }
 
-// chunkLimitSince is how many values a record may take that has parts since a form: as
-// many as one transaction holds, once all nodes know the form.
-func (t *term) chunkLimitSince(form schemaversion.Version) int {
-	if t.schemaCluster.Version() < form {
+// maxValuesSince is how many values a record may take that has chunks since a schema version: as many as one transaction
+// holds, once all nodes can read them.
+func (a *schemaAgreement) maxValuesSince(version schemaversion.Version) int {
+	if a.version() < version {
 		return 1
 	}
-	return t.storeLimits().MaxTxnValues()
+	return a.storeLimits().MaxTxnValues()
 }
 
-// agreeSchemaVersion stores the latest form that all nodes know, once they have said so.
-func (t *term) agreeSchemaVersion(now clock.Instant) {
-	t.metrics.OutdatedNodes.Set(float64(t.schemaCluster.BehindCount(now)))
-	if t.core.election.AdvancingEpoch() {
-		return
-	}
-	form := t.schemaCluster.Propose(now)
-	if form == 0 {
+// countOutdatedNodes sets the gauge of the nodes that have not said lately that they run this version.
+func (a *schemaAgreement) countOutdatedNodes(now clock.Instant) {
+	a.metrics.OutdatedNodes.Set(float64(a.negotiator.BehindCount(now)))
+}
+
+// proposeIfDue stores the newest version that all nodes can read, once they have said so.
+func (a *schemaAgreement) proposeIfDue(now clock.Instant, epoch ident.Epoch) {
+	version := a.negotiator.Propose(now)
+	if version == 0 {
 		return
 	}
-	t.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
-	t.emit(CommitTransaction{Kind: SchemaVersionTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
-		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: schemaversion.Key, ModRevision: t.schemaRevision}},
-		Operations: []kvstore.Operation{{SetKey: schemaversion.Key, Value: schemaversion.Agreement{Version: form}}},
+	a.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
+	a.emit(CommitTransaction{Kind: SchemaVersionTransaction, Epoch: epoch, Txn: kvstore.Txn{
+		Conditions: []kvstore.Condition{election.EpochCondition(epoch), {Key: schemaversion.Key, ModRevision: a.revision}},
+		Operations: []kvstore.Operation{{SetKey: schemaversion.Key, Value: schemaversion.Agreement{Version: version}}},
 	}})
 }
 
-func (t *term) schemaVersionCompleted(_ clock.Instant, in TransactionCompleted) {
+func (a *schemaAgreement) completed(in TransactionCompleted) {
 	stored := in.Outcome == election.OutcomeOK
-	t.schemaCluster.Settle(stored)
+	a.negotiator.Settle(stored)
 	if stored {
-		t.schemaRevision = in.Revision
-		t.log.Info("all nodes know a later form of records", "form", t.schemaCluster.Version(), "epoch", t.epoch)
+		a.revision = in.Revision
+		a.log.Info("schema version agreed", "schema_version", a.version(), "epoch", in.Epoch)
 	}
 }
 
-// limitsLowered takes in that the state service has refused what is beyond its later
-// limits. They come only after the upgrade, so all nodes have this version, even
-// if one of them is out of reach and can't say so.
-func (t *term) limitsLowered() {
-	if t.schemaCluster.Version() < schemaversion.ChunkedJobs {
-		t.log.Info("the state service keeps to its later limits", "epoch", t.epoch)
+// limitsReduced notes that the state service has refused what its stricter limits forbid. They come into force only
+// after the upgrade, so all nodes have this version, even one that is unreachable and can't say so.
+func (a *schemaAgreement) limitsReduced(epoch ident.Epoch) {
+	if a.version() < schemaversion.ChunkedJobs {
+		a.log.Info("state service limits reduced", "epoch", epoch)
 	}
-	t.schemaCluster.ObserveReducedLimits()
+	a.negotiator.ObserveReducedLimits()
 }
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -41,10 +41,10 @@
 // beginStaging begins to write a record in several transactions, if all nodes can
 // read it. It tells whether it did.
 func (t *term) beginStaging(j *jobs.Job, rec *jobs.Record) bool {
-	if t.staging.job != nil || t.schemaCluster.Version() < schemaversion.ChunkedRounds {
+	if t.staging.job != nil || t.schema.version() < schemaversion.ChunkedRounds {
 		return false
 	}
-	head, rest, err := rec.SplitMultiTxn(min(t.storeLimits().MaxValueBytes(), maxStagedChunkBytes), j.StoredChunkOffset)
+	head, rest, err := rec.SplitMultiTxn(min(t.schema.storeLimits().MaxValueBytes(), maxStagedChunkBytes), j.StoredChunkOffset)
 	if err != nil {
 		t.log.Error("checkpoint can't be written in parts", "job", j.ID, "err", err, "epoch", t.epoch)
 		return false
@@ -66,13 +66,13 @@
 		t.commitStagedHead(now)
 		return
 	}
-	n := min(len(s.chunks)-s.written, max(1, t.storeLimits().MaxTxnValues()-1), t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-1)
+	n := min(len(s.chunks)-s.written, max(1, t.schema.storeLimits().MaxTxnValues()-1), t.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-1)
 	if n <= 0 {
 		return
 	}
 	first := s.head.ChunkInfo.Offset + s.written + 1
 	txn := kvstore.Txn{
-		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: stagingKey, ModRevision: s.revision}},
+		Conditions: []kvstore.Condition{election.EpochCondition(t.epoch), {Key: stagingKey, ModRevision: s.revision}},
 		Operations: []kvstore.Operation{{SetKey: stagingKey, Value: stagingMarker{s.job.ID, first}}},
 	}
 	for i, part := range s.chunks[s.written : s.written+n] {
@@ -93,7 +93,7 @@
 	t.foldInFlight = &foldInFlight{jobs: []foldedJob{s.folded}, firstChunk: s.head.ChunkInfo.Offset}
 	key := jobs.Key(s.job.ID)
 	t.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: kvstore.Txn{
-		Conditions: []kvstore.Condition{t.leaderCondition(), {Key: key, ModRevision: s.job.ModRevision}},
+		Conditions: []kvstore.Condition{election.EpochCondition(t.epoch), {Key: key, ModRevision: s.job.ModRevision}},
 		Operations: []kvstore.Operation{{SetKey: key, Value: s.head}},
 	}})
 	t.staging = stagedWrite{revision: s.revision}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -5,7 +5,6 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
@@ -15,43 +14,32 @@
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/quota"
 	"badgerbay/internal/recovery"
-	"badgerbay/internal/scheduler"
-	"badgerbay/internal/schemaversion"
 )
 
 // term is what a node holds while it leads: the working copy of everything
 // that the state service, the workers and the cloud are the authority of.
 type term struct {
 	*environment
-	core          *Core
-	epoch         ident.Epoch
-	acquiredAt    clock.Instant
-	loaded        bool
-	schemaCluster *schemaversion.Negotiator // the nodes' versions
-	// schemaRevision is the version of the key that holds the form agreed on.
-	schemaRevision ident.Revision
+	core           *Core
+	epoch          ident.Epoch
+	acquiredAt     clock.Instant
+	loaded         bool
+	schema         *schemaAgreement
+	rounds         *schedulingLoop
+	epochs         *epochAdvance
 	schedulingOpen bool // reconciled: places from now on
 	jobs           *jobTable
 	fleet          *fleet.Fleet
-	roundRing      *roundlog.Ring
 	provisioning   *cloud.Tracker
 	cloudCalls     *kvstore.TokenBucket
 	teams          map[ident.Team]config.Team
 
-	replanNeeded     bool // something changed since the last plan
-	lastRoundAt      clock.Instant
-	planCost         time.Duration // of processor time, about, for the last plan
-	nextPlanAt       clock.Instant
-	roundInFlight    *roundInFlight
 	foldInFlight     *foldInFlight
 	foldRetryAt      clock.Instant
-	epochAdvancedAt  clock.Instant
-	lastDrainAt      clock.Instant
 	listing          cloud.MachineLister
 	machinesListed   bool // the machine list has been read in this term
 	nextMachineTypes clock.Instant
 	nextSweepAt      clock.Instant
-	nextStuckCheckAt clock.Instant
 	deferred         []deferredHeartbeat
 	oversizedUntil   map[ident.JobID]clock.Instant // checkpoints not to be tried before
 	staging          stagedWrite
@@ -64,24 +52,21 @@
 	workerReach    leadtransfer.Reachability
 	lastRegainedAt clock.Instant // when a machine that was silent for too long was last heard again
 	delegations    *leasedelegation.GrantTracker
-	objectives     map[ident.Class]scheduler.Objectives
-	teamActiveAt   map[ident.Team]clock.Instant // when the team last had work
 }
 
 func newTerm(c *Core, now clock.Instant, epoch ident.Epoch) *term {
 	t := &term{environment: c.environment, core: c, epoch: epoch, acquiredAt: now, jobs: newJobTable(c.environment),
-		provisioning: cloud.NewTracker(c.policy.ProvisionBackoff), roundRing: roundlog.NewRing(c.policy.RingSlots),
-		teams:        c.settings.Params.TeamsByName(),
-		teamActiveAt: map[ident.Team]clock.Instant{}, objectives: map[ident.Class]scheduler.Objectives{}, oversizedUntil: map[ident.JobID]clock.Instant{},
-		quotaEnforcers: map[string]clock.Instant{}, epochAdvancedAt: now, nextMachineTypes: now.Add(5 * time.Second)}
+		provisioning: cloud.NewTracker(c.policy.ProvisionBackoff), schema: newSchemaAgreement(c.environment),
+		rounds: newSchedulingLoop(c.environment), epochs: newEpochAdvance(c.environment, now),
+		teams:          c.settings.Params.TeamsByName(),
+		oversizedUntil: map[ident.JobID]clock.Instant{},
+		quotaEnforcers: map[string]clock.Instant{}, nextMachineTypes: now.Add(5 * time.Second)}
 	p := c.settings.Params
-	t.schemaCluster = schemaversion.New(c.settings.PeerNames(), 0)
 	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.jobs.get)
 	t.fleet.SetMachineTypes(c.machineTypes)
 	t.delegations = leasedelegation.NewGrantTracker(c.settings, now)
 	t.fleet.SetDelegatedRenewals(t.delegations.RenewalIn)
 	t.cloudCalls = kvstore.NewTokenBucket(p.Cloud.RPS*LeaderCloudShare, cloudCallBurst(p.Cloud))
-	t.readObjectives()
 	return t
 }
 
@@ -94,12 +79,6 @@
 	return times
 }
 
-func (t *term) readObjectives() {
-	for _, o := range t.settings.Params.Objectives {
-		t.objectives[o.Class] = t.objectives[o.Class].With(o.Kind, clock.Seconds(o.WithinSeconds))
-	}
-}
-
 func (t *term) setEpoch(e ident.Epoch) {
 	t.epoch = e
 	t.fleet.SetEpoch(e)
@@ -152,7 +131,10 @@
 	}
 	t.inquireMachines(now)
 	t.openScheduling(now)
-	t.agreeSchemaVersion(now)
+	t.schema.countOutdatedNodes(now)
+	if !t.core.election.AdvancingEpoch() {
+		t.schema.proposeIfDue(now, t.epoch)
+	}
 	t.stepQuotas(now)
 	t.advanceEpochIfDue(now)
 	t.continueStaging(now)
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -41,11 +41,6 @@
 func (CommitTransaction) effect()   {}
 func (TransactionCompleted) input() {}
 
-// leaderCondition fences a transaction: it fails once another epoch has begun.
-func (t *term) leaderCondition() kvstore.Condition {
-	return kvstore.Condition{Key: election.LeaderKey, ModRevision: ident.Revision(t.epoch)}
-}
-
 // recordOperations are the operations that store a record and its chunks.
 func recordOperations(key string, record any, chunks []*chunk.Value, chunkKey func(n int) string) []kvstore.Operation {
 	operations := []kvstore.Operation{{SetKey: key, Value: record}}
@@ -65,7 +60,7 @@
 		return
 	}
 	if in.ExceedsNextLimits {
-		t.limitsLowered()
+		t.schema.limitsReduced(t.epoch)
 	}
 	switch in.Kind {
 	case RoundTransaction:
@@ -73,7 +68,7 @@
 	case FoldTransaction:
 		t.foldCompleted(now, in)
 	case SchemaVersionTransaction:
-		t.schemaVersionCompleted(now, in)
+		t.schema.completed(in)
 	case StagingTransaction:
 		t.stagingCompleted(now, in)
 	case QuotaTransaction:
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -171,7 +171,7 @@
 	g := newCoreFixture(t, 0)
 	g.core.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
 	tm := g.core.term
-	tm.schemaCluster.ObserveReducedLimits()
+	tm.schema.negotiator.ObserveReducedLimits()
 	rng := rand.New(rand.NewPCG(1, 1))
 	wide := arraySpec
 	wide.Tasks = 90_000
