--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -6,115 +6,138 @@
 	"strings"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/api"
+	"badgerbay/internal/clock"
 	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 )
 
+const (
+	// maxFoldBytes keeps a transaction below the state service's limit of 64 KiB.
+	maxFoldBytes = 40 << 10
+	// maxFoldedJobs bounds the checkpoints of one fold, so that those who wait for changes have their turn in between. In a
+	// flood the folds of the jobs just placed took three changes of four, and 440 users needed 50 s to get in.
+	maxFoldedJobs = 4
+	// oversizedRetryDelay is the pause after a checkpoint that was too large.
+	oversizedRetryDelay = 2 * time.Second
+	// foldRetryDelay is the pause after a fold, or a part of a staged record, that was refused.
+	foldRetryDelay = 200 * time.Millisecond
+)
+
+// checkpointWriter writes the checkpoints of jobs, one transaction at a time: several jobs in one (a fold), or a record
+// that fits into none in several (staging).
+type checkpointWriter struct {
+	*environment
+	inFlight       *foldInFlight // nil: no fold is being written
+	retryAt        clock.Instant
+	oversizedUntil map[ident.JobID]clock.Instant // checkpoints that are not tried before
+	staging        stagedWrite
+}
+
 // foldInFlight is a fold that is being written.
 type foldInFlight struct {
-	jobs       []foldedJob
-	firstChunk int // the number before that of the first part of its records
+	jobs        []foldedJob
+	chunkOffset int // the number before that of the first chunk of its records
 }
 
+// foldedJob is what the record of a job holds that is being written.
 type foldedJob struct {
 	job       *jobs.Job
 	seq       uint64
 	round     ident.RoundNo
 	phase     jobs.Phase
-	doneTasks int // tasks
+	doneTasks int
 }
 
-// maxFoldBytes keeps a transaction below the state service's limit of 64 KiB.
-const maxFoldBytes = 40 << 10
-
-// oversizedRetryDelay is how long a checkpoint that is too large is not tried again.
-const oversizedRetryDelay = 2 * time.Second
+func newFoldedJob(j *jobs.Job, record *jobs.Record) foldedJob {
+	return foldedJob{job: j, seq: j.ChangeSeq, round: record.LastRound, phase: record.Phase, doneTasks: record.Done.Len()}
+}
 
-// stagingRetryDelay is how long parts of a record are not sent again after a refusal.
-const stagingRetryDelay = 200 * time.Millisecond
+func newCheckpointWriter(env *environment) *checkpointWriter {
+	return &checkpointWriter{environment: env, oversizedUntil: map[ident.JobID]clock.Instant{}}
+}
 
-// maxFoldedJobs bounds the checkpoints of one fold, so that those who wait for
-// changes have their turn in between. In a flood the folds of the jobs just
-// placed took three changes of four, and 440 users needed 50 s to get in.
-const maxFoldedJobs = 4
+// isWriting tells whether a fold is being written.
+func (w *checkpointWriter) isWriting() bool { return w.inFlight != nil }
 
-// foldIfDue writes the checkpoints that somebody waits for, then those that
-// have lagged longest, as far as the folds' share of the write rate goes.
-func (t *term) foldIfDue(now clock.Instant) {
-	if t.foldInFlight != nil || t.core.election.AdvancingEpoch() || now.Before(t.foldRetryAt) {
+// foldIfDue writes the checkpoints that somebody waits for, then those that have lagged longest, as far as the folds'
+// share of the write rate goes.
+func (w *checkpointWriter) foldIfDue(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, table *jobTable, rounds *schedulingLoop) {
+	if w.inFlight != nil || now.Before(w.retryAt) {
 		return
 	}
-	urgent, late := t.jobsToFold(now)
-	use := kvstore.PurposeFold
-	batch := late
+	urgent, late := w.candidates(now, table, rounds)
+	purpose, batch := kvstore.PurposeFold, late
 	if len(urgent) > 0 {
-		use, batch = kvstore.PurposeUrgentFold, urgent
+		purpose, batch = kvstore.PurposeUrgentFold, urgent
 	}
-	limits := t.schema.storeLimits()
-	may := t.budget.AvailableWrites(now, use)
-	n := min(len(batch), may, limits.MaxTxnOps, maxFoldedJobs)
+	maxOps := schema.storeLimits().MaxTxnOps
+	available := w.budget.AvailableWrites(now, purpose)
+	n := min(len(batch), available, maxOps, maxFoldedJobs)
 	if n <= 0 {
 		return
 	}
-	f := &foldInFlight{}
-	txn := kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(t.epoch)}}
+	fold, txn := w.foldOf(now, epoch, schema, batch[:n], min(available, maxOps))
+	if len(fold.jobs) == 0 {
+		return
+	}
+	w.budget.ForceTakeWrites(now, len(txn.Operations))
+	w.inFlight = fold
+	w.emit(CommitTransaction{Kind: FoldTransaction, Epoch: epoch, Txn: txn})
+}
+
+// foldOf makes one transaction of the checkpoints of jobs, as many as fit into it.
+func (w *checkpointWriter) foldOf(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job, maxOps int) (*foldInFlight, kvstore.Txn) {
+	fold := &foldInFlight{}
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(epoch)}}
 	size := 0
-	for _, j := range batch[:n] {
-		writes, folded, ok := t.foldOperations(now, j)
+	for _, j := range batch {
+		operations, folded, ok := w.operations(now, epoch, schema, j)
 		if !ok {
 			continue
 		}
-		size += kvstore.JSONSize(writes[0].Value)
-		if len(f.jobs) > 0 && (size > maxFoldBytes || len(txn.Operations)+len(writes) > min(may, limits.MaxTxnOps)) {
+		size += kvstore.JSONSize(operations[0].Value)
+		if len(fold.jobs) > 0 && (size > maxFoldBytes || len(txn.Operations)+len(operations) > maxOps) {
 			break
 		}
-		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: writes[0].SetKey, ModRevision: j.ModRevision})
-		txn.Operations = append(txn.Operations, writes...)
-		f.jobs = append(f.jobs, folded)
+		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: operations[0].SetKey, ModRevision: j.ModRevision})
+		txn.Operations = append(txn.Operations, operations...)
+		fold.jobs = append(fold.jobs, folded)
 		j.FoldInFlight = true
 	}
-	if len(f.jobs) == 0 {
-		return
-	}
-	t.budget.ForceTakeWrites(now, len(txn.Operations))
-	t.foldInFlight = f
-	t.emit(CommitTransaction{Kind: FoldTransaction, Epoch: t.epoch, Txn: txn})
+	return fold, txn
 }
 
-// foldOperations are the changes that store a job's checkpoint: its record, and the
-// parts of it. One that is too large for a transaction is written in several, or
-// tried again a little later; it keeps no others from their turn.
-func (t *term) foldOperations(now clock.Instant, j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
-	whole := j.Record(t.epoch)
-	rec, rest, err := whole.Split(t.schema.storeLimits().MaxValueBytes(), t.schema.maxJobValues(), kvstore.JSONSize)
+// operations store the checkpoint of a job: its record and its chunks. One that is too large for a transaction is
+// staged, or tried again a little later; it keeps no others from their turn.
+func (w *checkpointWriter) operations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
+	record := j.Record(epoch)
+	head, chunks, err := record.Split(schema.storeLimits().MaxValueBytes(), schema.maxJobValues(), kvstore.JSONSize)
 	if err != nil {
-		t.metrics.OversizedRecords.Inc()
-		if !t.beginStaging(j, whole) {
-			t.oversizedUntil[j.ID] = now.Add(oversizedRetryDelay)
-			t.log.Warn("checkpoint is too large for one transaction", "job", j.ID, "err", err, "epoch", t.epoch)
+		w.metrics.OversizedRecords.Inc()
+		if !w.beginStaging(j, record, epoch, schema) {
+			w.oversizedUntil[j.ID] = now.Add(oversizedRetryDelay)
+			w.log.Warn("checkpoint deferred, too large for one transaction", "job", j.ID, "err", err, "epoch", epoch)
 		}
 		return nil, foldedJob{}, false
 	}
-	writes := recordOperations(jobs.Key(j.ID), rec, rest, func(n int) string { return jobs.ChunkKey(j.ID, n) })
-	return writes, foldedJob{j, j.ChangeSeq, rec.LastRound, rec.Phase, whole.Done.Len()}, true
+	operations := recordOperations(jobs.Key(j.ID), head, chunks, func(n int) string { return jobs.ChunkKey(j.ID, n) })
+	return operations, newFoldedJob(j, record), true
 }
 
-// jobsToFold lists the jobs whose record may be written now: those that a user
-// or the ring waits for, and those that have lagged long enough.
-func (t *term) jobsToFold(now clock.Instant) (urgent, late []*jobs.Job) {
-	blocking := t.rounds.jobsBlockingRing()
-	for j := range t.jobs.all() {
-		if !j.Dirty() || j.FoldInFlight || now.Before(t.oversizedUntil[j.ID]) || t.rounds.isChanging(j.ID) {
+// candidates lists the jobs whose record may be written now: those that a user or the ring of rounds waits for, and those
+// that have lagged long enough.
+func (w *checkpointWriter) candidates(now clock.Instant, table *jobTable, rounds *schedulingLoop) (urgent, late []*jobs.Job) {
+	blocking := rounds.jobsBlockingRing()
+	for j := range table.all() {
+		if !j.Dirty() || j.FoldInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.isChanging(j.ID) {
 			continue
 		}
-		if j.NeedsUrgentFold() || blocking[j.ID] || t.jobs.isAwaited(j.ID) {
+		if j.NeedsUrgentFold() || blocking[j.ID] || table.isAwaited(j.ID) {
 			urgent = append(urgent, j)
-		} else if now.Sub(j.DirtySince) >= t.policy.MaxFoldDelay {
+		} else if now.Sub(j.DirtySince) >= w.policy.MaxFoldDelay {
 			late = append(late, j)
 		}
 	}
@@ -129,38 +152,51 @@
 	})
 }
 
-func (t *term) foldCompleted(now clock.Instant, in TransactionCompleted) {
-	f := t.foldInFlight
-	if f == nil {
-		return
+// foldCompleted ends the fold in flight, and returns what it has stored of which jobs.
+func (w *checkpointWriter) foldCompleted(now clock.Instant, in TransactionCompleted) []foldedJob {
+	fold := w.inFlight
+	if fold == nil {
+		return nil
 	}
-	t.foldInFlight = nil
-	for _, fj := range f.jobs {
-		fj.job.FoldInFlight = false
+	w.inFlight = nil
+	for _, folded := range fold.jobs {
+		folded.job.FoldInFlight = false
 	}
 	if in.Outcome != election.OutcomeOK {
-		t.foldFailed(now, in)
-		return
+		w.retryAt = now.Add(foldRetryDelay)
+		return nil
 	}
-	t.metrics.Folds.Inc()
-	for _, fj := range f.jobs {
-		j := fj.job
-		j.ModRevision, j.StoredSeq, j.StoredRound, j.StoredPhase, j.StoredChunkOffset = in.Revision, fj.seq, fj.round, fj.phase, f.firstChunk
-		j.StoredDoneTasks = fj.doneTasks
+	w.metrics.Folds.Inc()
+	for _, folded := range fold.jobs {
+		j := folded.job
+		j.ModRevision, j.StoredChunkOffset = in.Revision, fold.chunkOffset
+		j.StoredSeq, j.StoredRound, j.StoredPhase, j.StoredDoneTasks = folded.seq, folded.round, folded.phase, folded.doneTasks
 		if j.Dirty() {
 			j.DirtySince = now
 		}
-		t.rounds.jobFolded(j.ID, fj.round)
-		if fj.phase.Final() {
-			t.log.Info("job over", "job", j.ID, "phase", fj.phase, "epoch", t.epoch)
-			t.jobs.answerCancellations(j.ID, api.JobFound, t.core.election.LeaseValidUntil())
+	}
+	return fold.jobs
+}
+
+// foldCompleted tells those who waited for the checkpoints of a fold, and reads the records that were not as expected.
+func (t *term) foldCompleted(now clock.Instant, in TransactionCompleted) {
+	wasWriting := t.checkpoints.isWriting()
+	for _, folded := range t.checkpoints.foldCompleted(now, in) {
+		id := folded.job.ID
+		t.rounds.jobFolded(id, folded.round)
+		if folded.phase.Final() {
+			t.log.Info("job ended", "job", id, "phase", folded.phase, "epoch", t.epoch)
+			t.jobs.answerCancellations(id, api.JobFound, t.core.election.LeaseValidUntil())
 		}
 	}
+	if wasWriting && in.Outcome != election.OutcomeOK {
+		t.readConflicting(in.FailedConditions)
+	}
 }
 
-func (t *term) foldFailed(now clock.Instant, in TransactionCompleted) {
-	t.foldRetryAt = now.Add(200 * time.Millisecond)
-	for _, key := range in.FailedConditions {
+// readConflicting reads the job records whose conditions failed.
+func (t *term) readConflicting(keys []string) {
+	for _, key := range keys {
 		t.metrics.CASConflicts.Inc()
 		id := ident.JobID(strings.TrimPrefix(key, jobs.KeyPrefix))
 		if t.jobs.get(id) != nil {
--- a/internal/controller/leadtransfer.go
+++ b/internal/controller/leadtransfer.go
@@ -9,7 +9,7 @@
 // transferLeadershipIfUnreached hands leadership over if another node can do the work better, and
 // rests so that this one is not elected again at once.
 func (t *term) transferLeadershipIfUnreached(now clock.Instant) bool {
-	if t.rounds.isWriting() || t.foldInFlight != nil || t.core.election.AdvancingEpoch() {
+	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.core.election.AdvancingEpoch() {
 		return false
 	}
 	if t.core.recentlyStalled(now) || now.Sub(t.acquiredAt) < t.settings.Params.Workers.MaxHeartbeatGap() {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -46,7 +46,7 @@
 		t.reportUnreadable(u)
 	}
 	t.schema.load(records.SchemaAgreement.Version, records.SchemaRevision)
-	t.staging.revision = records.StageRevision
+	t.checkpoints.resumeStaging(records.StageRevision)
 	for _, j := range records.Jobs {
 		t.addJob(now, j)
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -27,6 +27,7 @@
 	schema         *schemaAgreement
 	rounds         *schedulingLoop
 	epochs         *epochAdvance
+	checkpoints    *checkpointWriter
 	schedulingOpen bool // reconciled: places from now on
 	jobs           *jobTable
 	fleet          *fleet.Fleet
@@ -34,15 +35,11 @@
 	cloudCalls     *kvstore.TokenBucket
 	teams          map[ident.Team]config.Team
 
-	foldInFlight     *foldInFlight
-	foldRetryAt      clock.Instant
 	listing          cloud.MachineLister
 	machinesListed   bool // the machine list has been read in this term
 	nextMachineTypes clock.Instant
 	nextSweepAt      clock.Instant
 	deferred         []deferredHeartbeat
-	oversizedUntil   map[ident.JobID]clock.Instant // checkpoints not to be tried before
-	staging          stagedWrite
 	roundsUnreadable bool // some round's record can't be read
 	inquiry          recovery.HeartbeatPoll
 	machinesHinted   bool // machines are known from a list that was read before this term
@@ -57,9 +54,9 @@
 func newTerm(c *Core, now clock.Instant, epoch ident.Epoch) *term {
 	t := &term{environment: c.environment, core: c, epoch: epoch, acquiredAt: now, jobs: newJobTable(c.environment),
 		provisioning: cloud.NewTracker(c.policy.ProvisionBackoff), schema: newSchemaAgreement(c.environment),
-		rounds: newSchedulingLoop(c.environment), epochs: newEpochAdvance(c.environment, now),
-		teams:          c.settings.Params.TeamsByName(),
-		oversizedUntil: map[ident.JobID]clock.Instant{},
+		rounds: newSchedulingLoop(c.environment), epochs: newEpochAdvance(c.environment, now), checkpoints: newCheckpointWriter(c.environment),
+		teams: c.settings.Params.TeamsByName(),
+
 		quotaEnforcers: map[string]clock.Instant{}, nextMachineTypes: now.Add(5 * time.Second)}
 	p := c.settings.Params
 	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.jobs.get)
@@ -137,8 +134,10 @@
 	}
 	t.stepQuotas(now)
 	t.advanceEpochIfDue(now)
-	t.continueStaging(now)
-	t.foldIfDue(now)
+	if !t.core.election.AdvancingEpoch() {
+		t.checkpoints.continueStaging(now, t.epoch, t.schema)
+		t.checkpoints.foldIfDue(now, t.epoch, t.schema, t.jobs, t.rounds)
+	}
 	t.scheduleIfDue(now)
 	t.callCloudAPI(now)
 	t.pushCommands(now)
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -70,7 +70,7 @@
 	case SchemaVersionTransaction:
 		t.schema.completed(in)
 	case StagingTransaction:
-		t.stagingCompleted(now, in)
+		t.checkpoints.stagingCompleted(now, in)
 	case QuotaTransaction:
 		t.quotaCompleted(now, in)
 	}
