--- a/internal/leadtransfer/reachability_test.go
+++ b/internal/leadtransfer/reachability_test.go
@@ -49,3 +49,29 @@
 		r.RecordHeartbeat(now, ident.MachineID(fmt.Sprintf("%s-%d", name, i)), via)
 	}
 }
+
+// TestDelayBeginsAnew: after a reset the workers must be unreachable for the whole delay
+// again.
+func TestDelayBeginsAnew(t *testing.T) {
+	var reachability Reachability
+	now := clock.Instant(time.Hour)
+	transferee := func() string {
+		recordHeartbeats(&reachability, now, "far", 20, "n2")
+		return reachability.Transferee(now, 20, Delay)
+	}
+	if reachability.HasRelayed() {
+		t.Error("relayed before any heartbeat")
+	}
+	if node := transferee(); node != "" || !reachability.HasRelayed() {
+		t.Errorf("transfers to %q at once", node)
+	}
+	now = now.Add(Delay)
+	reachability.ResetDelay()
+	if node := transferee(); node != "" {
+		t.Errorf("transfers to %q right after a reset", node)
+	}
+	now = now.Add(Delay)
+	if node := transferee(); node != "n2" {
+		t.Errorf("transfers to %q after the delay", node)
+	}
+}
