--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -114,9 +114,9 @@
 		if !canExpand(group.Indexes, len(hb.Tasks)) {
 			return nil, fmt.Errorf("%w: heartbeat with invalid or too many tasks", ErrMalformed)
 		}
-		for _, task := range taskIDs(group.Job, group.Indexes) {
+		for index := range group.Indexes.All() {
 			hb.Tasks = append(hb.Tasks, fleet.TaskStatus{
-				Task: task, Attempt: group.Attempt, State: group.State, Cause: group.Cause, CheckpointStored: group.Stored,
+				Task: ident.TaskID{Job: group.Job, Index: index}, Attempt: group.Attempt, State: group.State, Cause: group.Cause, CheckpointStored: group.Stored,
 			})
 		}
 	}
@@ -150,7 +150,8 @@
 			continue
 		}
 		gracePeriod := time.Duration(group.GracePeriodSeconds * float64(time.Second))
-		for _, task := range taskIDs(group.Job, group.Indexes) {
+		for index := range group.Indexes.All() {
+			task := ident.TaskID{Job: group.Job, Index: index}
 			commands = append(commands, fleet.Command{Kind: group.Kind, Task: task, Attempt: group.Attempt, GracePeriod: gracePeriod})
 		}
 	}
@@ -162,12 +163,3 @@
 func canExpand(indexes indexset.Set, expanded int) bool {
 	return indexes.Valid(maxTaskIndexes) && expanded+indexes.Len() <= maxTasksPerHeartbeat
 }
-
-func taskIDs(job ident.JobID, indexes indexset.Set) []ident.TaskID {
-	ids := make([]ident.TaskID, 0, indexes.Len())
-	indexes.Each(func(i ident.TaskIndex) bool {
-		ids = append(ids, ident.TaskID{Job: job, Index: i})
-		return true
-	})
-	return ids
-}
