--- a/cmd/badgerbay/serve.go
+++ b/cmd/badgerbay/serve.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	applyMachineLimits(settings.Params.MachineLimits)
-	controllerNode, err := node.NewNode(settings, operatorPolicy, log)
+	controllerNode, err := node.New(settings, operatorPolicy, log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -3,99 +3,118 @@
 import (
 	"context"
 	"errors"
-
-	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
+	"sync/atomic"
 
 	"badgerbay/internal/cloud"
+	"badgerbay/internal/controller"
 	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
 
-func (n *Node) provision(ctx context.Context, e controller.ProvisionMachines) {
-	sent := n.clock.Now()
-	ids, err := n.cloud.Provision(ctx, e.Name, e.Offer, e.Count)
-	n.enqueue(ctx, controller.ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sent, Machines: ids, Result: n.provisionResultOf(err)})
+// cloudCalls carries out what the core asks of the cloud.
+type cloudCalls struct {
+	*environment
+	core   *coreActor
+	store  *stateService
+	client *cloud.Client
+
+	typesStored atomic.Bool // this process has stored the machine types
+}
+
+// provision sends a provision request.
+func (c *cloudCalls) provision(ctx context.Context, e controller.ProvisionMachines) {
+	sentAt := c.clock.Now()
+	ids, err := c.client.Provision(ctx, e.Name, e.Offer, e.Count)
+	c.core.post(ctx, controller.ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sentAt, Machines: ids, Result: c.provisionResultOf(err)})
 }
 
-func (n *Node) provisionResultOf(err error) cloud.ProvisionResult {
+// provisionResultOf sorts an error of a provision request.
+func (c *cloudCalls) provisionResultOf(err error) cloud.ProvisionResult {
 	switch {
 	case err == nil:
 		return cloud.ProvisionGranted
 	case errors.Is(err, cloud.ErrNoCapacity):
 		return cloud.ProvisionNoCapacity
 	case errors.Is(err, cloud.ErrUnavailable):
-		n.metrics.Throttled.Inc()
+		c.metrics.Throttled.Inc()
 		return cloud.ProvisionDeferred
 	case errors.Is(err, cloud.ErrMalformed):
-		n.log.Error("rental refused", "err", err)
+		c.log.Error("provision request rejected", "err", err)
 		return cloud.ProvisionRejected
 	}
-	n.metrics.UncertainOutcomes.Inc()
+	c.metrics.UncertainOutcomes.Inc()
 	return cloud.ProvisionOutcomeUnknown
 }
 
-func (n *Node) deprovision(ctx context.Context, ids []ident.MachineID) {
-	err := n.cloud.Deprovision(ctx, ids)
+// deprovision gives machines back.
+func (c *cloudCalls) deprovision(ctx context.Context, ids []ident.MachineID) {
+	err := c.client.Deprovision(ctx, ids)
 	if err != nil {
-		n.log.Info("release not answered", "machines", ids, "err", err)
+		c.log.Info("deprovision request failed", "machines", ids, "err", err)
 	}
-	n.enqueue(ctx, controller.DeprovisionCompleted{Machines: ids, OK: err == nil})
+	c.core.post(ctx, controller.DeprovisionCompleted{Machines: ids, OK: err == nil})
 }
 
-func (n *Node) listMachines(ctx context.Context, since ident.MachineID) {
-	machines, more, err := n.cloud.ListMachines(ctx, since)
-	n.enqueue(ctx, controller.MachinesListed{Page: cloud.Page{OK: err == nil, Machines: machines, More: more}})
+// listMachines reads the page of the machine list that begins after a machine.
+func (c *cloudCalls) listMachines(ctx context.Context, after ident.MachineID) {
+	machines, more, err := c.client.ListMachines(ctx, after)
+	c.core.post(ctx, controller.MachinesListed{Page: cloud.Page{OK: err == nil, Machines: machines, More: more}})
 }
 
-func (n *Node) readMachineTypes(ctx context.Context) {
-	types, err := n.cloud.MachineTypes(ctx)
+// readMachineTypes reads the machine types from the cloud or, while that is down, from
+// the state service.
+func (c *cloudCalls) readMachineTypes(ctx context.Context) {
+	types, err := c.client.MachineTypes(ctx)
 	if err != nil {
-		n.log.Info("machine types can't be read", "err", err)
-		types = n.storedMachineTypes(ctx)
+		c.log.Info("reading machine types failed", "err", err)
+		types = c.storedMachineTypes(ctx)
 	} else {
-		n.storeMachineTypes(ctx, types)
+		c.storeMachineTypes(ctx, types)
 	}
-	n.enqueue(ctx, controller.MachineTypesRead{Types: types})
+	c.core.post(ctx, controller.MachineTypesRead{Types: types})
 }
 
 // machineTypesKey keeps the machine types, so that a node that starts while the
 // cloud is down can still tell what may run.
 const machineTypesKey = "flavors"
 
-// storedMachineTypes reads the machine types that a leader has kept, or nil. A node
+// storedMachineTypes reads the machine types that a leader has stored, or nil. A node
 // that knows them from the cloud keeps what it knows.
-func (n *Node) storedMachineTypes(ctx context.Context) []*fleet.MachineType {
-	if n.view.Load().machineTypes != nil {
+func (c *cloudCalls) storedMachineTypes(ctx context.Context) []*fleet.MachineType {
+	if c.core.view().machineTypes != nil {
 		return nil
 	}
-	item, err := n.store.Get(ctx, machineTypesKey)
-	if n.noteStoreResult(err) != nil || item.ModRevision == 0 {
+	item, err := c.store.get(ctx, machineTypesKey)
+	if err != nil || item.ModRevision == 0 {
 		return nil
 	}
 	types, err := cloud.DecodeMachineTypes(item.Value)
 	if err != nil {
-		n.log.Warn("kept machine types can't be read", "err", err)
+		c.log.Warn("stored machine types unreadable", "err", err)
 		return nil
 	}
-	n.log.Info("machine types taken from those kept", "types", len(types))
+	c.log.Info("stored machine types adopted", "types", len(types))
 	return types
 }
 
-// storeMachineTypes stores the machine types once a term, if this node leads.
-func (n *Node) storeMachineTypes(ctx context.Context, types []*fleet.MachineType) {
-	epoch := n.view.Load().epoch
+// storeMachineTypes stores the machine types once, if this node leads and has a write to
+// spare.
+func (c *cloudCalls) storeMachineTypes(ctx context.Context, types []*fleet.MachineType) {
+	epoch := c.core.view().epoch
+	if epoch == 0 || c.typesStored.Load() {
+		return
+	}
 	value := cloud.EncodeMachineTypes(types)
-	if epoch == 0 || n.machineTypesStored.Load() || kvstore.JSONSize(value) > n.settings.Params.StateService.Strictest().MaxValueBytes() ||
-		!n.budget.TakeWrites(n.clock.Now(), kvstore.PurposeFold, 1) {
+	if kvstore.JSONSize(value) > c.storeLimits().MaxValueBytes() || !c.store.takeWrite(kvstore.PurposeFold) {
 		return
 	}
-	_, err := n.store.Commit(ctx, kvstore.Txn{
-		Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: ident.Revision(epoch)}},
+	_, err := c.store.commit(ctx, kvstore.Txn{
+		Conditions: []kvstore.Condition{election.EpochCondition(epoch)},
 		Operations: []kvstore.Operation{{SetKey: machineTypesKey, Value: value}},
 	})
-	if n.noteStoreResult(err) == nil {
-		n.machineTypesStored.Store(true)
+	if err == nil {
+		c.typesStored.Store(true)
 	}
 }
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -4,98 +4,119 @@
 	"context"
 
 	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
 )
 
-func (n *Node) executeElection(ctx context.Context, e election.Effect) {
+// electionCalls carries out what the election asks of the state service.
+type electionCalls struct {
+	*environment
+	core  *coreActor
+	store *stateService
+	// readsHeartbeat: the leader's heartbeat is read together with its key.
+	readsHeartbeat bool
+}
+
+// execute carries out an effect and posts what came of it.
+func (c *electionCalls) execute(ctx context.Context, e election.Effect) {
+	sentAt := c.clock.Now()
 	switch e := e.(type) {
 	case election.ReadLeaderKeys:
-		n.enqueue(ctx, controller.ElectionInput{Input: n.readLeaderKeys(ctx)})
+		c.post(ctx, c.readKeys(ctx))
 	case election.GrantLease:
-		sent := n.clock.Now()
-		tenure, err := n.store.GrantLease(ctx, e.TTL)
-		n.enqueue(ctx, controller.ElectionInput{Input: election.LeaseGranted{OK: n.noteStoreResult(err) == nil, LeaseID: tenure, SentAt: sent}})
+		lease, err := c.store.grantLease(ctx, e.TTL)
+		c.post(ctx, election.LeaseGranted{OK: err == nil, LeaseID: lease, SentAt: sentAt})
 	case election.RenewLease:
-		sent := n.clock.Now()
-		err := n.noteStoreResult(n.store.RenewLease(ctx, e.LeaseID))
-		n.enqueue(ctx, controller.ElectionInput{Input: election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeOf(err), SentAt: sent}})
+		err := c.store.renewLease(ctx, e.LeaseID)
+		c.post(ctx, election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeOf(err), SentAt: sentAt})
 	case election.AcquireLeaderKey:
-		v, err := n.store.Commit(ctx, e.Txn())
-		n.enqueue(ctx, controller.ElectionInput{Input: election.LeaderKeyAcquired{Outcome: election.OutcomeOf(n.noteStoreResult(err)), Epoch: ident.Epoch(v)}})
+		revision, err := c.store.commit(ctx, e.Txn())
+		c.post(ctx, election.LeaderKeyAcquired{Outcome: election.OutcomeOf(err), Epoch: ident.Epoch(revision)})
 	case election.RewriteLeaderKey:
-		n.advanceEpoch(ctx, e)
+		c.advanceEpoch(ctx, e)
 	case election.TransferLeadership:
-		_, err := n.store.Commit(ctx, e.Txn())
-		if n.noteStoreResult(err) != nil {
-			// Without an heir, or not knowing, let anybody stand.
-			n.noteStoreResult(n.store.RevokeLease(ctx, e.LeaseID))
-		}
+		c.transfer(ctx, e)
 	case election.WriteHeartbeat:
-		sent := n.clock.Now()
-		_, err := n.store.Commit(ctx, e.Txn())
-		n.enqueue(ctx, controller.ElectionInput{Input: election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.HeartbeatOutcomeOf(n.noteStoreResult(err)), SentAt: sent}})
+		_, err := c.store.commit(ctx, e.Txn())
+		c.post(ctx, election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.HeartbeatOutcomeOf(err), SentAt: sentAt})
 	case election.RevokeLease:
-		n.noteStoreResult(n.store.RevokeLease(ctx, e.LeaseID))
+		c.revoke(ctx, e.LeaseID)
+	}
+}
+
+func (c *electionCalls) post(ctx context.Context, in election.Input) {
+	c.core.post(ctx, controller.ElectionInput{Input: in})
+}
+
+// transfer names the next leader. If that fails, or nobody knows, the lease is revoked,
+// so that any node may stand.
+func (c *electionCalls) transfer(ctx context.Context, e election.TransferLeadership) {
+	if _, err := c.store.commit(ctx, e.Txn()); err != nil {
+		c.log.Debug("leadership transfer failed", "transferee", e.Transferee.Node, "err", err)
+		c.revoke(ctx, e.LeaseID)
 	}
 }
 
-// readLeaderKeys looks at the leader key, and at the heartbeat if there is a warm
-// standby; one request reads both.
-func (n *Node) readLeaderKeys(ctx context.Context) election.LeaderKeysRead {
-	if n.policy.Features.WarmStandby == nil {
-		h, stamp, err := n.readLeaderKey(ctx)
-		return election.LeaderKeysRead{OK: err == nil, Leader: h, Epoch: stamp}
+// revoke ends a lease. One that can't be revoked expires.
+func (c *electionCalls) revoke(ctx context.Context, id ident.LeaseID) {
+	if err := c.store.revokeLease(ctx, id); err != nil {
+		c.log.Debug("lease not revoked", "lease", id, "err", err)
 	}
-	items, _, err := n.store.List(ctx, election.LeaderKey)
-	if n.noteStoreResult(err) != nil {
+}
+
+// readKeys reads the leader key, and the heartbeat if there is a warm standby; one
+// request reads both.
+func (c *electionCalls) readKeys(ctx context.Context) election.LeaderKeysRead {
+	if !c.readsHeartbeat {
+		leader, epoch, err := c.readLeader(ctx)
+		return election.LeaderKeysRead{OK: err == nil, Leader: leader, Epoch: epoch}
+	}
+	items, _, err := c.store.list(ctx, election.LeaderKey)
+	if err != nil {
 		return election.LeaderKeysRead{}
 	}
-	in, err := election.DecodeLeaderKeys(items)
+	keys, err := election.DecodeLeaderKeys(items)
 	if err != nil {
-		n.log.Error("leader's keys can't be read", "err", err)
+		c.log.Error("leader keys unreadable", "err", err)
 	}
-	return in
+	return keys
 }
 
-func (n *Node) readLeaderKey(ctx context.Context) (election.LeaderRecord, ident.Epoch, error) {
-	item, err := n.store.Get(ctx, election.LeaderKey)
-	if n.noteStoreResult(err) != nil {
+// readLeader reads the leader key alone; epoch 0: there is no leader.
+func (c *electionCalls) readLeader(ctx context.Context) (election.LeaderRecord, ident.Epoch, error) {
+	item, err := c.store.get(ctx, election.LeaderKey)
+	if err != nil {
 		return election.LeaderRecord{}, 0, err
 	}
-	h, err := election.DecodeLeaderRecord(item)
+	leader, err := election.DecodeLeaderRecord(item)
 	if err != nil {
 		return election.LeaderRecord{}, 0, err
 	}
-	return h, ident.Epoch(item.ModRevision), nil
+	return leader, ident.Epoch(item.ModRevision), nil
 }
 
-// advanceEpoch raises the token and settles the outcome by reading the key back: the
-// writes of the leader wait until it is known.
-func (n *Node) advanceEpoch(ctx context.Context, e election.RewriteLeaderKey) {
-	v, err := n.store.Commit(ctx, e.Txn())
-	out := election.OutcomeOf(n.noteStoreResult(err))
-	for out != election.OutcomeOK {
-		if !n.sleep(ctx, uncertainRetryInterval) {
-			return
-		}
-		h, stamp, err := n.readLeaderKey(ctx)
+// advanceEpoch rewrites the leader key, and reads it back until the outcome is known:
+// the leader's writes wait for it.
+func (c *electionCalls) advanceEpoch(ctx context.Context, e election.RewriteLeaderKey) {
+	revision, err := c.store.commit(ctx, e.Txn())
+	if err == nil {
+		c.post(ctx, election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: ident.Epoch(revision)})
+		return
+	}
+	for sleep(ctx, uncertainRetryInterval) {
+		leader, epoch, err := c.readLeader(ctx)
 		switch {
+		case err != nil && c.core.view().epoch != e.PrevEpoch:
+			return
 		case err != nil:
-			if n.view.Load().epoch != e.PrevEpoch {
-				return
-			}
 			continue
-		case h != e.Leader:
-			n.enqueue(ctx, controller.ElectionInput{Input: election.LeadershipLost{}})
-			return
-		case stamp > e.PrevEpoch:
-			out, v = election.OutcomeOK, ident.Revision(stamp)
+		case leader != e.Leader:
+			c.post(ctx, election.LeadershipLost{})
+		case epoch > e.PrevEpoch:
+			c.post(ctx, election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: epoch})
 		default:
-			n.enqueue(ctx, controller.ElectionInput{Input: election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeRefused}})
-			return
+			c.post(ctx, election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeRefused})
 		}
+		return
 	}
-	n.enqueue(ctx, controller.ElectionInput{Input: election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: ident.Epoch(v)}})
 }
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -3,47 +3,54 @@
 import (
 	"errors"
 	"io"
+	"log/slog"
 	"net/http"
-	"strconv"
-	"sync/atomic"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"github.com/julienschmidt/httprouter"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
+	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/api"
+	"badgerbay/internal/connlimit"
 	"badgerbay/internal/wire"
 )
 
 const (
-	// statusQueryTimeout bounds the time a poll waits for the leader, so that enough
-	// of the user's two seconds is left to read the record instead.
-	statusQueryTimeout   = 500 * time.Millisecond
-	cancelRequestTimeout = 2 * time.Second
-	statusBudget         = 1800 * time.Millisecond
-	submitBudget         = 4 * time.Second
-	heartbeatBudget      = 3 * time.Second
+	readHeaderTimeout = 5 * time.Second
+	readTimeout       = 10 * time.Second
+	writeTimeout      = 10 * time.Second
+	keepAliveTimeout  = 2 * time.Minute
+	maxHeaderBytes    = 8 << 10
+	// maxMetricsRequests bounds the scrapes that are answered at the same time.
+	maxMetricsRequests = 2
 )
 
-// reachability tells what this node can reach.
-type reachability struct {
-	lastStoreAnswer       atomic.Int64
-	storeUnreachableAlone atomic.Bool  // the others reach the state service and we don't
-	leaderHint            atomic.Value // string: who leads, by what the others say
-}
+// errBodyTooLarge says that the body of a request exceeds its limit.
+var errBodyTooLarge = errors.New("body too large")
 
-func (h *reachability) noteStoreAnswer(now clock.Instant) { h.lastStoreAnswer.Store(int64(now)) }
+func (n *Node) newHTTPServer(limited *connlimit.Listener) *http.Server {
+	return &http.Server{
+		Handler:           limited.Handler(clientKind, n.routes()),
+		ConnContext:       limited.ConnContext,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       keepAliveTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+	}
+}
 
-const (
-	// storeSilenceThreshold: after so long without an answer of the state service a node
-	// asks the others whether they have one.
-	storeSilenceThreshold = 2 * time.Second
-	healthCheckInterval   = time.Second
-)
+// clientKind tells who makes a request.
+func clientKind(r *http.Request) connlimit.ClientKind {
+	if r.URL.Path == heartbeatPath {
+		return connlimit.Worker
+	}
+	return connlimit.User
+}
 
+// routes serves workers, users, operators and the load balancer.
 func (n *Node) routes() http.Handler {
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
@@ -52,53 +59,42 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	r.GET("/up", n.handleUp)
-	r.POST("/submissions", n.handleSubmit)
-	r.GET("/submissions/:id", n.handleJobRequest(api.QueryStatus))
-	r.POST("/submissions/:id/withdraw", n.handleJobRequest(api.Cancel))
-	r.POST(heartbeatPath, n.handleHeartbeat)
+	r.POST("/submissions", n.users.handleSubmit)
+	r.GET("/submissions/:id", n.users.handleJobRequest(api.QueryStatus))
+	r.POST("/submissions/:id/withdraw", n.users.handleJobRequest(api.Cancel))
+	r.POST(heartbeatPath, n.workers.handle)
 	r.GET("/standby", n.handleStandby)
 	r.GET("/quota", n.handleQuotas)
-	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.metrics.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: 2}))
+	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.metrics.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests}))
 	return r
 }
 
+// handleUp answers the load balancer. In an outage of the state service all nodes stay
+// up: users get their 503 at once, and no node needs to become healthy again after it.
 func (n *Node) handleUp(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	// In an outage of the state service all nodes stay up: users get their
-	// 503 at once, and no node needs to become healthy again after it.
-	if n.health.lastStoreAnswer.Load() == 0 || n.health.storeUnreachableAlone.Load() || n.view.Load().machineTypes == nil {
+	if !n.store.everAnswered() || n.reach.isolated.Load() || n.core.view().machineTypes == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
+// readBody reads a body of at most limit bytes. The error is errBodyTooLarge, a
+// *http.MaxBytesError, or that of the connection.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
-		return nil, errors.New("body too large")
+		return nil, errBodyTooLarge
 	}
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// stateReachable tells whether the state service has answered within d.
-func (n *Node) stateReachable(d time.Duration) bool {
-	return n.clock.Now().Sub(clock.Instant(n.health.lastStoreAnswer.Load())) < d
-}
-
-func (n *Node) writeAnswer(w http.ResponseWriter, id ident.JobID, a api.Response) {
-	n.metrics.UserResponses.WithLabelValues(strconv.Itoa(a.Code)).Inc()
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(api.RetryAfterSeconds(a.RetryAfter)))
-	}
-	if a.Code != http.StatusOK && a.Code != http.StatusCreated {
-		w.WriteHeader(a.Code)
-		return
-	}
-	body, err := api.EncodeStatus(id, a.Status)
+// writeMsgpack answers with a value in MessagePack.
+func writeMsgpack(w http.ResponseWriter, value any) {
+	data, err := msgpack.Marshal(value)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", wire.ContentType)
-	w.WriteHeader(a.Code)
-	w.Write(body)
+	w.Write(data) // a client that has gone needs no answer
 }
--- /dev/null
+++ b/internal/node/jobqueries.go
@@ -0,0 +1,112 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"badgerbay/internal/api"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/peer/meshpb"
+)
+
+const (
+	// statusQueryTimeout bounds the time a status query waits for the leader, so that
+	// enough of the user's two seconds is left to read the record instead.
+	statusQueryTimeout   = 500 * time.Millisecond
+	cancelRequestTimeout = 2 * time.Second
+)
+
+// queryJob asks the core of this node for a job's state, or cancels the job. What it
+// answers counts only as long as the node is entitled, so that is checked once more as
+// the answer leaves.
+func (a *coreActor) queryJob(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
+	reply, err := request(ctx, a, func(to controller.Responder[controller.JobReply]) controller.Input {
+		return controller.JobRequest{Responder: to, Job: id, Cancel: cancelJob}
+	})
+	switch {
+	case err != nil:
+		return api.LeaderReplied{Outcome: api.LeaderBusy}
+	case reply.Outcome == api.JobFound && !a.clock.Now().Before(reply.ValidUntil):
+		return api.LeaderReplied{Outcome: api.NoLeader}
+	}
+	return api.LeaderReplied{Outcome: reply.Outcome, Status: reply.Status}
+}
+
+// queryLeader asks the core if this node leads, and the leader's node otherwise.
+func (u *userAPI) queryLeader(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
+	leader := u.reach.leader()
+	if u.core.view().leads() {
+		reply := u.core.queryJob(ctx, id, cancelJob)
+		if reply.Outcome != api.NoLeader || leader == u.settings.NodeName {
+			return reply
+		}
+	}
+	if leader == "" || leader == u.settings.NodeName {
+		return api.LeaderReplied{Outcome: api.NoLeader}
+	}
+	reply, err := u.queryPeer(ctx, leader, id, cancelJob)
+	if err == nil {
+		return reply
+	}
+	if !errors.Is(err, errPeerUnreachable) {
+		u.log.Debug("leader not reached", "leader", leader, "err", err)
+	}
+	if cancelJob {
+		return u.uplink.cancel(ctx, id)
+	}
+	return api.LeaderReplied{Outcome: api.NoLeader}
+}
+
+// queryPeer asks the leader's node. The error is errPeerUnreachable if it was not tried.
+func (u *userAPI) queryPeer(ctx context.Context, leader string, id ident.JobID, cancelJob bool) (api.LeaderReplied, error) {
+	if !u.peers.reachable(leader) {
+		return api.LeaderReplied{}, errPeerUnreachable
+	}
+	timeout := statusQueryTimeout
+	if cancelJob {
+		timeout = cancelRequestTimeout
+	}
+	reply, err := u.peers.QueryJob(ctx, leader, &meshpb.AskRequest{Job: string(id), Withdraw: cancelJob}, timeout)
+	u.peers.record(leader, err)
+	if err != nil {
+		return api.LeaderReplied{}, err
+	}
+	return decodeJobReply(reply), nil
+}
+
+// decodeJobReply maps a peer's reply. An outcome of a later version counts as that
+// nobody leads.
+func decodeJobReply(r *meshpb.AskReply) api.LeaderReplied {
+	switch r.Outcome {
+	case meshpb.Outcome_OUTCOME_KNOWN:
+		return api.LeaderReplied{Outcome: api.JobFound, Status: api.Status{
+			State: api.JobState(r.Standing), DoneTasks: int(r.Done), RunningTasks: int(r.Running)}}
+	case meshpb.Outcome_OUTCOME_ABSENT:
+		return api.LeaderReplied{Outcome: api.JobNotFound}
+	case meshpb.Outcome_OUTCOME_BUSY:
+		return api.LeaderReplied{Outcome: api.LeaderBusy}
+	}
+	return api.LeaderReplied{Outcome: api.NoLeader}
+}
+
+// encodeJobReply maps the core's reply for a peer.
+func encodeJobReply(r api.LeaderReplied) *meshpb.AskReply {
+	reply := &meshpb.AskReply{
+		Standing: string(r.Status.State),
+		Done:     uint32(r.Status.DoneTasks),
+		Running:  uint32(r.Status.RunningTasks),
+	}
+	switch r.Outcome {
+	case api.JobFound:
+		reply.Outcome = meshpb.Outcome_OUTCOME_KNOWN
+	case api.JobNotFound:
+		reply.Outcome = meshpb.Outcome_OUTCOME_ABSENT
+	case api.LeaderBusy:
+		reply.Outcome = meshpb.Outcome_OUTCOME_BUSY
+	case api.NoLeader:
+		reply.Outcome = meshpb.Outcome_OUTCOME_NOT_LEADER
+	}
+	return reply
+}
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -4,12 +4,11 @@
 	"context"
 	"net/http"
 
-	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
-
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/api"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/peer/meshpb"
 )
@@ -17,55 +16,55 @@
 // peerServer answers the other nodes.
 type peerServer struct {
 	meshpb.UnimplementedMeshServer
-	n *Node
+	metrics *controller.Metrics
+	core    *coreActor
+	store   *stateService
+	batches *batchServer
+	users   *userAPI
 }
 
-// Ask answers a poll or a cancellation that another node forwards.
+// Ask answers a status query or a cancel request that another node forwards.
 func (s *peerServer) Ask(ctx context.Context, r *meshpb.AskRequest) (*meshpb.AskReply, error) {
 	id, err := ident.ParseJobID(r.Job)
-	if err != nil || s.n.view.Load().epoch == 0 {
+	if err != nil || !s.core.view().leads() {
 		return &meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_NOT_LEADER}, nil
 	}
-	t := s.n.queryCore(ctx, id, r.Withdraw)
-	outcome := map[api.QueryOutcome]meshpb.Outcome{
-		api.JobFound: meshpb.Outcome_OUTCOME_KNOWN, api.JobNotFound: meshpb.Outcome_OUTCOME_ABSENT,
-		api.LeaderBusy: meshpb.Outcome_OUTCOME_BUSY, api.NoLeader: meshpb.Outcome_OUTCOME_NOT_LEADER}[t.Outcome]
-	return &meshpb.AskReply{Outcome: outcome, Standing: string(t.Status.State),
-		Done: uint32(t.Status.DoneTasks), Running: uint32(t.Status.RunningTasks)}, nil
+	return encodeJobReply(s.core.queryJob(ctx, id, r.Withdraw)), nil
 }
 
-// Relay lets the core answer the reports of workers that can't reach this node.
+// Relay lets the core answer a batch: a holder's request for quota, a request for a lease
+// delegation, or heartbeats of workers that can't reach this node.
 func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
-	b, err := peer.DecodeBatch(r.Batch)
+	batch, err := peer.DecodeBatch(r.Batch)
 	if err != nil {
-		s.n.metrics.MalformedBatches.Inc()
+		s.metrics.MalformedBatches.Inc()
 		return nil, err
 	}
-	answers := &peer.BatchReply{ID: b.ID}
+	reply := &peer.BatchReply{ID: batch.ID}
 	switch {
-	case b.Quota != nil:
-		answers.Quota = s.n.queryCoreQuota(ctx, b.Quota)
-	case b.WantsDelegation:
-		answers.Delegation = s.n.answerLeaseDelegation(ctx, b.Node)
+	case batch.Quota != nil:
+		reply.Quota = s.core.requestQuota(ctx, batch.Quota)
+	case batch.WantsDelegation:
+		reply.Delegation = s.core.delegationStatus(ctx, batch.Node)
 	default:
-		answers = s.n.serveBatch(ctx, b)
+		reply = s.batches.serve(ctx, batch)
 	}
-	data, err := msgpack.Marshal(answers)
+	data, err := msgpack.Marshal(reply)
 	return &meshpb.RelayReply{Answers: data}, err
 }
 
 // Health tells what this node can reach.
 func (s *peerServer) Health(context.Context, *meshpb.HealthRequest) (*meshpb.HealthReply, error) {
-	return &meshpb.HealthReply{StateReached: s.n.stateReachable(storeSilenceThreshold), Leader: s.n.view.Load().leader}, nil
+	return &meshpb.HealthReply{StateReached: s.store.answeredWithin(storeSilenceThreshold), Leader: s.core.view().leader}, nil
 }
 
-// Notice takes in that a job was stored.
+// Notice takes in that another node has stored a job.
 func (s *peerServer) Notice(_ context.Context, r *meshpb.NoticeRequest) (*meshpb.NoticeReply, error) {
 	id, err := ident.ParseJobID(r.Job)
-	if err != nil || s.n.view.Load().epoch == 0 {
+	if err != nil || !s.core.view().leads() {
 		return &meshpb.NoticeReply{}, nil
 	}
-	return &meshpb.NoticeReply{Taken: s.n.tryEnqueue(controller.JobChanged{Job: id})}, nil
+	return &meshpb.NoticeReply{Taken: s.core.tryPost(controller.JobChanged{Job: id})}, nil
 }
 
 // Accept stores a submission for a node that can't.
@@ -73,6 +72,18 @@
 	if len(r.Submission) > api.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
 	}
-	_, ans := s.n.acceptSubmission(ctx, r.Submission, false)
-	return &meshpb.AcceptReply{Status: uint32(ans.Code), Body: []byte(ans.Status.State)}, nil
+	_, response := s.users.submitHere(ctx, r.Submission)
+	return &meshpb.AcceptReply{Status: uint32(response.Code), Body: []byte(response.Status.State)}, nil
+}
+
+// delegationStatus answers a peer that asks for a lease delegation; nil: the core is
+// overloaded, or ctx has ended.
+func (a *coreActor) delegationStatus(ctx context.Context, node string) *peer.DelegationStatus {
+	reply, err := request(ctx, a, func(to controller.Responder[controller.DelegationReply]) controller.Input {
+		return controller.DelegationRequest{Responder: to, Node: node}
+	})
+	if err != nil {
+		return nil
+	}
+	return peer.PackDelegationStatus(reply.Status)
 }
--- a/internal/node/quotaholder.go
+++ b/internal/node/quotaholder.go
@@ -8,34 +8,46 @@
 
 	"badgerbay/internal/controller"
 	"badgerbay/internal/ident"
-
-	"github.com/vmihailenco/msgpack/v5"
-
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/quota"
 )
 
-// quotaHolderActor lets this node admit work within its allotments while it does not lead.
-// It alone touches the holder.
-type quotaHolderActor struct {
-	n         *Node
-	holder    *quota.Holder
-	submitted chan quota.JobSubmitted
-	published atomic.Pointer[quota.HolderStatus]
-}
-
 const (
 	// quotaTickInterval is how often the actor looks whether something is due.
 	quotaTickInterval = 100 * time.Millisecond
 	// maxQueuedSubmissions bounds the submissions that wait for the actor. Those beyond are
 	// the leader's to admit.
 	maxQueuedSubmissions = 256
+	// quotaReplyTimeout bounds the wait for the core to answer a holder: it may have to
+	// store something first.
+	quotaReplyTimeout = 1500 * time.Millisecond
 )
 
-func newHolderActor(n *Node) *quotaHolderActor {
-	a := &quotaHolderActor{n: n, holder: quota.NewHolder(n.settings.NodeName, n.settings.Params.StateService.Strictest().MaxValueBytes()), submitted: make(chan quota.JobSubmitted, maxQueuedSubmissions)}
+// quotaHolderActor lets this node admit work within its allocations while it does not
+// lead. It alone touches the holder; others see the status that it publishes.
+type quotaHolderActor struct {
+	*environment
+	core      *coreActor
+	store     *stateService
+	peers     *peerNetwork
+	reach     *reachability
+	holder    *quota.Holder
+	submitted chan quota.JobSubmitted
+	published atomic.Pointer[quota.HolderStatus]
+}
+
+func newQuotaHolderActor(env *environment, core *coreActor, store *stateService, peers *peerNetwork, reach *reachability) *quotaHolderActor {
+	a := &quotaHolderActor{
+		environment: env,
+		core:        core,
+		store:       store,
+		peers:       peers,
+		reach:       reach,
+		holder:      quota.NewHolder(env.settings.NodeName, env.storeLimits().MaxValueBytes()),
+		submitted:   make(chan quota.JobSubmitted, maxQueuedSubmissions),
+	}
 	a.publish()
 	return a
 }
@@ -45,28 +57,31 @@
 	a.published.Store(&status)
 }
 
-// tryEnqueue hands a job to the actor that this node has stored. The leader admits by
-// itself.
-func (a *quotaHolderActor) tryEnqueue(id ident.JobID, s *jobs.Spec) {
-	need, err := quota.DemandOf(s)
-	if a == nil || err != nil || a.n.view.Load().epoch != 0 {
+// tryPost hands the actor a job that this node has stored, unless too many wait. The
+// leader admits by itself, and so does a node without team quotas, whose actor is nil.
+func (a *quotaHolderActor) tryPost(id ident.JobID, spec *jobs.Spec) {
+	if a == nil || a.core.view().leads() {
 		return
 	}
+	demand, err := quota.DemandOf(spec)
+	if err != nil {
+		return // the leader judges it
+	}
 	select {
-	case a.submitted <- quota.JobSubmitted{Job: id, Team: s.Team, Tasks: s.Tasks, TaskDemand: need, Gang: s.Gang}:
+	case a.submitted <- quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: demand, Gang: spec.Gang}:
 	default:
 	}
 }
 
-// run admits until the context ends.
+// run admits until ctx ends.
 func (a *quotaHolderActor) run(ctx context.Context) {
-	tick := time.NewTicker(quotaTickInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(quotaTickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case in := <-a.submitted:
 			a.step(ctx, in)
-		case <-tick.C:
+		case <-ticker.C:
 			a.step(ctx, quota.Tick{})
 			a.publish()
 		case <-ctx.Done():
@@ -75,130 +90,88 @@
 	}
 }
 
+// step hands an input to the holder, carries out what it asks for, and hands it the
+// results.
 func (a *quotaHolderActor) step(ctx context.Context, in quota.HolderInput) {
-	for _, e := range a.holder.Step(a.n.clock.Now(), in) {
+	for _, e := range a.holder.Step(a.clock.Now(), in) {
 		switch e := e.(type) {
 		case quota.Register:
 			a.step(ctx, a.register(ctx, e))
 		case quota.StoreReservations:
 			a.step(ctx, a.storeReservations(ctx, e))
 		case quota.SendRequest:
-			a.step(ctx, quota.ResponseReceived{Response: a.askLeader(ctx, e.Request)})
+			a.step(ctx, quota.ResponseReceived{Response: a.requestFromLeader(ctx, &e.Request)})
 		}
 	}
 }
 
-// register sets the holder key anew, under the stamp that it has.
+// register sets the holder key anew, under the revision that it has.
 func (a *quotaHolderActor) register(ctx context.Context, e quota.Register) quota.RegistrationDone {
-	key := quota.HolderKey(e.Node)
-	if !a.n.budget.TakeWrites(a.n.clock.Now(), kvstore.PurposeSubmission, 1) {
+	if !a.store.takeWrite(kvstore.PurposeSubmission) {
 		return quota.RegistrationDone{}
 	}
-	item, err := a.n.store.Get(ctx, key)
-	if a.n.noteStoreResult(err) != nil {
+	item, err := a.store.get(ctx, quota.HolderKey(e.Node))
+	if err != nil {
 		return quota.RegistrationDone{}
 	}
-	stamp, err := a.n.store.Commit(ctx, e.Txn(item.ModRevision))
-	if a.n.noteStoreResult(err) != nil {
+	revision, err := a.store.commit(ctx, e.Txn(item.ModRevision))
+	if err != nil {
 		return quota.RegistrationDone{}
 	}
-	return quota.RegistrationDone{ModRevision: stamp}
+	return quota.RegistrationDone{ModRevision: revision}
 }
 
-// storeReservations writes the reservations, and finds out what became of it. Its guards name the
-// versions it changes, so it is carried out at most once.
+// storeReservations writes the reservations, and finds out what became of it.
 func (a *quotaHolderActor) storeReservations(ctx context.Context, e quota.StoreReservations) quota.StoreDone {
-	if !a.n.budget.TakeWrites(a.n.clock.Now(), kvstore.PurposeSubmission, 1) {
+	if !a.store.takeWrite(kvstore.PurposeSubmission) {
 		return quota.StoreDone{Outcome: quota.StoreFailed}
 	}
-	txn := e.Txn()
-	for unsure := false; ; {
-		stamp, err := a.n.store.Commit(ctx, txn)
-		var conflict *kvstore.ConflictError
-		switch {
-		case a.n.noteStoreResult(err) == nil:
-			return quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: stamp}
-		case errors.As(err, &conflict):
-			return a.resolveConflict(ctx, e, conflict, unsure)
-		case errors.Is(err, kvstore.ErrOutcomeUnknown) || unsure:
-			unsure = true
-			if !a.n.sleep(ctx, uncertainRetryInterval) {
-				return quota.StoreDone{Outcome: quota.StoreFenced}
-			}
-		default:
-			return quota.StoreDone{Outcome: quota.StoreFailed}
-		}
-	}
-}
-
-// resolveConflict judges a conflict. After an unanswered try, reservations that have moved on
-// were moved by that try, unless a leader has removed them with the holder key.
-func (a *quotaHolderActor) resolveConflict(ctx context.Context, e quota.StoreReservations, conflict *kvstore.ConflictError, unsure bool) quota.StoreDone {
-	for unsure {
-		item, err := a.n.store.Get(ctx, e.Key)
-		if a.n.noteStoreResult(err) == nil {
-			if item.ModRevision > e.Conditions[1].ModRevision {
-				return quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: item.ModRevision}
-			}
-			break
-		}
-		if !a.n.sleep(ctx, uncertainRetryInterval) {
-			break
-		}
-	}
-	return quota.StoreDone{Outcome: e.OutcomeOf(conflict)}
+	revision, err := a.store.commitAndConfirm(ctx, e.Txn(), confirmation{})
+	var conflict *kvstore.ConflictError
+	switch {
+	case err == nil:
+		return quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: revision}
+	case errors.As(err, &conflict):
+		return quota.StoreDone{Outcome: e.OutcomeOf(conflict)}
+	case errors.Is(err, errOutcomeAbandoned):
+		return quota.StoreDone{Outcome: quota.StoreFenced}
+	}
+	return quota.StoreDone{Outcome: quota.StoreFailed}
 }
 
-// askLeader asks the leader; nil: it did not answer.
-func (a *quotaHolderActor) askLeader(ctx context.Context, ask quota.AllocationRequest) *quota.AllocationResponse {
-	leader := a.n.leader()
-	if a.n.view.Load().epoch != 0 {
-		return a.n.queryCoreQuota(ctx, &ask)
+// requestFromLeader sends a request to the leader; nil: it did not answer.
+func (a *quotaHolderActor) requestFromLeader(ctx context.Context, req *quota.AllocationRequest) *quota.AllocationResponse {
+	if a.core.view().leads() {
+		return a.core.requestQuota(ctx, req)
 	}
-	if leader == "" || leader == a.n.settings.NodeName || !a.n.peerReachable(leader) {
+	leader := a.reach.otherLeader()
+	if leader == "" {
 		return nil
 	}
-	data, err := msgpack.Marshal(peer.Batch{Node: a.n.settings.NodeName, Quota: &ask})
-	if err != nil {
+	reply, err := a.peers.exchange(ctx, leader, &peer.Batch{Node: a.settings.NodeName, Quota: req})
+	switch {
+	case errors.Is(err, errMalformedReply):
+		a.metrics.MalformedBatches.Inc()
 		return nil
-	}
-	reply, err := a.n.peers.RelayBatch(ctx, leader, data)
-	a.n.notePeerResult(leader, err)
-	if err != nil {
+	case err != nil:
+		a.log.Debug("quota request failed", "leader", leader, "err", err)
 		return nil
 	}
-	answers, err := peer.DecodeReply(reply)
-	if err != nil {
-		a.n.metrics.MalformedBatches.Inc()
-		return nil
-	}
-	return answers.Quota
+	return reply.Quota
 }
 
-// quotaReplyTimeout bounds the wait for the core to answer a holder: it may have to store
-// something first.
-const quotaReplyTimeout = 1500 * time.Millisecond
-
-// queryCoreQuota lets the core answer a holder; nil: it did not.
-func (n *Node) queryCoreQuota(ctx context.Context, ask *quota.AllocationRequest) *quota.AllocationResponse {
-	replies := newReplyChannel[quota.AllocationResponse]()
-	if n.view.Load().epoch == 0 || !n.tryEnqueue(controller.QuotaRequest{Responder: replies, Request: *ask}) {
+// requestQuota lets the core answer a holder; nil: it did not.
+func (a *coreActor) requestQuota(ctx context.Context, req *quota.AllocationRequest) *quota.AllocationResponse {
+	if !a.view().leads() {
 		return nil
 	}
-	select {
-	case a := <-replies:
-		return &a
-	case <-time.After(quotaReplyTimeout):
-	case <-ctx.Done():
-	}
-	return nil
-}
-
-// readQuotaRecords reads all records of quotas for the leader.
-func (n *Node) readQuotaRecords(ctx context.Context, epoch ident.Epoch) {
-	items, _, err := n.store.List(ctx, quota.KeyPrefix)
-	if n.noteStoreResult(err) != nil {
-		n.log.Debug("quotas can't be read", "err", err)
+	ctx, cancel := context.WithTimeout(ctx, quotaReplyTimeout)
+	defer cancel()
+	response, err := request(ctx, a, func(to controller.Responder[quota.AllocationResponse]) controller.Input {
+		return controller.QuotaRequest{Responder: to, Request: *req}
+	})
+	if err != nil {
+		return nil
 	}
-	n.enqueue(ctx, controller.QuotaRecordsRead{Epoch: epoch, OK: err == nil, Items: items})
+	return &response
 }
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -1,18 +1,17 @@
 package node
 
 import (
+	"context"
 	"net/http"
-	"time"
-
-	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
 
 	"github.com/julienschmidt/httprouter"
 
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/quota"
 )
 
-// quotaStatus is what a node tells operators of quotas.
+// quotaStatus is what a node tells operators of quotas, in MessagePack.
 type quotaStatus struct {
 	Node    string                    `msgpack:"node"`
 	Enabled bool                      `msgpack:"enabled"`
@@ -21,83 +20,103 @@
 	Teams   map[ident.Team]teamStatus `msgpack:"teams,omitempty"`
 }
 
-// holderStatus is what this node holds.
+// holderStatus is what this node holds as a quota holder.
 type holderStatus struct {
-	Stamp    ident.Revision             `msgpack:"stamp"`
-	Jobs     int                        `msgpack:"jobs"`
-	Admitted int                        `msgpack:"admitted"`
-	Left     int                        `msgpack:"left_to_the_leader"`
-	Teams    map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
+	Revision     ident.Revision             `msgpack:"stamp"`
+	Jobs         int                        `msgpack:"jobs"`
+	Admitted     int                        `msgpack:"admitted"`
+	LeftToLeader int                        `msgpack:"left_to_the_leader"`
+	Teams        map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
 }
 
+// shareStatus is what a holder has of a team's limit.
 type shareStatus struct {
-	Allotted amounts `msgpack:"allotted"`
-	Reserved amounts `msgpack:"reserved"`
+	Allocated amounts `msgpack:"allotted"`
+	Reserved  amounts `msgpack:"reserved"`
 }
 
 // teamStatus is how a team stands, as the leader knows it.
 type teamStatus struct {
 	Limit      amounts            `msgpack:"limit"`
 	Guarantee  amounts            `msgpack:"guarantee"`
-	Allotted   amounts            `msgpack:"allotted"`
+	Allocated  amounts            `msgpack:"allotted"`
 	Unreserved amounts            `msgpack:"placed_without_reservation"`
-	Wanted     amounts            `msgpack:"wanted_back"`
+	Recalled   amounts            `msgpack:"wanted_back"`
 	Holders    map[string]amounts `msgpack:"holders,omitempty"`
 	Damaged    bool               `msgpack:"damaged,omitempty"`
 }
 
-// amounts is an amount as users write it; nil: without a limit.
+// amounts is a quantity as users write it, in CPUs and GPUs; nil: without a limit.
 type amounts struct {
 	CPUs *float64 `msgpack:"cpus"`
 	GPUs *float64 `msgpack:"gpus"`
 }
 
-func amountsOf(u quota.Quantity) amounts {
-	r := u.Resources()
-	v := amounts{&r.CPUs, &r.GPUs}
-	if u.MilliCPU >= quota.Unlimited {
-		v.CPUs = nil
+func amountsOf(q quota.Quantity) amounts {
+	resources := q.Resources()
+	out := amounts{CPUs: &resources.CPUs, GPUs: &resources.GPUs}
+	if q.MilliCPU >= quota.Unlimited {
+		out.CPUs = nil
 	}
-	if u.MilliGPU >= quota.Unlimited {
-		v.GPUs = nil
+	if q.MilliGPU >= quota.Unlimited {
+		out.GPUs = nil
 	}
-	return v
+	return out
 }
 
 func holderStatusOf(s *quota.HolderStatus) *holderStatus {
-	v := &holderStatus{Stamp: s.ModRevision, Jobs: s.Jobs, Admitted: s.Admitted, Left: s.Refused, Teams: map[ident.Team]shareStatus{}}
+	out := &holderStatus{
+		Revision:     s.ModRevision,
+		Jobs:         s.Jobs,
+		Admitted:     s.Admitted,
+		LeftToLeader: s.Refused,
+		Teams:        map[ident.Team]shareStatus{},
+	}
 	for team, share := range s.Teams {
-		v.Teams[team] = shareStatus{amountsOf(share.Allocated), amountsOf(share.Reserved)}
+		out.Teams[team] = shareStatus{Allocated: amountsOf(share.Allocated), Reserved: amountsOf(share.Reserved)}
 	}
-	return v
+	return out
 }
 
 func teamStatusOf(s quota.TeamStatus) teamStatus {
-	v := teamStatus{Limit: amountsOf(s.Limit), Guarantee: amountsOf(s.Guarantee), Allotted: amountsOf(s.Allocated),
-		Unreserved: amountsOf(s.Uncovered), Wanted: amountsOf(s.RecallTarget), Damaged: s.Damaged, Holders: map[string]amounts{}}
+	out := teamStatus{
+		Limit:      amountsOf(s.Limit),
+		Guarantee:  amountsOf(s.Guarantee),
+		Allocated:  amountsOf(s.Allocated),
+		Unreserved: amountsOf(s.Uncovered),
+		Recalled:   amountsOf(s.RecallTarget),
+		Holders:    map[string]amounts{},
+		Damaged:    s.Damaged,
+	}
 	for _, a := range s.Allocations {
-		v.Holders[a.Holder.Node] = amountsOf(a.Quantity)
+		out.Holders[a.Holder.Node] = amountsOf(a.Quantity)
 	}
-	return v
+	return out
 }
 
 // handleQuotas answers an operator: what this node holds, and, at the leader, how the
 // teams stand.
 func (n *Node) handleQuotas(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	view := quotaStatus{Node: n.settings.NodeName, Enabled: n.quotaHolder != nil, Leads: n.view.Load().epoch != 0, Teams: map[ident.Team]teamStatus{}}
+	status := quotaStatus{Node: n.settings.NodeName, Enabled: n.quotaHolder != nil, Leads: n.core.view().leads(), Teams: map[ident.Team]teamStatus{}}
 	if n.quotaHolder != nil {
-		view.Holder = holderStatusOf(n.quotaHolder.published.Load())
+		status.Holder = holderStatusOf(n.quotaHolder.published.Load())
+	}
+	for team, s := range n.core.quotaStatus(r.Context()) {
+		status.Teams[team] = teamStatusOf(s)
 	}
-	replies := newReplyChannel[controller.QuotaStatusReply]()
-	if n.tryEnqueue(controller.QuotaStatusRequest{Responder: replies}) {
-		select {
-		case reply := <-replies:
-			for team, status := range reply.Teams {
-				view.Teams[team] = teamStatusOf(status)
-			}
-		case <-r.Context().Done():
-		case <-time.After(quotaReplyTimeout):
-		}
+	writeMsgpack(w, &status)
+}
+
+// quotaStatus asks the core how the teams stand; nil: this node does not lead, or the
+// core did not answer.
+func (a *coreActor) quotaStatus(ctx context.Context) map[ident.Team]quota.TeamStatus {
+	ctx, cancel := context.WithTimeout(ctx, quotaReplyTimeout)
+	defer cancel()
+	reply, err := request(ctx, a, func(to controller.Responder[controller.QuotaStatusReply]) controller.Input {
+		return controller.QuotaStatusRequest{Responder: to}
+	})
+	if err != nil {
+		return nil
 	}
-	writeMsgpack(w, &view)
+	return reply.Teams
 }
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -3,169 +3,169 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
-	"runtime"
-	"runtime/pprof"
+	"sync"
+	"sync/atomic"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/controller"
-
 	"github.com/vmihailenco/msgpack/v5"
 
-	"badgerbay/internal/connlimit"
+	"badgerbay/internal/controller"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/peer/meshpb"
 )
 
-// peerRetryPause is how long a peer that did not answer is not tried again by what
-// has another way.
-const peerRetryPause = 2 * time.Second
+const (
+	// storeSilenceThreshold: after so long without an answer of the state service a node
+	// asks the others whether they have one.
+	storeSilenceThreshold = 2 * time.Second
+	// healthCheckInterval is the pause between two health checks of the peers.
+	healthCheckInterval = time.Second
+)
+
+// reachability finds out what this node can reach.
+type reachability struct {
+	*environment
+	core  *coreActor
+	store *stateService
+	peers *peerNetwork
 
-// peerReachable tells whether the peer may be tried over the mesh.
-func (n *Node) peerReachable(peer string) bool {
-	failed, ok := n.peerFailures.Load(peer)
-	return !ok || n.clock.Now().Sub(failed.(clock.Instant)) > peerRetryPause
+	// isolated: the others reach the state service and this node does not, or it reaches
+	// nobody.
+	isolated   atomic.Bool
+	leaderHint atomic.Pointer[string] // who leads, by what the others say; nil: use the core's view
 }
 
-func (n *Node) notePeerResult(peer string, err error) {
-	if err == nil {
-		n.peerFailures.Delete(peer)
-	} else {
-		n.peerFailures.Store(peer, n.clock.Now())
+// hint is who leads by what the other nodes say while the state service does not answer
+// this one, or "".
+func (r *reachability) hint() string {
+	if hint := r.leaderHint.Load(); hint != nil {
+		return *hint
 	}
+	return ""
 }
 
-// watchReachability finds out which nodes the mesh reaches and, while the state
-// service does not answer this node, whether the others reach it, and who
-// leads.
-func (n *Node) watchReachability(ctx context.Context) {
-	cut, from := false, leasedelegation.Connected
-	for n.sleep(ctx, healthCheckInterval) {
-		reached := n.pollPeers(ctx)
-		if now := len(reached) < len(n.peers.Names()); now != cut {
-			cut = now
-			n.enqueue(ctx, controller.PeerReachabilityChanged{Unreachable: cut})
-		}
-		if now := n.isolation(reached); now != from {
-			from = now
-			n.log.Info("cut off", "from", from, "peers_reached", len(reached))
-			n.enqueue(ctx, controller.IsolationChanged{Isolation: from})
+// leader is the node that leads, as far as this one knows: by the state service, or by
+// the others while that does not answer.
+func (r *reachability) leader() string {
+	if hint := r.hint(); hint != "" {
+		return hint
+	}
+	return r.core.view().leader
+}
+
+// otherLeader is the leader if it is known and not this node, or "".
+func (r *reachability) otherLeader() string {
+	if leader := r.leader(); leader != r.settings.NodeName {
+		return leader
+	}
+	return ""
+}
+
+// run checks the peers' health until ctx ends: which of them are reached and, while the
+// state service does not answer this node, whether it answers them, and who leads.
+func (r *reachability) run(ctx context.Context) {
+	var delegations sync.WaitGroup
+	defer delegations.Wait()
+	unreachable, isolation := false, leasedelegation.Connected
+	for sleep(ctx, healthCheckInterval) {
+		reached := r.pollPeers(ctx, &delegations)
+		if now := len(reached) < len(r.peers.Names()); now != unreachable {
+			unreachable = now
+			r.core.post(ctx, controller.PeerReachabilityChanged{Unreachable: unreachable})
 		}
-		if n.stateReachable(storeSilenceThreshold) {
-			n.health.storeUnreachableAlone.Store(false)
-			n.health.leaderHint.Store("")
-			continue
+		if now := r.isolation(reached); now != isolation {
+			isolation = now
+			r.log.Info("isolation changed", "isolation", isolation, "peers_reached", len(reached))
+			r.core.post(ctx, controller.IsolationChanged{Isolation: isolation})
 		}
+		r.publish(reached)
+	}
+}
+
+// publish lets the handlers know who leads, and whether this node is isolated.
+func (r *reachability) publish(reached []*meshpb.HealthReply) {
+	isolated, hint := false, ""
+	if !r.store.answeredWithin(storeSilenceThreshold) {
 		// Whoever reaches nobody at all is cut off from everything.
-		alone, hint := len(reached) == 0 && len(n.peers.Names()) > 0, ""
-		for _, h := range reached {
-			if h.StateReached {
-				alone, hint = true, h.Leader
+		isolated = len(reached) == 0 && len(r.peers.Names()) > 0
+		for _, health := range reached {
+			if health.StateReached {
+				isolated, hint = true, health.Leader
 			}
 		}
-		n.health.storeUnreachableAlone.Store(alone)
-		n.health.leaderHint.Store(hint)
 	}
+	r.isolated.Store(isolated)
+	r.leaderHint.Store(&hint)
 }
 
 // isolation tells what this node is cut off from, by what the others say.
-func (n *Node) isolation(reached []*meshpb.HealthReply) leasedelegation.Isolation {
-	if n.stateReachable(storeSilenceThreshold) {
+func (r *reachability) isolation(reached []*meshpb.HealthReply) leasedelegation.Isolation {
+	if r.store.answeredWithin(storeSilenceThreshold) {
 		return leasedelegation.Connected
 	}
-	for _, h := range reached {
-		if h.StateReached {
+	for _, health := range reached {
+		if health.StateReached {
 			return leasedelegation.NodeIsolated
 		}
 	}
-	if len(reached) < len(n.peers.Names()) {
+	if len(reached) < len(r.peers.Names()) {
 		return leasedelegation.NodeIsolated
 	}
 	return leasedelegation.StateServiceOutage
 }
 
-// requestLeaseDelegation asks a peer for a grant, and for what it has done by its own.
-func (n *Node) requestLeaseDelegation(ctx context.Context, name string) error {
-	sent := n.clock.Now()
-	data, err := msgpack.Marshal(peer.Batch{Node: n.settings.NodeName, WantsDelegation: true})
-	if err != nil {
-		return fmt.Errorf("asking for a grant: %w", err)
-	}
-	reply, err := n.peers.RelayBatch(ctx, name, data)
-	if err != nil {
-		return fmt.Errorf("asking for a grant: %w", err)
-	}
-	a, err := peer.DecodeReply(reply)
-	switch {
-	case err != nil:
-		return fmt.Errorf("grant of %s can't be read: %w", name, err)
-	case a.Delegation == nil:
-		return fmt.Errorf("%s did not say", name)
-	}
-	status, err := a.Delegation.Unpack()
-	if err != nil {
-		return err
-	}
-	n.enqueue(ctx, controller.PeerStatusReceived{Node: name, SentAt: sent, Status: status, SchemaVersion: a.Delegation.SchemaVersion, EnforcesQuotas: a.Delegation.EnforcesQuotas})
-	return nil
-}
-
-// answerLeaseDelegation answers a peer that asks, or not at all if the core is overloaded.
-func (n *Node) answerLeaseDelegation(ctx context.Context, node string) *peer.DelegationStatus {
-	replies := newReplyChannel[controller.DelegationReply]()
-	if !n.tryEnqueue(controller.DelegationRequest{Responder: replies, Node: node}) {
-		return nil
-	}
-	select {
-	case r := <-replies:
-		return peer.PackDelegationStatus(r.Status)
-	case <-ctx.Done():
-		return nil
-	}
-}
-
-// loadLogInterval is how often the load of the process is logged, at debug.
-const loadLogInterval = 5 * time.Second
-
-// logLoad logs what the process holds of what its machine grants.
-func (n *Node) logLoad(ctx context.Context, d *connlimit.Listener) {
-	for n.sleep(ctx, loadLogInterval) {
-		if !n.log.Enabled(ctx, slog.LevelDebug) {
-			return
-		}
-		var mem runtime.MemStats
-		runtime.ReadMemStats(&mem)
-		s := d.Stats()
-		n.log.Debug("load", "connections", s.Open, "workers", s.Workers, "users", s.Users, "evicted", s.Evicted, "refused", s.Rejected,
-			"threads", pprof.Lookup("threadcreate").Count(), "goroutines", runtime.NumGoroutine(), "heap_mb", mem.HeapInuse>>20, "sys_mb", mem.Sys>>20)
-	}
-}
-
-// pollPeers asks the others, all at once, what they can reach, and notes which
-// of them the mesh reaches.
-func (n *Node) pollPeers(ctx context.Context) []*meshpb.HealthReply {
-	names := n.peers.Names()
+// pollPeers asks the others, all at once, what they can reach, and returns the replies of
+// those that are reached. It does not wait for the lease delegations that it asks these
+// for after that.
+func (r *reachability) pollPeers(ctx context.Context, delegations *sync.WaitGroup) []*meshpb.HealthReply {
+	names := r.peers.Names()
 	replies := make(chan *meshpb.HealthReply, len(names))
 	for _, name := range names {
-		go func() {
-			h, err := n.peers.Health(ctx, name)
-			n.notePeerResult(name, err)
-			replies <- h
+		delegations.Go(func() {
+			health, err := r.peers.checkHealth(ctx, name)
 			if err != nil {
+				replies <- nil
 				return
 			}
-			if err := n.requestLeaseDelegation(ctx, name); err != nil {
-				n.log.Debug("no grant", "peer", name, "err", err)
+			replies <- health
+			if err := r.requestDelegation(ctx, name); err != nil {
+				r.log.Debug("lease delegation failed", "peer", name, "err", err)
 			}
-		}()
+		})
 	}
-	var out []*meshpb.HealthReply
+	var reached []*meshpb.HealthReply
 	for range names {
-		if h := <-replies; h != nil {
-			out = append(out, h)
+		if health := <-replies; health != nil {
+			reached = append(reached, health)
 		}
 	}
-	return out
+	return reached
+}
+
+// requestDelegation asks a peer for a grant, and for what it has done by its own.
+func (r *reachability) requestDelegation(ctx context.Context, name string) error {
+	sentAt := r.clock.Now()
+	data, err := msgpack.Marshal(peer.Batch{Node: r.settings.NodeName, WantsDelegation: true})
+	if err != nil {
+		return fmt.Errorf("encoding a delegation request: %w", err)
+	}
+	replyData, err := r.peers.RelayBatch(ctx, name, data)
+	if err != nil {
+		return fmt.Errorf("requesting a delegation: %w", err)
+	}
+	reply, err := peer.DecodeReply(replyData)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errMalformedReply, err)
+	}
+	if reply.Delegation == nil {
+		return errNoDelegation
+	}
+	status, err := reply.Delegation.Unpack()
+	if err != nil {
+		return fmt.Errorf("%w: %w", errMalformedReply, err)
+	}
+	r.core.post(ctx, controller.PeerStatusReceived{Node: name, SentAt: sentAt, Status: status,
+		SchemaVersion: reply.Delegation.SchemaVersion, EnforcesQuotas: reply.Delegation.EnforcesQuotas})
+	return nil
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -3,124 +3,166 @@
 import (
 	"context"
 	"errors"
+	"strings"
 
+	"badgerbay/internal/chunk"
 	"badgerbay/internal/controller"
 	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
-	"badgerbay/internal/chunk"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/quota"
 	"badgerbay/internal/recovery"
+	"badgerbay/internal/roundlog"
 	"badgerbay/internal/schemaversion"
 	"badgerbay/internal/standby"
 )
 
-func (n *Node) loadRecords(ctx context.Context, epoch ident.Epoch) {
-	stored, since, err := n.currentRecords(ctx, epoch)
-	if n.noteStoreResult(err) != nil {
-		n.log.Warn("records can't be read", "epoch", epoch, "err", err)
-		n.sleep(ctx, uncertainRetryInterval)
+// recordLoader reads the stored records for a leader, and watches for jobs that other
+// nodes store.
+type recordLoader struct {
+	*environment
+	core    *coreActor
+	store   *stateService
+	batches *batchServer
+	standby *standbyActor // nil: there is no replica
+}
+
+// load reads all records for the term that began with the epoch. Once they are read, it
+// watches the jobs and serves relayed batches until the term ends.
+func (l *recordLoader) load(ctx context.Context, epoch ident.Epoch) {
+	stored, since, err := l.currentRecords(ctx, epoch)
+	if l.store.record(err) != nil {
+		l.log.Warn("reading records failed", "epoch", epoch, "err", err)
+		sleep(ctx, uncertainRetryInterval)
 	}
-	n.enqueue(ctx, controller.RecordsRead{Epoch: epoch, OK: err == nil, Stored: stored, KnownMachines: n.knownMachines()})
-	if err == nil {
-		go n.serveStoredBatches(ctx, epoch, since)
-		n.watchJobs(ctx, epoch, since)
+	l.core.post(ctx, controller.RecordsRead{Epoch: epoch, OK: err == nil, Stored: stored, KnownMachines: l.standby.knownMachines()})
+	if err != nil {
+		return
 	}
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		l.batches.serveStored(ctx, epoch, since)
+	}()
+	l.watchJobs(ctx, epoch, since)
+	<-served
 }
 
-// currentRecords returns all records as of the epoch: those of the replica, brought up
-// to date, or as they are read.
-func (n *Node) currentRecords(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
-	if n.standby == nil {
-		return n.readRecords(ctx)
-	}
-	begun := n.clock.Now()
-	stored, since, err := standby.CatchUp(n.standby.replica(), epoch, func(prefix string, since ident.Revision) ([]kvstore.WatchEvent, ident.Revision, error) {
-		return n.store.Watch(ctx, prefix, since, 0)
-	})
-	if err == nil {
-		stored.SchemaAgreement, err = n.store.Get(ctx, schemaversion.Key)
+// currentRecords returns all records as of the epoch, and the revision from which their
+// changes are to be watched: those of the replica, brought up to date, or as they are
+// read.
+func (l *recordLoader) currentRecords(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
+	if l.standby == nil {
+		return l.readRecords(ctx)
 	}
+	begun := l.clock.Now()
+	stored, since, err := l.catchUpReplica(ctx, epoch)
 	if err != nil {
-		n.log.Info("replica can't be used, all records are read", "epoch", epoch, "err", err)
-		n.metrics.ColdFailovers.Inc()
-		return n.readRecords(ctx)
+		l.log.Info("replica unusable, reading all records", "epoch", epoch, "err", err)
+		l.metrics.ColdFailovers.Inc()
+		return l.readRecords(ctx)
 	}
-	n.log.Info("replica brought up to date", "epoch", epoch, "records", len(stored.Jobs)+len(stored.Rounds)+len(stored.Chunks), "took", n.clock.Now().Sub(begun))
-	n.metrics.WarmFailovers.Inc()
+	l.log.Info("replica caught up", "epoch", epoch, "records", len(stored.Jobs)+len(stored.Rounds)+len(stored.Chunks), "took", l.clock.Now().Sub(begun))
+	l.metrics.WarmFailovers.Inc()
 	return stored, since, nil
 }
 
-// readRecords reads all records, and the revision from which changes of jobs are to
-// be watched.
-func (n *Node) readRecords(ctx context.Context) (s recovery.StoredRecords, since ident.Revision, err error) {
-	if s.Jobs, since, err = n.store.List(ctx, jobs.KeyPrefix); err != nil {
+// catchUpReplica brings the standby's replica up to the epoch.
+func (l *recordLoader) catchUpReplica(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
+	changes := func(prefix string, since ident.Revision) ([]kvstore.WatchEvent, ident.Revision, error) {
+		return l.store.client.Watch(ctx, prefix, since, 0)
+	}
+	stored, since, err := standby.CatchUp(l.standby.replica(), epoch, changes)
+	if err != nil {
+		return stored, since, err
+	}
+	stored.SchemaAgreement, err = l.store.client.Get(ctx, schemaversion.Key)
+	return stored, since, err
+}
+
+// readRecords reads all records, and returns the revision from which changes of jobs are
+// to be watched.
+func (l *recordLoader) readRecords(ctx context.Context) (s recovery.StoredRecords, since ident.Revision, err error) {
+	client := l.store.client
+	if s.Jobs, since, err = client.List(ctx, jobs.KeyPrefix); err != nil {
 		return s, 0, err
 	}
-	if s.Rounds, _, err = n.store.List(ctx, roundlog.KeyPrefix); err != nil {
+	if s.Rounds, _, err = client.List(ctx, roundlog.KeyPrefix); err != nil {
 		return s, 0, err
 	}
-	if s.Chunks, _, err = n.store.List(ctx, chunk.KeyPrefix); err != nil {
+	if s.Chunks, _, err = client.List(ctx, chunk.KeyPrefix); err != nil {
 		return s, 0, err
 	}
-	s.SchemaAgreement, err = n.store.Get(ctx, schemaversion.Key)
+	s.SchemaAgreement, err = client.Get(ctx, schemaversion.Key)
 	return s, since, err
 }
 
-// watchJobs finds the jobs whose notice was lost on its way, while this node
-// leads. It looks at most once a second, so that the leader's own writes do
-// not come back one by one.
-func (n *Node) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
-	for n.leadsInTerm(epoch) {
-		log, next, err := n.store.Watch(ctx, jobs.KeyPrefix, since, watchHoldTime)
+// watchJobs finds the jobs of which no notification came, while this node leads.
+func (l *recordLoader) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
+	for l.core.leadsInTerm(epoch) {
+		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, watchHoldTime)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
-			since = n.relistJobs(ctx, since)
+			since = l.relistJobs(ctx, since)
 		case err == nil:
-			since = max(since, next)
-			for _, c := range log {
-				if c.SetKey != "" {
-					n.enqueue(ctx, controller.JobChanged{Job: ident.JobID(c.SetKey[len(jobs.KeyPrefix):]), ModRevision: c.ModRevision})
+			since = max(since, revision)
+			for _, e := range events {
+				if e.SetKey != "" {
+					l.postJobChanged(ctx, e.SetKey, e.ModRevision)
 				}
 			}
 		}
-		if !n.sleep(ctx, watchPause) {
+		if !sleep(ctx, watchPause) {
 			return
 		}
 	}
 }
 
-// relistJobs lists all jobs, when the changes since the last look are not kept any
-// more, and returns the revision to go on from.
-func (n *Node) relistJobs(ctx context.Context, since ident.Revision) ident.Revision {
-	items, rev, err := n.store.List(ctx, jobs.KeyPrefix)
-	if n.noteStoreResult(err) != nil {
+// relistJobs lists all jobs when the changes since a revision are not kept any more, and
+// returns the revision to go on from.
+func (l *recordLoader) relistJobs(ctx context.Context, since ident.Revision) ident.Revision {
+	items, revision, err := l.store.list(ctx, jobs.KeyPrefix)
+	if err != nil {
 		return since
 	}
-	for _, it := range items {
-		n.enqueue(ctx, controller.JobChanged{Job: ident.JobID(it.Key[len(jobs.KeyPrefix):]), ModRevision: it.ModRevision})
+	for _, item := range items {
+		l.postJobChanged(ctx, item.Key, item.ModRevision)
 	}
-	return rev
+	return revision
 }
 
-// leadsInTerm tells whether this node still leads in the term that began with
-// the epoch, or has done so a moment ago; raises of the token keep the term.
-func (n *Node) leadsInTerm(epoch ident.Epoch) bool {
-	e := n.view.Load().epoch
-	return e >= epoch
+func (l *recordLoader) postJobChanged(ctx context.Context, key string, revision ident.Revision) {
+	id := ident.JobID(strings.TrimPrefix(key, jobs.KeyPrefix))
+	l.core.post(ctx, controller.JobChanged{Job: id, ModRevision: revision})
 }
 
-func (n *Node) readJob(ctx context.Context, id ident.JobID) {
-	item, err := n.store.Get(ctx, jobs.Key(id))
-	values := map[int][]byte{}
-	for _, k := range jobs.ChunkNumbers(item.Value) {
+// readJob reads one job's record with its chunks.
+func (l *recordLoader) readJob(ctx context.Context, id ident.JobID) {
+	item, chunks, err := l.readJobRecord(ctx, id)
+	l.core.post(ctx, controller.JobRecordRead{Job: id, OK: err == nil, Item: item, Chunks: chunks})
+}
+
+func (l *recordLoader) readJobRecord(ctx context.Context, id ident.JobID) (kvstore.KeyValue, map[int][]byte, error) {
+	item, err := l.store.get(ctx, jobs.Key(id))
+	if err != nil {
+		return item, nil, err
+	}
+	chunks := map[int][]byte{}
+	for _, number := range jobs.ChunkNumbers(item.Value) {
+		part, err := l.store.get(ctx, jobs.ChunkKey(id, number))
 		if err != nil {
-			break
+			return item, nil, err
 		}
-		var part kvstore.KeyValue
-		part, err = n.store.Get(ctx, jobs.ChunkKey(id, k))
-		values[k] = part.Value
+		chunks[number] = part.Value
+	}
+	return item, chunks, nil
+}
+
+// readQuotas reads all records of quotas.
+func (l *recordLoader) readQuotas(ctx context.Context, epoch ident.Epoch) {
+	items, _, err := l.store.list(ctx, quota.KeyPrefix)
+	if err != nil {
+		l.log.Debug("reading quota records failed", "epoch", epoch, "err", err)
 	}
-	n.enqueue(ctx, controller.JobRecordRead{Job: id, OK: n.noteStoreResult(err) == nil, Item: item, Chunks: values})
+	l.core.post(ctx, controller.QuotaRecordsRead{Epoch: epoch, OK: err == nil, Items: items})
 }
--- a/internal/node/relayuplink.go
+++ b/internal/node/relayuplink.go
@@ -5,100 +5,173 @@
 	"strconv"
 	"time"
 
+	"badgerbay/internal/api"
 	"badgerbay/internal/clock"
-
+	"badgerbay/internal/controller"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/relay"
 )
 
-// runRelayUplink is the actor that carries what waits to the leader through the state
-// service, one batch at a time.
-func (n *Node) runRelayUplink(ctx context.Context) {
-	var queue []relay.PendingRequest
+const (
+	// relayBatchInterval is the least time between two batches through the state service.
+	relayBatchInterval = 500 * time.Millisecond
+	// relayCollectTime is how long the first request of a batch waits for others to join.
+	relayCollectTime = relayBatchInterval / 4
+	// relayAnswerTimeout bounds the wait for the reply to a batch.
+	relayAnswerTimeout = 2 * time.Second
+)
+
+// relayUplink carries heartbeats and cancel requests to a leader that this node does not
+// reach, through the state service, one batch at a time.
+type relayUplink struct {
+	*environment
+	core  *coreActor
+	store *stateService
+	queue chan relay.PendingRequest
+}
+
+func newRelayUplink(env *environment, core *coreActor, store *stateService) *relayUplink {
+	queue := make(chan relay.PendingRequest, maxQueuedRequests(env.settings))
+	return &relayUplink{environment: env, core: core, store: store, queue: queue}
+}
+
+// tryEnqueue hands a request to the actor, unless too many wait.
+func (u *relayUplink) tryEnqueue(pending relay.PendingRequest) bool {
+	select {
+	case u.queue <- pending:
+		return true
+	default:
+		return false
+	}
+}
+
+// relayHeartbeat brings a heartbeat to the leader.
+func (u *relayUplink) relayHeartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
+	pending := relay.NewHeartbeatRequest(heartbeat, u.clock.Now().Add(heartbeatBudget))
+	if !u.tryEnqueue(pending) {
+		return unavailableReply
+	}
+	select {
+	case reply := <-pending.HeartbeatReply:
+		return relayedReply(reply)
+	case <-ctx.Done():
+		return unavailableReply
+	}
+}
+
+// cancel brings a cancel request to the leader.
+func (u *relayUplink) cancel(ctx context.Context, id ident.JobID) api.LeaderReplied {
+	unknown := api.LeaderReplied{Outcome: api.NoLeader}
+	pending := relay.NewCancelRequest(id, u.clock.Now().Add(heartbeatBudget))
+	if !u.tryEnqueue(pending) {
+		return unknown
+	}
+	select {
+	case reply := <-pending.CancelReply:
+		if reply.State == "" {
+			return unknown
+		}
+		return api.LeaderReplied{Outcome: api.JobFound, Status: api.Status{State: api.JobState(reply.State), DoneTasks: reply.DoneTasks}}
+	case <-ctx.Done():
+		return unknown
+	}
+}
+
+// run sends batches until ctx ends.
+func (u *relayUplink) run(ctx context.Context) {
+	var waiting []relay.PendingRequest
 	nonce := strconv.FormatInt(time.Now().UnixNano(), 36)
-	answered := ""
+	acked := "" // the last batch that was answered
 	for number := 1; ; number++ {
-		if len(queue) == 0 {
+		if len(waiting) == 0 {
 			select {
-			case item := <-n.relayQueue:
-				queue = append(queue, item)
+			case pending := <-u.queue:
+				waiting = append(waiting, pending)
 			case <-ctx.Done():
 				return
 			}
 		}
-		begun := n.clock.Now()
-		n.sleep(ctx, relayBatchInterval/4) // for others to join
-		queue = n.drainRelayQueue(queue)
+		begun := u.clock.Now()
+		if !sleep(ctx, relayCollectTime) {
+			return
+		}
 		id := nonce + "-" + strconv.Itoa(number)
-		batch := n.nextRelayBatch(id, answered, queue)
-		queue = batch.Remaining
-		if len(batch.Sent) > 0 && n.exchangeBatch(ctx, id, batch) {
-			answered = id
+		batch := u.nextBatch(id, acked, u.drainQueue(waiting))
+		waiting = batch.Remaining
+		if len(batch.Sent) > 0 && u.exchange(ctx, id, batch) {
+			acked = id
 		}
-		if left := relayBatchInterval - n.clock.Now().Sub(begun); left > 0 && !n.sleep(ctx, left) {
+		if left := relayBatchInterval - u.clock.Now().Sub(begun); left > 0 && !sleep(ctx, left) {
 			return
 		}
 	}
 }
 
-func (n *Node) drainRelayQueue(queue []relay.PendingRequest) []relay.PendingRequest {
+// drainQueue appends what waits in the queue.
+func (u *relayUplink) drainQueue(waiting []relay.PendingRequest) []relay.PendingRequest {
 	for {
 		select {
-		case item := <-n.relayQueue:
-			queue = append(queue, item)
+		case pending := <-u.queue:
+			waiting = append(waiting, pending)
 		default:
-			return queue
+			return waiting
 		}
 	}
 }
 
-// nextRelayBatch makes the next batch of the queue.
-func (n *Node) nextRelayBatch(id, answered string, queue []relay.PendingRequest) relay.Batch {
-	now := n.clock.Now()
-	header := relay.BatchHeader{ID: id, Node: n.settings.NodeName, AckedBatchID: answered, IdleFor: now.Sub(clock.Instant(n.delegateIdleSince.Load()))}
-	batch, err := relay.NewBatch(now, header, queue, n.relayValueLimit())
+// nextBatch makes a batch of the requests that wait.
+func (u *relayUplink) nextBatch(id, acked string, waiting []relay.PendingRequest) relay.Batch {
+	now := u.clock.Now()
+	idleSince := clock.Instant(u.core.delegateIdleSince.Load())
+	header := relay.BatchHeader{ID: id, Node: u.settings.NodeName, AckedBatchID: acked, IdleFor: now.Sub(idleSince)}
+	batch, err := relay.NewBatch(now, header, waiting, u.maxRelayBytes())
 	if err != nil {
-		n.log.Error("batch can't be made", "err", err)
+		u.log.Error("encoding a relay batch failed", "batch", id, "err", err)
 	}
 	return batch
 }
 
-// relayValueLimit is how large a batch or its answers may be: below the limits of the
-// state service that hold now, and below those to come.
-func (n *Node) relayValueLimit() int {
-	return relay.MaxBatchBytes(n.settings.Params.StateService.Strictest().MaxValueBytes())
-}
-
-// exchangeBatch writes a batch and waits for the leader's answers to it; it tells
-// whether they came.
-func (n *Node) exchangeBatch(ctx context.Context, id string, batch relay.Batch) bool {
-	if !n.budget.TakeWrites(n.clock.Now(), kvstore.PurposeSubmission, 1) {
+// exchange writes a batch and waits for the leader's reply to it; it tells whether that
+// came.
+func (u *relayUplink) exchange(ctx context.Context, id string, batch relay.Batch) bool {
+	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		return false
 	}
-	key := peer.BatchKeyPrefix + n.settings.NodeName
-	since, err := n.store.Commit(ctx, kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: batch.Value}}})
-	if n.noteStoreResult(err) != nil {
+	key := peer.BatchKeyPrefix + u.settings.NodeName
+	since, err := u.store.commit(ctx, kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: batch.Value}}})
+	if err != nil {
 		return false
 	}
-	until := n.clock.Now().Add(relayAnswerTimeout)
-	for n.clock.Now().Before(until) && ctx.Err() == nil {
-		log, next, err := n.store.Watch(ctx, peer.ReplyKeyPrefix+n.settings.NodeName, since, until.Sub(n.clock.Now()))
-		if n.noteStoreResult(err) != nil {
+	deadline := u.clock.Now().Add(relayAnswerTimeout)
+	for u.clock.Now().Before(deadline) && ctx.Err() == nil {
+		events, revision, err := u.store.watch(ctx, peer.ReplyKeyPrefix+u.settings.NodeName, since, deadline.Sub(u.clock.Now()))
+		if err != nil {
 			return false
 		}
-		since = max(since, next)
-		for _, c := range log {
-			a, err := peer.DecompressReply(c.Value)
-			if err != nil {
-				n.metrics.MalformedBatches.Inc()
-				continue
-			}
-			if a.ID == id {
-				relay.DeliverReplies(a, batch.Sent)
-				return true
-			}
+		since = max(since, revision)
+		if reply := u.findReply(events, id); reply != nil {
+			relay.DeliverReplies(reply, batch.Sent)
+			return true
 		}
 	}
 	return false
 }
+
+// findReply returns the reply to a batch among the changes of this node's reply key, or
+// nil.
+func (u *relayUplink) findReply(events []kvstore.WatchEvent, id string) *peer.BatchReply {
+	for _, e := range events {
+		reply, err := peer.DecompressReply(e.Value)
+		if err != nil {
+			u.metrics.MalformedBatches.Inc()
+			continue
+		}
+		if reply.ID == id {
+			return reply
+		}
+	}
+	return nil
+}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -68,8 +68,8 @@
 		t.Fatal(err)
 	}
 	types := []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}
-	b.n.core.Step(b.clock.now, controller.MachineTypesRead{Types: types})
-	b.n.view.Store(&coreView{machineTypes: types})
+	b.n.core.core.Step(b.clock.now, controller.MachineTypesRead{Types: types})
+	b.n.core.published.Store(&coreView{machineTypes: types})
 	b.http = b.n.routes()
 	return b
 }
@@ -79,17 +79,17 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	c := b.n.core
+	c := b.n.core.core
 	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true}})
 	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaseGranted{OK: true, LeaseID: 1, SentAt: b.clock.now}})
 	c.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeyAcquired{Outcome: election.OutcomeOK, Epoch: 77}})
 	c.Step(b.clock.now, controller.RecordsRead{Epoch: 77, OK: true})
-	b.n.view.Store(&coreView{leader: "n0", machineTypes: c.MachineTypes(), epoch: 77})
+	b.n.core.published.Store(&coreView{leader: "n0", machineTypes: c.MachineTypes(), epoch: 77})
 	go func() {
 		for {
 			select {
-			case in := <-b.n.inbox:
-				b.n.step(ctx, in)
+			case in := <-b.n.core.inbox:
+				b.n.core.step(ctx, in)
 			case <-ctx.Done():
 				return
 			}
@@ -181,8 +181,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go peer.Serve(t.Context(), l, &peerServer{n: other.n}, minQueuedRequests)
-	if b.n.peers, err = peer.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
+	go peer.Serve(t.Context(), l, other.n.newPeerServer(), minQueuedRequests)
+	if b.n.peers.Clients, err = peer.Dial([]config.Peer{{NodeName: "n1", Addr: l.Addr().String()}}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.n.peers.Close)
@@ -199,7 +199,7 @@
 	if item, err := other.srv.Store.Get(jobs.Key("wk-000001")); err != nil || item.ModRevision == 0 {
 		t.Errorf("accepted and not stored: %v", err)
 	}
-	for b.n.budget.TakeWrites(b.clock.now, kvstore.PurposeSubmission, 1) {
+	for b.n.store.budget.TakeWrites(b.clock.now, kvstore.PurposeSubmission, 1) {
 	}
 	if w := b.call("POST", "/submissions", submissionBody("wk-000002")); w.Code != 201 {
 		t.Errorf("%d with no changes left here, and some there", w.Code)
@@ -232,10 +232,10 @@
 // up to the moment the answer leaves, so that their leases really run out.
 func TestHeartbeatsAnsweredOnlyWhileEntitled(t *testing.T) {
 	b := newNodeFixture(t)
-	b.n.core.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
-	replies := newReplyChannel[controller.HeartbeatReply]()
+	b.n.core.core.Step(b.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
+	replies := make(replyChannel[controller.HeartbeatReply], 1)
 	r := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
-	b.n.step(context.Background(), controller.HeartbeatReceived{Responder: replies, Heartbeat: r})
+	b.n.core.step(context.Background(), controller.HeartbeatReceived{Responder: replies, Heartbeat: r})
 	if got := <-replies; statusOf(got.Outcome) != 421 || got.Leader != "n1" {
 		t.Errorf("follower answers %+v", got)
 	}
@@ -246,7 +246,7 @@
 		t.Fatalf("leader answers %d", w.Code)
 	}
 	w := httptest.NewRecorder()
-	b.n.writeHeartbeatReply(w, controller.HeartbeatReply{Outcome: controller.HeartbeatAccepted, Epoch: 77, ValidUntil: b.clock.now})
+	b.n.workers.write(w, controller.HeartbeatReply{Outcome: controller.HeartbeatAccepted, Epoch: 77, ValidUntil: b.clock.now})
 	if w.Code != 503 {
 		t.Errorf("an answer that leaves too late has status %d", w.Code)
 	}
@@ -278,7 +278,7 @@
 	if w := b.call("GET", "/up", nil); w.Code != 503 {
 		t.Errorf("%d before the state service was reached", w.Code)
 	}
-	b.n.health.noteStoreAnswer(b.clock.now)
+	b.n.store.record(nil)
 	if w := b.call("GET", "/up", nil); w.Code != 200 {
 		t.Errorf("%d, want 200", w.Code)
 	}
@@ -303,12 +303,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	types := b.n.core.MachineTypes()
-	b.n.view.Store(&coreView{leader: "n0", machineTypes: types, epoch: ident.Epoch(epoch)})
-	b.n.storeMachineTypes(context.Background(), types)
-	b.n.view.Store(&coreView{})
-	b.n.readMachineTypes(context.Background())
-	in, ok := (<-b.n.inbox).(controller.MachineTypesRead)
+	types := b.n.core.core.MachineTypes()
+	b.n.core.published.Store(&coreView{leader: "n0", machineTypes: types, epoch: ident.Epoch(epoch)})
+	b.n.cloud.storeMachineTypes(context.Background(), types)
+	b.n.core.published.Store(&coreView{})
+	b.n.cloud.readMachineTypes(context.Background())
+	in, ok := (<-b.n.core.inbox).(controller.MachineTypesRead)
 	if !ok || len(in.Types) != 1 || in.Types[0].Name != "m" || !in.Types[0].Capacity.Fits(types[0].Capacity) {
 		t.Errorf("machine types %+v", in.Types)
 	}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -3,119 +3,91 @@
 import (
 	"context"
 	"errors"
-	"net/http"
 	"sync/atomic"
 	"time"
 
 	"badgerbay/internal/clock"
+	"badgerbay/internal/cloud"
 	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
-
-	"github.com/julienschmidt/httprouter"
-	"github.com/vmihailenco/msgpack/v5"
-
 	"badgerbay/internal/election"
 	"badgerbay/internal/featuregate"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/standby"
-	"badgerbay/internal/wire"
 )
 
-// standbyActor follows the leader's decisions while this node does not lead. It
+// standbyTickInterval is how often the actor looks whether something is due.
+const standbyTickInterval = 100 * time.Millisecond
+
+// errRequestBudgetExhausted says that the node's share of the requests to the state
+// service is used up.
+var errRequestBudgetExhausted = errors.New("request budget exhausted")
+
+// standbyActor follows the leader's decisions while this node does not lead. Its run
 // alone touches the follower; others see what it publishes.
 type standbyActor struct {
-	n         *Node
+	*environment
+	core      *coreActor
+	store     *stateService
+	cloud     *cloud.Client
 	follower  *standby.Follower
-	published atomic.Pointer[standbySnapshot]
 	ready     bool // as the core was told last
+	published atomic.Pointer[standbySnapshot]
 	machines  atomic.Pointer[controller.MachineSnapshot]
 }
 
-// standbySnapshot is what the actor publishes after each look.
+// standbySnapshot is what the actor publishes after each look. It does not change any
+// more.
 type standbySnapshot struct {
 	replica *standby.Replica
 	status  func(now clock.Instant) standby.Status
 }
 
-// errRequestBudgetExhausted: the node's share of the requests to the state service is used up.
-var errRequestBudgetExhausted = errors.New("no share of the requests is left")
-
-// standbyTickInterval is how often the actor looks whether something is due.
-const standbyTickInterval = 100 * time.Millisecond
-
-func newStandbyActor(n *Node, w *featuregate.WarmStandby) *standbyActor {
-	a := &standbyActor{n: n, follower: standby.NewFollower(w.SyncInterval, w.ReplicaBytes())}
+func newStandbyActor(env *environment, core *coreActor, store *stateService, client *cloud.Client, options *featuregate.WarmStandby) *standbyActor {
+	a := &standbyActor{
+		environment: env,
+		core:        core,
+		store:       store,
+		cloud:       client,
+		follower:    standby.NewFollower(options.SyncInterval, options.ReplicaBytes()),
+	}
 	a.publish()
 	a.machines.Store(&controller.MachineSnapshot{})
 	return a
 }
 
-// listMachines reads the machine list again and again while this node does not lead,
-// within what the leader leaves of the cloud's call rate.
-func (a *standbyActor) listMachines(ctx context.Context) {
-	cloud := a.n.settings.Params.Cloud
-	calls := kvstore.NewTokenBucket(cloud.RPS*(1-controller.LeaderCloudShare)/float64(max(1, len(a.n.settings.Peers))), 1)
-	for a.n.sleep(ctx, standby.MachineListInterval) {
-		if a.n.view.Load().epoch != 0 {
-			continue
-		}
-		if known, ok := a.readList(ctx, calls); ok {
-			a.machines.Store(known)
-		}
-	}
-}
-
-// readList reads all pages of the list.
-func (a *standbyActor) readList(ctx context.Context, calls *kvstore.TokenBucket) (*controller.MachineSnapshot, bool) {
-	known := &controller.MachineSnapshot{RequestedAt: a.n.clock.Now()}
-	var since ident.MachineID
-	for {
-		for !calls.Take(a.n.clock.Now(), 1, 0) {
-			if !a.n.sleep(ctx, calls.Delay(a.n.clock.Now(), 1, 0)) {
-				return nil, false
-			}
-		}
-		page, more, err := a.n.cloud.ListMachines(ctx, since)
-		if err != nil {
-			return nil, false
-		}
-		known.Machines = append(known.Machines, page...)
-		if !more || len(page) == 0 {
-			return known, true
-		}
-		since = page[len(page)-1].ID
-	}
-}
-
-// knownMachines are those that this node has listed as a standby.
-func (n *Node) knownMachines() controller.MachineSnapshot {
-	if n.standby == nil {
-		return controller.MachineSnapshot{}
-	}
-	return *n.standby.machines.Load()
+// publish lets others see the follower as it is now.
+func (a *standbyActor) publish() {
+	snapshot := *a.follower
+	a.published.Store(&standbySnapshot{replica: snapshot.Replica(), status: snapshot.Status})
 }
 
 // replica is the latest replica; it does not change any more.
 func (a *standbyActor) replica() *standby.Replica { return a.published.Load().replica }
 
-// publish lets others see the follower as it is now.
-func (a *standbyActor) publish() {
-	snapshot := *a.follower
-	a.published.Store(&standbySnapshot{replica: snapshot.Replica(), status: snapshot.Status})
+// knownMachines are those that this node has listed as a standby; none without one, when
+// the actor is nil.
+func (a *standbyActor) knownMachines() controller.MachineSnapshot {
+	if a == nil {
+		return controller.MachineSnapshot{}
+	}
+	return *a.machines.Load()
 }
 
-// run follows until the context ends.
+// run follows the records until ctx ends.
 func (a *standbyActor) run(ctx context.Context) {
-	for a.n.sleep(ctx, standbyTickInterval) {
-		a.step(ctx, standby.LeadershipChanged{Leading: a.n.view.Load().epoch != 0})
+	for sleep(ctx, standbyTickInterval) {
+		a.step(ctx, standby.LeadershipChanged{Leading: a.core.view().leads()})
 		a.step(ctx, standby.Tick{})
 		a.publish()
 		a.reportState(ctx)
 	}
 }
 
+// step hands an input to the follower, carries out what it asks for, and hands it the
+// results.
 func (a *standbyActor) step(ctx context.Context, in standby.Input) {
-	for _, e := range a.follower.Step(a.n.clock.Now(), in) {
+	for _, e := range a.follower.Step(a.clock.Now(), in) {
 		a.step(ctx, a.read(ctx, e))
 	}
 }
@@ -124,25 +96,23 @@
 func (a *standbyActor) read(ctx context.Context, e standby.Effect) standby.Input {
 	switch e := e.(type) {
 	case standby.List:
-		in := standby.ListDone{Prefix: e.Prefix, Err: a.takeRequest()}
-		if in.Err == nil {
-			in.Items, in.Revision, in.Err = a.n.store.List(ctx, e.Prefix)
-			a.n.noteStoreResult(in.Err)
+		done := standby.ListDone{Prefix: e.Prefix, Err: a.takeRequest()}
+		if done.Err == nil {
+			done.Items, done.Revision, done.Err = a.store.list(ctx, e.Prefix)
 		}
-		return in
+		return done
 	case standby.Watch:
-		in := standby.WatchDone{Prefix: e.Prefix, Err: a.takeRequest()}
-		if in.Err == nil {
-			in.Changes, in.Revision, in.Err = a.n.store.Watch(ctx, e.Prefix, e.Since, 0)
-			a.n.noteStoreResult(in.Err)
+		done := standby.WatchDone{Prefix: e.Prefix, Err: a.takeRequest()}
+		if done.Err == nil {
+			done.Changes, done.Revision, done.Err = a.store.watch(ctx, e.Prefix, e.Since, 0)
 		}
-		return in
+		return done
 	}
 	return standby.Tick{}
 }
 
 func (a *standbyActor) takeRequest() error {
-	if !a.n.budget.TakeRequest(a.n.clock.Now()) {
+	if !a.store.takeRequest() {
 		return errRequestBudgetExhausted
 	}
 	return nil
@@ -150,71 +120,51 @@
 
 // reportState tells the core and the metrics how the replica is.
 func (a *standbyActor) reportState(ctx context.Context) {
-	status := a.follower.Status(a.n.clock.Now())
-	a.n.metrics.ObserveStandby(status)
+	status := a.follower.Status(a.clock.Now())
+	a.metrics.ObserveStandby(status)
 	ready := status.State == standby.StateReady
 	if ready == a.ready {
 		return
 	}
 	a.ready = ready
-	a.n.log.Info("standby", "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
-	a.n.enqueue(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
-}
-
-// standbyStatus is what the node tells operators of itself as a standby.
-type standbyStatus struct {
-	Node       string  `msgpack:"node"`
-	Enabled    bool    `msgpack:"enabled"`
-	State      string  `msgpack:"state"`
-	Ready      bool    `msgpack:"ready"`
-	Reason     string  `msgpack:"reason,omitempty"`
-	Leader     string  `msgpack:"leader"`
-	SilentS    float64 `msgpack:"leader_silent_s"`
-	Hindrance  string  `msgpack:"not_taking_over_because,omitempty"`
-	Records    int     `msgpack:"records"`
-	Bytes      int     `msgpack:"bytes"`
-	Revision   uint64  `msgpack:"revision"`
-	LagS       float64 `msgpack:"lag_s"`
-	LagRecords int     `msgpack:"lag_records"`
-	Rereads    int     `msgpack:"rereads"`
-}
-
-// handleStandby answers an operator who asks how this node would take over.
-func (n *Node) handleStandby(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	now, v := n.clock.Now(), n.view.Load()
-	answer := standbyStatus{Node: n.settings.NodeName, Leader: v.leader, State: "off"}
-	if v.epoch != 0 {
-		answer.Leader, answer.State = n.settings.NodeName, standby.StateLeading.String()
-	}
-	if n.standby != nil {
-		n.standby.describe(now, v, &answer)
-	}
-	writeMsgpack(w, &answer)
+	a.log.Info("standby readiness changed", "ready", ready, "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
+	a.core.post(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
 }
 
-// writeMsgpack answers an operator.
-func writeMsgpack(w http.ResponseWriter, view any) {
-	data, err := msgpack.Marshal(view)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
+// listMachines reads the machine list again and again while this node does not lead,
+// within what the leader leaves of the cloud's call rate, until ctx ends.
+func (a *standbyActor) listMachines(ctx context.Context) {
+	rate := a.settings.Params.Cloud.RPS * (1 - controller.LeaderCloudShare) / float64(max(1, len(a.settings.Peers)))
+	calls := kvstore.NewTokenBucket(rate, 1)
+	for sleep(ctx, standby.MachineListInterval) {
+		if a.core.view().leads() {
+			continue
+		}
+		if snapshot := a.readMachineList(ctx, calls); snapshot != nil {
+			a.machines.Store(snapshot)
+		}
 	}
-	w.Header().Set("Content-Type", wire.ContentType)
-	w.Write(data)
 }
 
-func (a *standbyActor) describe(now clock.Instant, v *coreView, answer *standbyStatus) {
-	status := a.published.Load().status(now)
-	answer.Enabled = true
-	if v.epoch == 0 {
-		answer.State = status.State.String()
-		answer.Hindrance = v.standby.BlockReason.String()
-		answer.SilentS = v.standby.SilentFor(now).Seconds()
-	}
-	answer.Ready = v.epoch == 0 && status.State == standby.StateReady
-	if status.Reason != nil {
-		answer.Reason = status.Reason.Error()
+// readMachineList reads all pages of the list; nil: some page can't be read.
+func (a *standbyActor) readMachineList(ctx context.Context, calls *kvstore.TokenBucket) *controller.MachineSnapshot {
+	snapshot := &controller.MachineSnapshot{RequestedAt: a.clock.Now()}
+	var after ident.MachineID
+	for {
+		for !calls.Take(a.clock.Now(), 1, 0) {
+			if !sleep(ctx, calls.Delay(a.clock.Now(), 1, 0)) {
+				return nil
+			}
+		}
+		page, more, err := a.cloud.ListMachines(ctx, after)
+		if err != nil {
+			a.log.Debug("listing machines failed", "err", err)
+			return nil
+		}
+		snapshot.Machines = append(snapshot.Machines, page...)
+		if !more || len(page) == 0 {
+			return snapshot
+		}
+		after = page[len(page)-1].ID
 	}
-	answer.Records, answer.Bytes, answer.Revision = status.Records, status.Bytes, uint64(status.Revision)
-	answer.LagS, answer.LagRecords, answer.Rereads = status.Lag.Seconds(), status.LagRecords, status.Reloads
 }
--- /dev/null
+++ b/internal/node/userapi.go
@@ -0,0 +1,173 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+
+	"badgerbay/internal/api"
+	"badgerbay/internal/config"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/wire"
+)
+
+const (
+	// statusBudget and submitBudget bound the time until a user is answered; a cancel
+	// request has that of a submission.
+	statusBudget = 1800 * time.Millisecond
+	submitBudget = 4 * time.Second
+	// retryDelay is the least Retry-After.
+	retryDelay = time.Second
+)
+
+// userAPI answers users: it submits, queries and cancels jobs.
+type userAPI struct {
+	*environment
+	core        *coreActor
+	store       *stateService
+	peers       *peerNetwork
+	reach       *reachability
+	uplink      *relayUplink
+	quotaHolder *quotaHolderActor // nil: there are no team quotas
+	teams       map[ident.Team]config.Team
+	retryPacer  *api.RetryPacer
+
+	forwardCount atomic.Uint32 // submissions that other nodes were asked to store
+}
+
+// handleJobRequest answers a status query or a cancel request.
+func (u *userAPI) handleJobRequest(kind api.RequestKind) httprouter.Handle {
+	budget := statusBudget
+	if kind == api.Cancel {
+		budget = submitBudget
+	}
+	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+		id, err := ident.ParseJobID(params.ByName("id"))
+		if err != nil {
+			u.writeResponse(w, "", api.Response{Code: http.StatusNotFound})
+			return
+		}
+		ctx, cancel := context.WithTimeout(r.Context(), budget)
+		defer cancel()
+		begun := u.clock.Now()
+		response := u.runRequest(ctx, id, api.NewJobRequest(kind))
+		// A node that stalled meanwhile may hold an answer that is older than what
+		// another node has said since.
+		if u.clock.Now().Sub(begun) > budget {
+			response = api.Response{Code: http.StatusServiceUnavailable, RetryAfter: retryDelay}
+		}
+		u.writeResponse(w, id, response)
+	}
+}
+
+// runRequest carries out what a request's state machine asks for until it responds.
+func (u *userAPI) runRequest(ctx context.Context, id ident.JobID, req *api.Request) api.Response {
+	var in api.Input = api.Begin{}
+	for {
+		switch action := req.Step(in).(type) {
+		case api.Response:
+			return action
+		case api.CreateRecord:
+			in = api.RecordCreated{Result: u.createJob(ctx, id, req, action.Record)}
+		case api.LoadRecord:
+			in = u.loadJob(ctx, id)
+		case api.QueryLeader:
+			in = u.queryLeader(ctx, id, action.Cancel)
+		}
+	}
+}
+
+// createJob stores a job if it does not exist. Only refusals for want of writes count
+// for the pace: others may store what the state service refuses this node.
+func (u *userAPI) createJob(ctx context.Context, id ident.JobID, req *api.Request, record *jobs.Record) api.CreateResult {
+	if !u.store.takeWrite(kvstore.PurposeSubmission) {
+		delay := u.store.budget.WriteDelay(u.clock.Now(), kvstore.PurposeSubmission)
+		req.SetRetryAfter(delay + u.retryPacer.Rejected())
+		return api.Rejected
+	}
+	u.retryPacer.Accepted()
+	key := jobs.Key(id)
+	_, err := u.store.commit(ctx, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: key, ModRevision: 0}},
+		Operations: []kvstore.Operation{{SetKey: key, Value: record}},
+	})
+	var conflict *kvstore.ConflictError
+	switch {
+	case err == nil:
+		go u.notifyLeader(context.WithoutCancel(ctx), id)
+		u.quotaHolder.tryPost(id, &record.Spec)
+		return api.Stored
+	case errors.As(err, &conflict):
+		return api.AlreadyExists
+	case errors.Is(err, kvstore.ErrOutcomeUnknown):
+		return api.Indeterminate
+	}
+	return api.Rejected
+}
+
+// notifyLeader tells the leader of a new job; the call to a peer ends by its own
+// timeout. If the notification is lost, the leader's watch finds the job a moment later.
+func (u *userAPI) notifyLeader(ctx context.Context, id ident.JobID) {
+	view := u.core.view()
+	if view.leads() {
+		u.core.tryPost(controller.JobChanged{Job: id})
+		return
+	}
+	if view.leader == "" || view.leader == u.settings.NodeName {
+		return
+	}
+	if err := u.peers.NotifyJobChanged(ctx, view.leader, string(id)); err != nil {
+		u.log.Debug("job notification lost", "job", id, "err", err)
+	}
+}
+
+// loadJob reads a job's record.
+func (u *userAPI) loadJob(ctx context.Context, id ident.JobID) api.RecordLoaded {
+	if !u.store.takeRequest() {
+		return api.RecordLoaded{}
+	}
+	item, err := u.store.get(ctx, jobs.Key(id))
+	if err != nil {
+		return api.RecordLoaded{}
+	}
+	if item.ModRevision == 0 {
+		return api.RecordLoaded{OK: true}
+	}
+	record, err := jobs.Decode(item.Value)
+	if err != nil {
+		u.log.Error("job record unreadable", "job", id, "err", err)
+		return api.RecordLoaded{}
+	}
+	return api.RecordLoaded{OK: true, Record: record}
+}
+
+// writeResponse answers a user.
+func (u *userAPI) writeResponse(w http.ResponseWriter, id ident.JobID, response api.Response) {
+	u.metrics.UserResponses.WithLabelValues(strconv.Itoa(response.Code)).Inc()
+	if response.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(api.RetryAfterSeconds(response.RetryAfter)))
+	}
+	if !isSuccess(response.Code) {
+		w.WriteHeader(response.Code)
+		return
+	}
+	body, err := api.EncodeStatus(id, response.Status)
+	if err != nil {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", wire.ContentType)
+	w.WriteHeader(response.Code)
+	w.Write(body) // a user who has gone needs no answer
+}
+
+// isSuccess tells whether a job was stored or found.
+func isSuccess(code int) bool { return code == http.StatusOK || code == http.StatusCreated }
