--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -43,6 +43,19 @@
 	StateServiceOutage
 )
 
+// String names the isolation for logs.
+func (i Isolation) String() string {
+	switch i {
+	case Connected:
+		return "connected"
+	case NodeIsolated:
+		return "node isolated"
+	case StateServiceOutage:
+		return "state service outage"
+	}
+	return "unknown"
+}
+
 // Disposition tells what to do with a heartbeat at a node that does not lead.
 type Disposition int
 
--- a/internal/node/relay_test.go
+++ b/internal/node/batchserver_test.go
@@ -5,14 +5,13 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/controller"
-	"badgerbay/internal/ident"
-
 	"github.com/prometheus/client_golang/prometheus/testutil"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"badgerbay/internal/controller"
 	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/relay"
@@ -22,12 +21,12 @@
 // TestLeaderAnswersRelayedBatch: the answers to a cut-off node's batch are written
 // under the guard of the epoch.
 func TestLeaderAnswersRelayedBatch(t *testing.T) {
-	b := newNodeFixture(t)
-	b.becomeLeader(t)
+	f := newNodeFixture(t)
+	f.becomeLeader(t)
 	holder := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	for v := ident.Revision(0); v < 77; { // the epoch that this node leads with
 		var err error
-		if v, err = b.n.store.client.Commit(context.Background(), holder); err != nil {
+		if v, err = f.node.store.client.Commit(context.Background(), holder); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.n.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
-	item, _ := b.n.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1")
+	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	item, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1")
 	a, err := peer.DecompressReply(item.Value)
 	if err != nil || a.ID != "b-1" || len(a.Heartbeats) != 1 || a.Heartbeats[0].Code != 200 || a.Heartbeats[0].Epoch != 77 {
 		t.Fatalf("answers %+v, %v", a, err)
@@ -50,18 +49,18 @@
 		t.Errorf("an unknown job was answered: %+v", a.Cancellations)
 	}
 	// What can't be read is counted, and answered by nothing.
-	b.n.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
-	if bad := testutil.ToFloat64(b.n.metrics.MalformedBatches); bad != 1 {
+	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
+	if bad := testutil.ToFloat64(f.node.metrics.MalformedBatches); bad != 1 {
 		t.Errorf("%v bad batches counted, want 1", bad)
 	}
-	if again, _ := b.n.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
+	if again, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
 		t.Error("a batch that can't be read was answered")
 	}
 	// Once another leads, nothing more is written.
-	b.n.store.client.Commit(context.Background(), holder)
+	f.node.store.client.Commit(context.Background(), holder)
 	before := item.ModRevision
-	b.n.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
-	if item, _ := b.n.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); item.ModRevision != before {
+	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
+	if item, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); item.ModRevision != before {
 		t.Error("a deposed leader answered")
 	}
 }
@@ -70,7 +69,7 @@
 // service counts from when the answers left that it has seen, never from when
 // it arrives; without a known answer it counts for nothing.
 func TestRelayedNodesReportDelegationUse(t *testing.T) {
-	b := newNodeFixture(t)
+	f := newNodeFixture(t)
 	answered := relay.AnsweredBatches{}
 	data, err := wire.CompressMessage(peer.Batch{ID: "x", Node: "n1"})
 	if err != nil {
@@ -80,17 +79,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	left := b.clock.now
-	b.n.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: value}, answered)
-	b.clock.now = b.clock.now.Add(20 * time.Second)
+	left := f.clock.now
+	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: value}, answered)
+	f.clock.now = f.clock.now.Add(20 * time.Second)
 	for _, bad := range []peer.Batch{{Node: "n1"}, {Node: "n1", AckedBatchID: "y"}, {Node: "n2", AckedBatchID: "x"}, {Node: "n1", AckedBatchID: "x", IdleMs: -1}, {Node: "n1", AckedBatchID: "x", IdleMs: 1 << 60}} {
-		b.n.batches.postAttestation(context.Background(), answered, &bad)
+		f.node.batches.postAttestation(context.Background(), answered, &bad)
 	}
-	if len(b.n.core.inbox) != 0 {
-		t.Fatalf("%v was taken in", <-b.n.core.inbox)
+	if len(f.node.core.inbox) != 0 {
+		t.Fatalf("%v was taken in", <-f.node.core.inbox)
 	}
-	b.n.batches.postAttestation(context.Background(), answered, &peer.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
-	if in, ok := (<-b.n.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
+	f.node.batches.postAttestation(context.Background(), answered, &peer.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
+	if in, ok := (<-f.node.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
 		t.Errorf("taken in as %+v", in)
 	}
 }
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -55,14 +55,14 @@
 }
 
 // meetFates lets the node's next transactions meet fates.
-func (b *nodeFixture) meetFates(fates ...fate) {
-	b.n.store.client = kvstore.NewClient("10.2.0.1:1", &lossyTransport{next: b.srv, fates: fates})
+func (f *nodeFixture) meetFates(fates ...fate) {
+	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &lossyTransport{next: f.kv, fates: fates})
 }
 
 // put stores a value whatever is there.
-func (b *nodeFixture) put(t *testing.T, key string) ident.Revision {
+func (f *nodeFixture) put(t *testing.T, key string) ident.Revision {
 	t.Helper()
-	revision, err := b.srv.Store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: "old"}}})
+	revision, err := f.kv.Store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: "old"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,16 +96,16 @@
 		{name: "applied, then another conflict", fates: []fate{applied}, after: election.LeaderKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newNodeFixture(t)
-			leader, job := b.put(t, election.LeaderKey), b.put(t, "job/1")
+			f := newNodeFixture(t)
+			leader, job := f.put(t, election.LeaderKey), f.put(t, "job/1")
 			if c.before != "" {
-				b.put(t, c.before)
+				f.put(t, c.before)
 			}
 			if c.after != "" {
-				b.srv.OnCommit = func(kvstore.Txn) { b.put(t, c.after) }
+				f.kv.OnCommit = func(kvstore.Txn) { f.put(t, c.after) }
 			}
-			b.meetFates(c.fates...)
-			revision, err := b.n.store.commitAndConfirm(context.Background(), kvstore.Txn{
+			f.meetFates(c.fates...)
+			revision, err := f.node.store.commitAndConfirm(context.Background(), kvstore.Txn{
 				Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: leader}, {Key: "job/1", ModRevision: job}},
 				Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}},
 			}, confirmation{fenceKey: c.fence})
@@ -115,7 +115,7 @@
 				}
 				return
 			}
-			if item, _ := b.srv.Store.Get("job/1"); err != nil || revision != item.ModRevision || revision == job {
+			if item, _ := f.kv.Store.Get("job/1"); err != nil || revision != item.ModRevision || revision == job {
 				t.Errorf("revision %d, %v; stored is %d, before it was %d", revision, err, item.ModRevision, job)
 			}
 		})
@@ -135,16 +135,16 @@
 
 // TestAbandonedOutcome: nobody goes on for an outcome that is not wanted any more.
 func TestAbandonedOutcome(t *testing.T) {
-	b := newNodeFixture(t)
+	f := newNodeFixture(t)
 	txn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}}}
-	b.meetFates(lost, lost, lost)
-	_, err := b.n.store.commitAndConfirm(context.Background(), txn, confirmation{wanted: func() bool { return false }})
+	f.meetFates(lost, lost, lost)
+	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{wanted: func() bool { return false }})
 	if !errors.Is(err, errOutcomeAbandoned) {
 		t.Errorf("error %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := b.n.store.commitAndConfirm(ctx, txn, confirmation{}); !errors.Is(err, errOutcomeAbandoned) {
+	if _, err := f.node.store.commitAndConfirm(ctx, txn, confirmation{}); !errors.Is(err, errOutcomeAbandoned) {
 		t.Errorf("error %v after the context ended", err)
 	}
 }
