--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -38,17 +38,18 @@
 
 func TestBadScriptsNameTheField(t *testing.T) {
 	for script, field := range map[string]string{
-		"idle_return_s = 'long'":        "policy.idle_return_s",
-		"idle_return_s = -1":            "policy.idle_return_s",
-		"ring_slots = 2.5":              "policy.ring_slots",
-		"prefer_spot = 1":               "policy.prefer_spot",
-		"spare_tasks = True":            "policy.spare_tasks",
-		"idle_retrun_s = 3":             "policy.idle_retrun_s",
-		"renew_s = 9":                   "policy.renew_s",
-		"idle_return_s = ":              "policy.script",
-		"def f():\n  pass\nx = f(1)":    "policy.script",
-		"x = [i for i in range(10**9)]": "policy.script",
-		"load('other.star', 'x')":       "policy.script",
+		"idle_return_s = 'long'":           "policy.idle_return_s",
+		"idle_return_s = -1":               "policy.idle_return_s",
+		"ring_slots = 2.5":                 "policy.ring_slots",
+		"prefer_spot = 1":                  "policy.prefer_spot",
+		"spare_tasks = True":               "policy.spare_tasks",
+		"idle_retrun_s = 3":                "policy.idle_retrun_s",
+		"renew_s = 9":                      "policy.renew_s",
+		"idle_return_s = ":                 "policy.script",
+		"def f():\n  pass\nx = f(1)":       "policy.script",
+		"x = [i for i in range(10**9)]":    "policy.script", // Starlark has no **
+		"x = [i for i in range(10000000)]": "policy.script",
+		"load('other.star', 'x')":          "policy.script",
 
 		"warm_standby = True":                               "policy.warm_standby",
 		"warm_standby = {'takeover': 3}":                    "policy.warm_standby.takeover",
