--- /dev/null
+++ b/internal/featuregate/warmstandby.go
@@ -0,0 +1,95 @@
+package featuregate
+
+import (
+	"time"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/config"
+	"badgerbay/internal/election"
+	"badgerbay/internal/kvstore"
+)
+
+// WarmStandby are the settings of the warm standby.
+type WarmStandby struct {
+	HeartbeatInterval time.Duration // between two heartbeats of the leader
+	HeartbeatTTL      time.Duration // a leader acts for so long after a heartbeat, at most
+	PollInterval      time.Duration // between two reads of the heartbeat
+	SyncInterval      time.Duration // between two reads of the changes of the records
+	MaxReplicaMB      float64       // what the replica may hold, in MiB
+}
+
+// Defaults of the warm standby, for what a section leaves out.
+const (
+	defaultHeartbeatInterval = 800 * time.Millisecond
+	defaultHeartbeatTTL      = 2600 * time.Millisecond
+	defaultPollInterval      = 250 * time.Millisecond
+	defaultSyncInterval      = time.Second
+	defaultMaxReplicaMB      = 24
+)
+
+const (
+	mebibyte = 1 << 20
+	// maxHeartbeatWriteShare is the part of the state service's changes that heartbeats
+	// may take.
+	maxHeartbeatWriteShare = 0.1
+	// minPollsPerTTL is how often a standby reads the heartbeat within its TTL, at
+	// least.
+	minPollsPerTTL = 3
+	// minMemoryPerReplica is how many times what the replica may hold a node must have.
+	minMemoryPerReplica = 3
+)
+
+// ReplicaBytes is MaxReplicaMB in bytes.
+func (w *WarmStandby) ReplicaBytes() int { return int(w.MaxReplicaMB * mebibyte) }
+
+// decodeWarmStandby reads a section that keeps to the schema.
+func decodeWarmStandby(section map[string]any) *WarmStandby {
+	return &WarmStandby{
+		HeartbeatInterval: seconds(section, "heartbeat_s", defaultHeartbeatInterval),
+		HeartbeatTTL:      seconds(section, "takeover_s", defaultHeartbeatTTL),
+		PollInterval:      seconds(section, "poll_s", defaultPollInterval),
+		SyncInterval:      seconds(section, "sync_s", defaultSyncInterval),
+		MaxReplicaMB:      number(section, "replica_mb", defaultMaxReplicaMB),
+	}
+}
+
+func seconds(section map[string]any, name string, fallback time.Duration) time.Duration {
+	if s, ok := section[name].(float64); ok {
+		return clock.Seconds(s)
+	}
+	return fallback
+}
+
+func number(section map[string]any, name string, fallback float64) float64 {
+	if v, ok := section[name].(float64); ok {
+		return v
+	}
+	return fallback
+}
+
+// check refuses times that do not fit together, and what the deployment can't bear.
+func (w *WarmStandby) check(p config.Params) error {
+	minTTL := election.MinHeartbeatTTL(w.HeartbeatInterval, kvstore.RequestTimeout)
+	if w.HeartbeatTTL < minTTL {
+		return warmStandbyErrorf("takeover_s", "%v leaves no room for a heartbeat every %v that takes up to %v: at least %v",
+			w.HeartbeatTTL, w.HeartbeatInterval, kvstore.RequestTimeout, minTTL)
+	}
+	if minPollsPerTTL*w.PollInterval > w.HeartbeatTTL {
+		return warmStandbyErrorf("poll_s", "%v is too seldom to see a leader silent for %v: a third of that at most",
+			w.PollInterval, w.HeartbeatTTL)
+	}
+	writeRPS, heartbeatRPS := p.StateService.Strictest().WriteRPS, 1/w.HeartbeatInterval.Seconds()
+	if heartbeatRPS > maxHeartbeatWriteShare*writeRPS {
+		return warmStandbyErrorf("heartbeat_s", "%.2f changes a second are more than a tenth of the state service's %v",
+			heartbeatRPS, writeRPS)
+	}
+	if memoryMB := p.MachineLimits.MemoryMB; w.MaxReplicaMB > memoryMB/minMemoryPerReplica {
+		return warmStandbyErrorf("replica_mb", "%v MB are more than a third of the %v MB that the node has",
+			w.MaxReplicaMB, memoryMB)
+	}
+	return nil
+}
+
+func warmStandbyErrorf(field, format string, args ...any) error {
+	return config.FieldErrorf("policy.warm_standby."+field, format, args...)
+}
