--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -2,11 +2,85 @@
 
 import (
 	"fmt"
-	"time"
+	"net/netip"
 
 	"badgerbay/internal/ident"
 )
 
+const (
+	// maxNumber bounds every number of the settings: what is larger can't be meant, and
+	// sizes made from it would overflow.
+	maxNumber = 1e9
+	// maxSockets, maxValueKB and maxTxnOps bound what memory is set aside by.
+	maxSockets = 1 << 20
+	maxValueKB = 1 << 20
+	maxTxnOps  = 1 << 20
+	// minSockets serve the state service, the cloud and a few workers and users; each
+	// peer takes some more.
+	minSockets        = 16
+	minSocketsPerPeer = 4
+	// minMemoryMB holds the program with nothing to do.
+	minMemoryMB = 16
+)
+
+func (s *Settings) validate() error {
+	if s.NodeName == "" {
+		return FieldErrorf("label", "missing")
+	}
+	for _, a := range []struct{ field, addr string }{
+		{"client_listen", s.ClientListen},
+		{"mesh_addr", s.PeerListen},
+		{"external.cloud", s.External.Cloud},
+		{"external.state", s.External.StateService},
+	} {
+		if err := validateAddr(a.field, a.addr); err != nil {
+			return err
+		}
+	}
+	if err := s.validatePeers(); err != nil {
+		return err
+	}
+	if err := s.Params.validate(); err != nil {
+		return err
+	}
+	return s.validateCapacity()
+}
+
+func (s *Settings) validatePeers() error {
+	seen := map[string]bool{s.NodeName: true}
+	for i, p := range s.Peers {
+		field := fmt.Sprintf("peers[%d]", i)
+		if p.NodeName == "" || seen[p.NodeName] {
+			return FieldErrorf(field+".label", "%q is missing or used twice", p.NodeName)
+		}
+		seen[p.NodeName] = true
+		if err := validateAddr(field+".peer_addr", p.Addr); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func validateAddr(field, addr string) error {
+	ap, err := netip.ParseAddrPort(addr)
+	if err != nil || ap.Port() == 0 || !ap.Addr().Is4() {
+		return FieldErrorf(field, "%q is not an IPv4 address with a port", addr)
+	}
+	return nil
+}
+
+// validateCapacity refuses a machine on which the program could not serve at all.
+func (s *Settings) validateCapacity() error {
+	limits := s.Params.MachineLimits
+	if needed := minSockets + minSocketsPerPeer*len(s.Peers); limits.MaxSockets < needed {
+		return FieldErrorf("params.machine_limits.max_sockets", "%d are too few to serve with %d peers: at least %d", limits.MaxSockets, len(s.Peers), needed)
+	}
+	if limits.MemoryMB < minMemoryMB {
+		return FieldErrorf("params.machine_limits.mem_mb", "%v is too little to serve: at least %d", limits.MemoryMB, minMemoryMB)
+	}
+	return nil
+}
+
 func (p *Params) validate() error {
 	if err := p.validateZones(); err != nil {
 		return err
@@ -45,7 +119,12 @@
 			return FieldErrorf(field+".name", "%q is missing or used twice", t.Name)
 		}
 		seen[t.Name] = true
-		for _, n := range []namedNumber{{"cpus", t.CPUGuarantee}, {"cpus_max", t.CPULimit}, {"gpus", t.GPUGuarantee}, {"gpus_max", t.GPULimit}} {
+		for _, n := range []namedNumber{
+			{"cpus", t.CPUGuarantee},
+			{"cpus_max", t.CPULimit},
+			{"gpus", t.GPUGuarantee},
+			{"gpus_max", t.GPULimit},
+		} {
 			if err := requireNonNegative(field+"."+n.field, n.value); err != nil {
 				return err
 			}
@@ -54,75 +133,34 @@
 	return nil
 }
 
-type namedNumber struct {
-	field string
-	value float64
-}
-
-const (
-	// maxNumber bounds every number of the settings: what is larger can't be
-	// meant, and sizes made from it would overflow.
-	maxNumber = 1e9
-	// maxSockets, mostValueKB and mostTxnOps bound what memory is set aside by.
-	maxSockets = 1 << 20
-	maxValueKB = 1 << 20
-	maxTxnOps  = 1 << 20
-)
-
-// requirePositive refuses numbers that are not above 0 and at most most.
-func requirePositive(field string, value, most float64) error {
-	if !(value > 0) || value > most {
-		return FieldErrorf(field, "%v is not a number above 0 and up to %v", value, most)
-	}
-	return nil
-}
-
-// requireNonNegative refuses numbers that are below 0 or beyond mostNumber.
-func requireNonNegative(field string, value float64) error {
-	if !(value >= 0) || value > maxNumber {
-		return FieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
-	}
-	return nil
-}
-
-// minValueKB holds the record of any job, with a part of its tasks.
-const minValueKB = 1
-
-// validateNext checks the limits to come.
-func (s State) validateNext() error {
-	if s.Next == nil {
-		return nil
-	}
-	for _, n := range []namedNumber{{"write_rps", s.Next.WriteRPS}, {"value_kb", s.Next.MaxValueKB}, {"txn_ops", float64(s.Next.MaxTxnOps)}} {
-		if err := requirePositive("params.state.next."+n.field, n.value, maxNumber); err != nil {
-			return err
-		}
-	}
-	if s.Next.MaxValueKB < minValueKB {
-		return FieldErrorf("params.state.next.value_kb", "%v holds no job: at least %d", s.Next.MaxValueKB, minValueKB)
-	}
-	return nil
-}
-
 func (p *Params) validateNumbers() error {
 	for _, n := range []struct {
 		field string
 		value float64
-		most  float64
+		max   float64
 	}{
-		{"workers.report_s", p.Workers.HeartbeatSeconds, maxNumber}, {"workers.lease_s", p.Workers.LeaseSeconds, maxNumber},
-		{"workers.cancel_s", p.Workers.CancelSeconds, maxNumber}, {"state.rps", p.StateService.RPS, maxNumber},
-		{"state.write_rps", p.StateService.WriteRPS, maxNumber}, {"state.value_kb", p.StateService.MaxValueKB, maxValueKB},
-		{"state.txn_ops", float64(p.StateService.MaxTxnOps), maxTxnOps}, {"cloud.rps", p.Cloud.RPS, maxNumber},
-		{"machine_limits.cpu", p.MachineLimits.CPUs, maxNumber}, {"machine_limits.mem_mb", p.MachineLimits.MemoryMB, maxNumber},
+		{"workers.report_s", p.Workers.HeartbeatSeconds, maxNumber},
+		{"workers.lease_s", p.Workers.LeaseSeconds, maxNumber},
+		{"workers.cancel_s", p.Workers.CancelSeconds, maxNumber},
+		{"state.rps", p.StateService.RPS, maxNumber},
+		{"state.write_rps", p.StateService.WriteRPS, maxNumber},
+		{"state.value_kb", p.StateService.MaxValueKB, maxValueKB},
+		{"state.txn_ops", float64(p.StateService.MaxTxnOps), maxTxnOps},
+		{"cloud.rps", p.Cloud.RPS, maxNumber},
+		{"machine_limits.cpu", p.MachineLimits.CPUs, maxNumber},
+		{"machine_limits.mem_mb", p.MachineLimits.MemoryMB, maxNumber},
 		{"machine_limits.max_sockets", float64(p.MachineLimits.MaxSockets), maxSockets},
 	} {
-		if err := requirePositive("params."+n.field, n.value, n.most); err != nil {
+		if err := requirePositive("params."+n.field, n.value, n.max); err != nil {
 			return err
 		}
 	}
-	for _, n := range []namedNumber{{"workers.gang_wait_s", p.Workers.GangWaitSeconds}, {"workers.gang_peer_s", p.Workers.GangPeerSeconds},
-		{"cloud.list_lag_s", p.Cloud.ListLagSeconds}, {"clock_error_ms", p.ClockErrorMillis}} {
+	for _, n := range []namedNumber{
+		{"workers.gang_wait_s", p.Workers.GangWaitSeconds},
+		{"workers.gang_peer_s", p.Workers.GangPeerSeconds},
+		{"cloud.list_lag_s", p.Cloud.ListLagSeconds},
+		{"clock_error_ms", p.ClockErrorMillis},
+	} {
 		if err := requireNonNegative("params."+n.field, n.value); err != nil {
 			return err
 		}
@@ -130,19 +168,24 @@
 	return nil
 }
 
-// minFailoverTime is the least time in which another node can take over: the shortest
-// lease of a leader.
-const minFailoverTime = 2 * time.Second
+// namedNumber is a number by the last part of its field.
+type namedNumber struct {
+	field string
+	value float64
+}
 
-// validateTimes refuses times with which the rules can't be kept.
-func (w Workers) validateTimes() error {
-	switch {
-	case w.LeaseSeconds <= 2*w.HeartbeatSeconds:
-		return FieldErrorf("params.workers.lease_s", "%v leaves no room for a lost report (report_s %v)", w.LeaseSeconds, w.HeartbeatSeconds)
-	case w.LeaseTTL() < w.MaxHeartbeatGap()+minFailoverTime:
-		return FieldErrorf("params.workers.lease_s", "%v leaves no room for a takeover (report_s %v, and %v)", w.LeaseSeconds, w.HeartbeatSeconds, minFailoverTime)
-	case w.CancelSeconds <= w.LeaseSeconds:
-		return FieldErrorf("params.workers.cancel_s", "%v is no longer than lease_s, %v, for which a machine out of reach keeps its tasks", w.CancelSeconds, w.LeaseSeconds)
+// requirePositive refuses what is not a number above 0 and up to limit.
+func requirePositive(field string, value, limit float64) error {
+	if !(value > 0) || value > limit {
+		return FieldErrorf(field, "%v is not a number above 0 and up to %v", value, limit)
+	}
+	return nil
+}
+
+// requireNonNegative refuses what is not a number from 0 to maxNumber.
+func requireNonNegative(field string, value float64) error {
+	if !(value >= 0) || value > maxNumber {
+		return FieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
 	}
 	return nil
 }
