--- /dev/null
+++ b/docs/references_test.go
@@ -0,0 +1,185 @@
+// Package docs_test checks that the pages for engineers name what the code has: files,
+// declarations and log lines that are renamed must be renamed in the pages too.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const root = ".."
+
+// checkedPages are the pages whose references are checked. In them a reference to the code
+// stands in backticks, in one of three forms:
+//
+//	`internal/node/node.go`     a file or directory
+//	`controller.Core.Step`      a declaration of a package under internal/
+//	`"heartbeat deferred"`      a log line, or another text that the program writes
+var checkedPages = []string{"docs/architecture.md", "docs/glossary.md", "docs/operations.md", "CONTRIBUTING.md"}
+
+var (
+	codeSpan    = regexp.MustCompile("`([^`]+)`")
+	pathForm    = regexp.MustCompile(`^(internal|cmd|deploy|docs|examples|tools|bench|\.ci)/[\w./-]*$`)
+	declForm    = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
+	logLineForm = regexp.MustCompile(`^"(.+)"$`)
+)
+
+// sources is what the non-test sources of the program declare and write.
+type sources struct {
+	declared map[string]bool // "package.Name" and "package.Type.Member"
+	packages map[string]bool
+	texts    map[string]bool // string literals
+}
+
+func readSources(t *testing.T) *sources {
+	t.Helper()
+	s := &sources{declared: map[string]bool{}, packages: map[string]bool{}, texts: map[string]bool{}}
+	for _, dir := range []string{"internal", "cmd"} {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			s.addFile(file)
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return s
+}
+
+func (s *sources) addFile(file *ast.File) {
+	pkg := file.Name.Name
+	s.packages[pkg] = true
+	for _, decl := range file.Decls {
+		switch d := decl.(type) {
+		case *ast.FuncDecl:
+			s.declare(pkg, receiverType(d), d.Name.Name)
+		case *ast.GenDecl:
+			for _, spec := range d.Specs {
+				s.addSpec(pkg, spec)
+			}
+		}
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil {
+				s.texts[text] = true
+			}
+		}
+		return true
+	})
+}
+
+func (s *sources) addSpec(pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			s.declare(pkg, "", name.Name)
+		}
+	case *ast.TypeSpec:
+		s.declare(pkg, "", spec.Name.Name)
+		switch typ := spec.Type.(type) {
+		case *ast.StructType:
+			s.addMembers(pkg, spec.Name.Name, typ.Fields)
+		case *ast.InterfaceType:
+			s.addMembers(pkg, spec.Name.Name, typ.Methods)
+		}
+	}
+}
+
+func (s *sources) addMembers(pkg, typ string, fields *ast.FieldList) {
+	for _, field := range fields.List {
+		for _, name := range field.Names {
+			s.declare(pkg, typ, name.Name)
+		}
+	}
+}
+
+func (s *sources) declare(pkg, typ, name string) {
+	if typ != "" {
+		name = typ + "." + name
+	}
+	s.declared[pkg+"."+name] = true
+}
+
+func receiverType(f *ast.FuncDecl) string {
+	if f.Recv == nil {
+		return ""
+	}
+	typ := f.Recv.List[0].Type
+	if star, ok := typ.(*ast.StarExpr); ok {
+		typ = star.X
+	}
+	if generic, ok := typ.(*ast.IndexExpr); ok {
+		typ = generic.X
+	}
+	return typ.(*ast.Ident).Name
+}
+
+// problem says what is wrong with a code span, or "" if nothing is.
+func (s *sources) problem(span string) string {
+	if pathForm.MatchString(span) {
+		if _, err := os.Stat(filepath.Join(root, span)); err != nil {
+			return "no such file"
+		}
+		return ""
+	}
+	if m := logLineForm.FindStringSubmatch(span); m != nil {
+		if !s.texts[m[1]] {
+			return "no source writes this text"
+		}
+		return ""
+	}
+	if m := declForm.FindStringSubmatch(span); m != nil && s.packages[m[1]] && !s.declared[span] {
+		return "not declared"
+	}
+	return ""
+}
+
+// TestPagesNameWhatExists: every reference of the pages is to something that is there.
+func TestPagesNameWhatExists(t *testing.T) {
+	s := readSources(t)
+	for _, page := range checkedPages {
+		data, err := os.ReadFile(filepath.Join(root, page))
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		for n, line := range strings.Split(string(data), "\n") {
+			for _, m := range codeSpan.FindAllStringSubmatch(line, -1) {
+				if problem := s.problem(m[1]); problem != "" {
+					t.Errorf("%s:%d: `%s`: %s", page, n+1, m[1], problem)
+				}
+			}
+		}
+	}
+}
+
+// TestCheckFindsStaleReferences: the check refuses what it is there to refuse.
+func TestCheckFindsStaleReferences(t *testing.T) {
+	s := readSources(t)
+	for _, stale := range []string{"internal/nowhere/file.go", "controller.NoSuchType", "controller.Core.NoSuchMethod", `"a line that nothing writes"`} {
+		if s.problem(stale) == "" {
+			t.Errorf("`%s` was taken for a reference to something that exists", stale)
+		}
+	}
+	for _, good := range []string{"internal/controller", "controller.Core", "controller.Core.Step", "go test ./...", "badgerbay check"} {
+		if problem := s.problem(good); problem != "" {
+			t.Errorf("`%s`: %s", good, problem)
+		}
+	}
+}
