--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -30,28 +30,34 @@
 	pathForm    = regexp.MustCompile(`^(internal|cmd|deploy|docs|examples|tools|bench|\.ci)/[\w./-]*$`)
 	declForm    = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
 	logLineForm = regexp.MustCompile(`^"(.+)"$`)
+	testName    = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w+`)
 )
 
-// sources is what the non-test sources of the program declare and write.
+// sources is what the sources of the program declare and write.
 type sources struct {
 	declared map[string]bool // "package.Name" and "package.Type.Member"
 	packages map[string]bool
 	texts    map[string]bool // string literals
+	tests    map[string]bool // names of tests, benchmarks and fuzz targets
 }
 
 func readSources(t *testing.T) *sources {
 	t.Helper()
-	s := &sources{declared: map[string]bool{}, packages: map[string]bool{}, texts: map[string]bool{}}
+	s := &sources{declared: map[string]bool{}, packages: map[string]bool{}, texts: map[string]bool{}, tests: map[string]bool{}}
 	for _, dir := range []string{"internal", "cmd"} {
 		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, _ fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			if err != nil || !strings.HasSuffix(path, ".go") {
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 			if err != nil {
 				return err
 			}
-			s.addFile(file)
+			if strings.HasSuffix(path, "_test.go") {
+				s.addTests(file)
+			} else {
+				s.addFile(file)
+			}
 			return nil
 		})
 		if err != nil {
@@ -84,6 +90,14 @@
 	})
 }
 
+func (s *sources) addTests(file *ast.File) {
+	for _, decl := range file.Decls {
+		if f, ok := decl.(*ast.FuncDecl); ok && testName.MatchString(f.Name.Name) {
+			s.tests[f.Name.Name] = true
+		}
+	}
+}
+
 func (s *sources) addSpec(pkg string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -169,6 +183,28 @@
 	}
 }
 
+// TestPagesNameTestsThatExist: every test that any page points to is there.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	s := readSources(t)
+	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
+		pages, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil || len(pages) == 0 {
+			t.Fatalf("%s: %d pages, %v", pattern, len(pages), err)
+		}
+		for _, page := range pages {
+			data, err := os.ReadFile(page)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, name := range testName.FindAllString(string(data), -1) {
+				if !s.tests[name] {
+					t.Errorf("%s: no test %s", page, name)
+				}
+			}
+		}
+	}
+}
+
 // TestCheckFindsStaleReferences: the check refuses what it is there to refuse.
 func TestCheckFindsStaleReferences(t *testing.T) {
 	s := readSources(t)
