--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -28,7 +28,7 @@
 // phase counts only once it is stored: a successor of the leader must not take it
 // back.
 func StatusOfJob(j *jobs.Job) Status {
-	return newStatus(j.StoredPhase, j.Done.Len(), j.RunningTasks())
+	return newStatus(j.Stored.Phase, j.Done.Len(), j.RunningTasks())
 }
 
 // StatusOfRecord returns the status of a job from its record.
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -16,7 +16,7 @@
 	if got := StatusOfJob(j); got.State == Done {
 		t.Error("done before it is stored")
 	}
-	j.StoredPhase = j.Phase
+	j.Stored.Phase = j.Phase
 	if diff := cmp.Diff(Status{State: Done, DoneTasks: 1}, StatusOfJob(j)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -44,15 +44,12 @@
 
 // foldedJob is what the record of a job holds that is being written.
 type foldedJob struct {
-	job       *jobs.Job
-	seq       uint64
-	round     ident.RoundNo
-	phase     jobs.Phase
-	doneTasks int
+	job    *jobs.Job
+	stored jobs.StoredState // but for its revision and chunk offset
 }
 
 func newFoldedJob(j *jobs.Job, record *jobs.Record) foldedJob {
-	return foldedJob{job: j, seq: j.ChangeSeq, round: record.LastRound, phase: record.Phase, doneTasks: record.Done.Len()}
+	return foldedJob{job: j, stored: j.StateOnceStored(record)}
 }
 
 func newCheckpointWriter(env *environment) *checkpointWriter {
@@ -102,7 +99,7 @@
 		if len(fold.jobs) > 0 && (size > maxFoldBytes || len(txn.Operations)+len(operations) > maxOps) {
 			break
 		}
-		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: operations[0].SetKey, ModRevision: j.ModRevision})
+		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: operations[0].SetKey, ModRevision: j.Stored.ModRevision})
 		txn.Operations = append(txn.Operations, operations...)
 		fold.jobs = append(fold.jobs, folded)
 		j.FoldInFlight = true
@@ -169,8 +166,8 @@
 	w.metrics.Folds.Inc()
 	for _, folded := range fold.jobs {
 		j := folded.job
-		j.ModRevision, j.StoredChunkOffset = in.Revision, fold.chunkOffset
-		j.StoredSeq, j.StoredRound, j.StoredPhase, j.StoredDoneTasks = folded.seq, folded.round, folded.phase, folded.doneTasks
+		j.Stored = folded.stored
+		j.Stored.ModRevision, j.Stored.ChunkOffset = in.Revision, fold.chunkOffset
 		if j.Dirty() {
 			j.DirtySince = now
 		}
@@ -183,9 +180,9 @@
 	wasWriting := t.checkpoints.isWriting()
 	for _, folded := range t.checkpoints.foldCompleted(now, in) {
 		id := folded.job.ID
-		t.rounds.jobFolded(id, folded.round)
-		if folded.phase.Final() {
-			t.log.Info("job ended", "job", id, "phase", folded.phase, "epoch", t.epoch)
+		t.rounds.jobFolded(id, folded.stored.Round)
+		if folded.stored.Phase.Final() {
+			t.log.Info("job ended", "job", id, "phase", folded.stored.Phase, "epoch", t.epoch)
 			t.jobs.answerCancellations(id, api.JobFound, t.core.election.LeaseValidUntil())
 		}
 	}
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -75,13 +75,13 @@
 		t.acceptJob(now, in)
 		return
 	}
-	if j.FoldInFlight || in.Item.ModRevision <= j.ModRevision {
+	if j.FoldInFlight || in.Item.ModRevision <= j.Stored.ModRevision {
 		return
 	}
 	// Only we change records, under the guard of our epoch: this is a write
 	// of ours whose answer was lost. Write again, on top of it.
 	t.metrics.CASConflicts.Inc()
-	j.ModRevision, j.StoredChunkOffset = in.Item.ModRevision, 0
+	j.Stored.ModRevision, j.Stored.ChunkOffset = in.Item.ModRevision, 0
 	if r, err := jobs.Decode(in.Item.Value); err == nil {
 		t.adoptStoredRecord(now, j, r)
 	}
@@ -104,7 +104,7 @@
 // of this leader has stored.
 func (t *term) adoptStoredRecord(now clock.Instant, j *jobs.Job, r *jobs.Record) {
 	if r.ChunkInfo != nil {
-		j.StoredChunkOffset = r.ChunkInfo.Offset
+		j.Stored.ChunkOffset = r.ChunkInfo.Offset
 	}
 	if !r.Phase.Final() {
 		return
@@ -113,7 +113,7 @@
 		j.Phase, j.Queue = r.Phase, nil
 		t.stopCancelledTasks(now, j)
 	}
-	j.StoredPhase = r.Phase
+	j.Stored.Phase = r.Phase
 }
 
 // handleJobRequest answers a poll, or begins a cancellation.
@@ -128,7 +128,7 @@
 		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
-	if !in.Cancel || j.StoredPhase.Final() {
+	if !in.Cancel || j.Stored.Phase.Final() {
 		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
 		return
 	}
@@ -145,7 +145,7 @@
 // where the answer to the write is late or lost, another node may have read it and
 // told its user. Only the record itself can tell then.
 func isFinalPhaseInFlight(j *jobs.Job) bool {
-	return j.FoldInFlight && j.Phase.Final() && !j.StoredPhase.Final()
+	return j.FoldInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
 }
 
 func (t *term) stopCancelledTasks(now clock.Instant, j *jobs.Job) {
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -71,7 +71,7 @@
 // changed reads a job's record, unless what it would bring is known.
 func (t *jobTable) changed(id ident.JobID, revision ident.Revision) {
 	j := t.byID[id]
-	known := j != nil && (revision <= j.ModRevision || j.FoldInFlight)
+	known := j != nil && (revision <= j.Stored.ModRevision || j.FoldInFlight)
 	if !known {
 		t.read(id)
 	}
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -235,7 +235,7 @@
 func (t *term) replayRound(now clock.Instant, r *roundlog.Record) {
 	for _, s := range r.Starts {
 		j := t.jobs.get(s.Job)
-		if j == nil || j.StoredRound >= r.RoundNo {
+		if j == nil || j.Stored.Round >= r.RoundNo {
 			t.rounds.jobFolded(s.Job, r.RoundNo)
 			continue
 		}
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -149,14 +149,14 @@
 	if j == nil {
 		return 0, false
 	}
-	if j.StoredPhase.Final() {
+	if j.Stored.Phase.Final() {
 		return len(j.Placements), true
 	}
 	waits := t.core.lastStep.Sub(max(j.LastPlacedAt, j.QueuedSince, j.KnownSince))
 	if len(j.Queue) > 0 && waits > maxUnplacedReservation {
 		return len(j.Placements), true
 	}
-	return max(j.Spec.Tasks-j.StoredDoneTasks, len(j.Placements)), true
+	return max(j.Spec.Tasks-j.Stored.DoneTasks, len(j.Placements)), true
 }
 
 // reservedByTeam is what of the teams' limits is kept for reservations, beside what is placed
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -45,7 +45,7 @@
 	if w.staging.job != nil || schema.version() < schemaversion.ChunkedRounds {
 		return false
 	}
-	head, chunks, err := record.SplitMultiTxn(min(schema.storeLimits().MaxValueBytes(), maxStagedChunkBytes), j.StoredChunkOffset)
+	head, chunks, err := record.SplitMultiTxn(min(schema.storeLimits().MaxValueBytes(), maxStagedChunkBytes), j.Stored.ChunkOffset)
 	if err != nil {
 		w.log.Error("checkpoint not staged", "job", j.ID, "err", err, "epoch", epoch)
 		return false
@@ -94,7 +94,7 @@
 	w.inFlight = &foldInFlight{jobs: []foldedJob{s.folded}, chunkOffset: s.head.ChunkInfo.Offset}
 	key := jobs.Key(s.job.ID)
 	w.emit(CommitTransaction{Kind: FoldTransaction, Epoch: epoch, Txn: kvstore.Txn{
-		Conditions: []kvstore.Condition{election.EpochCondition(epoch), {Key: key, ModRevision: s.job.ModRevision}},
+		Conditions: []kvstore.Condition{election.EpochCondition(epoch), {Key: key, ModRevision: s.job.Stored.ModRevision}},
 		Operations: []kvstore.Operation{{SetKey: key, Value: s.head}},
 	}})
 	w.staging = stagedWrite{revision: s.revision}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -148,5 +148,5 @@
 // of the attempt was sent under. Late copies of the command are refused from then on;
 // before, the exit is a tombstone that keeps such a copy from running the task again.
 func (m *Machine) canForget(p *jobs.Placement) bool {
-	return p.Job.StoredSeq >= p.EndSeq && m.FencingToken > p.FencingToken
+	return p.Job.Stored.Seq >= p.EndSeq && m.FencingToken > p.FencingToken
 }
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -19,7 +19,7 @@
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); got != nil {
 		t.Fatalf("forgotten before it is stored: %v", got)
 	}
-	f.job.StoredSeq = f.job.ChangeSeq
+	f.job.Stored.Seq = f.job.ChangeSeq
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); got != nil {
 		t.Fatalf("forgotten while a copy of its start command may come: %v", got)
 	}
@@ -41,7 +41,7 @@
 	f.place(0, 5)
 	f.fleet.Commands(f.machine, true)
 	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 5, TaskExited, ExitStopped))
-	f.job.StoredSeq = f.job.ChangeSeq
+	f.job.Stored.Seq = f.job.ChangeSeq
 	f.place(0, 6)
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); !cmp.Equal(got, []string{"launch 0/6"}) {
 		t.Errorf("commands %v, want only the start of the new attempt", got)
--- a/internal/jobs/chunks_test.go
+++ b/internal/jobs/chunks_test.go
@@ -212,8 +212,8 @@
 		if err != nil || fmt.Sprint(back.Spec, back.Placements, back.Done) != fmt.Sprint(r.Spec, r.Placements, r.Done) {
 			t.Errorf("not read back as it was: %v", err)
 		}
-		if j := NewJob("wk-000001", back, 1, 0); j.StoredChunkOffset != head.ChunkInfo.Offset {
-			t.Errorf("the job's chunks are taken for those after number %d, not %d", j.StoredChunkOffset, head.ChunkInfo.Offset)
+		if j := NewJob("wk-000001", back, 1, 0); j.Stored.ChunkOffset != head.ChunkInfo.Offset {
+			t.Errorf("the job's chunks are taken for those after number %d, not %d", j.Stored.ChunkOffset, head.ChunkInfo.Offset)
 		}
 		delete(values, head.ChunkInfo.Offset+2)
 		if _, err := DecodeWithChunks(data, func(n int) []byte { return values[n] }); !errors.Is(err, chunk.ErrTorn) {
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -28,14 +28,10 @@
 	Placements   map[ident.TaskIndex]*Placement
 	LastRound    ident.RoundNo // the last committed round that started tasks of it
 
-	ModRevision          ident.Revision // of the stored record
-	StoredChunkOffset    int            // the number before that of its first chunk; see Record.SplitMultiTxn
-	ChangeSeq, StoredSeq uint64         // count changes made, changes stored
-	StoredRound          ident.RoundNo
-	StoredPhase          Phase
-	StoredDoneTasks      int // tasks that the record counts as done
-	DirtySince           clock.Instant
-	FoldInFlight         bool // the record is being written
+	Stored       StoredState
+	ChangeSeq    uint64 // counts changes
+	DirtySince   clock.Instant
+	FoldInFlight bool // the record is being written
 
 	// StartedTasks holds the tasks that have run for long enough to count as started, as
 	// far as this leader has seen.
@@ -52,25 +48,37 @@
 	KnownSince          clock.Instant // when this leader learned of the job
 }
 
+// StoredState is what the leader knows of a job's stored record.
+type StoredState struct {
+	ModRevision ident.Revision
+	Seq         uint64 // the job's ChangeSeq that it holds
+	Round       ident.RoundNo
+	Phase       Phase
+	DoneTasks   int
+	ChunkOffset int // the number before that of its first chunk; see Record.SplitMultiTxn
+}
+
 // NewJob makes the working copy of the stored record that has the revision. Its placements
 // are left to the caller, who knows what may still be on the machines.
 func NewJob(id ident.JobID, r *Record, revision ident.Revision, now clock.Instant) *Job {
 	j := &Job{
-		ID:                id,
-		Spec:              r.Spec,
-		AcceptedAtMs:      r.AcceptedAtMs,
-		Phase:             r.Phase,
-		Done:              r.Done.Clone(),
-		Placements:        map[ident.TaskIndex]*Placement{},
-		LastRound:         r.LastRound,
-		ModRevision:       revision,
-		StoredChunkOffset: r.ChunkOffset,
-		StoredRound:       r.LastRound,
-		StoredPhase:       r.Phase,
-		StoredDoneTasks:   r.Done.Len(),
-		PlacementsByZone:  map[ident.Zone]int{},
-		QueuedSince:       now,
-		KnownSince:        now,
+		ID:           id,
+		Spec:         r.Spec,
+		AcceptedAtMs: r.AcceptedAtMs,
+		Phase:        r.Phase,
+		Done:         r.Done.Clone(),
+		Placements:   map[ident.TaskIndex]*Placement{},
+		LastRound:    r.LastRound,
+		Stored: StoredState{
+			ModRevision: revision,
+			Round:       r.LastRound,
+			Phase:       r.Phase,
+			DoneTasks:   r.Done.Len(),
+			ChunkOffset: r.ChunkOffset,
+		},
+		PlacementsByZone: map[ident.Zone]int{},
+		QueuedSince:      now,
+		KnownSince:       now,
 	}
 	if !j.Phase.Final() {
 		j.Queue = j.Done.Complement(j.Spec.Tasks)
@@ -78,6 +86,12 @@
 	return j
 }
 
+// StateOnceStored is the stored state once r, the record of the job as it stands, is written;
+// the revision and the chunks are known only then.
+func (j *Job) StateOnceStored(r *Record) StoredState {
+	return StoredState{Seq: j.ChangeSeq, Round: r.LastRound, Phase: r.Phase, DoneTasks: r.Done.Len()}
+}
+
 // MarkDirty marks the job as changed since its record was written.
 func (j *Job) MarkDirty(now clock.Instant) {
 	if !j.Dirty() {
@@ -87,7 +101,7 @@
 }
 
 // Dirty tells whether the record lags behind the working copy.
-func (j *Job) Dirty() bool { return j.ChangeSeq != j.StoredSeq }
+func (j *Job) Dirty() bool { return j.ChangeSeq != j.Stored.Seq }
 
 // AddPlacement takes a placement of a queued task in.
 func (j *Job) AddPlacement(p *Placement, zone ident.Zone) {
@@ -175,7 +189,7 @@
 }
 
 // NeedsUrgentFold tells whether somebody waits for the record to be written.
-func (j *Job) NeedsUrgentFold() bool { return j.Dirty() && j.Phase != j.StoredPhase }
+func (j *Job) NeedsUrgentFold() bool { return j.Dirty() && j.Phase != j.Stored.Phase }
 
 // Record is the checkpoint of the job as it stands, written by the leader of the epoch.
 // Placements that a round in flight proposes are not in it: they come to the job with that
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -38,8 +38,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Decode(list); err != nil || len(got.Placements) != 1 || !got.Done.Contains(4) {
-		t.Errorf("record of schema 1 read as %+v, %v", got, err)
+	fromList, err := Decode(list)
+	if err != nil || len(fromList.Placements) != 1 || !fromList.Done.Contains(4) {
+		t.Errorf("record of schema 1 read as %+v, %v", fromList, err)
 	}
 	got, err := Decode(data)
 	if err != nil {
