--- a/internal/node/coreactor.go
+++ b/internal/node/coreactor.go
@@ -80,7 +80,8 @@
 func (a *coreActor) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for in := controller.Input(controller.Tick{}); ; {
+	var in controller.Input = controller.Tick{}
+	for {
 		if err := a.step(ctx, in); err != nil {
 			return err
 		}
--- a/internal/node/jobqueries.go
+++ b/internal/node/jobqueries.go
@@ -36,14 +36,13 @@
 
 // queryLeader asks the core if this node leads, and the leader's node otherwise.
 func (u *userAPI) queryLeader(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
-	leader := u.reach.leader()
 	if u.core.view().leads() {
-		reply := u.core.queryJob(ctx, id, cancelJob)
-		if reply.Outcome != api.NoLeader || leader == u.settings.NodeName {
+		if reply := u.core.queryJob(ctx, id, cancelJob); reply.Outcome != api.NoLeader {
 			return reply
 		}
 	}
-	if leader == "" || leader == u.settings.NodeName {
+	leader := u.reach.otherLeader()
+	if leader == "" {
 		return api.LeaderReplied{Outcome: api.NoLeader}
 	}
 	reply, err := u.queryPeer(ctx, leader, id, cancelJob)
--- a/internal/node/quotaholder.go
+++ b/internal/node/quotaholder.go
@@ -57,8 +57,9 @@
 	a.published.Store(&status)
 }
 
-// tryPost hands the actor a job that this node has stored, unless too many wait. The
-// leader admits by itself, and so does a node without team quotas, whose actor is nil.
+// tryPost hands the actor a job that this node has stored, unless too many wait: those are
+// the leader's to admit. Where this node leads, or has no team quotas and so a nil actor,
+// nothing is to be done.
 func (a *quotaHolderActor) tryPost(id ident.JobID, spec *jobs.Spec) {
 	if a == nil || a.core.view().leads() {
 		return
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -81,7 +81,7 @@
 }
 
 // readRecords reads all records, and returns the revision from which changes of jobs are
-// to be watched.
+// to be watched. For the counters its requests are one, whose result load records.
 func (l *recordLoader) readRecords(ctx context.Context) (s recovery.StoredRecords, since ident.Revision, err error) {
 	client := l.store.client
 	if s.Jobs, since, err = client.List(ctx, jobs.KeyPrefix); err != nil {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -77,8 +77,8 @@
 	return items, revision, s.record(err)
 }
 
-// watch waits for changes for at most hold. The leader's own long polls go past it: they
-// are not counted as requests.
+// watch waits for changes after a revision, for at most hold. The leader's long polls use
+// the client itself: they count neither as answers nor as failures of the service.
 func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision, hold time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
 	events, revision, err := s.client.Watch(ctx, prefix, since, hold)
 	return events, revision, s.record(err)
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -106,19 +106,19 @@
 	forwarded := make(chan api.Response, 1)
 	go func() { forwarded <- u.forward(ctx, data) }()
 	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: retryDelay}
-	var refused <-chan time.Time
+	var refusalDue <-chan time.Time // nil until this node has refused
 	for range 2 {
 		select {
 		case response := <-own:
 			if response.Code != http.StatusServiceUnavailable {
 				return response
 			}
-			refusal, refused = response, time.After(hedgeRefusalDelay)
+			refusal, refusalDue = response, time.After(hedgeRefusalDelay)
 		case response := <-forwarded:
 			if isSuccess(response.Code) {
 				return response
 			}
-		case <-refused:
+		case <-refusalDue:
 			return refusal
 		case <-ctx.Done():
 			return refusal
