--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// postAttestation tells the core what a node that is not reached says of its grant.
+// postAttestation tells the core what a node that is not reached says of its use of a lease delegation.
 func (s *batchServer) postAttestation(ctx context.Context, answered relay.AnsweredBatches, batch *peer.Batch) {
 	attestation, ok := answered.Attestation(batch)
 	if !ok {
--- a/internal/node/batchserver_test.go
+++ b/internal/node/batchserver_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestLeaderAnswersRelayedBatch: the answers to a cut-off node's batch are written
-// under the guard of the epoch.
+// on the condition of the epoch.
 func TestLeaderAnswersRelayedBatch(t *testing.T) {
 	f := newNodeFixture(t)
 	f.becomeLeader(t)
@@ -51,7 +51,7 @@
 	// What can't be read is counted, and answered by nothing.
 	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: []byte{0xa3, 'n', 'o', '!'}}, relay.AnsweredBatches{})
 	if bad := testutil.ToFloat64(f.node.metrics.MalformedBatches); bad != 1 {
-		t.Errorf("%v bad batches counted, want 1", bad)
+		t.Errorf("%v malformed batches counted, want 1", bad)
 	}
 	if again, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); again.ModRevision != item.ModRevision {
 		t.Error("a batch that can't be read was answered")
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestRelayedNodesReportDelegationUse: what a node says of its grant through the state
+// TestRelayedNodesReportDelegationUse: what a node says of its lease delegation through the state
 // service counts from when the answers left that it has seen, never from when
 // it arrives; without a known answer it counts for nothing.
 func TestRelayedNodesReportDelegationUse(t *testing.T) {
@@ -86,10 +86,10 @@
 		f.node.batches.postAttestation(context.Background(), answered, &bad)
 	}
 	if len(f.node.core.inbox) != 0 {
-		t.Fatalf("%v was taken in", <-f.node.core.inbox)
+		t.Fatalf("%v was posted", <-f.node.core.inbox)
 	}
 	f.node.batches.postAttestation(context.Background(), answered, &peer.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
 	if in, ok := (<-f.node.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
-		t.Errorf("taken in as %+v", in)
+		t.Errorf("posted as %+v", in)
 	}
 }
--- a/internal/node/heartbeats_test.go
+++ b/internal/node/heartbeats_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestHeartbeatsAnsweredOnlyWhileEntitled: whoever is not entitled must refuse workers,
-// up to the moment the answer leaves, so that their leases really run out.
+// up to the moment the answer leaves, so that their leases do expire.
 func TestHeartbeatsAnsweredOnlyWhileEntitled(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.core.core.Step(f.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
--- a/internal/node/httpserver_test.go
+++ b/internal/node/httpserver_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%d bytes were read of a body over 64 KiB", body.read)
 	}
 	if w := f.call("POST", "/agent/beat", strings.NewReader("garbage")); w.Code != 400 {
-		t.Errorf("garbage report: %d, want 400", w.Code)
+		t.Errorf("garbage heartbeat: %d, want 400", w.Code)
 	}
 }
 
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -143,7 +143,8 @@
 	return reached
 }
 
-// requestDelegation asks a peer for a grant, and for what it has done by its own.
+// requestDelegation asks a peer for a lease delegation, and for how long it has not used
+// its own.
 func (r *reachability) requestDelegation(ctx context.Context, name string) error {
 	sentAt := r.clock.Now()
 	data, err := msgpack.Marshal(peer.Batch{Node: r.settings.NodeName, WantsDelegation: true})
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -31,7 +31,7 @@
 	store     *stateService
 	cloud     *cloud.Client
 	follower  *standby.Follower
-	ready     bool // as the core was told last
+	ready     bool // as the core knows it
 	published atomic.Pointer[standbySnapshot]
 	machines  atomic.Pointer[controller.MachineSnapshot]
 }
