--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -16,7 +16,6 @@
 	"badgerbay/internal/leadtransfer"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/policy"
-	"badgerbay/internal/quota"
 )
 
 // Core is the state machine of one node. It is not safe for concurrent use.
@@ -168,13 +167,12 @@
 
 // beginTerm begins a term.
 func (c *Core) beginTerm(now clock.Instant, epoch ident.Epoch) {
-	ledger, err := quota.NewAllocator(c.settings.Params.TeamsByName(), c.policy.Features.TeamQuotas, epoch)
+	quotas, err := newQuotaManager(c.environment, epoch)
 	if err != nil {
 		c.emit(StopNode{Err: err})
 		return
 	}
-	c.term = newTerm(c, now, epoch)
-	c.term.quotas = ledger
+	c.term = newTerm(c, now, epoch, quotas)
 	c.emit(ReadRecords{Epoch: epoch})
 }
 
@@ -198,7 +196,7 @@
 			c.term.delegations.ConfirmIdle(in.Node, in.SentAt, now, in.Status.IdleFor)
 			c.term.schema.nodeReported(now, in.Node, in.SchemaVersion)
 			if in.EnforcesQuotas {
-				c.term.quotaEnforcers[in.Node] = now
+				c.term.quotas.nodeEnforces(now, in.Node)
 			}
 		}
 	case QuotaStatusRequest:
--- a/internal/controller/epoch.go
+++ b/internal/controller/epoch.go
@@ -50,7 +50,7 @@
 
 // advanceEpochIfDue advances the epoch while no other transaction that it would fence is in flight.
 func (t *term) advanceEpochIfDue(now clock.Instant) {
-	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.quotas.ChangeInFlight() || t.core.election.AdvancingEpoch() {
+	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.quotas.isWriting() || t.core.election.AdvancingEpoch() {
 		return
 	}
 	if t.epochs.beginIfDue(now, t.epoch, t.jobs, t.fleet) {
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -104,7 +104,7 @@
 			}
 			s.runFor(40 * time.Second)
 			l := s.leader()
-			if l == nil || !l.core.term.machinesListed {
+			if l == nil || !l.core.term.provisioner.hasListed() {
 				t.Fatal("the list was not read within 40 s")
 			}
 			if n := l.core.term.fleet.Len(); n != 400 {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -147,7 +147,7 @@
 	m.CheckpointAge.Set(age)
 	m.PendingPlacements.Set(float64(pending))
 	m.QueuedTasks.Set(float64(queued))
-	m.UncertainProvisions.Set(float64(t.provisioning.UnknownOutcomeCount()))
+	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
 	m.Machines.Set(float64(t.fleet.Len()))
 	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
 	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -14,12 +14,9 @@
 	"badgerbay/internal/scheduler"
 )
 
-// maxPendingProvisions bounds the provision requests that are in flight when a round makes others.
-const maxPendingProvisions = 4
-
 // scheduleIfDue plans a round, if one is due, and writes its record.
 func (t *term) scheduleIfDue(now clock.Instant) {
-	if !t.schedulingOpen || !t.quotas.Ready() || t.core.election.AdvancingEpoch() {
+	if !t.schedulingOpen || !t.quotas.isReady() || t.core.election.AdvancingEpoch() {
 		return
 	}
 	no, due := t.rounds.beginIfDue(now)
@@ -28,7 +25,7 @@
 	}
 	plan := scheduler.PlanRound(t.snapshot(now, no))
 	t.rounds.planned(now, plan)
-	t.reportBlocked(now, plan.ReservationBlocked)
+	t.quotas.noteBlocked(now, plan.ReservationBlocked)
 	t.drain(plan.Drain)
 	t.evict(now, plan.Evictions)
 	t.propose(now, plan)
@@ -126,11 +123,11 @@
 	for _, p := range record.Provisions {
 		t.log.Info("provision requested", "provision", p.Name, "type", p.Offer.Type, "zone", p.Offer.Zone, "spot", p.Offer.Spot,
 			"count", p.Count, "job", round.provisionFor, "round", record.RoundNo, "epoch", t.epoch)
-		t.provisioning.AddProvision(now, p.Name, p.Offer, p.Count, false)
+		t.provisioner.request(now, p, false)
 	}
 	if len(record.Deprovisions) > 0 {
 		t.log.Info("deprovision requested", "machines", record.Deprovisions, "round", record.RoundNo, "epoch", t.epoch)
-		t.provisioning.AddDeprovision(record.Deprovisions...)
+		t.provisioner.release(record.Deprovisions...)
 	}
 }
 
@@ -162,7 +159,7 @@
 		Zones:               t.settings.Params.Zones,
 		Teams:               t.teams,
 		PendingMachines:     t.pendingMachines(now),
-		OfferUnavailable:    func(o cloud.Offer) bool { return t.provisioning.Blocked(now, o) },
+		OfferUnavailable:    func(o cloud.Offer) bool { return t.provisioner.isBlocked(now, o) },
 		Policy:              t.policy,
 		Objectives:          t.rounds.objectivesByClass(),
 		SpareSpecs:          t.spareSpecs(),
@@ -176,7 +173,7 @@
 		SpecJSONSize:        t.jobs.specJSONSize,
 		TeamActive:          func(team ident.Team) bool { return t.rounds.isActive(now, team) },
 	}
-	s.Reserved, s.ReservedTasks = t.reservedByTeam()
+	s.Reserved, s.ReservedTasks = t.quotas.reserved(t.jobs)
 	t.addJobsTo(s, now)
 	return s
 }
@@ -203,8 +200,7 @@
 
 // mayProvision tells whether machines may be requested by what is known of those there are, and of the cloud.
 func (t *term) mayProvision(now clock.Instant) bool {
-	return len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.cloudCalls.Available(now) >= 1 &&
-		len(t.provisioning.PendingProvisions()) < maxPendingProvisions
+	return len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.provisioner.mayRequest(now)
 }
 
 // spareSpecs are the typical specs of the classes that must start faster than machines boot.
@@ -244,10 +240,10 @@
 		j.MarkDirty(now)
 	}
 	for _, p := range r.Provisions {
-		t.provisioning.AddProvision(now, p.Name, p.Offer, p.Count, true)
+		t.provisioner.request(now, p, true)
 	}
 	for _, id := range r.Deprovisions {
 		t.fleet.Ensure(now, id).Deprovisioning = true
-		t.provisioning.AddDeprovision(id)
+		t.provisioner.release(id)
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -5,6 +5,8 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
@@ -59,53 +61,125 @@
 func (ListMachines) effect()        {}
 func (ReadMachineTypes) effect()    {}
 
-// callCloudAPI sends what is due to the cloud, within its call rate: releases
-// first, since they stop costs, then rentals, then the list.
-func (t *term) callCloudAPI(now clock.Instant) {
-	if t.cloudCalls.Available(now) < 1 {
+const (
+	// LeaderCloudShare is the share of the cloud's call rate that the leader uses.
+	LeaderCloudShare = 0.8
+	// maxPendingProvisions bounds the provision requests that are in flight when a round makes others.
+	maxPendingProvisions = 4
+	// machineTypesDelay is the time from the start of a term to its first read of the machine types, and
+	// machineTypesInterval the pause between two.
+	machineTypesDelay    = 5 * time.Second
+	machineTypesInterval = time.Minute
+	// minListInterval is the least time between two machine lists.
+	minListInterval = 2 * time.Second
+)
+
+// provisioner calls the cloud within its call rate: it repeats provision and deprovision requests until they are
+// answered, and reads the lists of machines and machine types.
+type provisioner struct {
+	*environment
+	tracker            *cloud.Tracker
+	calls              *kvstore.TokenBucket
+	lister             cloud.MachineLister
+	listed             bool // the machine list has been read in this term
+	nextMachineTypesAt clock.Instant
+}
+
+func newProvisioner(env *environment, now clock.Instant) *provisioner {
+	limits := env.settings.Params.Cloud
+	return &provisioner{environment: env, tracker: cloud.NewTracker(env.policy.ProvisionBackoff),
+		calls: kvstore.NewTokenBucket(limits.RPS*LeaderCloudShare, cloudCallBurst(limits)), nextMachineTypesAt: now.Add(machineTypesDelay)}
+}
+
+// cloudCallBurst is how many calls to the cloud may leave at once: a second's worth.
+func cloudCallBurst(limits config.Cloud) float64 { return max(1, limits.RPS) }
+
+// reservedCalls is how many calls the reading of lists leaves to the requests: one, if the rate allows more than one at a
+// time.
+func (p *provisioner) reservedCalls() float64 {
+	return min(1, cloudCallBurst(p.settings.Params.Cloud)-1)
+}
+
+// request requests the machines of a round; repeated tells that an earlier leader may have done so.
+func (p *provisioner) request(now clock.Instant, r roundlog.Provision, repeated bool) {
+	p.tracker.AddProvision(now, r.Name, r.Offer, r.Count, repeated)
+}
+
+// release returns machines.
+func (p *provisioner) release(machines ...ident.MachineID) { p.tracker.AddDeprovision(machines...) }
+
+// isBlocked tells whether an offer was refused so short a time ago that it is not tried again.
+func (p *provisioner) isBlocked(now clock.Instant, offer cloud.Offer) bool {
+	return p.tracker.Blocked(now, offer)
+}
+
+// mayRequest tells whether a round may request machines: a call is left, and few requests are in flight.
+func (p *provisioner) mayRequest(now clock.Instant) bool {
+	return p.calls.Available(now) >= 1 && len(p.tracker.PendingProvisions()) < maxPendingProvisions
+}
+
+// hasListed tells whether the machine list has been read in this term.
+func (p *provisioner) hasListed() bool { return p.listed }
+
+// uncertain is how many provision requests have an unknown outcome.
+func (p *provisioner) uncertain() int { return p.tracker.UnknownOutcomeCount() }
+
+// call makes the calls that are due: deprovision requests first, since they stop costs, then provision requests, then the
+// lists.
+func (p *provisioner) call(now clock.Instant) {
+	if p.calls.Available(now) < 1 {
 		return
 	}
-	if ids := t.provisioning.NextDeprovision(now); len(ids) > 0 {
-		t.cloudCalls.Take(now, 1, 0)
-		t.emit(DeprovisionMachines{Machines: ids})
+	if machines := p.tracker.NextDeprovision(now); len(machines) > 0 {
+		p.calls.Take(now, 1, 0)
+		p.emit(DeprovisionMachines{Machines: machines})
 	}
-	for t.cloudCalls.Available(now) >= 1 {
-		h := t.provisioning.NextProvision(now)
-		if h == nil {
+	for p.calls.Available(now) >= 1 {
+		next := p.tracker.NextProvision(now)
+		if next == nil {
 			break
 		}
-		t.cloudCalls.Take(now, 1, 0)
-		t.emit(ProvisionMachines{Name: h.Name, Offer: h.Offer, Count: h.Count})
+		p.calls.Take(now, 1, 0)
+		p.emit(ProvisionMachines{Name: next.Name, Offer: next.Offer, Count: next.Count})
 	}
-	if t.listing.PageDue(now) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
-		t.emit(ListMachines{After: t.listing.RequestPage(now)})
+	if p.lister.PageDue(now) && p.calls.Take(now, 1, p.reservedCalls()) {
+		p.emit(ListMachines{After: p.lister.RequestPage(now)})
 	}
-	if !now.Before(t.nextMachineTypes) && t.cloudCalls.Take(now, 1, t.reservedCloudCalls()) {
-		t.nextMachineTypes = now.Add(time.Minute)
-		t.emit(ReadMachineTypes{})
+	if !now.Before(p.nextMachineTypesAt) && p.calls.Take(now, 1, p.reservedCalls()) {
+		p.nextMachineTypesAt = now.Add(machineTypesInterval)
+		p.emit(ReadMachineTypes{})
 	}
 }
 
-// LeaderCloudShare is the part of the cloud's call rate that the leader uses.
-const LeaderCloudShare = 0.8
+// pending are the provision requests that are not answered.
+func (p *provisioner) pending() []*cloud.ProvisionRequest { return p.tracker.PendingProvisions() }
 
-// cloudCallBurst is how many calls to the cloud may leave at once: a second's worth.
-func cloudCallBurst(c config.Cloud) float64 { return max(1, c.RPS) }
+// finishProvision takes in the answer to a provision request. It tells whether the request needs no repetition.
+func (p *provisioner) finishProvision(now clock.Instant, in ProvisionCompleted) bool {
+	return p.tracker.FinishProvision(now, in.Name, in.Result, len(in.Machines))
+}
 
-// reservedCloudCalls is how many calls reading lists leaves to rentals and releases: one,
-// if the rate allows more than one at a time.
-func (t *term) reservedCloudCalls() float64 {
-	return min(1, cloudCallBurst(t.settings.Params.Cloud)-1)
+// finishDeprovision takes in the answer to a deprovision request.
+func (p *provisioner) finishDeprovision(now clock.Instant, in DeprovisionCompleted) {
+	p.tracker.FinishDeprovision(now, in.Machines, in.OK)
 }
 
+// addPage takes in a page of the machine list. It returns the list and true once all pages are read.
+func (p *provisioner) addPage(now clock.Instant, page cloud.Page) (cloud.MachineList, bool) {
+	list, complete := p.lister.AddPage(now, page, max(p.settings.Params.Cloud.ListLag(), minListInterval))
+	p.listed = p.listed || complete
+	return list, complete
+}
+
+// provisionCompleted takes in the machines that were provisioned.
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
-	if t.provisioning.FinishProvision(now, in.Name, in.Result, len(in.Machines)) {
+	if t.provisioner.finishProvision(now, in) {
 		t.rounds.provisionSettled(in.Name)
 	}
 	t.rounds.requestPlan()
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
-			continue // a repeated rental names what it rented the first time
+			continue // a repeated request names the machines of the first
 		}
 		known := t.fleet.Machine(id) != nil
 		m := t.fleet.Ensure(now, id)
@@ -117,8 +191,9 @@
 	t.log.Info("provision request answered", "provision", in.Name, "result", in.Result.String(), "machines", len(in.Machines), "epoch", t.epoch)
 }
 
+// deprovisionCompleted removes the machines that were returned.
 func (t *term) deprovisionCompleted(now clock.Instant, in DeprovisionCompleted) {
-	t.provisioning.FinishDeprovision(now, in.Machines, in.OK)
+	t.provisioner.finishDeprovision(now, in)
 	if !in.OK {
 		return
 	}
@@ -128,64 +203,3 @@
 	}
 	t.rounds.requestPlan()
 }
-
-// minListInterval is the least time between two machine lists.
-const minListInterval = 2 * time.Second
-
-// machinesPageListed takes in a page of the machine list, and the list once it is whole.
-// Absence proves that a machine is gone only if it was listed before, so long ago
-// that even an old list would show it.
-func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
-	lag := t.settings.Params.Cloud.ListLag()
-	list, complete := t.listing.AddPage(now, in.Page, max(lag, minListInterval))
-	if !complete {
-		return
-	}
-	t.machinesListed = true
-	seen := map[ident.MachineID]bool{}
-	for _, l := range list.Machines {
-		seen[l.ID] = true
-		if !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, list.RequestedAt, l)
-		}
-	}
-	t.fleet.PruneRemoved(now, 10*lag+10*time.Minute)
-	for _, m := range t.fleet.Machines() {
-		if seen[m.ID] {
-			continue
-		}
-		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+3*time.Second
-		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+10*time.Second
-		if gone || never {
-			t.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
-			t.removeMachine(now, m)
-		}
-	}
-}
-
-func (t *term) removeMachine(now clock.Instant, m *fleet.Machine) {
-	id := m.ID
-	t.tasksEnded(now, t.fleet.Remove(now, id))
-	t.rounds.requestPlan()
-}
-
-func (t *term) observeListed(now, sent clock.Instant, l cloud.Machine) {
-	known := t.fleet.Machine(l.ID) != nil
-	m := t.fleet.Ensure(now, l.ID)
-	if m.ListedAt == 0 {
-		m.ListedAt = now
-	}
-	if m.Addr == "" && l.State == cloud.MachineRunning {
-		m.Addr = l.Addr
-	}
-	if m.Type == "" || !known {
-		m.SetAttributes(l.Type, l.Zone, l.Spot)
-		m.ProvisionedAt = sent.Add(-clock.Seconds(l.AgeSeconds))
-		t.rounds.requestPlan()
-	}
-	if l.State == cloud.MachineFailed && !m.Failed {
-		t.log.Info("machine failed", "machine", m.ID, "epoch", t.epoch)
-		t.tasksEnded(now, t.fleet.MarkFailed(now, m))
-		t.rounds.requestPlan()
-	}
-}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -118,7 +118,7 @@
 			if l == nil {
 				t.Fatalf("%s: nobody leads", what)
 			}
-			if left := l.core.term.quotas.Allocated("red"); left.MilliCPU > 4_000 {
+			if left := l.core.term.quotas.allocator.Allocated("red"); left.MilliCPU > 4_000 {
 				t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", what, seed, left)
 			}
 			s.peersPartitioned = false
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -116,7 +116,7 @@
 // is a warm standby: workers that wait for an answer of the lost leader come by
 // themselves only when they have given it up.
 func (t *term) inquireMachines(now clock.Instant) {
-	if t.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.machinesListed && !t.machinesHinted {
+	if t.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.machinesHinted {
 		return
 	}
 	asked := t.fleet.ClaimHeartbeatRequests(maxInquiriesPerStep)
@@ -126,32 +126,13 @@
 	t.inquiry.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
 
-// adoptSnapshot takes in the machines that this node listed as a standby, so that they can
-// be asked before the list is read anew: at 4,000 machines that takes eight calls, and
-// 4 s where the cloud takes two a second; see knowsMachines.
-func (t *term) adoptSnapshot(now clock.Instant, known MachineSnapshot) {
-	for _, l := range known.Machines {
-		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, known.RequestedAt, l)
-			t.machinesHinted = true
-		}
-	}
-}
-
-// knowsAllMachines tells whether machines may be rented by what is known of those there
-// are: a list that was read as a standby is too old for that, unless the new one is
-// late.
-func (t *term) knowsAllMachines(now clock.Instant) bool {
-	return t.machinesListed || !t.machinesHinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
-}
-
 // openScheduling lets placing begin once enough is known of what earlier leaders did.
 func (t *term) openScheduling(now clock.Instant) {
 	if t.schedulingOpen {
 		return
 	}
 	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.settings.Params.Workers,
-		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.machinesListed && t.rounds.isUnused() && t.fleet.Len() == 0}
+		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.provisioner.hasListed() && t.rounds.isUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -19,7 +19,7 @@
 			out = append(out, scheduler.PendingMachine{Offer: cloud.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
 		}
 	}
-	for _, h := range t.provisioning.PendingProvisions() {
+	for _, h := range t.provisioner.pending() {
 		for range h.Count {
 			out = append(out, scheduler.PendingMachine{Offer: h.Offer})
 		}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -6,13 +6,10 @@
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
 
-	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/kvstore"
 	"badgerbay/internal/leadtransfer"
 	"badgerbay/internal/leasedelegation"
-	"badgerbay/internal/quota"
 	"badgerbay/internal/recovery"
 )
 
@@ -28,42 +25,32 @@
 	rounds         *schedulingLoop
 	epochs         *epochAdvance
 	checkpoints    *checkpointWriter
+	quotas         *quotaManager
+	provisioner    *provisioner
 	schedulingOpen bool // reconciled: places from now on
 	jobs           *jobTable
 	fleet          *fleet.Fleet
-	provisioning   *cloud.Tracker
-	cloudCalls     *kvstore.TokenBucket
 	teams          map[ident.Team]config.Team
 
-	listing          cloud.MachineLister
-	machinesListed   bool // the machine list has been read in this term
-	nextMachineTypes clock.Instant
 	nextSweepAt      clock.Instant
 	deferred         []deferredHeartbeat
 	roundsUnreadable bool // some round's record can't be read
 	inquiry          recovery.HeartbeatPoll
 	machinesHinted   bool // machines are known from a list that was read before this term
-	quotas           *quota.Allocator
-	// quotaEnforcers is when each node last said that it would keep to allotments.
-	quotaEnforcers map[string]clock.Instant
-	workerReach    leadtransfer.Reachability
-	lastRegainedAt clock.Instant // when a machine that was silent for too long was last heard again
-	delegations    *leasedelegation.GrantTracker
+	workerReach      leadtransfer.Reachability
+	lastRegainedAt   clock.Instant // when a machine that was silent for too long was last heard again
+	delegations      *leasedelegation.GrantTracker
 }
 
-func newTerm(c *Core, now clock.Instant, epoch ident.Epoch) *term {
+func newTerm(c *Core, now clock.Instant, epoch ident.Epoch, quotas *quotaManager) *term {
 	t := &term{environment: c.environment, core: c, epoch: epoch, acquiredAt: now, jobs: newJobTable(c.environment),
-		provisioning: cloud.NewTracker(c.policy.ProvisionBackoff), schema: newSchemaAgreement(c.environment),
+		quotas: quotas, provisioner: newProvisioner(c.environment, now), schema: newSchemaAgreement(c.environment),
 		rounds: newSchedulingLoop(c.environment), epochs: newEpochAdvance(c.environment, now), checkpoints: newCheckpointWriter(c.environment),
-		teams: c.settings.Params.TeamsByName(),
-
-		quotaEnforcers: map[string]clock.Instant{}, nextMachineTypes: now.Add(5 * time.Second)}
-	p := c.settings.Params
+		teams: c.settings.Params.TeamsByName()}
 	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.jobs.get)
 	t.fleet.SetMachineTypes(c.machineTypes)
 	t.delegations = leasedelegation.NewGrantTracker(c.settings, now)
 	t.fleet.SetDelegatedRenewals(t.delegations.RenewalIn)
-	t.cloudCalls = kvstore.NewTokenBucket(p.Cloud.RPS*LeaderCloudShare, cloudCallBurst(p.Cloud))
 	return t
 }
 
@@ -79,7 +66,7 @@
 func (t *term) setEpoch(e ident.Epoch) {
 	t.epoch = e
 	t.fleet.SetEpoch(e)
-	t.quotas.SetEpoch(e)
+	t.quotas.setEpoch(e)
 }
 
 // abandon answers those who wait when leadership ends.
@@ -107,9 +94,9 @@
 	case MachinesListed:
 		t.machinesPageListed(now, in)
 	case QuotaRecordsRead:
-		t.quotaRecordsRead(now, in)
+		t.quotas.load(now, in)
 	case QuotaRequest:
-		t.quotas.Receive(now, in.Request, in.Responder)
+		t.quotas.receive(now, in)
 	}
 }
 
@@ -139,7 +126,7 @@
 		t.checkpoints.foldIfDue(now, t.epoch, t.schema, t.jobs, t.rounds)
 	}
 	t.scheduleIfDue(now)
-	t.callCloudAPI(now)
+	t.provisioner.call(now)
 	t.pushCommands(now)
 }
 
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -72,6 +72,7 @@
 	case StagingTransaction:
 		t.checkpoints.stagingCompleted(now, in)
 	case QuotaTransaction:
-		t.quotaCompleted(now, in)
+		t.quotas.completed(now, in, t.jobs)
+		t.rounds.requestPlan()
 	}
 }
