--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -96,7 +96,7 @@
 	c.lastStep = now
 	c.handle(now, in)
 	if isFrequent(in) {
-		if c.term != nil && c.term.loaded && c.election.LeaseValid(now) {
+		if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
 			c.term.pushCommands(now)
 		}
 		return c.effects
@@ -239,7 +239,7 @@
 }
 
 func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
-	if !c.election.LeaseValid(now) || c.term == nil || !c.term.loaded {
+	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.loaded {
 		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
 		return
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -57,7 +57,7 @@
 	tm.acquiredAt, g.core.stallEnded = g.now, 0
 	hear := func() {
 		for _, m := range tm.fleet.Machines() {
-			tm.workerReach.RecordHeartbeat(g.now, m.ID, "n1")
+			tm.monitor.recordHeartbeat(g.now, HeartbeatReceived{Heartbeat: &fleet.Heartbeat{Machine: m.ID}, RelayedBy: "n1"})
 		}
 	}
 	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -83,7 +83,7 @@
 // that resigns is not entitled from that moment on, whatever its lease allows.
 func (c *Core) grantOwnDelegation(now clock.Instant, epoch ident.Epoch) {
 	base := min(c.election.LastLeaseDeadline(), now)
-	if !c.term.loaded || base == 0 || base == c.delegate.GrantRequestedAt() {
+	if !c.term.recovery.loaded || base == 0 || base == c.delegate.GrantRequestedAt() {
 		return
 	}
 	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
@@ -114,7 +114,7 @@
 // the one that asks the right to keep workers should it be cut off.
 func (c *Core) handleDelegationRequest(now clock.Instant, in DelegationRequest) {
 	var status leasedelegation.Status
-	if c.term != nil && c.term.loaded && c.election.LeaseValid(now) {
+	if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
 		status = c.term.delegationGrant(c.election.Epoch())
 		if status.GrantDuration > 0 {
 			status.GrantDuration = c.term.delegations.Grant(now, in.Node)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -99,10 +99,10 @@
 		if n.core.term != heir {
 			heir, x = n.core.term, failoverTimes{elected: s.now.Sub(begun)}
 		}
-		if x.recordsRead == 0 && heir.loaded {
+		if x.recordsRead == 0 && heir.recovery.loaded {
 			x.recordsRead = s.now.Sub(begun) - x.elected
 		}
-		if x.recordsRead != 0 && x.reconciled == 0 && heir.schedulingOpen {
+		if x.recordsRead != 0 && x.reconciled == 0 && heir.recovery.schedulingOpen {
 			x.reconciled = s.now.Sub(begun) - x.elected - x.recordsRead
 		}
 		if at, ok := s.leaderHistory.FirstRoundAfter(epoch); ok && x.reconciled != 0 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -69,82 +69,100 @@
 func (HeartbeatReply) effect()      {}
 func (SendCommands) effect()        {}
 
-// deferredHeartbeat is a report that came before the records were read.
+// heartbeatDeferral bounds how long a heartbeat waits for the records: its worker waits for the answer.
+const heartbeatDeferral = 1500 * time.Millisecond
+
+// deferredHeartbeats are the heartbeats that came before the records were read. Without the records nobody knows which
+// tasks must stop, and an answer without that command renews the lease of what a user was told is cancelled: leaders that
+// came and went before they had read anything kept such tasks running for as long as they did.
+type deferredHeartbeats struct {
+	*environment
+	waiting []deferredHeartbeat
+}
+
 type deferredHeartbeat struct {
 	received HeartbeatReceived
 	deadline clock.Instant
 }
 
-// heartbeatDeferral bounds the wait for the records: a worker waits for its answer.
-const heartbeatDeferral = 1500 * time.Millisecond
+func (d *deferredHeartbeats) add(now clock.Instant, in HeartbeatReceived) {
+	d.waiting = append(d.waiting, deferredHeartbeat{in, now.Add(heartbeatDeferral)})
+}
+
+// take returns all heartbeats that wait; none waits any more.
+func (d *deferredHeartbeats) take() []deferredHeartbeat {
+	waiting := d.waiting
+	d.waiting = nil
+	return waiting
+}
 
-// deferHeartbeat lets a report wait for the records. Without them nobody knows what must
-// end, and an answer without that order renews the lease of what a user was told
-// is cancelled: leaders that came and went before they had read anything kept
-// such tasks running for as long as they did.
-func (t *term) deferHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	t.deferred = append(t.deferred, deferredHeartbeat{in, now.Add(heartbeatDeferral)})
+// refuseOverdue refuses the heartbeats whose deadline has passed.
+func (d *deferredHeartbeats) refuseOverdue(now clock.Instant) {
+	d.refuse(func(h deferredHeartbeat) bool { return !now.Before(h.deadline) })
 }
 
-// refuseDeferred refuses the parked reports that are due to be.
-func (t *term) refuseDeferred(due func(deferredHeartbeat) bool) {
-	t.deferred = slices.DeleteFunc(t.deferred, func(p deferredHeartbeat) bool {
-		if !due(p) {
+// refuseAll refuses all heartbeats, when leadership ends.
+func (d *deferredHeartbeats) refuseAll() { d.refuse(func(deferredHeartbeat) bool { return true }) }
+
+func (d *deferredHeartbeats) refuse(due func(deferredHeartbeat) bool) {
+	d.waiting = slices.DeleteFunc(d.waiting, func(h deferredHeartbeat) bool {
+		if !due(h) {
 			return false
 		}
-		t.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
+		d.refuseHeartbeat(h.received)
 		return true
 	})
 }
 
-// answerDeferred takes in the reports that waited for the records.
-func (t *term) answerDeferred(now clock.Instant) {
-	waited := t.deferred
-	t.deferred = nil
-	for _, p := range waited {
+// refuseHeartbeat has the worker try another node.
+func (e *environment) refuseHeartbeat(in HeartbeatReceived) {
+	e.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+}
+
+// handleDeferred handles the heartbeats that waited for the records.
+func (t *term) handleDeferred(now clock.Instant) {
+	for _, h := range t.deferred.take() {
 		if t.core.term != t {
 			// One of them has shown a later leader.
-			t.emit(HeartbeatReply{Responder: p.received.Responder, Outcome: HeartbeatUnavailable})
+			t.refuseHeartbeat(h.received)
 			continue
 		}
-		t.core.handleHeartbeat(now, p.received)
+		t.core.handleHeartbeat(now, h.received)
 	}
 }
 
-// handleHeartbeat takes in a report and answers it.
+// handleHeartbeat takes in a heartbeat and answers it.
 func (t *term) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	reply := HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: t.epoch, ValidUntil: t.core.election.LeaseValidUntil()}
-	t.workerReach.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
+	validUntil := t.core.election.LeaseValidUntil()
+	t.monitor.recordHeartbeat(now, in)
 	switch {
 	case in.Heartbeat.FencingToken > t.epoch:
-		// Somebody else was elected, or a raise of ours came through late.
+		// Another node was elected, or an advance of ours came through late.
 		t.core.stepElection(now, election.LeadershipLost{})
-		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+		t.refuseHeartbeat(in)
 		return
-	case !t.loaded:
-		t.deferHeartbeat(now, in)
+	case !t.recovery.loaded:
+		t.deferred.add(now, in)
 		return
-	}
-	if t.fleet.WasRemoved(in.Heartbeat.Machine) {
-		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+	case t.fleet.WasRemoved(in.Heartbeat.Machine):
+		t.refuseHeartbeat(in)
 		return
 	}
 	m := t.fleet.Ensure(now, in.Heartbeat.Machine)
 	if in.Heartbeat.Session < m.Session {
 		// Its lease is surely over; the answer would be dropped.
-		t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
+		t.refuseHeartbeat(in)
 		return
 	}
-	t.noteRegained(now, m)
-	// A report overtaken by the answer to a direct command is stale, and the
-	// worker still waits for its answer.
+	t.monitor.noteRegained(now, t.acquiredAt, m)
+	// A heartbeat overtaken by the answer to a direct command is stale, and the worker still waits for its answer.
 	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat); !changes.Stale {
 		t.applyChanges(now, m, changes)
 	}
-	reply.Commands = t.fleet.Commands(m, true)
-	t.emit(reply)
+	t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: t.epoch, Commands: t.fleet.Commands(m, true), ValidUntil: validUntil})
 }
 
+// commandsAcknowledged takes in the heartbeat by which a worker answers commands.
 func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
 	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
 	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
@@ -154,14 +172,14 @@
 		t.core.stepElection(now, election.LeadershipLost{})
 		return
 	}
-	t.noteRegained(now, t.fleet.Machine(in.Machine))
+	t.monitor.noteRegained(now, t.acquiredAt, t.fleet.Machine(in.Machine))
 	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
 	if !changes.Stale {
 		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
 	}
 }
 
-// applyChanges follows what a report brought.
+// applyChanges follows what a heartbeat brought.
 func (t *term) applyChanges(now clock.Instant, m *fleet.Machine, ch fleet.Changes) {
 	if ch.CameUp {
 		t.rounds.requestPlan()
@@ -177,36 +195,40 @@
 	t.tasksEnded(now, ch)
 }
 
-// stopForInterruption stops what is on a machine that the cloud takes away, with leave to
-// save as much as the notice allows.
+// stopForInterruption stops what is on a machine that the cloud takes away, with time to write a checkpoint as far as the
+// notice allows.
 func (t *term) stopForInterruption(now clock.Instant, m *fleet.Machine) {
 	t.rounds.requestPlan()
-	left := m.InterruptionAt.Sub(now)
-	t.log.Info("machine to be taken", "machine", m.ID, "in", left, "epoch", t.epoch)
+	t.log.Info("machine interruption noticed", "machine", m.ID, "in", m.InterruptionAt.Sub(now), "epoch", t.epoch)
 	for _, p := range m.LivePlacements() {
+		gracePeriod := clock.Seconds(p.Job.Spec.CheckpointSeconds)
 		if p.Job.Spec.Gang {
-			t.stopGang(now, p.Job, clock.Seconds(p.Job.Spec.CheckpointSeconds))
+			t.stopGang(now, p.Job, gracePeriod)
 			continue
 		}
-		t.fleet.StopPlacement(now, p, clock.Seconds(p.Job.Spec.CheckpointSeconds))
+		t.fleet.StopPlacement(now, p, gracePeriod)
 	}
 }
 
-// probeSilentMachines sends commands to machines that have missed a report.
+// probeSilentMachines sends commands to machines that have missed a heartbeat.
 func (t *term) probeSilentMachines(now clock.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
-		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
+		t.sendCommands(m, t.fleet.Commands(m, false))
 	}
 }
 
-// pushCommands sends direct commands where they are due.
+// pushCommands sends commands to the machines for which some are due.
 func (t *term) pushCommands(now clock.Instant) {
 	for _, m := range t.fleet.ClaimDueCommands() {
-		orders := t.fleet.Commands(m, false)
-		if len(orders) == 0 {
+		commands := t.fleet.Commands(m, false)
+		if len(commands) == 0 {
 			t.fleet.FinishCommand(now, m.ID, true)
 			continue
 		}
-		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: orders})
+		t.sendCommands(m, commands)
 	}
 }
+
+func (t *term) sendCommands(m *fleet.Machine, commands []fleet.Command) {
+	t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: commands})
+}
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -60,14 +60,14 @@
 const cancelStoreTimeout = 1500 * time.Millisecond
 
 func (t *term) jobChanged(in JobChanged) {
-	if t.loaded {
+	if t.recovery.loaded {
 		t.jobs.changed(in.Job, in.ModRevision)
 	}
 }
 
 func (t *term) jobRecordRead(now clock.Instant, in JobRecordRead) {
 	t.jobs.readCompleted(in.Job)
-	if !t.loaded || !in.OK || in.Item.ModRevision == 0 {
+	if !t.recovery.loaded || !in.OK || in.Item.ModRevision == 0 {
 		return
 	}
 	j := t.jobs.get(in.Job)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -63,7 +63,7 @@
 		s.crash(n, 3*time.Second)
 	}
 	s.runFor(25 * time.Second)
-	if l := s.leader(); l == nil || !l.core.term.schedulingOpen {
+	if l := s.leader(); l == nil || !l.core.term.recovery.schedulingOpen {
 		t.Fatal("nobody leads and places 22 s after all nodes were back")
 	}
 	if lost := s.lostSessions(); lost > 0 {
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -73,7 +73,7 @@
 	for _, l := range known.Machines {
 		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
 			t.observeListed(now, known.RequestedAt, l)
-			t.machinesHinted = true
+			t.recovery.hinted = true
 		}
 	}
 }
@@ -82,5 +82,5 @@
 // are: a list that was read as a standby is too old for that, unless the new one is
 // late.
 func (t *term) knowsAllMachines(now clock.Instant) bool {
-	return t.provisioner.hasListed() || !t.machinesHinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
+	return t.provisioner.hasListed() || !t.recovery.hinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -32,9 +32,19 @@
 func (RecordsRead) input()  {}
 func (ReadRecords) effect() {}
 
+// recoveryProgress is how far a new leader has taken over: it reads the records, hears the machines, and only then opens
+// scheduling.
+type recoveryProgress struct {
+	loaded         bool // the records are read
+	lostRounds     bool // the record of some round can't be read
+	schedulingOpen bool // enough is known to place tasks
+	hinted         bool // machines are known from a list that was read before the term
+	poll           recovery.HeartbeatPoll
+}
+
 // recordsRead takes in all records, as the successor of whoever led before.
 func (t *term) recordsRead(now clock.Instant, in RecordsRead) {
-	if in.Epoch != t.epoch || t.loaded {
+	if in.Epoch != t.epoch || t.recovery.loaded {
 		return // of an earlier term
 	}
 	if !in.OK {
@@ -51,14 +61,13 @@
 		t.addJob(now, j)
 	}
 	open := t.rounds.restore(records.Rounds, records.LostRounds)
-	t.roundsUnreadable = len(records.LostRounds) > 0
 	for _, r := range open {
 		t.replayRound(now, r)
 	}
-	t.loaded = true
+	t.recovery.loaded, t.recovery.lostRounds = true, len(records.LostRounds) > 0
 	t.rounds.requestPlan()
 	t.adoptSnapshot(now, in.KnownMachines)
-	t.answerDeferred(now)
+	t.handleDeferred(now)
 	t.log.Info("checkpoints read", "epoch", t.epoch, "jobs", t.jobs.len(), "open_rounds", len(open))
 }
 
@@ -66,7 +75,7 @@
 // the node.
 func (t *term) reportUnreadable(u recovery.UnreadableRecord) {
 	t.metrics.UnreadableRecords.Inc()
-	t.log.Error("record can't be read", "key", u.Key, "err", u.Err, "epoch", t.epoch)
+	t.log.Error("record unreadable", "key", u.Key, "err", u.Err, "epoch", t.epoch)
 	if u.FromNewerSchema() {
 		t.emit(StopNode{Err: fmt.Errorf("%s: %w; run the newer program", u.Key, u.Err)})
 	}
@@ -116,28 +125,28 @@
 // is a warm standby: workers that wait for an answer of the lost leader come by
 // themselves only when they have given it up.
 func (t *term) inquireMachines(now clock.Instant) {
-	if t.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.machinesHinted {
+	if t.recovery.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.recovery.hinted {
 		return
 	}
 	asked := t.fleet.ClaimHeartbeatRequests(maxInquiriesPerStep)
 	for _, m := range asked {
-		t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: t.fleet.Commands(m, false)})
+		t.sendCommands(m, t.fleet.Commands(m, false))
 	}
-	t.inquiry.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
+	t.recovery.poll.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
 
 // openScheduling lets placing begin once enough is known of what earlier leaders did.
 func (t *term) openScheduling(now clock.Instant) {
-	if t.schedulingOpen {
+	if t.recovery.schedulingOpen {
 		return
 	}
 	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.settings.Params.Workers,
-		Poll: t.inquiry, LostRounds: t.roundsUnreadable, Pristine: t.provisioner.hasListed() && t.rounds.isUnused() && t.fleet.Len() == 0}
+		Poll: t.recovery.poll, LostRounds: t.recovery.lostRounds, Pristine: t.provisioner.hasListed() && t.rounds.isUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
-	t.schedulingOpen = true
+	t.recovery.schedulingOpen = true
 	t.rounds.requestPlan()
 	t.metrics.Recoveries.Inc()
-	t.log.Info("reconciled", "epoch", t.epoch, "machines", t.fleet.Len(), "after", now.Sub(t.acquiredAt))
+	t.log.Info("scheduling opened", "epoch", t.epoch, "machines", t.fleet.Len(), "after", now.Sub(t.acquiredAt))
 }
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -68,7 +68,7 @@
 // decided must not decide itself.
 func TestRecordOfLaterSchemaStopsTheNode(t *testing.T) {
 	g := newCoreFixture(t, 0)
-	g.core.term.loaded = false
+	g.core.term.recovery.loaded = false
 	later := jobs.NewRecord(arraySpec, 0)
 	later.SchemaVersion = jobs.SchemaVersion + 1
 	data, err := encodeRecord(later)
@@ -90,7 +90,7 @@
 func TestDamagedRoundIsWaitedOut(t *testing.T) {
 	g := newCoreFixture(t, 3)
 	tm := g.core.term
-	tm.loaded, tm.schedulingOpen, tm.acquiredAt = false, false, g.now
+	tm.recovery.loaded, tm.recovery.schedulingOpen, tm.acquiredAt = false, false, g.now
 	good := &roundlog.Record{SchemaVersion: 2, RoundNo: 5, Epoch: 4, LowWatermark: 5}
 	whole, err := msgpack.Marshal(good)
 	if err != nil {
@@ -172,7 +172,7 @@
 func TestGangReplacementOutlivesItsLeader(t *testing.T) {
 	g := newCoreFixture(t, 3)
 	tm := g.core.term
-	tm.loaded, tm.schedulingOpen = false, false
+	tm.recovery.loaded, tm.recovery.schedulingOpen = false, false
 	spec := gangSpec
 	spec.Tasks = 2
 	job, err := encodeRecord(jobs.NewRecord(spec, 0))
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -101,7 +101,7 @@
 		past = append(past, s.usedCPUs())
 		past = past[max(0, len(past)-usageWindowSeconds):]
 		l := s.leader()
-		if l == nil || l.core.term == nil || !l.core.term.loaded {
+		if l == nil || l.core.term == nil || !l.core.term.recovery.loaded {
 			return
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -1,78 +1,81 @@
 package controller
 
 import (
-	"time"
-
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
-	"badgerbay/internal/leadtransfer"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/leasedelegation"
-	"badgerbay/internal/recovery"
 )
 
-// term is what a node holds while it leads: the working copy of everything
-// that the state service, the workers and the cloud are the authority of.
+// term is what a node holds while it leads: a working copy of what the state service, the workers and the cloud are the
+// authority of. Each part owns its fields; term passes one what it needs of another, and follows inputs through them.
 type term struct {
 	*environment
-	core           *Core
-	epoch          ident.Epoch
-	acquiredAt     clock.Instant
-	loaded         bool
-	schema         *schemaAgreement
-	rounds         *schedulingLoop
-	epochs         *epochAdvance
-	checkpoints    *checkpointWriter
-	quotas         *quotaManager
-	provisioner    *provisioner
-	schedulingOpen bool // reconciled: places from now on
-	jobs           *jobTable
-	fleet          *fleet.Fleet
-	teams          map[ident.Team]config.Team
+	core       *Core
+	epoch      ident.Epoch
+	acquiredAt clock.Instant
+	teams      map[ident.Team]config.Team
 
-	nextSweepAt      clock.Instant
-	deferred         []deferredHeartbeat
-	roundsUnreadable bool // some round's record can't be read
-	inquiry          recovery.HeartbeatPoll
-	machinesHinted   bool // machines are known from a list that was read before this term
-	workerReach      leadtransfer.Reachability
-	lastRegainedAt   clock.Instant // when a machine that was silent for too long was last heard again
-	delegations      *leasedelegation.GrantTracker
+	fleet       *fleet.Fleet
+	delegations *leasedelegation.GrantTracker
+	jobs        *jobTable
+	rounds      *schedulingLoop
+	checkpoints *checkpointWriter
+	epochs      *epochAdvance
+	schema      *schemaAgreement
+	quotas      *quotaManager
+	provisioner *provisioner
+	monitor     *machineMonitor
+	deferred    *deferredHeartbeats
+	recovery    recoveryProgress
 }
 
 func newTerm(c *Core, now clock.Instant, epoch ident.Epoch, quotas *quotaManager) *term {
-	t := &term{environment: c.environment, core: c, epoch: epoch, acquiredAt: now, jobs: newJobTable(c.environment),
-		quotas: quotas, provisioner: newProvisioner(c.environment, now), schema: newSchemaAgreement(c.environment),
-		rounds: newSchedulingLoop(c.environment), epochs: newEpochAdvance(c.environment, now), checkpoints: newCheckpointWriter(c.environment),
-		teams: c.settings.Params.TeamsByName()}
-	t.fleet = fleet.New(fleetTimes(c), epoch, now, t.jobs.get)
+	env := c.environment
+	t := &term{
+		environment: env,
+		core:        c,
+		epoch:       epoch,
+		acquiredAt:  now,
+		teams:       env.settings.Params.TeamsByName(),
+		delegations: leasedelegation.NewGrantTracker(env.settings, now),
+		jobs:        newJobTable(env),
+		rounds:      newSchedulingLoop(env),
+		checkpoints: newCheckpointWriter(env),
+		epochs:      newEpochAdvance(env, now),
+		schema:      newSchemaAgreement(env),
+		quotas:      quotas,
+		provisioner: newProvisioner(env, now),
+		monitor:     &machineMonitor{environment: env},
+		deferred:    &deferredHeartbeats{environment: env},
+	}
+	t.fleet = fleet.New(fleetTiming(env), epoch, now, t.jobs.get)
 	t.fleet.SetMachineTypes(c.machineTypes)
-	t.delegations = leasedelegation.NewGrantTracker(c.settings, now)
 	t.fleet.SetDelegatedRenewals(t.delegations.RenewalIn)
 	return t
 }
 
-func fleetTimes(c *Core) fleet.Timing {
-	w := c.settings.Params.Workers
-	times := fleet.Timing{HeartbeatInterval: w.HeartbeatInterval(), LeaseTTL: w.LeaseTTL()}
-	if c.policy.Features.WarmStandby != nil {
-		times.RejoinGrace = w.ReconnectTime()
+func fleetTiming(env *environment) fleet.Timing {
+	workers := env.settings.Params.Workers
+	timing := fleet.Timing{HeartbeatInterval: workers.HeartbeatInterval(), LeaseTTL: workers.LeaseTTL()}
+	if env.policy.Features.WarmStandby != nil {
+		timing.RejoinGrace = workers.ReconnectTime()
 	}
-	return times
+	return timing
 }
 
-func (t *term) setEpoch(e ident.Epoch) {
-	t.epoch = e
-	t.fleet.SetEpoch(e)
-	t.quotas.setEpoch(e)
+// setEpoch goes on under an epoch that this node has advanced to.
+func (t *term) setEpoch(epoch ident.Epoch) {
+	t.epoch = epoch
+	t.fleet.SetEpoch(epoch)
+	t.quotas.setEpoch(epoch)
 }
 
 // abandon answers those who wait when leadership ends.
 func (t *term) abandon() {
 	t.jobs.abandonCancellations()
-	t.refuseDeferred(func(deferredHeartbeat) bool { return true })
+	t.deferred.refuseAll()
 }
 
 func (t *term) handle(now clock.Instant, in Input) {
@@ -102,8 +105,8 @@
 
 // advance does whatever is due.
 func (t *term) advance(now clock.Instant) {
-	if !t.loaded {
-		t.refuseDeferred(func(p deferredHeartbeat) bool { return !now.Before(p.deadline) })
+	if !t.recovery.loaded {
+		t.deferred.refuseOverdue(now)
 		return
 	}
 	t.sweep(now)
@@ -132,10 +135,9 @@
 
 // sweep does what only time brings about.
 func (t *term) sweep(now clock.Instant) {
-	if now.Before(t.nextSweepAt) {
+	if !t.monitor.beginSweepIfDue(now) {
 		return
 	}
-	t.nextSweepAt = now.Add(200 * time.Millisecond)
 	t.tasksEnded(now, t.fleet.ExpireLeases(now))
 	t.stopBrokenGangs(now)
 	if t.core.election.LeaseValid(now) {
