--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -153,7 +153,8 @@
 }
 
 // awaitHeartbeat waits for the core's answer to a relayed heartbeat.
-func (s *batchServer) awaitHeartbeat(ctx context.Context, machine ident.MachineID, pending <-chan controller.HeartbeatReply) peer.HeartbeatReply {
+func (s *batchServer) awaitHeartbeat(ctx context.Context, machine ident.MachineID,
+	pending <-chan controller.HeartbeatReply) peer.HeartbeatReply {
 	out := peer.HeartbeatReply{Machine: machine, Code: http.StatusServiceUnavailable}
 	if pending == nil {
 		return out
--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -27,7 +27,13 @@
 func (c *cloudCalls) provision(ctx context.Context, e controller.ProvisionMachines) {
 	sentAt := c.clock.Now()
 	ids, err := c.client.Provision(ctx, e.Name, e.Offer, e.Count)
-	c.core.post(ctx, controller.ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: sentAt, Machines: ids, Result: c.provisionResultOf(err)})
+	c.core.post(ctx, controller.ProvisionCompleted{
+		Name:     e.Name,
+		Offer:    e.Offer,
+		SentAt:   sentAt,
+		Result:   c.provisionResultOf(err),
+		Machines: ids,
+	})
 }
 
 // provisionResultOf sorts an error of a provision request.
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -75,7 +75,8 @@
 
 // redirectOrRelay sends a worker to the leader, or relays its heartbeat if it has just
 // come back from there without having reached it.
-func (h *heartbeatHandler) redirectOrRelay(ctx context.Context, heartbeat *fleet.Heartbeat, reply controller.HeartbeatReply) controller.HeartbeatReply {
+func (h *heartbeatHandler) redirectOrRelay(ctx context.Context, heartbeat *fleet.Heartbeat,
+	reply controller.HeartbeatReply) controller.HeartbeatReply {
 	leader := h.reach.otherLeader()
 	reply.Leader = leader
 	if leader == "" {
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -65,7 +65,8 @@
 	r.POST(heartbeatPath, n.workers.handle)
 	r.GET("/standby", n.handleStandby)
 	r.GET("/quota", n.handleQuotas)
-	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.metrics.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests}))
+	metricsOptions := promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests}
+	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(n.metrics.Registry, metricsOptions))
 	return r
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,8 +66,8 @@
 	workerConnsPerHost = 1
 )
 
-// New composes a node from its settings and policy. Run serves; a node that is not run
-// holds no resources.
+// New composes a node from its settings and policy. It opens nothing yet. Run is to be
+// called once: it closes what the node has opened.
 func New(settings *config.Settings, pol *policy.Policy, log *slog.Logger) (*Node, error) {
 	return newNode(settings, pol, log, dependencies{
 		clock:  clock.NewSystem(),
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -97,7 +97,12 @@
 // handleQuotas answers an operator: what this node holds, and, at the leader, how the
 // teams stand.
 func (n *Node) handleQuotas(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	status := quotaStatus{Node: n.settings.NodeName, Enabled: n.quotaHolder != nil, Leads: n.core.view().leads(), Teams: map[ident.Team]teamStatus{}}
+	status := quotaStatus{
+		Node:    n.settings.NodeName,
+		Enabled: n.quotaHolder != nil,
+		Leads:   n.core.view().leads(),
+		Teams:   map[ident.Team]teamStatus{},
+	}
 	if n.quotaHolder != nil {
 		status.Holder = holderStatusOf(n.quotaHolder.published.Load())
 	}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -43,7 +43,8 @@
 	status  func(now clock.Instant) standby.Status
 }
 
-func newStandbyActor(env *environment, core *coreActor, store *stateService, client *cloud.Client, options *featuregate.WarmStandby) *standbyActor {
+func newStandbyActor(env *environment, core *coreActor, store *stateService, client *cloud.Client,
+	options *featuregate.WarmStandby) *standbyActor {
 	a := &standbyActor{
 		environment: env,
 		core:        core,
@@ -127,7 +128,8 @@
 		return
 	}
 	a.ready = ready
-	a.log.Info("standby readiness changed", "ready", ready, "state", status.State, "records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
+	a.log.Info("standby readiness changed", "ready", ready, "state", status.State,
+		"records", status.Records, "bytes", status.Bytes, "reason", status.Reason)
 	a.core.post(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
 }
 
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -79,7 +79,8 @@
 
 // watch waits for changes after a revision, for at most hold. The leader's long polls use
 // the client itself: they count neither as answers nor as failures of the service.
-func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision, hold time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
+func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision,
+	hold time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
 	events, revision, err := s.client.Watch(ctx, prefix, since, hold)
 	return events, revision, s.record(err)
 }
@@ -146,7 +147,8 @@
 
 // settleConflict judges a conflict that follows an unanswered try: a key that has moved
 // on was moved by that try.
-func (s *stateService) settleConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError, how confirmation) (ident.Revision, error) {
+func (s *stateService) settleConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError,
+	how confirmation) (ident.Revision, error) {
 	for {
 		item, err := s.get(ctx, txn.OutcomeKey())
 		switch {
