--- a/internal/chunk/golden_test.go
+++ b/internal/chunk/golden_test.go
@@ -64,6 +64,23 @@
 	return out
 }
 
+func checkGoldenText(t *testing.T, text wire.Packed, want goldenText) {
+	t.Helper()
+	if diff := cmp.Diff(want, encodeText(t, text)); diff != "" {
+		t.Errorf("written otherwise: %s", diff)
+	}
+	got, err := Join(wire.Packed(want.Head), len(want.MsgPack), want.Sum, func(number int) []byte {
+		data, err := hex.DecodeString(want.MsgPack[number-1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		return data
+	})
+	if err != nil || got != text {
+		t.Errorf("read as %q, %v", got, err)
+	}
+}
+
 // TestGoldenChunks: what this version splits is what versions before and after join.
 func TestGoldenChunks(t *testing.T) {
 	var golden map[string]goldenText
@@ -75,19 +92,6 @@
 		t.Fatalf("%d golden texts, want %d", len(golden), len(texts))
 	}
 	for name, text := range texts {
-		want := golden[name]
-		if diff := cmp.Diff(want, encodeText(t, text)); diff != "" {
-			t.Errorf("%s: written otherwise: %s", name, diff)
-		}
-		got, err := Join(wire.Packed(want.Head), len(want.MsgPack), want.Sum, func(k int) []byte {
-			data, err := hex.DecodeString(want.MsgPack[k-1])
-			if err != nil {
-				t.Fatal(err)
-			}
-			return data
-		})
-		if err != nil || got != text {
-			t.Errorf("%s: read as %q, %v", name, got, err)
-		}
+		t.Run(name, func(t *testing.T) { checkGoldenText(t, text, golden[name]) })
 	}
 }
--- a/internal/election/txn_test.go
+++ b/internal/election/txn_test.go
@@ -67,13 +67,15 @@
 		"another key": {[]kvstore.KeyValue{leaderKey, {Key: LeaderKey + "ship", Value: broken, ModRevision: 991}},
 			LeaderKeysRead{OK: true, Leader: goldenLeader, Epoch: 982}},
 	} {
-		got, err := DecodeLeaderKeys(test.items)
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
-		if diff := cmp.Diff(test.want, got); diff != "" {
-			t.Errorf("%s: %s", name, diff)
-		}
+		t.Run(name, func(t *testing.T) {
+			got, err := DecodeLeaderKeys(test.items)
+			if err != nil {
+				t.Error(err)
+			}
+			if diff := cmp.Diff(test.want, got); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 	if got, err := DecodeLeaderKeys([]kvstore.KeyValue{{Key: LeaderKey, Value: broken, ModRevision: 982}}); err == nil || got.OK {
 		t.Errorf("a broken leader key was read as %+v", got)
--- a/internal/indexset/golden_test.go
+++ b/internal/indexset/golden_test.go
@@ -56,6 +56,25 @@
 	return data
 }
 
+func checkGoldenSet(t *testing.T, set Set, want goldenSet) {
+	t.Helper()
+	if diff := cmp.Diff(want, encodeSet(t, set)); diff != "" {
+		t.Errorf("written otherwise: %s", diff)
+	}
+	var list, delta Set
+	if err := msgpack.Unmarshal(unhex(t, want.List), &list); err != nil {
+		t.Errorf("list: %v", err)
+	}
+	if err := delta.DecodeDelta(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
+		t.Errorf("delta-encoded: %v", err)
+	}
+	for encoding, read := range map[string]Set{"list": list, "delta-encoded": delta} {
+		if diff := cmp.Diff(set, read, cmp.AllowUnexported(Span{}), cmpopts.EquateEmpty()); diff != "" {
+			t.Errorf("%s read otherwise: %s", encoding, diff)
+		}
+	}
+}
+
 // TestGoldenSets: sets are stored in two forms, and versions before and after read
 // what this one writes.
 func TestGoldenSets(t *testing.T) {
@@ -68,21 +87,6 @@
 		t.Fatalf("%d golden sets, want %d", len(golden), len(sets))
 	}
 	for name, set := range sets {
-		want := golden[name]
-		if diff := cmp.Diff(want, encodeSet(t, set)); diff != "" {
-			t.Errorf("%s: written otherwise: %s", name, diff)
-		}
-		var list, packed Set
-		if err := msgpack.Unmarshal(unhex(t, want.List), &list); err != nil {
-			t.Errorf("%s: list: %v", name, err)
-		}
-		if err := packed.DecodeDelta(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
-			t.Errorf("%s: packed: %v", name, err)
-		}
-		for form, read := range map[string]Set{"list": list, "packed": packed} {
-			if diff := cmp.Diff(set, read, cmp.AllowUnexported(Span{}), cmpopts.EquateEmpty()); diff != "" {
-				t.Errorf("%s: %s read otherwise: %s", name, form, diff)
-			}
-		}
+		t.Run(name, func(t *testing.T) { checkGoldenSet(t, set, golden[name]) })
 	}
 }
--- a/internal/jobs/chunks_test.go
+++ b/internal/jobs/chunks_test.go
@@ -130,9 +130,11 @@
 			return stored(t, &value)
 		},
 	} {
-		if _, err := DecodeWithChunks(stored(t, head), chunkData); !errors.Is(err, chunk.ErrTorn) {
-			t.Errorf("%s: %v", what, err)
-		}
+		t.Run(what, func(t *testing.T) {
+			if _, err := DecodeWithChunks(stored(t, head), chunkData); !errors.Is(err, chunk.ErrTorn) {
+				t.Error(err)
+			}
+		})
 	}
 	odd := *head
 	odd.ChunkInfo = &ChunkInfo{Chunks: 1 << 30, Checksum: head.ChunkInfo.Checksum}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -122,35 +122,35 @@
 		"staged in the first bank": encodeRecord(t, firstBank, firstBankValues)}
 }
 
-func checkRead(t *testing.T, name string, g goldenRecord, want *Record) {
+func checkRead(t *testing.T, g goldenRecord, want *Record) {
 	t.Helper()
 	got, err := DecodeWithChunks(g.data(t), g.chunkData(t))
 	if err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Error(err)
 		return
 	}
 	ignore := cmpopts.IgnoreFields(Record{}, "SchemaVersion", "ChunkOffset")
 	if diff := cmp.Diff(want, got, ignore, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
-		t.Errorf("%s read otherwise: %s", name, diff)
+		t.Errorf("read otherwise: %s", diff)
 	}
 	if got.ChunkOffset != g.Offset {
-		t.Errorf("%s: chunks after number %d, want %d", name, got.ChunkOffset, g.Offset)
+		t.Errorf("chunks after number %d, want %d", got.ChunkOffset, g.Offset)
 	}
 }
 
 // checkSchema reads the version of the schema as any version of the program does.
-func checkSchema(t *testing.T, name string, g goldenRecord, want int) {
+func checkSchema(t *testing.T, g goldenRecord, want int) {
 	t.Helper()
 	var head struct {
 		Schema int `msgpack:"v"`
 	}
 	if err := msgpack.Unmarshal(g.data(t), &head); err != nil || head.Schema != want {
-		t.Errorf("%s: schema %d, %v, want %d", name, head.Schema, err, want)
+		t.Errorf("schema %d, %v, want %d", head.Schema, err, want)
 	}
 }
 
 // checkRewritten passes the stored values through the types of this version.
-func checkRewritten(t *testing.T, name string, g goldenRecord) {
+func checkRewritten(t *testing.T, g goldenRecord) {
 	t.Helper()
 	var r Record
 	if err := msgpack.Unmarshal(g.data(t), &r); err != nil {
@@ -165,7 +165,7 @@
 		chunks = append(chunks, value)
 	}
 	if diff := cmp.Diff(g, encodeRecord(t, &r, chunks)); diff != "" {
-		t.Errorf("%s rewritten otherwise: %s", name, diff)
+		t.Errorf("rewritten otherwise: %s", diff)
 	}
 }
 
@@ -183,22 +183,28 @@
 	}
 	schemas := map[string]int{"accepted": 2, "cancelled": 2, "under way": 2, "schema 1": 1, "in parts": 3, "staged": 4, "staged in the first bank": 4}
 	for name, want := range wanted {
-		checkSchema(t, name, golden[name], schemas[name])
-		checkRead(t, name, golden[name], want)
-		checkRewritten(t, name, golden[name])
+		t.Run(name, func(t *testing.T) {
+			checkSchema(t, golden[name], schemas[name])
+			checkRead(t, golden[name], want)
+			checkRewritten(t, golden[name])
+		})
 	}
 	for name, written := range plainRecords(t) {
-		if diff := cmp.Diff(golden[name], written); diff != "" {
-			t.Errorf("%s written otherwise: %s", name, diff)
-		}
+		t.Run(name+", written", func(t *testing.T) {
+			if diff := cmp.Diff(golden[name], written); diff != "" {
+				t.Errorf("written otherwise: %s", diff)
+			}
+		})
 	}
 	// What a compressor writes may change with its library: it is read back.
 	for name, written := range compressedRecords(t) {
-		checkSchema(t, name+", written", written, schemas[name])
-		checkRead(t, name+", written", written, wanted[name])
-		if written.Offset != golden[name].Offset {
-			t.Errorf("%s: chunks after number %d, want %d", name, written.Offset, golden[name].Offset)
-		}
+		t.Run(name+", written", func(t *testing.T) {
+			checkSchema(t, written, schemas[name])
+			checkRead(t, written, wanted[name])
+			if written.Offset != golden[name].Offset {
+				t.Errorf("chunks after number %d, want %d", written.Offset, golden[name].Offset)
+			}
+		})
 	}
 }
 
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -172,7 +172,7 @@
 	f.Add(data)
 	f.Add([]byte{0x81, 0xa1, 'l', 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x81, 0xa1, 'd', 0xdd, 0xff, 0xff, 0xff, 0xff})
-	f.Fuzz(func(t *testing.T, data []byte) {
+	f.Fuzz(func(_ *testing.T, data []byte) {
 		if r, err := Decode(data); err == nil {
 			NewJob("wk-000001", r, 1, 0).Record(1)
 		}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -108,9 +108,11 @@
 		srv.Override = func(*http.Request) (*http.Response, error) {
 			return &http.Response{StatusCode: s.status, Body: io.NopCloser(bytes.NewReader([]byte(s.body)))}, nil
 		}
-		if _, err := c.Commit(context.Background(), setTxn("k", 0, 1)); !errors.Is(err, s.want) {
-			t.Errorf("%d %q: %v, want %v", s.status, s.body, err, s.want)
-		}
+		t.Run(fmt.Sprintf("%d %x", s.status, s.body), func(t *testing.T) {
+			if _, err := c.Commit(context.Background(), setTxn("k", 0, 1)); !errors.Is(err, s.want) {
+				t.Errorf("%v, want %v", err, s.want)
+			}
+		})
 	}
 	srv.Override = func(*http.Request) (*http.Response, error) { return nil, errors.New("connection reset") }
 	if _, err := c.Commit(context.Background(), setTxn("k", 0, 1)); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -29,15 +29,15 @@
 	Result   string   `json:"result"`   // what the client makes of the answers
 }
 
-// scripted is a server that answers as it was recorded, and keeps the requests.
-type scripted struct {
+// scriptedServer is a server that answers as it was recorded, and keeps the requests.
+type scriptedServer struct {
 	t        *testing.T
 	answers  []string
 	requests []string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedServer) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		var err error
@@ -156,12 +156,14 @@
 		t.Fatalf("%d golden exchanges, want %d", len(golden), len(all))
 	}
 	for name, call := range all {
-		want := golden[name]
-		server := &scripted{t: t, answers: want.Answers}
-		result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
-		if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
-			t.Errorf("%s: %s", name, diff)
-		}
+		t.Run(name, func(t *testing.T) {
+			want := golden[name]
+			server := &scriptedServer{t: t, answers: want.Answers}
+			result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
+			if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
 
@@ -174,7 +176,7 @@
 		Hidden  float64            `json:"-"`
 		Next    *nested            `json:"next,omitempty"`
 	}
-	for _, s := range []struct {
+	for _, test := range []struct {
 		name  string
 		value any
 		want  int
@@ -193,8 +195,8 @@
 		{"raw", msgpack.RawMessage{1, 2, 3}, 6},
 		{"not to be encoded", func() {}, 1 << 30},
 	} {
-		if n := kvstore.JSONSize(s.value); n != s.want {
-			t.Errorf("%s: %d bytes, want %d", s.name, n, s.want)
+		if n := kvstore.JSONSize(test.value); n != test.want {
+			t.Errorf("%s: %d bytes, want %d", test.name, n, test.want)
 		}
 	}
 }
