--- /dev/null
+++ b/internal/quota/cluster_test.go
@@ -0,0 +1,170 @@
+package quota
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"badgerbay/internal/clock"
+	"badgerbay/internal/config"
+	"badgerbay/internal/election"
+	"badgerbay/internal/fake"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/kvstore"
+)
+
+var oneTeam = map[ident.Team]config.Team{"red": {Name: "red", CPUGuarantee: 2, CPULimit: 4}}
+
+// cluster is holders and a leader around one state service. Its lock stands for that of
+// the service; every change is checked as it is made.
+type cluster struct {
+	mu           sync.Mutex
+	store        *fake.KVStore
+	teams        map[ident.Team]config.Team
+	now          clock.Instant
+	finishedJobs map[ident.JobID]bool
+	violation    error
+	holders      []*testHolder
+	allocator    *Allocator
+	responses    map[string]*AllocationResponse // that wait for their holders
+	// leaderWaiting names the holders whose requests a concurrent leader has not
+	// answered yet.
+	leaderWaiting map[string]bool
+}
+
+type testHolder struct {
+	node   string
+	holder *Holder
+}
+
+func newCluster(holders int, teams map[ident.Team]config.Team) *cluster {
+	c := &cluster{
+		store:         fake.NewKVStore(),
+		teams:         teams,
+		now:           clock.Instant(time.Hour),
+		finishedJobs:  map[ident.JobID]bool{},
+		responses:     map[string]*AllocationResponse{},
+		leaderWaiting: map[string]bool{},
+	}
+	for i := range holders {
+		c.holders = append(c.holders, &testHolder{node: fmt.Sprintf("n%d", i)})
+		c.restart(i)
+	}
+	c.elect()
+	return c
+}
+
+func (c *cluster) restart(i int) {
+	c.holders[i].holder = NewHolder(c.holders[i].node, 8<<10)
+}
+
+// elect lets a new leader begin.
+func (c *cluster) elect() {
+	epoch, _ := c.commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: "leader"}}})
+	allocator, err := NewAllocator(c.teams, true, ident.Epoch(epoch))
+	if err != nil {
+		panic(err)
+	}
+	c.allocator = allocator
+}
+
+// commit carries out a transaction and checks what is stored then.
+func (c *cluster) commit(t kvstore.Txn) (ident.Revision, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	revision, err := c.store.Commit(t)
+	if err == nil && c.violation == nil {
+		items, _, _ := c.store.List(KeyPrefix)
+		c.violation = CheckInvariants(items, c.teams)
+	}
+	return revision, err
+}
+
+func (c *cluster) list() []kvstore.KeyValue {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	items, _, _ := c.store.List(KeyPrefix)
+	return items
+}
+
+func (c *cluster) revisionOf(key string) ident.Revision {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	item, _ := c.store.Get(key)
+	return item.ModRevision
+}
+
+// stepHolder gives a holder an input and carries out its effects, but for requests, which
+// are returned.
+func (c *cluster) stepHolder(m *testHolder, now clock.Instant, in HolderInput) (requests []AllocationRequest) {
+	for _, e := range m.holder.Step(now, in) {
+		switch e := e.(type) {
+		case Register:
+			revision, _ := c.commit(e.Txn(c.revisionOf(HolderKey(e.Node))))
+			requests = append(requests, c.stepHolder(m, now, RegistrationDone{ModRevision: revision})...)
+		case StoreReservations:
+			revision, err := c.commit(e.Txn())
+			done := StoreDone{ModRevision: revision}
+			if conflict := (*kvstore.ConflictError)(nil); errors.As(err, &conflict) {
+				done.Outcome = e.OutcomeOf(conflict)
+			}
+			requests = append(requests, c.stepHolder(m, now, done)...)
+		case SendRequest:
+			requests = append(requests, e.Request)
+		}
+	}
+	return requests
+}
+
+func (c *cluster) usage() JobUsage {
+	return JobUsage{
+		Uncovered: func(ident.Team) Quantity { return Quantity{} },
+		RemainingTasks: func(id ident.JobID) (int, bool) {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			if c.finishedJobs[id] {
+				return 0, true
+			}
+			return 100, true
+		},
+	}
+}
+
+// stepLeader lets the leader do what is due.
+func (c *cluster) stepLeader(now clock.Instant, answer func(Reply)) {
+	if c.allocator.BeginReadIfDue(now) {
+		if err := c.allocator.Load(now, c.allocator.epoch, c.list(), true); err != nil {
+			panic(err)
+		}
+	}
+	txn, replies := c.allocator.Step(now, c.usage(), true, 6)
+	if txn != nil {
+		revision, err := c.commit(*txn)
+		replies = append(replies, c.allocator.CompleteChange(now, err == nil, revision, c.usage())...)
+	}
+	for _, r := range replies {
+		answer(r)
+	}
+}
+
+func (c *cluster) admitted() int {
+	sum := 0
+	for _, m := range c.holders {
+		sum += m.holder.admitted
+	}
+	return sum
+}
+
+// finishJobs lets all jobs that are reserved for be over.
+func (c *cluster) finishJobs() {
+	for _, item := range c.list() {
+		if _, reservations, err := DecodeReservationRecord(item.Value); err == nil {
+			c.mu.Lock()
+			for _, r := range reservations {
+				c.finishedJobs[r.Job] = true
+			}
+			c.mu.Unlock()
+		}
+	}
+}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -51,6 +51,7 @@
 
 // Responder takes the response to a holder's request.
 type Responder interface {
+	// Respond takes the one response.
 	Respond(AllocationResponse)
 }
 
--- /dev/null
+++ b/internal/quota/quantity_test.go
@@ -0,0 +1,26 @@
+package quota
+
+import (
+	"errors"
+	"math"
+	"testing"
+
+	"badgerbay/internal/config"
+	"badgerbay/internal/jobs"
+)
+
+func TestQuantityRounding(t *testing.T) {
+	need, err := DemandOf(&jobs.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
+	if err != nil || need != (Quantity{250, 1}) {
+		t.Errorf("%v, %v", need, err)
+	}
+	limit, err := LimitOf(config.Team{CPULimit: 1.9999, GPULimit: 0})
+	if err != nil || limit.MilliCPU != 1999 || limit.MilliGPU != Unlimited {
+		t.Errorf("%v, %v", limit, err)
+	}
+	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
+		if _, err := DemandOf(&jobs.Spec{CPUs: bad}); !errors.Is(err, ErrOutOfRange) {
+			t.Errorf("%v CPUs: %v", bad, err)
+		}
+	}
+}
