--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// settings are good settings with a change.
 func settings(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	var m map[string]any
@@ -37,10 +38,12 @@
 	}
 }
 
+// params sets one field of a section of the parameters.
+func params(section, key string, value any) func(map[string]any) {
+	return func(m map[string]any) { m["params"].(map[string]any)[section].(map[string]any)[key] = value }
+}
+
 func TestBadSettingsNameTheField(t *testing.T) {
-	params := func(section, key string, v any) func(map[string]any) {
-		return func(m map[string]any) { m["params"].(map[string]any)[section].(map[string]any)[key] = v }
-	}
 	for field, change := range map[string]func(map[string]any){
 		"label":                             func(m map[string]any) { delete(m, "label") },
 		"client_listen":                     func(m map[string]any) { m["client_listen"] = "localhost:80" },
@@ -71,14 +74,21 @@
 		"params.state.write_rps":            params("state", "write_rps", 0),
 		"params.cloud.rps":                  params("cloud", "rps", 1e12),
 	} {
-		_, err := Read(strings.NewReader(settings(t, change)))
-		var fe *FieldError
-		if !errors.As(err, &fe) || !strings.Contains(fe.Field, strings.TrimPrefix(field, "params.")) {
-			t.Errorf("%s: %v", field, err)
-		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than one line: %q", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			_, err := Read(strings.NewReader(settings(t, change)))
+			var fieldErr *FieldError
+			if !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, strings.TrimPrefix(field, "params.")) {
+				t.Error(err)
+			} else if strings.Contains(err.Error(), "\n") {
+				t.Errorf("more than one line: %q", err)
+			}
+		})
 	}
+}
+
+// TestIncompatibleWorkerTimesAreRefused: times that are good each for itself may leave no
+// room for what the rules ask.
+func TestIncompatibleWorkerTimesAreRefused(t *testing.T) {
 	for what, workers := range map[string]map[string]any{
 		"room for a lost report": {"report_s": 5.0, "lease_s": 9.0, "cancel_s": 52.0},
 		"room for a takeover":    {"report_s": 1.0, "lease_s": 3.0, "cancel_s": 52.0},
@@ -89,13 +99,19 @@
 			t.Errorf("%v: %v, want %q", workers, err, what)
 		}
 	}
+}
+
+func TestSocketsOutOfRangeAreRefused(t *testing.T) {
 	for _, sockets := range []any{1e18, -1, 0} {
 		_, err := Read(strings.NewReader(settings(t, params("machine_limits", "max_sockets", sockets))))
-		var fe *FieldError
-		if !errors.As(err, &fe) || !strings.Contains(fe.Field, "max_sockets") {
+		var fieldErr *FieldError
+		if !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, "max_sockets") {
 			t.Errorf("%v sockets: %v", sockets, err)
 		}
 	}
+}
+
+func TestWhatIsNoObjectIsRefused(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", "null"} {
 		if _, err := Read(strings.NewReader(text)); err == nil {
 			t.Errorf("%q was taken", text)
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -36,11 +36,13 @@
 		"warm_standby.sync_s":      {"warm_standby": map[string]any{"sync_s": 1e9}},
 		"warm_standby.poll_s":      {"warm_standby": map[string]any{"poll_s": []any{}}},
 	} {
-		_, err := Decode(sections)
-		var fe *config.FieldError
-		if !errors.As(err, &fe) || fe.Field != field || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v, want one line naming %s", sections, err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			_, err := Decode(sections)
+			var fieldErr *config.FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != field || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v: %v, want one line naming %s", sections, err, field)
+			}
+		})
 	}
 }
 
@@ -68,11 +70,11 @@
 			t.Fatal(err)
 		}
 		err = set.Check(c.params)
-		var fe *config.FieldError
+		var fieldErr *config.FieldError
 		switch {
 		case c.field == "" && err != nil:
 			t.Errorf("the defaults are refused: %v", err)
-		case c.field != "" && (!errors.As(err, &fe) || fe.Field != "policy.warm_standby."+c.field):
+		case c.field != "" && (!errors.As(err, &fieldErr) || fieldErr.Field != "policy.warm_standby."+c.field):
 			t.Errorf("%v: %v, want %s named", c.section, err, c.field)
 		}
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -61,11 +61,13 @@
 		"warm_standby = {'heartbeat_s': float('nan')}":      "policy.warm_standby",
 		"cold_standby = {}":                                 "policy.cold_standby",
 	} {
-		_, err := Parse("site.star", script)
-		var fe *config.FieldError
-		if !errors.As(err, &fe) || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line naming %s", script, err, field)
-		}
+		t.Run(script, func(t *testing.T) {
+			_, err := Parse("site.star", script)
+			var fieldErr *config.FieldError
+			if !errors.As(err, &fieldErr) || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line naming %s", err, field)
+			}
+		})
 	}
 }
 
--- a/internal/quota/coverage.go
+++ b/internal/quota/coverage.go
@@ -27,7 +27,7 @@
 
 // capJob notes what a holder was told of a job: it may free the rest from now on.
 func (c *coverage) capJob(job ident.JobID, tasks int) {
-	if old, told := c.caps[job]; told && old <= tasks {
+	if old, capped := c.caps[job]; capped && old <= tasks {
 		return
 	}
 	r, covered := c.reservations[job]
@@ -44,7 +44,7 @@
 	totals := map[ident.Team]Quantity{}
 	for i := range reservations {
 		r := &reservations[i]
-		if tasks, told := c.caps[r.Job]; told {
+		if tasks, capped := c.caps[r.Job]; capped {
 			r.Tasks = min(r.Tasks, tasks)
 		}
 		totals[r.Team] = totals[r.Team].Add(r.TaskDemand.Mul(r.Tasks))
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -173,11 +173,11 @@
 	}
 }
 
-// TestInconsistentChangesAreRefused are refused whole: nothing of them is applied, and the keys
-// are read anew.
+// TestInconsistentChangesAreRefused: such changes are refused whole, nothing of them is
+// applied, and the keys are read anew.
 func TestInconsistentChangesAreRefused(t *testing.T) {
-	set := func(key string, stamp ident.Revision) kvstore.WatchEvent {
-		return kvstore.WatchEvent{SetKey: key, ModRevision: stamp}
+	set := func(key string, revision ident.Revision) kvstore.WatchEvent {
+		return kvstore.WatchEvent{SetKey: key, ModRevision: revision}
 	}
 	for name, in := range map[string]WatchDone{
 		"out of order":          {Changes: []kvstore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
@@ -188,27 +188,29 @@
 		"neither":               {Changes: []kvstore.WatchEvent{{ModRevision: 11}}, Revision: 12},
 		"of an earlier state":   {Revision: 3},
 	} {
-		f := newFixture(testMaxBytes)
-		for i := range 10 {
-			put(t, f.store, "job/"+fmt.Sprint(i), i)
-		}
-		f.sync()
-		replica := f.follower.Replica()
-		if _, err := replica.Apply("job/", in.Changes, in.Revision); err == nil {
-			t.Errorf("%s: applied", name)
-		}
-		f.follower.Step(f.now.Add(time.Second), Tick{})
-		in.Prefix = "job/"
-		f.follower.Step(f.now, in)
-		for _, prefix := range Prefixes[1:] {
-			f.follower.Step(f.now, WatchDone{Prefix: prefix, Revision: 10})
-		}
-		if s := f.follower.Status(f.now); s.State != StateReading || s.Reason == nil || s.Reloads != 1 || s.Records != 0 {
-			t.Errorf("%s: %+v", name, s)
-		}
-		f.now = f.now.Add(time.Second)
-		f.sync()
-		f.check(t)
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(testMaxBytes)
+			for i := range 10 {
+				put(t, f.store, "job/"+fmt.Sprint(i), i)
+			}
+			f.sync()
+			replica := f.follower.Replica()
+			if _, err := replica.Apply("job/", in.Changes, in.Revision); err == nil {
+				t.Error("applied")
+			}
+			f.follower.Step(f.now.Add(time.Second), Tick{})
+			in.Prefix = "job/"
+			f.follower.Step(f.now, in)
+			for _, prefix := range Prefixes[1:] {
+				f.follower.Step(f.now, WatchDone{Prefix: prefix, Revision: 10})
+			}
+			if s := f.follower.Status(f.now); s.State != StateReading || s.Reason == nil || s.Reloads != 1 || s.Records != 0 {
+				t.Errorf("%+v", s)
+			}
+			f.now = f.now.Add(time.Second)
+			f.sync()
+			f.check(t)
+		})
 	}
 }
 
