--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -7,6 +7,7 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
+	"badgerbay/internal/election"
 	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
@@ -216,7 +217,7 @@
 // first operation and its second condition are of the same record, by which the outcome
 // is found out if the service does not answer.
 func (a *Allocator) transaction(change *pendingChange) *kvstore.Txn {
-	txn := &kvstore.Txn{Conditions: []kvstore.Condition{leaderCondition(a.epoch)}}
+	txn := &kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(a.epoch)}}
 	for _, team := range slices.Sorted(maps.Keys(change.records)) {
 		account, record := a.teams[team], change.records[team]
 		record.SchemaVersion, record.Limit, record.Guarantee = recordSchemaVersion, account.limit, account.guarantee
--- a/internal/quota/holdermessages.go
+++ b/internal/quota/holdermessages.go
@@ -106,8 +106,3 @@
 	}
 	return StoreFailed
 }
-
-// leaderCondition holds while the leader of the epoch leads.
-func leaderCondition(epoch ident.Epoch) kvstore.Condition {
-	return kvstore.Condition{Key: election.LeaderKey, ModRevision: ident.Revision(epoch)}
-}
--- a/internal/quota/holderreservations.go
+++ b/internal/quota/holderreservations.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"badgerbay/internal/clock"
+	"badgerbay/internal/election"
 	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 )
@@ -54,7 +55,7 @@
 		r.storedTasks, r.inFlightTasks = max(r.storedTasks, r.targetTasks), r.targetTasks
 	}
 	if reducing {
-		conditions = append(conditions, leaderCondition(h.leaderEpoch))
+		conditions = append(conditions, election.EpochCondition(h.leaderEpoch))
 	}
 	h.storeInFlight, h.dirty, h.nextStore = true, false, now.Add(minStoreInterval)
 	return []HolderEffect{StoreReservations{Key: ReservationKey(h.node), Record: record, Conditions: conditions}}
