--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -96,13 +96,13 @@
 	m := t.fleet.Ensure(now, g.Machine)
 	m.Confirmed = true
 	m.Session = max(m.Session, g.Session)
-	g.Tasks.Each(func(i ident.TaskIndex) bool {
+	for i := range g.Tasks.All() {
 		if int(i) >= j.Spec.Tasks || j.Done.Contains(i) {
-			return true
+			continue
 		}
 		if old := j.Placements[i]; old != nil {
 			if old.Attempt > g.Attempt {
-				return true
+				continue
 			}
 			// The later was decided when the earlier was over: another attempt, or
 			// a replacement in a gang's. Rounds are replayed in their order.
@@ -114,8 +114,7 @@
 		if j.Phase.Final() {
 			t.fleet.StopPlacement(now, p, 0)
 		}
-		return true
-	})
+	}
 }
 
 // maxInquiriesPerStep bounds the machines that are asked in one step.
--- a/internal/indexset/indexset.go
+++ b/internal/indexset/indexset.go
@@ -135,17 +135,16 @@
 }
 
 // All iterates over the indexes in order.
-func (s Set) All() iter.Seq[ident.TaskIndex] { return s.Each }
-
-// Each calls f for every index in order until f returns false.
-func (s Set) Each(f func(ident.TaskIndex) bool) {
-	for _, span := range s {
-		for i := span.First; ; i++ {
-			if !f(i) {
-				return
-			}
-			if i == span.Last {
-				break
+func (s Set) All() iter.Seq[ident.TaskIndex] {
+	return func(yield func(ident.TaskIndex) bool) {
+		for _, span := range s {
+			for i := span.First; ; i++ {
+				if !yield(i) {
+					return
+				}
+				if i == span.Last { // which may be the largest there is
+					break
+				}
 			}
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -138,8 +138,7 @@
 }
 
 func (p *gangPlacer) fitInZone(gang *jobs.Job, machines []*candidateMachine, zone ident.Zone) []gangAssignment {
-	var tasks []ident.TaskIndex
-	gang.Queue.Each(func(task ident.TaskIndex) bool { tasks = append(tasks, task); return true })
+	tasks := slices.Collect(gang.Queue.All())
 	var found []gangAssignment
 	used := map[ident.Zone]int{}
 	spare := p.record.jobSpareBytes(gang)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -74,12 +74,14 @@
 	if neverRan {
 		tasks = job.UnstartedTasks(n)
 	} else {
-		job.Queue.Each(func(task ident.TaskIndex) bool {
+		for task := range job.Queue.All() {
 			if !claimed.Contains(task) {
 				tasks = append(tasks, task)
 			}
-			return len(tasks) < n
-		})
+			if len(tasks) >= n {
+				break
+			}
+		}
 	}
 	for _, task := range tasks {
 		claimed.Add(task)
