--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -5,35 +5,41 @@
 	"math/rand/v2"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/api"
+	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
 	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/leadtransfer"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/policy"
 )
 
+const (
+	// stallThreshold is how long a core may take no step, although ticks come far more often, before it counts as stalled:
+	// it stood still while its clocks ran on, or was starved.
+	stallThreshold = 500 * time.Millisecond
+	// machineTypesRetryInterval is the pause between two reads of the machine types while they are not known.
+	machineTypesRetryInterval = 2 * time.Second
+)
+
 // Core is the state machine of one node. It is not safe for concurrent use.
 type Core struct {
 	*environment
 	election     *election.Elector
-	machineTypes []*fleet.MachineType
 	term         *term // nil unless this node holds the leader key
+	machineTypes []*fleet.MachineType
 	delegate     *leasedelegation.Delegate
 	isolation    leasedelegation.Isolation // what this node is cut off from
-	// probeNode is the node in another zone that workers try before they are kept.
-	probeNode       string
-	transferHistory leadtransfer.History
-
-	peersUnreachable bool          // some node is out of reach over the mesh
-	lastStep         clock.Instant // the last step
-	stallEnded       clock.Instant // the last step after a long rest
-	nextMachineTypes clock.Instant
+	// probeNode is the node in another zone that workers try before this node renews their leases by its grant.
+	probeNode          string
+	transferHistory    leadtransfer.History
+	peersUnreachable   bool // whether some other node is unreachable
+	lastStep           clock.Instant
+	stallEnded         clock.Instant
+	nextMachineTypesAt clock.Instant
 }
 
 // ElectionInput carries an input of the election.
@@ -46,23 +52,26 @@
 func (ElectionEffect) effect() {}
 
 // NewCore returns the core of a node.
-func NewCore(set *config.Settings, pol *policy.Policy, clock clock.Clock, budget *kvstore.Budget,
-	rng *rand.Rand, log *slog.Logger, met *Metrics) *Core {
-	lead := election.New(set.NodeName, electionTimes(set, pol), rng)
-	lead.SetNodes(append(set.PeerNames(), set.NodeName))
-	return &Core{environment: &environment{settings: set, policy: pol, log: log, metrics: met, budget: budget, clock: clock},
-		election: lead, delegate: leasedelegation.NewDelegate(ident.Zone(set.Zone), set.Params.Workers, clock.Now()),
-		probeNode: nodeOutsideZone(set)}
+func NewCore(settings *config.Settings, pol *policy.Policy, clk clock.Clock, budget *kvstore.Budget,
+	rng *rand.Rand, log *slog.Logger, metrics *Metrics) *Core {
+	elector := election.New(settings.NodeName, electionTiming(settings, pol), rng)
+	elector.SetNodes(append(settings.PeerNames(), settings.NodeName))
+	return &Core{
+		environment: &environment{settings: settings, policy: pol, log: log, metrics: metrics, budget: budget, clock: clk},
+		election:    elector,
+		delegate:    leasedelegation.NewDelegate(ident.Zone(settings.Zone), settings.Params.Workers, clk.Now()),
+		probeNode:   nodeOutsideZone(settings),
+	}
 }
 
-// electionTimes are the settings of the lease and, with a warm standby, of the
-// heartbeats.
-func electionTimes(set *config.Settings, pol *policy.Policy) election.Timing {
-	times := election.Timing{LeaseTTL: pol.LeaseTTL, RenewInterval: pol.LeaseRenewInterval, PollInterval: pol.LeaderPollInterval}.ShortenedTo(set.Params.Workers.FailoverTime())
+// electionTiming is the timing of the lease and, with a warm standby, of the leader's heartbeats.
+func electionTiming(settings *config.Settings, pol *policy.Policy) election.Timing {
+	timing := election.Timing{LeaseTTL: pol.LeaseTTL, RenewInterval: pol.LeaseRenewInterval, PollInterval: pol.LeaderPollInterval}
+	timing = timing.ShortenedTo(settings.Params.Workers.FailoverTime())
 	if w := pol.Features.WarmStandby; w != nil {
-		times.Heartbeat = election.HeartbeatTiming{Interval: w.HeartbeatInterval, TTL: w.HeartbeatTTL, PollInterval: w.PollInterval}
+		timing.Heartbeat = election.HeartbeatTiming{Interval: w.HeartbeatInterval, TTL: w.HeartbeatTTL, PollInterval: w.PollInterval}
 	}
-	return times
+	return timing
 }
 
 // Leader is the node that was last seen to lead, or "".
@@ -80,20 +89,12 @@
 // MachineTypes are the machine types, or nil while they are not known.
 func (c *Core) MachineTypes() []*fleet.MachineType { return c.machineTypes }
 
-// Step takes one input at now and returns what to send, write and answer.
-// Inputs that come by the hundred a second only take in what they bring, and
-// send what they make due; what looks over machines and jobs waits for the
-// next tick. At 1,500 machines doing all of it for each report took 2 ms.
+// Step takes one input at now and returns what to send, write and answer. Inputs that come by the hundred a second only
+// take in what they bring, and send what they make due; what looks over machines and jobs waits for the next tick. At
+// 1,500 machines doing all of it for each heartbeat took 2 ms.
 func (c *Core) Step(now clock.Instant, in Input) []Effect {
 	c.effects = nil
-	if gap := now.Sub(c.lastStep); gap > stallThreshold {
-		c.stallEnded = now
-		if c.lastStep != 0 {
-			c.metrics.Stalls.Inc()
-			c.log.Debug("stood still", "for", gap)
-		}
-	}
-	c.lastStep = now
+	c.detectStall(now)
 	c.handle(now, in)
 	if isFrequent(in) {
 		if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
@@ -102,8 +103,8 @@
 		return c.effects
 	}
 	c.stepElection(now, election.Tick{})
-	if c.machineTypes == nil && !now.Before(c.nextMachineTypes) {
-		c.nextMachineTypes = now.Add(2 * time.Second)
+	if c.machineTypes == nil && !now.Before(c.nextMachineTypesAt) {
+		c.nextMachineTypesAt = now.Add(machineTypesRetryInterval)
 		c.emit(ReadMachineTypes{})
 	}
 	if c.term != nil {
@@ -112,13 +113,20 @@
 	return c.effects
 }
 
-// stallThreshold: a core that took no step for so long, although ticks come far more
-// often, has stood still while its clocks ran on, or was starved.
-const stallThreshold = 500 * time.Millisecond
+// detectStall notes a stall that ends with this step.
+func (c *Core) detectStall(now clock.Instant) {
+	if pause := now.Sub(c.lastStep); pause > stallThreshold {
+		c.stallEnded = now
+		if c.lastStep != 0 {
+			c.metrics.Stalls.Inc()
+			c.log.Debug("stall ended", "duration", pause)
+		}
+	}
+	c.lastStep = now
+}
 
-// recentlyStalled tells whether the node woke so short a time ago that what it has not
-// heard since proves nothing: reports and answers were there to be heard while
-// it stood still.
+// recentlyStalled tells whether a stall ended so short a time ago that what the node has not heard since proves nothing:
+// heartbeats and answers were there to be heard during it.
 func (c *Core) recentlyStalled(now clock.Instant) bool {
 	interval := c.settings.Params.Workers.HeartbeatInterval()
 	return now.Sub(c.stallEnded) < interval+interval/2
@@ -134,7 +142,7 @@
 	return false
 }
 
-// stepElection runs the leadership machine and follows what it decides.
+// stepElection runs the election and follows what it decides.
 func (c *Core) stepElection(now clock.Instant, in election.Input) {
 	before := c.election.Epoch()
 	for _, e := range c.election.Step(now, in) {
@@ -150,14 +158,14 @@
 	c.metrics.EpochChanges.Inc()
 	switch {
 	case c.term != nil && after != 0:
-		c.log.Info("token raised", "epoch", after)
+		c.log.Info("fencing token advanced", "epoch", after)
 		c.term.setEpoch(after)
 	case after != 0:
-		c.log.Info("leading", "epoch", after)
+		c.log.Info("leadership acquired", "epoch", after)
 		c.budget.SetLeader(now, true)
 		c.beginTerm(now, after)
 	default:
-		c.log.Info("no longer leading", "epoch", before)
+		c.log.Info("leadership lost", "epoch", before)
 		c.grantOwnDelegation(now, before)
 		c.budget.SetLeader(now, false)
 		c.term.abandon()
@@ -165,7 +173,7 @@
 	}
 }
 
-// beginTerm begins a term.
+// beginTerm begins to lead: first of all, the records are read.
 func (c *Core) beginTerm(now clock.Instant, epoch ident.Epoch) {
 	quotas, err := newQuotaManager(c.environment, epoch)
 	if err != nil {
@@ -191,14 +199,7 @@
 	case DelegationRequest:
 		c.handleDelegationRequest(now, in)
 	case PeerStatusReceived:
-		c.delegate.AcceptStatus(in.SentAt, in.Status)
-		if c.term != nil {
-			c.term.delegations.ConfirmIdle(in.Node, in.SentAt, now, in.Status.IdleFor)
-			c.term.schema.nodeReported(now, in.Node, in.SchemaVersion)
-			if in.EnforcesQuotas {
-				c.term.quotas.nodeEnforces(now, in.Node)
-			}
-		}
+		c.handlePeerStatus(now, in)
 	case QuotaStatusRequest:
 		c.handleQuotaStatusRequest(now, in)
 	case MachineTypesRead:
@@ -221,8 +222,8 @@
 	}
 }
 
-// handleHeartbeat answers a worker. A node that is not entitled must not renew a
-// lease, so that leases really expire: it names the leader, or refuses.
+// handleHeartbeat answers a worker. A node without a valid lease of its own must not renew the worker's, so that leases
+// really expire: it names the leader, or refuses.
 func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	if !c.election.LeaseValid(now) || c.term == nil {
 		if in.RelayedBy == "" && c.answerDelegated(now, in) {
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -50,9 +50,21 @@
 func (PeerReachabilityChanged) input() {}
 func (DelegationReply) effect()        {}
 
-// answerDelegated answers a report that came to a node which is cut off: by the grant that
-// it holds, or at once that the worker should try another node. It returns
-// false if the node is not cut off, so that the leader is to answer.
+// handlePeerStatus takes in what another node says of itself.
+func (c *Core) handlePeerStatus(now clock.Instant, in PeerStatusReceived) {
+	c.delegate.AcceptStatus(in.SentAt, in.Status)
+	if c.term == nil {
+		return
+	}
+	c.term.delegations.ConfirmIdle(in.Node, in.SentAt, now, in.Status.IdleFor)
+	c.term.schema.nodeReported(now, in.Node, in.SchemaVersion)
+	if in.EnforcesQuotas {
+		c.term.quotas.nodeEnforces(now, in.Node)
+	}
+}
+
+// answerDelegated answers a heartbeat that came to an isolated node: by the grant that it holds, or at once that the
+// worker should try another node. It returns false if the node is not isolated, so that the leader is to answer.
 func (c *Core) answerDelegated(now clock.Instant, in HeartbeatReceived) bool {
 	if c.term != nil {
 		c.grantOwnDelegation(now, c.election.Epoch())
@@ -76,11 +88,10 @@
 	return true
 }
 
-// grantOwnDelegation grants this node, which led in the epoch, what it would have granted
-// another at the last moment of its entitlement. Until then nobody else can have
-// confirmed a cancellation, and those that it confirmed itself it knows; who
-// leads next acquires the key later, and counts every grant from there. A leader
-// that resigns is not entitled from that moment on, whatever its lease allows.
+// grantOwnDelegation grants this node, which led in the epoch, what it would have granted another at the last moment of
+// its lease. Until then no other can have confirmed a cancellation, and those that it confirmed itself it knows; who leads
+// next acquires the key later, and counts every grant from there. For a leader that resigns that moment is the
+// resignation, whatever its lease allows.
 func (c *Core) grantOwnDelegation(now clock.Instant, epoch ident.Epoch) {
 	base := min(c.election.LastLeaseDeadline(), now)
 	if !c.term.recovery.loaded || base == 0 || base == c.delegate.GrantRequestedAt() {
@@ -89,29 +100,28 @@
 	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
 }
 
-// nodeOutsideZone is the last node before this one, in the order of their names, in
-// another zone. A worker that it doesn't answer tries the nodes after it, so it
-// comes back to this zone next; without a name it would try every other node,
-// 5 s each, and be back only when the grant has ended.
-func nodeOutsideZone(set *config.Settings) string {
-	labels := append(set.PeerNames(), set.NodeName)
-	slices.Sort(labels)
-	zones := map[string]string{set.NodeName: set.Zone}
-	for _, p := range set.Peers {
+// nodeOutsideZone is the last node before this one, in the order of their names, in another zone. A worker that it doesn't
+// answer tries the nodes after it, so it comes back to this zone next; without a name it would try every other node, 5 s
+// each, and be back only when the grant has ended.
+func nodeOutsideZone(settings *config.Settings) string {
+	names := append(settings.PeerNames(), settings.NodeName)
+	slices.Sort(names)
+	zones := map[string]string{settings.NodeName: settings.Zone}
+	for _, p := range settings.Peers {
 		zones[p.NodeName] = p.Zone
 	}
-	own := slices.Index(labels, set.NodeName)
-	for back := 1; back < len(labels); back++ {
-		label := labels[(own-back+len(labels))%len(labels)]
-		if zones[label] != set.Zone {
-			return label
+	own := slices.Index(names, settings.NodeName)
+	for back := 1; back < len(names); back++ {
+		name := names[(own-back+len(names))%len(names)]
+		if zones[name] != settings.Zone {
+			return name
 		}
 	}
 	return ""
 }
 
-// handleDelegationRequest says what this node has done by its grant and, if it leads, grants
-// the one that asks the right to keep workers should it be cut off.
+// handleDelegationRequest says what this node has renewed by its grant and, if it leads, grants the one that asks the
+// right to renew leases should it be isolated.
 func (c *Core) handleDelegationRequest(now clock.Instant, in DelegationRequest) {
 	var status leasedelegation.Status
 	if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
@@ -124,11 +134,10 @@
 	c.emit(DelegationReply{Responder: in.Responder, Status: status})
 }
 
-// delegationGrant is what the leader lets others do. Machines with tasks of cancelled
-// jobs are left out: those must be gone in time, whatever is cut. If their names
-// do not fit into a message, nothing is granted.
+// delegationGrant is what the leader lets others do. Machines with tasks of cancelled jobs are left out: those must be gone
+// in time, whatever is partitioned. If their names do not fit into a message, nothing is granted.
 func (t *term) delegationGrant(epoch ident.Epoch) leasedelegation.Status {
-	s := leasedelegation.Status{Epoch: epoch, GrantDuration: leasedelegation.GrantDuration(t.settings.Params.Workers)}
+	status := leasedelegation.Status{Epoch: epoch, GrantDuration: leasedelegation.GrantDuration(t.settings.Params.Workers)}
 	excluded := map[ident.MachineID]bool{}
 	for j := range t.jobs.all() {
 		if j.Phase != jobs.PhaseCancelled {
@@ -144,9 +153,9 @@
 			excluded[m.ID] = true
 		}
 	}
-	s.ExcludedMachines = slices.Sorted(maps.Keys(excluded))
-	if !peer.MachineIDsFit(s.ExcludedMachines) {
-		s.GrantDuration, s.ExcludedMachines = 0, nil
+	status.ExcludedMachines = slices.Sorted(maps.Keys(excluded))
+	if !peer.MachineIDsFit(status.ExcludedMachines) {
+		status.GrantDuration, status.ExcludedMachines = 0, nil
 	}
-	return s
+	return status
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -4,39 +4,47 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 )
 
 const (
-	maxBackoff       = 30 * time.Second
+	// failureBackoff and gangBackoff are the first backoffs of a job whose task or gang failed; each further failure
+	// doubles it, up to maxBackoff.
+	failureBackoff = 500 * time.Millisecond
+	gangBackoff    = 250 * time.Millisecond
+	maxBackoff     = 30 * time.Second
+	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	maxBackoffDoublings = 7
+	// refusalBackoff is the backoff of a job whose task a machine has refused.
+	refusalBackoff = time.Second
+	// failureAvoidance and refusalAvoidance are how long a job avoids a machine on which its task failed, or that refused it.
 	failureAvoidance = time.Minute
 	refusalAvoidance = 3 * time.Second
-	// maxMachineFailures failed tasks in a row, of jobs that run elsewhere, a
-	// machine gets no more.
+	// maxMachineFailures is the number of failed tasks in a row, of jobs that run elsewhere, by which a machine is
+	// quarantined.
 	maxMachineFailures = 3
-	// maxBlamedFailures: after this many failures in a row on different machines it is
-	// the job, not the machines.
+	// maxBlamedFailures is the number of failures of a job in a row that count against machines; after more it is the job.
 	maxBlamedFailures = 3
 )
 
+// tasksEnded follows the ends of tasks.
 func (t *term) tasksEnded(now clock.Instant, ch fleet.Changes) {
-	for _, e := range ch.Ended {
+	for _, ended := range ch.Ended {
 		t.rounds.requestPlan()
-		j, m := e.Placement.Job, t.fleet.Machine(e.Placement.Machine)
-		t.log.Debug("task ended", "job", j.ID, "task", e.Placement.Task, "machine", e.Placement.Machine,
-			"cause", e.Cause, "attempt", e.Placement.Attempt, "epoch", t.epoch)
-		switch e.Cause {
+		p := ended.Placement
+		j, m := p.Job, t.fleet.Machine(p.Machine)
+		t.log.Debug("task ended", "job", j.ID, "task", p.Task, "machine", p.Machine, "cause", ended.Cause, "attempt", p.Attempt, "epoch", t.epoch)
+		switch ended.Cause {
 		case fleet.ExitError:
 			t.taskFailed(now, j, m)
 		case fleet.ExitNoCapacity, fleet.ExitBusy, fleet.ExitUnknownTask:
-			t.avoidMachine(now, j, e.Placement.Machine, refusalAvoidance)
-			j.BackoffUntil = max(j.BackoffUntil, now.Add(time.Second))
+			avoidMachine(j, p.Machine, now.Add(refusalAvoidance))
+			j.BackoffUntil = max(j.BackoffUntil, now.Add(refusalBackoff))
 			t.metrics.StartRefusals.Inc()
 		case fleet.ExitGangIncomplete, fleet.ExitGangPeersLost:
-			t.gangFailed(now, e.Placement)
+			gangFailed(now, p)
 		case fleet.ExitDone:
 			if m != nil {
 				m.ConsecutiveFailures = 0
@@ -45,29 +53,44 @@
 	}
 }
 
-func (t *term) avoidMachine(now clock.Instant, j *jobs.Job, id ident.MachineID, d time.Duration) {
+func avoidMachine(j *jobs.Job, id ident.MachineID, until clock.Instant) {
 	if j.AvoidUntil == nil {
 		j.AvoidUntil = map[ident.MachineID]clock.Instant{}
 	}
-	j.AvoidUntil[id] = now.Add(d)
+	j.AvoidUntil[id] = until
 }
 
-// taskFailed backs the job off, and counts the failure against the machine unless
-// the job fails wherever it goes.
-func (t *term) taskFailed(now clock.Instant, j *jobs.Job, m *fleet.Machine) {
+// backOff counts a failure of a job, and puts its next start off.
+func backOff(now clock.Instant, j *jobs.Job, first time.Duration) {
 	j.ConsecutiveFailures++
-	wait := min(maxBackoff, 500*time.Millisecond<<min(j.ConsecutiveFailures, 7))
-	j.BackoffUntil = max(j.BackoffUntil, now.Add(wait))
+	backoff := min(maxBackoff, first<<min(j.ConsecutiveFailures, maxBackoffDoublings))
+	j.BackoffUntil = max(j.BackoffUntil, now.Add(backoff))
+}
+
+// taskFailed backs the job off, and counts the failure against the machine unless the job fails wherever it goes.
+func (t *term) taskFailed(now clock.Instant, j *jobs.Job, m *fleet.Machine) {
+	backOff(now, j, failureBackoff)
 	if m == nil {
 		return
 	}
-	t.avoidMachine(now, j, m.ID, failureAvoidance)
+	avoidMachine(j, m.ID, now.Add(failureAvoidance))
 	if j.ConsecutiveFailures > maxBlamedFailures {
 		return
 	}
 	m.ConsecutiveFailures++
 	if m.ConsecutiveFailures >= maxMachineFailures && !m.Quarantined {
 		m.Quarantined = true
-		t.log.Info("machine drained as faulty", "machine", m.ID, "epoch", t.epoch)
+		t.log.Info("machine quarantined", "machine", m.ID, "epoch", t.epoch)
+	}
+}
+
+// gangFailed backs a gang off that was not complete in time or has lost a task, once for an attempt. No machine is blamed:
+// which of them is at fault is not known.
+func gangFailed(now clock.Instant, p *jobs.Placement) {
+	j := p.Job
+	if p.Attempt <= j.LastFailedAttempt {
+		return
 	}
+	j.LastFailedAttempt = p.Attempt
+	backOff(now, j, gangBackoff)
 }
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -56,15 +56,17 @@
 func (JobReply) effect()      {}
 func (ReadJobRecord) effect() {}
 
-// cancelStoreTimeout bounds how long a cancellation waits for its checkpoint.
+// cancelStoreTimeout bounds how long a cancel request waits for the checkpoint of its job.
 const cancelStoreTimeout = 1500 * time.Millisecond
 
+// jobChanged has the record of a job read that was stored since the records were.
 func (t *term) jobChanged(in JobChanged) {
 	if t.recovery.loaded {
 		t.jobs.changed(in.Job, in.ModRevision)
 	}
 }
 
+// jobRecordRead adds a job by its record, or follows a record that is newer than known.
 func (t *term) jobRecordRead(now clock.Instant, in JobRecordRead) {
 	t.jobs.readCompleted(in.Job)
 	if !t.recovery.loaded || !in.OK || in.Item.ModRevision == 0 {
@@ -78,8 +80,8 @@
 	if j.FoldInFlight || in.Item.ModRevision <= j.Stored.ModRevision {
 		return
 	}
-	// Only we change records, under the guard of our epoch: this is a write
-	// of ours whose answer was lost. Write again, on top of it.
+	// Only this leader changes records, under the condition of its epoch: this is a write of its own whose answer was lost.
+	// Write again, on top of it.
 	t.metrics.CASConflicts.Inc()
 	j.Stored.ModRevision, j.Stored.ChunkOffset = in.Item.ModRevision, 0
 	if r, err := jobs.Decode(in.Item.Value); err == nil {
@@ -88,7 +90,7 @@
 	j.MarkDirty(now)
 }
 
-// acceptJob takes in a job that was stored since this leader read the records.
+// acceptJob adds a job that was stored since this leader read the records.
 func (t *term) acceptJob(now clock.Instant, in JobRecordRead) {
 	stored, err := recovery.DecodeJob(in.Job, in.Item, func(n int) []byte { return in.Chunks[n] })
 	if err != nil {
@@ -100,23 +102,22 @@
 	t.log.Info("job accepted", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
 }
 
-// adoptStoredRecord takes in what a record says, read without its parts, that a write
-// of this leader has stored.
-func (t *term) adoptStoredRecord(now clock.Instant, j *jobs.Job, r *jobs.Record) {
-	if r.ChunkInfo != nil {
-		j.Stored.ChunkOffset = r.ChunkInfo.Offset
+// adoptStoredRecord takes over the head of a record that a write of this leader has stored.
+func (t *term) adoptStoredRecord(now clock.Instant, j *jobs.Job, head *jobs.Record) {
+	if head.ChunkInfo != nil {
+		j.Stored.ChunkOffset = head.ChunkInfo.Offset
 	}
-	if !r.Phase.Final() {
+	if !head.Phase.Final() {
 		return
 	}
 	if !j.Phase.Final() {
-		j.Phase, j.Queue = r.Phase, nil
+		j.Phase, j.Queue = head.Phase, nil
 		t.stopCancelledTasks(now, j)
 	}
-	j.Stored.Phase = r.Phase
+	j.Stored.Phase = head.Phase
 }
 
-// handleJobRequest answers a poll, or begins a cancellation.
+// handleJobRequest answers a status query, or begins a cancellation.
 func (t *term) handleJobRequest(now clock.Instant, in JobRequest) {
 	j := t.jobs.get(in.Job)
 	if j == nil {
@@ -141,13 +142,13 @@
 	t.rounds.requestPlan()
 }
 
-// isFinalPhaseInFlight tells whether the end of a job is being stored, and may be already:
-// where the answer to the write is late or lost, another node may have read it and
-// told its user. Only the record itself can tell then.
+// isFinalPhaseInFlight tells whether the end of a job is being stored, and may be already: where the answer to the write is
+// late or lost, another node may have read it and told its user. Only the record itself can tell then.
 func isFinalPhaseInFlight(j *jobs.Job) bool {
 	return j.FoldInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
 }
 
+// stopCancelledTasks stops the tasks of a job if it is cancelled, but for those whose start is being recorded.
 func (t *term) stopCancelledTasks(now clock.Instant, j *jobs.Job) {
 	if j.Phase != jobs.PhaseCancelled {
 		return
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -9,9 +9,16 @@
 	"badgerbay/internal/ident"
 )
 
-// machinesPageListed takes in a page of the machine list, and the list once it is whole.
-// Absence proves that a machine is gone only if it was listed before, so long ago
-// that even an old list would show it.
+const (
+	// goneMargin, neverListedMargin and removedRetention are added to the lag of the machine list: to the time after which
+	// a machine that is no longer listed, or was never, counts as gone, and to that for which a removed one is remembered.
+	goneMargin        = 3 * time.Second
+	neverListedMargin = 10 * time.Second
+	removedRetention  = 10 * time.Minute
+)
+
+// machinesPageListed takes in a page of the machine list, and the list once it is complete. Absence proves that a machine
+// is gone only if it was listed before, so long ago that even an old list would show it.
 func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
 	list, complete := t.provisioner.addPage(now, in.Page)
 	if !complete {
@@ -25,26 +32,26 @@
 			t.observeListed(now, list.RequestedAt, l)
 		}
 	}
-	t.fleet.PruneRemoved(now, 10*lag+10*time.Minute)
+	t.fleet.PruneRemoved(now, 10*lag+removedRetention)
 	for _, m := range t.fleet.Machines() {
 		if seen[m.ID] {
 			continue
 		}
-		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+3*time.Second
-		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+10*time.Second
+		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+goneMargin
+		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+neverListedMargin
 		if gone || never {
-			t.log.Info("machine gone", "machine", m.ID, "epoch", t.epoch)
+			t.log.Info("machine disappeared", "machine", m.ID, "epoch", t.epoch)
 			t.removeMachine(now, m)
 		}
 	}
 }
 
 func (t *term) removeMachine(now clock.Instant, m *fleet.Machine) {
-	id := m.ID
-	t.tasksEnded(now, t.fleet.Remove(now, id))
+	t.tasksEnded(now, t.fleet.Remove(now, m.ID))
 	t.rounds.requestPlan()
 }
 
+// observeListed takes in a machine of a list that was requested at sent.
 func (t *term) observeListed(now, sent clock.Instant, l cloud.Machine) {
 	known := t.fleet.Machine(l.ID) != nil
 	m := t.fleet.Ensure(now, l.ID)
@@ -66,21 +73,20 @@
 	}
 }
 
-// adoptSnapshot takes in the machines that this node listed as a standby, so that they can
-// be asked before the list is read anew: at 4,000 machines that takes eight calls, and
-// 4 s where the cloud takes two a second; see knowsMachines.
-func (t *term) adoptSnapshot(now clock.Instant, known MachineSnapshot) {
-	for _, l := range known.Machines {
+// adoptSnapshot takes in the machines that this node listed as a standby, so that their heartbeats can be requested before
+// the list is read anew: at 4,000 machines that takes eight calls, and 4 s where the cloud takes two a second; see
+// knowsAllMachines.
+func (t *term) adoptSnapshot(now clock.Instant, snapshot MachineSnapshot) {
+	for _, l := range snapshot.Machines {
 		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, known.RequestedAt, l)
+			t.observeListed(now, snapshot.RequestedAt, l)
 			t.recovery.hinted = true
 		}
 	}
 }
 
-// knowsAllMachines tells whether machines may be rented by what is known of those there
-// are: a list that was read as a standby is too old for that, unless the new one is
-// late.
+// knowsAllMachines tells whether machines may be requested by what is known of those there are: a list that was read as a
+// standby is too old for that, unless the new one is late.
 func (t *term) knowsAllMachines(now clock.Instant) bool {
 	return t.provisioner.hasListed() || !t.recovery.hinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -5,13 +5,15 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
 	"badgerbay/internal/clock"
-
 	"badgerbay/internal/connlimit"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/standby"
 )
 
-// Metrics are the signals that the paper says to watch, each on its own.
+// metricsNamespace begins the name of every metric.
+const metricsNamespace = "badgerbay"
+
+// Metrics are the signals of one node, on a registry of their own. They may be used concurrently.
 type Metrics struct {
 	Registry            *prometheus.Registry
 	EpochChanges        prometheus.Counter
@@ -53,51 +55,51 @@
 func NewMetrics() *Metrics {
 	m := &Metrics{Registry: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
-		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: "badgerbay", Name: name, Help: help})
+		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
 		m.Registry.MustRegister(c)
 		return c
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "badgerbay", Name: name, Help: help})
+		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help})
 		m.Registry.MustRegister(g)
 		return g
 	}
 	vec := func(name, help, label string) *prometheus.CounterVec {
-		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "badgerbay", Name: name, Help: help}, []string{label})
+		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help}, []string{label})
 		m.Registry.MustRegister(c)
 		return c
 	}
-	m.EpochChanges = counter("epoch_changes_total", "Epochs gained, lost or raised by this node.")
-	m.CASConflicts = counter("cas_conflicts_total", "Checkpoint writes whose version did not match.")
-	m.Recoveries = counter("recoveries_total", "Times this node took over and reconciled.")
-	m.Rounds = counter("rounds_total", "Rounds recorded.")
-	m.Folds = counter("folds_total", "Folds written.")
-	m.StartRefusals = counter("launch_refusals_total", "Launches that workers refused.")
-	m.Preemptions = counter("preemptions_total", "Tasks stopped to make room.")
+	m.EpochChanges = counter("epoch_changes_total", "Epochs gained, lost or advanced by this node.")
+	m.CASConflicts = counter("cas_conflicts_total", "Checkpoint writes whose revision did not match.")
+	m.Recoveries = counter("recoveries_total", "Failovers to this node that were reconciled.")
+	m.Rounds = counter("rounds_total", "Scheduling rounds recorded.")
+	m.Folds = counter("folds_total", "Folds of checkpoints written.")
+	m.StartRefusals = counter("launch_refusals_total", "Task starts that workers refused.")
+	m.Preemptions = counter("preemptions_total", "Tasks preempted or stopped to drain a machine.")
 	m.Throttled = counter("throttled_total", "Requests that the state service or the cloud throttled.")
 	m.UncertainOutcomes = counter("uncertain_operations_total", "Requests whose outcome had to be read back.")
-	m.MalformedBatches = counter("bad_batches_total", "Batches of other nodes, and answers to ours, that could not be read.")
-	m.UnreadableRecords = counter("unreadable_records_total", "Records that a leader could not read.")
+	m.MalformedBatches = counter("bad_batches_total", "Relay batches and replies of other nodes that could not be decoded.")
+	m.UnreadableRecords = counter("unreadable_records_total", "Records that a leader could not decode.")
 	m.OversizedRecords = counter("too_large_total", "Records and transactions that were too large for the state service.")
-	m.OutdatedNodes = gauge("nodes_behind", "Nodes that have not said lately that they have this version; at a leader.")
-	m.Stalls = counter("stood_still_total", "Times this node took no step for half a second or more.")
-	m.DelegatedRenewals = counter("kept_reports_total", "Reports answered by a grant while this node was cut off.")
-	m.RelayedHeartbeats = counter("relayed_reports_total", "Reports of cut-off workers answered through the state service.")
-	m.UserResponses = vec("user_answers_total", "Answers to users by status.", "code")
-	m.HeartbeatResponses = vec("report_answers_total", "Answers to workers by status.", "code")
-	m.CheckpointAge = gauge("checkpoint_age_seconds", "Age of the oldest change that is not stored.")
-	m.PendingPlacements = gauge("pending_placements", "Placements recorded and not seen on their machine.")
-	m.UncertainProvisions = gauge("uncertain_hires", "Rentals whose outcome is not known.")
-	m.QueuedTasks = gauge("queued_tasks", "Tasks waiting for a place.")
+	m.OutdatedNodes = gauge("nodes_behind", "Nodes that have not reported this schema version lately; at a leader.")
+	m.Stalls = counter("stood_still_total", "Stalls of this node of half a second or more.")
+	m.DelegatedRenewals = counter("kept_reports_total", "Heartbeats answered by a delegated grant while this node was isolated.")
+	m.RelayedHeartbeats = counter("relayed_reports_total", "Heartbeats of isolated workers answered through the state service.")
+	m.UserResponses = vec("user_answers_total", "Responses to users by status code.", "code")
+	m.HeartbeatResponses = vec("report_answers_total", "Responses to heartbeats by status code.", "code")
+	m.CheckpointAge = gauge("checkpoint_age_seconds", "Age of the oldest change that is in no checkpoint.")
+	m.PendingPlacements = gauge("pending_placements", "Placements recorded that no heartbeat has shown.")
+	m.UncertainProvisions = gauge("uncertain_hires", "Provision requests whose outcome is unknown.")
+	m.QueuedTasks = gauge("queued_tasks", "Tasks waiting for a machine.")
 	m.Machines = gauge("machines", "Machines known.")
 	m.FreeRoundSlots = gauge("round_slots_free", "Free slots of the ring of round records.")
-	m.Tombstones = gauge("tombstones", "Exits that wait to be reaped.")
+	m.Tombstones = gauge("tombstones", "Exits of tasks that wait to be forgotten.")
 	m.Epoch = gauge("epoch", "Epoch of this node, 0 if it does not lead.")
-	m.WarmFailovers = counter("warm_takeovers_total", "Times this node took over with its replica of the records.")
-	m.ColdFailovers = counter("cold_takeovers_total", "Times a standby took over and had to read all records.")
+	m.WarmFailovers = counter("warm_takeovers_total", "Failovers to this node by its replica of the records.")
+	m.ColdFailovers = counter("cold_takeovers_total", "Failovers to this node, as a standby, that had to read all records.")
 	m.StandbyReady = gauge("standby_ready", "1 while this node's replica of the records is complete.")
-	m.StandbyLag = gauge("standby_lag_seconds", "Time since the last whole look at the changes of the records.")
-	m.StandbyLagRecords = gauge("standby_lag_records", "Changes that the last look found and the replica lacked.")
+	m.StandbyLag = gauge("standby_lag_seconds", "Time since the last complete sync of the replica.")
+	m.StandbyLagRecords = gauge("standby_lag_records", "Changes that the last sync found and the replica lacked.")
 	m.StandbyRecords = gauge("standby_records", "Records in the replica.")
 	m.StandbyBytes = gauge("standby_bytes", "Bytes of the records in the replica.")
 	m.Registry.MustRegister(collectors.NewGoCollector()) // threads, goroutines, memory
@@ -107,7 +109,7 @@
 // RegisterConnections adds the connections of workers and users.
 func (m *Metrics) RegisterConnections(limited *connlimit.Listener) {
 	watch := func(name, help string, of func(connlimit.Stats) int) {
-		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "badgerbay", Name: name, Help: help},
+		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help},
 			func() float64 { return float64(of(limited.Stats())) }))
 	}
 	watch("connections", "Connections of workers, users and those who have said nothing.", func(s connlimit.Stats) int { return s.Open })
@@ -132,8 +134,17 @@
 
 // observeTerm sets the gauges of a leader.
 func (m *Metrics) observeTerm(t *term, now clock.Instant) {
+	m.observeJobs(t.jobs, now)
+	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
+	m.Machines.Set(float64(t.fleet.Len()))
+	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
+	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
+	m.Epoch.Set(float64(t.epoch))
+}
+
+func (m *Metrics) observeJobs(table *jobTable, now clock.Instant) {
 	age, pending, queued := 0.0, 0, 0
-	for j := range t.jobs.all() {
+	for j := range table.all() {
 		if j.Dirty() {
 			age = max(age, now.Sub(j.DirtySince).Seconds())
 		}
@@ -147,9 +158,4 @@
 	m.CheckpointAge.Set(age)
 	m.PendingPlacements.Set(float64(pending))
 	m.QueuedTasks.Set(float64(queued))
-	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
-	m.Machines.Set(float64(t.fleet.Len()))
-	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
-	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
-	m.Epoch.Set(float64(t.epoch))
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -71,8 +71,7 @@
 	t.log.Info("checkpoints read", "epoch", t.epoch, "jobs", t.jobs.len(), "open_rounds", len(open))
 }
 
-// reportUnreadable handles a record that can't be read. One of a later schema stops
-// the node.
+// reportUnreadable handles a record that can't be decoded. One of a newer schema stops the node.
 func (t *term) reportUnreadable(u recovery.UnreadableRecord) {
 	t.metrics.UnreadableRecords.Inc()
 	t.log.Error("record unreadable", "key", u.Key, "err", u.Err, "epoch", t.epoch)
@@ -81,7 +80,7 @@
 	}
 }
 
-// addJob takes in a job record with the placements it holds.
+// addJob adds a job by its record, with the placements it holds.
 func (t *term) addJob(now clock.Instant, stored recovery.JobRecord) {
 	j := t.jobs.add(now, stored)
 	for _, g := range stored.Record.Placements {
@@ -90,8 +89,8 @@
 	t.rounds.requestPlan()
 }
 
-// restorePlacements puts placements back that an earlier leader recorded. They may or
-// may not have been launched, under any token below ours.
+// restorePlacements restores placements that an earlier leader recorded. Their tasks may or may not have been started,
+// under any earlier epoch.
 func (t *term) restorePlacements(now clock.Instant, j *jobs.Job, g jobs.PlacementGroup) {
 	m := t.fleet.Ensure(now, g.Machine)
 	m.Confirmed = true
@@ -104,8 +103,8 @@
 			if old.Attempt > g.Attempt {
 				continue
 			}
-			// The later was decided when the earlier was over: another attempt, or
-			// a replacement in a gang's. Rounds are replayed in their order.
+			// The later was decided when the earlier had ended: another attempt, or a replacement within a gang's. Rounds are
+			// replayed in their order.
 			t.fleet.Retract(now, old)
 		}
 		p := &jobs.Placement{Job: j, Task: i, Machine: g.Machine, Session: g.Session,
@@ -117,12 +116,11 @@
 	}
 }
 
-// maxInquiriesPerStep bounds the machines that are asked in one step.
+// maxInquiriesPerStep bounds the machines whose heartbeats are requested in one step.
 const maxInquiriesPerStep = 100
 
-// inquireMachines asks the machines that the cloud lists for their reports, where there
-// is a warm standby: workers that wait for an answer of the lost leader come by
-// themselves only when they have given it up.
+// inquireMachines requests heartbeats of the machines that the cloud lists, where there is a warm standby: workers that
+// wait for an answer of the lost leader come by themselves only when they have given it up.
 func (t *term) inquireMachines(now clock.Instant) {
 	if t.recovery.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.recovery.hinted {
 		return
@@ -134,7 +132,7 @@
 	t.recovery.poll.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
 
-// openScheduling lets placing begin once enough is known of what earlier leaders did.
+// openScheduling lets scheduling begin once enough is known of what earlier leaders did.
 func (t *term) openScheduling(now clock.Instant) {
 	if t.recovery.schedulingOpen {
 		return
