--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -97,7 +97,7 @@
 	c.detectStall(now)
 	c.handle(now, in)
 	if isFrequent(in) {
-		if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
+		if c.term != nil && c.term.recovery.isLoaded() && c.election.LeaseValid(now) {
 			c.term.pushCommands(now)
 		}
 		return c.effects
@@ -240,7 +240,7 @@
 }
 
 func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
-	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.loaded {
+	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.isLoaded() {
 		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
 		return
 	}
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -94,7 +94,7 @@
 // resignation, whatever its lease allows.
 func (c *Core) grantOwnDelegation(now clock.Instant, epoch ident.Epoch) {
 	base := min(c.election.LastLeaseDeadline(), now)
-	if !c.term.recovery.loaded || base == 0 || base == c.delegate.GrantRequestedAt() {
+	if !c.term.recovery.isLoaded() || base == 0 || base == c.delegate.GrantRequestedAt() {
 		return
 	}
 	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
@@ -124,7 +124,7 @@
 // right to renew leases should it be isolated.
 func (c *Core) handleDelegationRequest(now clock.Instant, in DelegationRequest) {
 	var status leasedelegation.Status
-	if c.term != nil && c.term.recovery.loaded && c.election.LeaseValid(now) {
+	if c.term != nil && c.term.recovery.isLoaded() && c.election.LeaseValid(now) {
 		status = c.term.delegationGrant(c.election.Epoch())
 		if status.GrantDuration > 0 {
 			status.GrantDuration = c.term.delegations.Grant(now, in.Node)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -141,7 +141,7 @@
 		t.core.stepElection(now, election.LeadershipLost{})
 		t.refuseHeartbeat(in)
 		return
-	case !t.recovery.loaded:
+	case !t.recovery.isLoaded():
 		t.deferred.add(now, in)
 		return
 	case t.fleet.WasRemoved(in.Heartbeat.Machine):
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -61,7 +61,7 @@
 
 // jobChanged has the record of a job read that was stored since the records were.
 func (t *term) jobChanged(in JobChanged) {
-	if t.recovery.loaded {
+	if t.recovery.isLoaded() {
 		t.jobs.changed(in.Job, in.ModRevision)
 	}
 }
@@ -69,7 +69,7 @@
 // jobRecordRead adds a job by its record, or follows a record that is newer than known.
 func (t *term) jobRecordRead(now clock.Instant, in JobRecordRead) {
 	t.jobs.readCompleted(in.Job)
-	if !t.recovery.loaded || !in.OK || in.Item.ModRevision == 0 {
+	if !t.recovery.isLoaded() || !in.OK || in.Item.ModRevision == 0 {
 		return
 	}
 	j := t.jobs.get(in.Job)
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -72,21 +72,3 @@
 		t.rounds.requestPlan()
 	}
 }
-
-// adoptSnapshot takes in the machines that this node listed as a standby, so that their heartbeats can be requested before
-// the list is read anew: at 4,000 machines that takes eight calls, and 4 s where the cloud takes two a second; see
-// knowsAllMachines.
-func (t *term) adoptSnapshot(now clock.Instant, snapshot MachineSnapshot) {
-	for _, l := range snapshot.Machines {
-		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, snapshot.RequestedAt, l)
-			t.recovery.hinted = true
-		}
-	}
-}
-
-// knowsAllMachines tells whether machines may be requested by what is known of those there are: a list that was read as a
-// standby is too old for that, unless the new one is late.
-func (t *term) knowsAllMachines(now clock.Instant) bool {
-	return t.provisioner.hasListed() || !t.recovery.hinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
-}
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -16,7 +16,7 @@
 
 // scheduleIfDue plans a round, if one is due, and writes its record.
 func (t *term) scheduleIfDue(now clock.Instant) {
-	if !t.recovery.schedulingOpen || !t.quotas.isReady() || t.core.election.AdvancingEpoch() {
+	if !t.recovery.isSchedulingOpen() || !t.quotas.isReady() || t.core.election.AdvancingEpoch() {
 		return
 	}
 	no, due := t.rounds.beginIfDue(now)
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -253,7 +253,7 @@
 // handleQuotaStatusRequest tells an operator how the teams stand, if this node leads.
 func (c *Core) handleQuotaStatusRequest(now clock.Instant, in QuotaStatusRequest) {
 	reply := QuotaStatusReply{Responder: in.Responder}
-	if c.term != nil && c.term.recovery.loaded {
+	if c.term != nil && c.term.recovery.isLoaded() {
 		reply.Teams = c.term.quotas.status(now, c.term.jobs)
 	}
 	c.emit(reply)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -42,6 +42,12 @@
 	poll           recovery.HeartbeatPoll
 }
 
+// isLoaded tells whether the records are read.
+func (r *recoveryProgress) isLoaded() bool { return r.loaded }
+
+// isSchedulingOpen tells whether enough is known to place tasks.
+func (r *recoveryProgress) isSchedulingOpen() bool { return r.schedulingOpen }
+
 // recordsRead takes in all records, as the successor of whoever led before.
 func (t *term) recordsRead(now clock.Instant, in RecordsRead) {
 	if in.Epoch != t.epoch || t.recovery.loaded {
@@ -132,6 +138,24 @@
 	t.recovery.poll.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
 }
 
+// adoptSnapshot takes in the machines that this node listed as a standby, so that their heartbeats can be requested before
+// the list is read anew: at 4,000 machines that takes eight calls, and 4 s where the cloud takes two a second; see
+// knowsAllMachines.
+func (t *term) adoptSnapshot(now clock.Instant, snapshot MachineSnapshot) {
+	for _, l := range snapshot.Machines {
+		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
+			t.observeListed(now, snapshot.RequestedAt, l)
+			t.recovery.hinted = true
+		}
+	}
+}
+
+// knowsAllMachines tells whether machines may be requested by what is known of those there are: a list that was read as a
+// standby is too old for that, unless the new one is late.
+func (t *term) knowsAllMachines(now clock.Instant) bool {
+	return t.provisioner.hasListed() || !t.recovery.hinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
+}
+
 // openScheduling lets scheduling begin once enough is known of what earlier leaders did.
 func (t *term) openScheduling(now clock.Instant) {
 	if t.recovery.schedulingOpen {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -105,7 +105,7 @@
 
 // advance does whatever is due.
 func (t *term) advance(now clock.Instant) {
-	if !t.recovery.loaded {
+	if !t.recovery.isLoaded() {
 		t.deferred.refuseOverdue(now)
 		return
 	}
