--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -10,14 +10,18 @@
 // emits it.
 type Effect interface{ effect() }
 
-// Reply is an effect that answers a request. Deliver hands the answer to whoever made the request.
+// Reply is an effect that answers a request.
 type Reply interface {
 	Effect
+	// Deliver hands the answer to whoever made the request.
 	Deliver()
 }
 
 // Responder receives the answer to one request. The core hands it back within the reply and never calls it.
-type Responder[T any] interface{ Respond(T) }
+type Responder[T any] interface {
+	// Respond takes the answer. It must not block.
+	Respond(answer T)
+}
 
 // ResponderFunc is a function that serves as a Responder.
 type ResponderFunc[T any] func(T)
