--- /dev/null
+++ b/internal/controller/commands.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"badgerbay/internal/clock"
+	"badgerbay/internal/election"
+	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+)
+
+// CommandsAcknowledged is what came of a SendCommands.
+type CommandsAcknowledged struct {
+	Machine   ident.MachineID
+	Epoch     ident.Epoch
+	Heartbeat *fleet.Heartbeat // nil: no answer
+}
+
+// SendCommands is the effect that sends commands to a worker without waiting for its next heartbeat.
+type SendCommands struct {
+	Machine  ident.MachineID
+	Addr     string
+	Epoch    ident.Epoch
+	Session  ident.Session
+	Commands []fleet.Command
+}
+
+func (CommandsAcknowledged) input() {}
+func (SendCommands) effect()        {}
+
+// commandsAcknowledged takes in the heartbeat by which a worker answers commands.
+func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
+	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
+	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
+		return
+	}
+	if in.Heartbeat.FencingToken > t.epoch && in.Epoch == t.epoch {
+		t.core.stepElection(now, election.LeadershipLost{})
+		return
+	}
+	t.monitor.noteRegained(now, t.acquiredAt, t.fleet.Machine(in.Machine))
+	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
+	if !changes.Stale {
+		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
+	}
+}
+
+// probeSilentMachines sends commands to machines that have missed a heartbeat.
+func (t *term) probeSilentMachines(now clock.Instant) {
+	for _, m := range t.fleet.ClaimProbes(now) {
+		t.sendCommands(m, t.fleet.Commands(m, false))
+	}
+}
+
+// pushCommands sends commands to the machines for which some are due.
+func (t *term) pushCommands(now clock.Instant) {
+	for _, m := range t.fleet.ClaimDueCommands() {
+		commands := t.fleet.Commands(m, false)
+		if len(commands) == 0 {
+			t.fleet.FinishCommand(now, m.ID, true)
+			continue
+		}
+		t.sendCommands(m, commands)
+	}
+}
+
+func (t *term) sendCommands(m *fleet.Machine, commands []fleet.Command) {
+	t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: commands})
+}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"time"
 
-	"badgerbay/internal/api"
 	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
 	"badgerbay/internal/election"
@@ -210,39 +209,3 @@
 		}
 	}
 }
-
-func (c *Core) setMachineTypes(in MachineTypesRead) {
-	if in.Types == nil {
-		return
-	}
-	c.machineTypes = in.Types
-	if c.term != nil {
-		c.term.fleet.SetMachineTypes(in.Types)
-		c.term.rounds.requestPlan()
-	}
-}
-
-// handleHeartbeat answers a worker. A node without a valid lease of its own must not renew the worker's, so that leases
-// really expire: it names the leader, or refuses.
-func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	if !c.election.LeaseValid(now) || c.term == nil {
-		if in.RelayedBy == "" && c.answerDelegated(now, in) {
-			return
-		}
-		reply := HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.Leader()}
-		if c.election.IsLeader() {
-			reply.Outcome = HeartbeatUnavailable
-		}
-		c.emit(reply)
-		return
-	}
-	c.term.handleHeartbeat(now, in)
-}
-
-func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
-	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.isLoaded() {
-		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
-		return
-	}
-	c.term.handleJobRequest(now, in)
-}
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -77,7 +77,8 @@
 			m.LastRenewal = max(m.LastRenewal, now)
 		}
 		c.metrics.DelegatedRenewals.Inc()
-		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: c.delegate.GrantEpoch(), ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
+		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: c.delegate.GrantEpoch(),
+			ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
 	case leasedelegation.RedirectOutside:
 		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.probeNode, Final: true})
 	case leasedelegation.RefuseHeartbeat:
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -86,7 +86,8 @@
 }
 
 // foldOf makes one transaction of the checkpoints of jobs, as many as fit into it.
-func (w *checkpointWriter) foldOf(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job, maxOps int) (*foldInFlight, kvstore.Txn) {
+func (w *checkpointWriter) foldOf(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job,
+	maxOps int) (*foldInFlight, kvstore.Txn) {
 	fold := &foldInFlight{}
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(epoch)}}
 	size := 0
@@ -109,7 +110,8 @@
 
 // operations store the checkpoint of a job: its record and its chunks. One that is too large for a transaction is
 // staged, or tried again a little later; it keeps no others from their turn.
-func (w *checkpointWriter) operations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
+func (w *checkpointWriter) operations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement,
+	j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
 	record := j.Record(epoch)
 	head, chunks, err := record.Split(schema.storeLimits().MaxValueBytes(), schema.maxJobValues(), kvstore.JSONSize)
 	if err != nil {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -45,29 +45,11 @@
 	Final bool
 }
 
-// CommandsAcknowledged is what came of a SendCommands.
-type CommandsAcknowledged struct {
-	Machine   ident.MachineID
-	Epoch     ident.Epoch
-	Heartbeat *fleet.Heartbeat // nil: no answer
-}
-
-// SendCommands is the effect that sends commands to a worker without waiting for its next heartbeat.
-type SendCommands struct {
-	Machine  ident.MachineID
-	Addr     string
-	Epoch    ident.Epoch
-	Session  ident.Session
-	Commands []fleet.Command
-}
-
 // Deliver hands the reply to whoever sent the heartbeat.
 func (r HeartbeatReply) Deliver() { r.Responder.Respond(r) }
 
-func (HeartbeatReceived) input()    {}
-func (CommandsAcknowledged) input() {}
-func (HeartbeatReply) effect()      {}
-func (SendCommands) effect()        {}
+func (HeartbeatReceived) input() {}
+func (HeartbeatReply) effect()   {}
 
 // heartbeatDeferral bounds how long a heartbeat waits for the records: its worker waits for the answer.
 const heartbeatDeferral = 1500 * time.Millisecond
@@ -131,6 +113,23 @@
 	}
 }
 
+// handleHeartbeat answers a worker. A node without a valid lease of its own must not renew the worker's, so that leases
+// really expire: it names the leader, or refuses.
+func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
+	if !c.election.LeaseValid(now) || c.term == nil {
+		if in.RelayedBy == "" && c.answerDelegated(now, in) {
+			return
+		}
+		reply := HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.Leader()}
+		if c.election.IsLeader() {
+			reply.Outcome = HeartbeatUnavailable
+		}
+		c.emit(reply)
+		return
+	}
+	c.term.handleHeartbeat(now, in)
+}
+
 // handleHeartbeat takes in a heartbeat and answers it.
 func (t *term) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	validUntil := t.core.election.LeaseValidUntil()
@@ -159,24 +158,8 @@
 	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat); !changes.Stale {
 		t.applyChanges(now, m, changes)
 	}
-	t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: t.epoch, Commands: t.fleet.Commands(m, true), ValidUntil: validUntil})
-}
-
-// commandsAcknowledged takes in the heartbeat by which a worker answers commands.
-func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
-	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
-	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
-		return
-	}
-	if in.Heartbeat.FencingToken > t.epoch && in.Epoch == t.epoch {
-		t.core.stepElection(now, election.LeadershipLost{})
-		return
-	}
-	t.monitor.noteRegained(now, t.acquiredAt, t.fleet.Machine(in.Machine))
-	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
-	if !changes.Stale {
-		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
-	}
+	t.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: t.epoch,
+		Commands: t.fleet.Commands(m, true), ValidUntil: validUntil})
 }
 
 // applyChanges follows what a heartbeat brought.
@@ -209,26 +192,3 @@
 		t.fleet.StopPlacement(now, p, gracePeriod)
 	}
 }
-
-// probeSilentMachines sends commands to machines that have missed a heartbeat.
-func (t *term) probeSilentMachines(now clock.Instant) {
-	for _, m := range t.fleet.ClaimProbes(now) {
-		t.sendCommands(m, t.fleet.Commands(m, false))
-	}
-}
-
-// pushCommands sends commands to the machines for which some are due.
-func (t *term) pushCommands(now clock.Instant) {
-	for _, m := range t.fleet.ClaimDueCommands() {
-		commands := t.fleet.Commands(m, false)
-		if len(commands) == 0 {
-			t.fleet.FinishCommand(now, m.ID, true)
-			continue
-		}
-		t.sendCommands(m, commands)
-	}
-}
-
-func (t *term) sendCommands(m *fleet.Machine, commands []fleet.Command) {
-	t.emit(SendCommands{Machine: m.ID, Addr: m.Addr, Epoch: t.epoch, Session: m.Session, Commands: commands})
-}
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -117,6 +117,15 @@
 	j.Stored.Phase = head.Phase
 }
 
+// handleJobRequest answers a user, if this node may act as leader.
+func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
+	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.isLoaded() {
+		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
+		return
+	}
+	c.term.handleJobRequest(now, in)
+}
+
 // handleJobRequest answers a status query, or begins a cancellation.
 func (t *term) handleJobRequest(now clock.Instant, in JobRequest) {
 	j := t.jobs.get(in.Job)
@@ -125,20 +134,24 @@
 		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
 		return
 	}
-	if !in.Cancel && isFinalPhaseInFlight(j) {
+	switch {
+	case in.Cancel && !j.Stored.Phase.Final():
+		t.cancel(now, j, in.Responder)
+	case !in.Cancel && isFinalPhaseInFlight(j):
 		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobNotFound})
-		return
-	}
-	if !in.Cancel || j.Stored.Phase.Final() {
+	default:
 		t.emit(JobReply{Responder: in.Responder, Outcome: api.JobFound, Status: api.StatusOfJob(j), ValidUntil: t.core.election.LeaseValidUntil()})
-		return
 	}
+}
+
+// cancel cancels a job. The answer waits until the cancellation is stored.
+func (t *term) cancel(now clock.Instant, j *jobs.Job, responder Responder[JobReply]) {
 	if !j.Phase.Final() {
 		t.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
 	}
 	j.Cancel(now)
 	t.stopCancelledTasks(now, j)
-	t.jobs.awaitCancellation(now, j.ID, in.Responder)
+	t.jobs.awaitCancellation(now, j.ID, responder)
 	t.rounds.requestPlan()
 }
 
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -40,8 +40,9 @@
 
 func (t *term) evict(now clock.Instant, evictions []scheduler.Eviction) {
 	for _, e := range evictions {
-		t.log.Debug("task preempted", "job", e.Placement.Job.ID, "task", e.Placement.Task, "machine", e.Placement.Machine, "for", e.Preemptor, "epoch", t.epoch)
-		t.fleet.StopPlacement(now, e.Placement, clock.Seconds(e.Placement.Job.Spec.CheckpointSeconds))
+		p := e.Placement
+		t.log.Debug("task preempted", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "for", e.Preemptor, "epoch", t.epoch)
+		t.fleet.StopPlacement(now, p, clock.Seconds(p.Job.Spec.CheckpointSeconds))
 		t.metrics.Preemptions.Inc()
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -203,3 +203,15 @@
 	}
 	t.rounds.requestPlan()
 }
+
+// setMachineTypes takes in the machine types, if they could be read.
+func (c *Core) setMachineTypes(in MachineTypesRead) {
+	if in.Types == nil {
+		return
+	}
+	c.machineTypes = in.Types
+	if c.term != nil {
+		c.term.fleet.SetMachineTypes(in.Types)
+		c.term.rounds.requestPlan()
+	}
+}
