--- a/cmd/badgerbay/commandline_test.go
+++ b/cmd/badgerbay/commandline_test.go
@@ -42,7 +42,7 @@
 	answer := map[string]any{"method": r.Method, "url": r.URL.String(), "contentType": r.Header.Get("Content-Type")}
 	if len(body) > 0 {
 		var sent any
-		if err := msgpack.Unmarshal(body, &sent); err != nil {
+		if err = msgpack.Unmarshal(body, &sent); err != nil {
 			return nil, err
 		}
 		answer["body"] = sent
@@ -115,7 +115,7 @@
 	}
 	for _, wrong := range invalidSettings {
 		var settings map[string]any
-		if err := json.Unmarshal(example, &settings); err != nil {
+		if err = json.Unmarshal(example, &settings); err != nil {
 			t.Fatal(err)
 		}
 		path, at := strings.Split(wrong.path, "."), settings
--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -136,7 +136,7 @@
 	}
 	t.Cleanup(func() {
 		for _, p := range c.nodes {
-			c.kill(p)
+			p.kill()
 		}
 	})
 	go c.submit(ctx)
@@ -180,7 +180,8 @@
 	}
 }
 
-func (c *cluster) kill(p *process) {
+// kill ends a node without notice.
+func (p *process) kill() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
@@ -296,7 +297,7 @@
 	c := newCluster(t, script)
 	var took []time.Duration
 	for i := range *failovers {
-		stop, resume := c.kill, func(p *process) { c.start(p, script) }
+		stop, resume := (*process).kill, func(p *process) { c.start(p, script) }
 		if i%2 == 1 {
 			stop = func(p *process) { c.signal(p, syscall.SIGSTOP) }
 			resume = func(p *process) { c.signal(p, syscall.SIGCONT) }
--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -119,9 +119,9 @@
 		t.Fatalf("%d chunks, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
 	}
 	stored := func(v any) []byte {
-		data, err := msgpack.Marshal(v)
-		if err != nil {
-			t.Fatal(err)
+		data, encodeErr := msgpack.Marshal(v)
+		if encodeErr != nil {
+			t.Fatal(encodeErr)
 		}
 		return data
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -226,7 +226,7 @@
 			s.place(j, k, ident.MachineID(fmt.Sprintf("host-%d", 1+int(k)/2)))
 		}
 		for _, m := range []ident.MachineID{"host-1", "host-2"} {
-			s.sendHeartbeat(m, j)
+			s.sendHeartbeat(m)
 		}
 		s.addJob("wk-000002", gangSpec(4, 2))
 		if n := len(s.plan().Evictions); n != want {
@@ -291,14 +291,21 @@
 	}
 }
 
+// largestGang returns the spec of the largest gang whose records fit.
+func largestGang(limits config.State) jobs.Spec {
+	spec := gangSpec(1, 3)
+	for roundlog.GangRecordsFit(&spec, 1, 300, limits) {
+		spec.Tasks++
+	}
+	spec.Tasks--
+	return spec
+}
+
 // TestLargestGangIsPlaced: the largest gang that is taken, one task to a machine, is
 // started whole, and its records can be stored; one that is larger is not taken.
 func TestLargestGangIsPlaced(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
-	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; roundlog.GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
-	}
-	spec.Tasks--
+	spec := largestGang(limits)
 	if spec.Tasks < 100 {
 		t.Errorf("the largest gang has %d tasks", spec.Tasks)
 	}
@@ -328,10 +335,7 @@
 // work, however much of that there is: it must not wait for a round of its own.
 func TestLargeGangBesideOthers(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
-	spec := gangSpec(1, 3)
-	for spec.Tasks = 1; roundlog.GangRecordsFit(&spec, 1, 300, limits); spec.Tasks++ {
-	}
-	spec.Tasks--
+	spec := largestGang(limits)
 	for _, others := range []int{5, 20} {
 		s := newFixture(t)
 		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}, "blue": {CPULimit: 4000}}
@@ -372,8 +376,8 @@
 	s.place(array, 0, "host-2")
 	s.place(array, 1, "host-2")
 	s.snapshot.Now = s.snapshot.Now.Add(40 * time.Second)
-	for m, held := range map[ident.MachineID]*jobs.Job{"host-1": j, "host-2": array} {
-		s.sendHeartbeat(m, held)
+	for _, m := range []ident.MachineID{"host-1", "host-2"} {
+		s.sendHeartbeat(m)
 	}
 	s.addJob("wk-000003", taskSpec("blue", jobs.PriorityProd, 1, 2))
 	stops := s.plan().Evictions
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -47,8 +47,8 @@
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10})
 }
 
-// sendHeartbeat has a machine report what it holds of a job, all running.
-func (s *fixture) sendHeartbeat(id ident.MachineID, j *jobs.Job) {
+// sendHeartbeat has a machine report all its tasks as running.
+func (s *fixture) sendHeartbeat(id ident.MachineID) {
 	r := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
 	for _, v := range s.snapshot.Fleet.Machine(id).LivePlacements() {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: v.ID(), Attempt: v.Attempt, State: "running"})
