--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -5,14 +5,13 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 )
 
 func gangSpec(n int, cpus float64) jobs.Spec {
@@ -31,7 +30,7 @@
 }
 
 // TestGangInOneZone: a gang that must be in one zone starts where one holds it
-// whole; room that is spread over zones is none, and is not held either.
+// whole; room that is spread over zones is none, and is not reserved either.
 func TestGangInOneZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(4, 2))
@@ -54,12 +53,12 @@
 		}
 	}
 	if n := len(s.plan().Record.Starts); n == 0 {
-		t.Error("a gang that no zone can hold keeps machines from others")
+		t.Error("a gang that no zone can hold reserves machines")
 	}
 }
 
-// TestGangReservesItsZone: while machines for the rest of a gang may be rented, what
-// is free in its zone is kept for it, and the rest is rented there.
+// TestGangReservesItsZone: while machines for the rest of a gang may be provisioned, what is
+// free in its zone is reserved for it, and the rest is provisioned there.
 func TestGangReservesItsZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(6, 2)) // three machines
@@ -68,11 +67,11 @@
 	plan := s.plan()
 	for _, st := range plan.Record.Starts {
 		if st.Machine != "host-1" || st.Job != later.ID {
-			t.Errorf("start %+v in the zone that is kept for the gang", st)
+			t.Errorf("start %+v in the zone that is reserved for the gang", st)
 		}
 	}
-	if h := plan.Record.Provisions; len(h) != 1 || h[0].Offer.Zone != "b" || plan.ProvisionedFor != "wk-000001" {
-		t.Errorf("rentals %+v for %q, want one in zone b for the gang", h, plan.ProvisionedFor)
+	if p := plan.Record.Provisions; len(p) != 1 || p[0].Offer.Zone != "b" || plan.ProvisionedFor != "wk-000001" {
+		t.Errorf("provisions %+v for %q, want one in zone b for the gang", p, plan.ProvisionedFor)
 	}
 }
 
@@ -96,7 +95,7 @@
 }
 
 // TestGangWithinItsLimit: a gang that would take its team beyond its limit, tasks
-// that are told to stop included, does not start, and holds nothing.
+// that are told to stop included, does not start, and reserves nothing.
 func TestGangWithinItsLimit(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
@@ -131,7 +130,7 @@
 	}
 }
 
-// TestGangIsEvictedWholeOrNot: a gang that is in the way of higher work is stopped
+// TestGangIsEvictedWholeOrNot: a gang that is in the way of higher work is evicted
 // with all its tasks, on whatever machine, and none of equal priority is.
 func TestGangIsEvictedWholeOrNot(t *testing.T) {
 	for _, priority := range []jobs.Priority{jobs.PriorityBestEffort, jobs.PriorityProd} {
@@ -142,24 +141,24 @@
 		s.place(j, 0, "host-1")
 		s.place(j, 1, "host-2")
 		s.addJob("wk-000002", taskSpec("blue", jobs.PriorityProd, 1, 2))
-		stopped := map[ident.TaskIndex]bool{}
-		for _, stop := range s.plan().Evictions {
-			stopped[stop.Placement.Task] = true
+		evicted := map[ident.TaskIndex]bool{}
+		for _, eviction := range s.plan().Evictions {
+			evicted[eviction.Placement.Task] = true
 		}
-		if want := 2 * int(jobs.PriorityProd-priority) / int(jobs.PriorityProd); len(stopped) != want {
-			t.Errorf("priority %d: %d tasks of a gang of two are stopped, want %d", priority, len(stopped), want)
+		if want := 2 * int(jobs.PriorityProd-priority) / int(jobs.PriorityProd); len(evicted) != want {
+			t.Errorf("priority %d: %d tasks of a gang of two are evicted, want %d", priority, len(evicted), want)
 		}
 	}
 }
 
-// TestGangPreemptsForAllOfIt: a higher gang has lower work stopped in one zone, as
-// much as lets all of it start and no more; where that can't be, nothing is stopped.
+// TestGangPreemptsForAllOfIt: a higher gang has lower work evicted in one zone, as much as
+// lets all of it start and no more; where that can't be, nothing is evicted.
 func TestGangPreemptsForAllOfIt(t *testing.T) {
 	for _, c := range []struct {
-		what  string
-		tasks int
-		stops int
-	}{{"one free machine and two tasks stopped", 4, 2}, {"more than the zone holds", 7, 0}} {
+		what      string
+		tasks     int
+		evictions int
+	}{{"one free machine and two tasks evicted", 4, 2}, {"more than the zone holds", 7, 0}} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		s.snapshot.MayProvision = false
 		low := s.addJob("wk-000001", taskSpec("blue", jobs.PriorityBestEffort, 5, 2))
@@ -170,22 +169,22 @@
 		high.Priority = jobs.PriorityHigh
 		s.addJob("wk-000002", high)
 		plan := s.plan()
-		if len(plan.Evictions) != c.stops || len(plan.Record.Starts) > 0 {
-			t.Errorf("%s: %d stops, want %d; starts %+v", c.what, len(plan.Evictions), c.stops, plan.Record.Starts)
+		if len(plan.Evictions) != c.evictions || len(plan.Record.Starts) > 0 {
+			t.Errorf("%s: %d evictions, want %d; starts %+v", c.what, len(plan.Evictions), c.evictions, plan.Record.Starts)
 		}
-		for _, stop := range plan.Evictions {
-			if stop.Placement.Machine == "host-4" {
-				t.Errorf("%s: stopped in another zone", c.what)
+		for _, eviction := range plan.Evictions {
+			if eviction.Placement.Machine == "host-4" {
+				t.Errorf("%s: evicted in another zone", c.what)
 			}
-			stop.Placement.Stopping = true
+			eviction.Placement.Stopping = true
 		}
 		if again := s.plan().Evictions; len(again) > 0 {
-			t.Errorf("%s: %d more are stopped while the first end", c.what, len(again))
+			t.Errorf("%s: %d more are evicted while the first end", c.what, len(again))
 		}
 	}
 }
 
-// TestGangPreemptsWholeGangs: a higher gang stops lower ones, each with all its tasks;
+// TestGangPreemptsWholeGangs: a higher gang preempts lower ones, each with all its tasks;
 // once enough of them yield the rest goes on.
 func TestGangPreemptsWholeGangs(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a", "a")
@@ -202,12 +201,12 @@
 	high := gangSpec(3, 2)
 	high.Priority = jobs.PriorityHigh
 	s.addJob("wk-000009", high)
-	stopped := map[ident.JobID]int{}
-	for _, stop := range s.plan().Evictions {
-		stopped[stop.Placement.Job.ID]++
+	evicted := map[ident.JobID]int{}
+	for _, eviction := range s.plan().Evictions {
+		evicted[eviction.Placement.Job.ID]++
 	}
-	if len(stopped) != 1 || stopped["wk-000001"]+stopped["wk-000002"] != 4 {
-		t.Errorf("stopped %v, want all four tasks of one gang", stopped)
+	if len(evicted) != 1 || evicted["wk-000001"]+evicted["wk-000002"] != 4 {
+		t.Errorf("evicted %v, want all four tasks of one gang", evicted)
 	}
 }
 
@@ -219,9 +218,9 @@
 		s := newGangFixture(t, "a", "a")
 		s.snapshot.MayProvision = false
 		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
-		holds := gangSpec(4, 2)
-		holds.Team = "blue"
-		j := s.addJob("wk-000001", holds)
+		victim := gangSpec(4, 2)
+		victim.Team = "blue"
+		j := s.addJob("wk-000001", victim)
 		for k := range ident.TaskIndex(4) {
 			s.place(j, k, ident.MachineID(fmt.Sprintf("host-%d", 1+int(k)/2)))
 		}
@@ -230,29 +229,29 @@
 		}
 		s.addJob("wk-000002", gangSpec(4, 2))
 		if n := len(s.plan().Evictions); n != want {
-			t.Errorf("guarantee %v: %d stops, want %d", guarantee, n, want)
+			t.Errorf("guarantee %v: %d evictions, want %d", guarantee, n, want)
 		}
 	}
 }
 
 // TestLostGangTaskIsReplacedInItsAttempt: what a waiting gang lost is started again
 // in its zone under its attempt, not where an exit of that attempt is still known;
-// without leave nothing is.
+// nothing is where it may not be replaced.
 func TestLostGangTaskIsReplacedInItsAttempt(t *testing.T) {
-	for _, may := range []bool{true, false} {
+	for _, mayReplace := range []bool{true, false} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		j := s.addJob("wk-000001", gangSpec(3, 4))
 		for i, m := range []ident.MachineID{"host-1", "host-2"} {
 			s.place(j, ident.TaskIndex(i), m).State = jobs.PlacementFetching
 		}
-		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is reaped
-		if may {
+		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is forgotten
+		if mayReplace {
 			s.snapshot.ReplacementAttempts = map[ident.JobID]ident.Attempt{j.ID: 1}
 		}
 		starts := s.plan().Record.Starts
-		if !may {
+		if !mayReplace {
 			if len(starts) > 0 {
-				t.Errorf("starts %+v without leave", starts)
+				t.Errorf("starts %+v of a gang that may not be replaced", starts)
 			}
 			continue
 		}
@@ -269,7 +268,7 @@
 }
 
 // TestGangBeyondOneValue: a gang whose starts don't fit into one value takes a
-// record in parts where nodes know them, and one of few machines where they don't.
+// record in chunks where nodes know them, and is not started where they don't.
 func TestGangBeyondOneValue(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
 		s := newFixture(t)
@@ -291,7 +290,7 @@
 	}
 }
 
-// largestGang returns the spec of the largest gang whose records fit.
+// largestGang is the largest gang, with one task on each machine, whose records fit.
 func largestGang(limits config.State) jobs.Spec {
 	spec := gangSpec(1, 3)
 	for roundlog.GangRecordsFit(&spec, 1, 300, limits) {
@@ -301,8 +300,8 @@
 	return spec
 }
 
-// TestLargestGangIsPlaced: the largest gang that is taken, one task to a machine, is
-// started whole, and its records can be stored; one that is larger is not taken.
+// TestLargestGangIsPlaced: the largest gang that is accepted, one task to a machine, is started
+// whole, and its records can be stored; one that is larger is not accepted.
 func TestLargestGangIsPlaced(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := largestGang(limits)
@@ -364,24 +363,23 @@
 }
 
 // TestGangIsPreemptedLast: where a task of an array can make room, a gang of the
-// same priority goes on, though its work would be saved and the array's is lost.
+// same priority goes on, though it would write a checkpoint and the array's work is lost.
 func TestGangIsPreemptedLast(t *testing.T) {
 	s := newGangFixture(t, "a", "a")
-	saves := gangSpec(2, 2)
-	saves.CheckpointIntervalSeconds, saves.CheckpointSeconds = 20, 3
-	j := s.addJob("wk-000001", saves)
+	gang := gangSpec(2, 2)
+	gang.CheckpointIntervalSeconds, gang.CheckpointSeconds = 20, 3
+	j := s.addJob("wk-000001", gang)
 	s.place(j, 0, "host-1")
 	s.place(j, 1, "host-1")
 	array := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 2, 2))
 	s.place(array, 0, "host-2")
 	s.place(array, 1, "host-2")
 	s.snapshot.Now = s.snapshot.Now.Add(40 * time.Second)
-	for _, m := range []ident.MachineID{"host-1", "host-2"} {
-		s.sendHeartbeat(m)
-	}
+	s.sendHeartbeat("host-1")
+	s.sendHeartbeat("host-2")
 	s.addJob("wk-000003", taskSpec("blue", jobs.PriorityProd, 1, 2))
-	stops := s.plan().Evictions
-	if len(stops) != 1 || stops[0].Placement.Job != array {
-		t.Errorf("stopped: %+v, want a task of the array", stops)
+	evictions := s.plan().Evictions
+	if len(evictions) != 1 || evictions[0].Placement.Job != array {
+		t.Errorf("evicted: %+v, want a task of the array", evictions)
 	}
 }
--- a/internal/scheduler/machine_choice_test.go
+++ b/internal/scheduler/machine_choice_test.go
@@ -4,14 +4,13 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 )
 
-// newCostlyFixture has one free machine that is dear, since cheap ones exist and can't
-// be had, and no guarantees.
+// newCostlyFixture has one free machine that is expensive, since cheap ones exist and are not
+// available, and no guarantees.
 func newCostlyFixture(t *testing.T) *fixture {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
@@ -19,18 +18,18 @@
 	return s
 }
 
+// startedJob is a job of which one task is done, and the others have been queued for so long.
 func startedJob(s *fixture, id ident.JobID, idle time.Duration) *jobs.Job {
 	spec := taskSpec("red", jobs.PriorityStandard, 6, 1)
 	spec.Spot = true
 	j := s.addJob(id, spec)
-	j.CompleteTask(s.snapshot.Now, 0) // some of it has run already
+	j.CompleteTask(s.snapshot.Now, 0)
 	j.QueuedSince = s.snapshot.Now.Add(-idle)
 	return j
 }
 
-// TestRestOfJobIsNotStarved: what is left of a job that has begun, and that
-// nothing is expected of, waits for a cheap machine, but not for ever: beside an
-// idle dear one it waited for good.
+// TestRestOfJobIsNotStarved: what is left of a job that has started, and that has no objective,
+// waits for a cheap machine, but not for ever: beside an idle expensive one it waited for good.
 func TestRestOfJobIsNotStarved(t *testing.T) {
 	for _, c := range []struct {
 		idle   time.Duration
@@ -44,8 +43,8 @@
 	}
 }
 
-// TestUnusableRoomIsNotReserved: a job that may have room made for it does not
-// hold free room on machines that it stays off; others waited beside them.
+// TestUnusableRoomIsNotReserved: a job that may preempt does not reserve free room on machines
+// that it stays off; others waited beside them.
 func TestUnusableRoomIsNotReserved(t *testing.T) {
 	s := newCostlyFixture(t)
 	s.snapshot.Policy.PreemptionDelay = 5 * time.Second
--- a/internal/scheduler/plan_bench_test.go
+++ b/internal/scheduler/plan_bench_test.go
@@ -11,7 +11,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			var snapshots []*Snapshot
 			for seed := uint64(c.only); len(snapshots) < 40; seed += uint64(profiles) {
-				snapshots = append(snapshots, newSnapshot(seed).world)
+				snapshots = append(snapshots, newSnapshotGenerator(seed).snapshot)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/scheduler/plan_golden_test.go
+++ b/internal/scheduler/plan_golden_test.go
@@ -32,13 +32,13 @@
 	}
 	counts := map[string]int{}
 	for seed := range uint64(goldenPlans) {
-		s := newSnapshot(seed)
-		plan := PlanRound(s.world)
+		s := newSnapshotGenerator(seed)
+		plan := PlanRound(s.snapshot)
 		text := canonicalPlan(plan)
-		if again := canonicalPlan(PlanRound(s.world)); again != text {
+		if again := canonicalPlan(PlanRound(s.snapshot)); again != text {
 			t.Errorf("seed %d: the second plan of a snapshot differs:\n%s\nfirst:\n%s", seed, again, text)
 		}
-		if again := canonicalPlan(PlanRound(newSnapshot(seed).world)); again != text {
+		if again := canonicalPlan(PlanRound(newSnapshotGenerator(seed).snapshot)); again != text {
 			t.Errorf("seed %d: the plan of the same snapshot, made anew, differs:\n%s\nfirst:\n%s", seed, again, text)
 		}
 		kinds := s.kindsOf(plan)
@@ -72,22 +72,22 @@
 		"start":         len(plan.Record.Starts) > 0,
 		"consolidation": len(plan.Drain) > 0,
 		"scale-out":     len(plan.Record.Provisions) > 0,
-		"scale-out-for-guarantee": len(plan.Record.Provisions) > 0 && plan.ProvisionedFor == "" && len(s.world.SpareSpecs) == 0 &&
-			len(s.world.TypicalSpecs) > 0,
-		"gang-in-parts": plan.Record.MaxJSONSize() > s.world.ValueBytes,
+		"scale-out-for-guarantee": len(plan.Record.Provisions) > 0 && plan.ProvisionedFor == "" && len(s.snapshot.SpareSpecs) == 0 &&
+			len(s.snapshot.TypicalSpecs) > 0,
+		"gang-in-parts": plan.Record.MaxJSONSize() > s.snapshot.ValueBytes,
 		"spare-kept":    len(plan.Retain) > 0,
 		"blocked":       len(plan.ReservationBlocked) > 0,
 		"short":         plan.UnplacedTasks > 0,
 	}
-	for _, stop := range plan.Evictions {
-		winner, victim := s.jobs[stop.Preemptor], stop.Placement.Job
-		if winner == nil {
+	for _, eviction := range plan.Evictions {
+		preemptor, victim := s.jobs[eviction.Preemptor], eviction.Placement.Job
+		if preemptor == nil {
 			continue
 		}
 		has["preemption"] = true
-		has["guarantee-taken-back"] = has["guarantee-taken-back"] || victim.Spec.Priority >= winner.Spec.Priority
+		has["guarantee-taken-back"] = has["guarantee-taken-back"] || victim.Spec.Priority >= preemptor.Spec.Priority
 		has["gang-preempted"] = has["gang-preempted"] || victim.Spec.Gang
-		has["gang-preempts"] = has["gang-preempts"] || winner.Spec.Gang
+		has["gang-preempts"] = has["gang-preempts"] || preemptor.Spec.Gang
 	}
 	lowestBefore := jobs.PriorityProd
 	for _, start := range plan.Record.Starts {
@@ -100,7 +100,7 @@
 	return slices.DeleteFunc(slices.Clone(allKinds), func(kind string) bool { return !has[kind] })
 }
 
-// canonicalPlan writes a plan out field by field.
+// canonicalPlan writes a plan out field by field, in words that the golden hashes depend on.
 func canonicalPlan(plan *Plan) string {
 	var b strings.Builder
 	r := &plan.Record
@@ -118,9 +118,9 @@
 	for _, m := range r.Deprovisions {
 		fmt.Fprintf(&b, "release %s\n", m)
 	}
-	for _, stop := range sortedGangStops(plan.Evictions) {
-		p := stop.Placement
-		fmt.Fprintf(&b, "stop %s/%d %s attempt=%d for=%s\n", p.Job.ID, p.Task, p.Machine, p.Attempt, stop.Preemptor)
+	for _, eviction := range plan.Evictions {
+		p := eviction.Placement
+		fmt.Fprintf(&b, "stop %s/%d %s attempt=%d for=%s\n", p.Job.ID, p.Task, p.Machine, p.Attempt, eviction.Preemptor)
 	}
 	for _, m := range plan.Drain {
 		fmt.Fprintf(&b, "vacate %s\n", m)
@@ -137,20 +137,3 @@
 }
 
 func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
-
-// sortedGangStops returns the stops in their order, but the members of one gang,
-// which are stopped together in the order of a map, by their tasks.
-func sortedGangStops(stops []Eviction) []Eviction {
-	out := slices.Clone(stops)
-	for i := 0; i < len(out); {
-		k := i + 1
-		for k < len(out) && out[k].Placement.Job == out[i].Placement.Job && out[k].Preemptor == out[i].Preemptor {
-			k++
-		}
-		if out[i].Placement.Job.Spec.Gang {
-			slices.SortFunc(out[i:k], func(x, y Eviction) int { return int(x.Placement.Task) - int(y.Placement.Task) })
-		}
-		i = k
-	}
-	return out
-}
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -5,11 +5,10 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
 )
@@ -41,15 +40,15 @@
 type profile int
 
 const (
-	mixed         profile = iota
-	crowded               // machines full of low work, high work queued
-	sparse                // a few replicas on each of many machines, nothing queued
-	gangsQueued           // gangs that wait, beside gangs that run
-	gangsLost             // gangs that lost tasks before they began
-	guaranteed            // teams with guarantees, others beyond theirs
-	growing               // few machines, much queued
-	neglectedWork         // old jobs of large tasks
-	large                 // records that hold little, gangs beyond one value
+	mixed       profile = iota
+	crowded             // machines full of low work, high work queued
+	sparse              // a few replicas on each of many machines, nothing queued
+	gangsQueued         // gangs that wait, beside gangs that run
+	gangsLost           // gangs that lost tasks before they began
+	guaranteed          // teams with guarantees, others beyond theirs
+	growing             // few machines, much queued
+	agedWork            // jobs of large tasks that have waited long
+	large               // records that hold little, gangs beyond one value
 	profiles
 )
 
@@ -66,41 +65,41 @@
 // of a quarter, so that sums don't depend on the order of their terms.
 type snapshotGenerator struct {
 	generator
-	profile  profile
-	world    *Snapshot
-	jobs     map[ident.JobID]*jobs.Job
-	zones    []ident.Zone
-	types    []*fleet.MachineType
-	machines []*fleet.Machine
-	beats    map[ident.MachineID]ident.HeartbeatSeq
+	profile       profile
+	snapshot      *Snapshot
+	jobs          map[ident.JobID]*jobs.Job
+	zones         []ident.Zone
+	types         []*fleet.MachineType
+	machines      []*fleet.Machine
+	heartbeatSeqs map[ident.MachineID]ident.HeartbeatSeq
 }
 
-func newSnapshot(seed uint64) *snapshotGenerator {
+func newSnapshotGenerator(seed uint64) *snapshotGenerator {
 	s := &snapshotGenerator{generator: generator{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profiles)),
-		jobs: map[ident.JobID]*jobs.Job{}, beats: map[ident.MachineID]ident.HeartbeatSeq{}}
+		jobs: map[ident.JobID]*jobs.Job{}, heartbeatSeqs: map[ident.MachineID]ident.HeartbeatSeq{}}
 	s.zones = []ident.Zone{"a", "b", "c"}[:s.between(1, 3)]
 	s.types = s.drawTypes()
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, snapshotEpoch, leaderBegan,
 		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(s.types)
-	s.world = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: ident.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
-		Fleet: f, MachineTypes: s.types, Zones: s.zones, Teams: s.drawTeams(), Objectives: s.drawExpectations(),
+	s.snapshot = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: ident.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
+		Fleet: f, MachineTypes: s.types, Zones: s.zones, Teams: s.drawTeams(), Objectives: s.drawObjectives(),
 		MayDrain: s.percent(80), MayProvision: s.percent(85), Policy: s.drawPolicy(),
 		ValueBytes: pick(&s.generator, 8192, 65536), MaxJobValues: 1, MaxRoundValues: 1,
 		SpecJSONSize: func(*jobs.Job) int { return 300 }, ReplacementAttempts: map[ident.JobID]ident.Attempt{}}
 	if s.profile == sparse {
-		s.world.MayDrain, s.world.Policy.SpareTasks = true, s.below(3)
+		s.snapshot.MayDrain, s.snapshot.Policy.SpareTasks = true, s.below(3)
 	}
 	if s.profile == large {
-		s.world.ValueBytes, s.world.MaxJobValues, s.world.MaxRoundValues = 2048, 4, pick(&s.generator, 1, 4, 4)
+		s.snapshot.ValueBytes, s.snapshot.MaxJobValues, s.snapshot.MaxRoundValues = 2048, 4, pick(&s.generator, 1, 4, 4)
 	}
 	s.drawAvailability()
 	s.drawMachines()
 	s.drawRunning()
 	s.drawQueued()
 	s.drawClasses()
-	s.drawHeld()
-	s.drawComing()
+	s.drawReservations()
+	s.drawPendingMachines()
 	s.drawStates()
 	return s
 }
@@ -145,8 +144,8 @@
 
 var classes = []ident.Class{"web", "batch", "train", "report"}
 
-func (s *snapshotGenerator) drawExpectations() map[ident.Class]Objectives {
-	expect := map[ident.Class]Objectives{}
+func (s *snapshotGenerator) drawObjectives() map[ident.Class]Objectives {
+	objectives := map[ident.Class]Objectives{}
 	for _, class := range classes {
 		var e Objectives
 		if s.percent(40) {
@@ -156,10 +155,10 @@
 			e = e.With("finished", time.Duration(pick(&s.generator, 60, 110, 250, 600))*time.Second)
 		}
 		if !e.IsEmpty() {
-			expect[class] = e
+			objectives[class] = e
 		}
 	}
-	return expect
+	return objectives
 }
 
 func (s *snapshotGenerator) drawPolicy() *policy.Policy {
@@ -178,9 +177,9 @@
 			}
 		}
 	}
-	s.world.OfferUnavailable = func(o cloud.Offer) bool { return out[o] }
+	s.snapshot.OfferUnavailable = func(o cloud.Offer) bool { return out[o] }
 	active := map[ident.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
-	s.world.TeamActive = func(team ident.Team) bool { return active[team] }
+	s.snapshot.TeamActive = func(team ident.Team) bool { return active[team] }
 }
 
 func (s *snapshotGenerator) drawMachines() {
@@ -203,25 +202,25 @@
 		if s.percent(4) {
 			at -= clock.Instant(10 * time.Second) // it has missed heartbeats
 		}
-		s.machines = append(s.machines, s.report(at, r))
+		s.machines = append(s.machines, s.sendHeartbeat(at, r))
 	}
 }
 
-// report has a machine report for the first time, or again.
-func (s *snapshotGenerator) report(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
-	s.beats[r.Machine]++
-	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.beats[r.Machine], snapshotEpoch
-	s.world.Fleet.ApplyHeartbeat(at, r)
-	return s.world.Fleet.Machine(r.Machine)
+// sendHeartbeat has a machine report for the first time, or again.
+func (s *snapshotGenerator) sendHeartbeat(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
+	s.heartbeatSeqs[r.Machine]++
+	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.heartbeatSeqs[r.Machine], snapshotEpoch
+	s.snapshot.Fleet.ApplyHeartbeat(at, r)
+	return s.snapshot.Fleet.Machine(r.Machine)
 }
 
-// reportAgain has a machine report what it holds, in a state.
-func (s *snapshotGenerator) reportAgain(m *fleet.Machine, state fleet.TaskState, placements ...*jobs.Placement) {
+// reportTasks has a machine report what it holds, in a state.
+func (s *snapshotGenerator) reportTasks(m *fleet.Machine, state fleet.TaskState, placements ...*jobs.Placement) {
 	r := &fleet.Heartbeat{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	for _, p := range placements {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: state, Cause: fleet.ExitStopped})
 	}
-	s.report(m.LastHeartbeat, r)
+	s.sendHeartbeat(m.LastHeartbeat, r)
 }
 
 // drawSpec draws what a job asks for.
@@ -262,10 +261,10 @@
 }
 
 // addJob adds a job that was submitted so many seconds ago.
-func (s *snapshotGenerator) addJob(spec jobs.Spec, agoS int) *jobs.Job {
+func (s *snapshotGenerator) addJob(spec jobs.Spec, secondsAgo int) *jobs.Job {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
-	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(agoS)*1000), 1, leaderBegan)
-	j.QueuedSince = snapshotNow - clock.Instant(s.between(0, min(agoS, 800)))*clock.Instant(time.Second)
+	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(secondsAgo)*1000), 1, leaderBegan)
+	j.QueuedSince = snapshotNow - clock.Instant(s.between(0, min(secondsAgo, 800)))*clock.Instant(time.Second)
 	s.jobs[id] = j
 	return j
 }
@@ -320,19 +319,19 @@
 		m := s.roomFor(j)
 		if s.percent(1) {
 			// A record names it; it has not reported, and its zone is not known.
-			m = s.world.Fleet.Ensure(snapshotNow, "host-unheard")
+			m = s.snapshot.Fleet.Ensure(snapshotNow, "host-unheard")
 		}
 		if m == nil || !j.Spec.Gang && !s.percent(chance) {
 			break
 		}
 		p := &jobs.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
 			FencingToken: snapshotEpoch, PlacedAt: snapshotNow - clock.Instant(s.between(0, 300))*clock.Instant(time.Second)}
-		s.world.Fleet.Place(p.PlacedAt, p)
+		s.snapshot.Fleet.Place(p.PlacedAt, p)
 		placed = append(placed, p)
 	}
 	if j.Spec.Gang && j.Queue.Len() > 0 {
 		for _, p := range placed {
-			s.world.Fleet.Retract(snapshotNow, p)
+			s.snapshot.Fleet.Retract(snapshotNow, p)
 		}
 		return
 	}
@@ -346,13 +345,13 @@
 func (s *snapshotGenerator) loseTask(j *jobs.Job, placed []*jobs.Placement) {
 	lost := pick(&s.generator, placed...)
 	if s.percent(50) {
-		s.world.Fleet.Retract(snapshotNow, lost)
+		s.snapshot.Fleet.Retract(snapshotNow, lost)
 	} else {
-		m := s.world.Fleet.Machine(lost.Machine)
-		s.reportAgain(m, "exited", lost)
+		m := s.snapshot.Fleet.Machine(lost.Machine)
+		s.reportTasks(m, "exited", lost)
 	}
 	if s.percent(80) {
-		s.world.ReplacementAttempts[j.ID] = lost.Attempt
+		s.snapshot.ReplacementAttempts[j.ID] = lost.Attempt
 	}
 }
 
@@ -364,7 +363,7 @@
 	first := s.below(len(s.machines))
 	for i := range s.machines {
 		m := s.machines[(first+i)%len(s.machines)]
-		if s.world.Fleet.FreeCapacity(m).Fits(j.Spec.TaskResources()) && j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < j.Spec.MaxTasksPerZone() &&
+		if s.snapshot.Fleet.FreeCapacity(m).Fits(j.Spec.TaskResources()) && j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < j.Spec.MaxTasksPerZone() &&
 			(!j.Spec.ZoneAffinity || len(j.Placements) == j.PlacementsByZone[m.Zone]) {
 			return m
 		}
@@ -382,7 +381,7 @@
 		n = max(0, s.between(-3, 3))
 	}
 	for range n {
-		spec, agoS := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
+		spec, secondsAgo := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
 		switch s.profile {
 		case crowded:
 			spec.Priority = pick(&s.generator, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd)
@@ -396,12 +395,12 @@
 			}
 		case guaranteed:
 			spec.Team = pick(&s.generator, ident.Team("blue"), "green")
-		case neglectedWork:
+		case agedWork:
 			spec.Gang, spec.Service = false, s.percent(10)
 			spec.Priority = pick(&s.generator, jobs.PriorityBestEffort, jobs.PriorityStandard)
-			agoS = pick(&s.generator, 20, 130, 145, 175, 190, 600)
+			secondsAgo = pick(&s.generator, 20, 130, 145, 175, 190, 600)
 		}
-		s.drawHistory(s.addJob(spec, agoS))
+		s.drawHistory(s.addJob(spec, secondsAgo))
 	}
 }
 
@@ -427,34 +426,34 @@
 		spec := s.drawSpec()
 		spec.Class, spec.Gang = class, false
 		if s.percent(60) || s.profile == guaranteed {
-			s.world.TypicalSpecs = append(s.world.TypicalSpecs, &spec)
+			s.snapshot.TypicalSpecs = append(s.snapshot.TypicalSpecs, &spec)
 			if s.profile != guaranteed && s.percent(30) {
-				s.world.SpareSpecs = append(s.world.SpareSpecs, &spec)
+				s.snapshot.SpareSpecs = append(s.snapshot.SpareSpecs, &spec)
 			}
 		}
 	}
 }
 
-// drawHeld draws what is kept of the teams' limits for reservations of others.
-func (s *snapshotGenerator) drawHeld() {
+// drawReservations draws what is kept of the teams' limits for reservations of others.
+func (s *snapshotGenerator) drawReservations() {
 	if !s.percent(30) {
 		return
 	}
-	s.world.Reserved = map[ident.Team]jobs.Resources{}
+	s.snapshot.Reserved = map[ident.Team]jobs.Resources{}
 	for _, team := range []ident.Team{"red", "blue", "green"} {
 		if s.percent(60) {
-			s.world.Reserved[team] = jobs.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
+			s.snapshot.Reserved[team] = jobs.Resources{CPUs: float64(s.between(1, 12)), GPUs: float64(s.between(0, 2))}
 		}
 	}
-	covered := s.between(0, 4)
-	s.world.ReservedTasks = func(j *jobs.Job) int { return min(covered, j.Spec.Tasks) }
+	reserved := s.between(0, 4)
+	s.snapshot.ReservedTasks = func(j *jobs.Job) int { return min(reserved, j.Spec.Tasks) }
 }
 
-func (s *snapshotGenerator) drawComing() {
+func (s *snapshotGenerator) drawPendingMachines() {
 	for range s.between(0, 5) {
 		if s.percent(50) {
 			t := pick(&s.generator, s.types...)
-			s.world.PendingMachines = append(s.world.PendingMachines, PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
+			s.snapshot.PendingMachines = append(s.snapshot.PendingMachines, PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
 		}
 	}
 }
@@ -479,10 +478,10 @@
 	for i := range len(s.jobs) {
 		j := s.jobs[ident.JobID(fmt.Sprintf("wk-%06d", i+1))]
 		if len(j.Placements) > 0 {
-			s.world.PlacedJobs = append(s.world.PlacedJobs, j)
+			s.snapshot.PlacedJobs = append(s.snapshot.PlacedJobs, j)
 		}
 		if len(j.Queue) > 0 {
-			s.world.QueuedJobs = append(s.world.QueuedJobs, j)
+			s.snapshot.QueuedJobs = append(s.snapshot.QueuedJobs, j)
 		}
 	}
 }
@@ -497,14 +496,14 @@
 		}
 	}
 	if len(running) > 0 {
-		s.reportAgain(m, "running", running...)
+		s.reportTasks(m, "running", running...)
 	}
 	for _, p := range live {
 		if p.State == jobs.PlacementRunning {
 			p.RunningSince = snapshotNow - clock.Instant(s.between(0, 400))*clock.Instant(time.Second)
 		}
 		if s.percent(6) {
-			s.world.Fleet.StopPlacement(snapshotNow, p, 0)
+			s.snapshot.Fleet.StopPlacement(snapshotNow, p, 0)
 		}
 	}
 }
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -5,19 +5,18 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"pgregory.net/rapid"
 
+	"badgerbay/internal/clock"
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/policy"
 )
 
-// fixture builds a world to plan in.
+// fixture builds a snapshot to plan.
 type fixture struct {
 	snapshot *Snapshot
 	jobs     map[ident.JobID]*jobs.Job
@@ -26,7 +25,7 @@
 const leaderStart = clock.Instant(time.Hour)
 
 func newFixture(t interface{ Fatal(...any) }) *fixture {
-	pol, err := policy.Default()
+	defaults, err := policy.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +37,7 @@
 	f.SetMachineTypes(types)
 	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []ident.Zone{"a", "b"},
 		Teams:            map[ident.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
-		OfferUnavailable: func(cloud.Offer) bool { return false }, TeamActive: func(ident.Team) bool { return true }, MayProvision: true, Policy: pol, ValueBytes: 8192,
+		OfferUnavailable: func(cloud.Offer) bool { return false }, TeamActive: func(ident.Team) bool { return true }, MayProvision: true, Policy: defaults, ValueBytes: 8192,
 		SpecJSONSize: func(*jobs.Job) int { return 300 }}
 	return s
 }
@@ -47,13 +46,13 @@
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10})
 }
 
-// sendHeartbeat has a machine report all its tasks as running.
+// sendHeartbeat has a machine report its tasks, all running.
 func (s *fixture) sendHeartbeat(id ident.MachineID) {
-	r := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
-	for _, v := range s.snapshot.Fleet.Machine(id).LivePlacements() {
-		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: v.ID(), Attempt: v.Attempt, State: "running"})
+	heartbeat := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
+	for _, p := range s.snapshot.Fleet.Machine(id).LivePlacements() {
+		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: fleet.TaskRunning})
 	}
-	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, r)
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, heartbeat)
 }
 
 func (s *fixture) addJob(id ident.JobID, spec jobs.Spec) *jobs.Job {
@@ -81,13 +80,13 @@
 	return PlanRound(s.snapshot)
 }
 
-func taskSpec(team ident.Team, prio jobs.Priority, n int, cpus float64) jobs.Spec {
-	return jobs.Spec{Team: team, Priority: prio, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
+func taskSpec(team ident.Team, priority jobs.Priority, n int, cpus float64) jobs.Spec {
+	return jobs.Spec{Team: team, Priority: priority, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
 }
 
-// TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told
-// to stop still counts for its team until its exit is seen, so another job of
-// the team must not take its place in the limit in the same round.
+// TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told to stop
+// still counts for its team until its exit is seen, so another job of the team must not take
+// its place in the limit in the same round.
 func TestEvictedTaskCountsForQuota(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -118,7 +117,7 @@
 	p := s.place(old, 0, "host-2")
 	p.State = jobs.PlacementFetching
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-2", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2,
-		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: "running"}}})
+		Tasks: []fleet.TaskStatus{{Task: p.ID(), Attempt: 1, State: fleet.TaskRunning}}})
 	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 1))
 	plan := s.plan()
 	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Machine != "host-2" {
@@ -137,8 +136,8 @@
 	}
 }
 
-// TestNoPreemptionAmongEquals: work does not stop work of the same priority,
-// unless a team is to be given its guarantee.
+// TestNoPreemptionAmongEquals: work does not preempt work of the same priority, unless a team
+// is to be given its guarantee.
 func TestNoPreemptionAmongEquals(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -146,14 +145,14 @@
 	s.place(low, 0, "host-1")
 	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 4))
 	if plan := s.plan(); len(plan.Evictions) != 0 {
-		t.Errorf("stopped %v", plan.Evictions[0].Placement.ID())
+		t.Errorf("evicted %v", plan.Evictions[0].Placement.ID())
 	}
 	// Beyond its guarantee, red must give back what blue is guaranteed.
 	s.addMachine("host-2", "a", false)
 	more := s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	s.place(more, 0, "host-2")
 	if plan := s.plan(); len(plan.Evictions) != 1 {
-		t.Errorf("%d stops, want 1 to give blue its guarantee", len(plan.Evictions))
+		t.Errorf("%d evictions, want 1 to give blue its guarantee", len(plan.Evictions))
 	}
 }
 
@@ -172,7 +171,7 @@
 	}
 }
 
-// TestPlanStaysWithinLimits draws worlds and checks that no plan goes beyond team
+// TestPlanStaysWithinLimits draws snapshots and checks that no plan goes beyond team
 // limits, room on machines, zones, or the size of a record.
 func TestPlanStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -217,12 +216,13 @@
 		if !j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%v may not run on %s", st, m.ID)
 		}
-		for i := range st.Tasks.All() {
+		st.Tasks.Each(func(i ident.TaskIndex) bool {
 			if !j.Queue.Contains(i) {
 				t.Fatalf("task %d of %s is not queued", i, j.ID)
 			}
 			s.place(j, i, m.ID)
-		}
+			return true
+		})
 	}
 	for _, m := range s.snapshot.Fleet.Machines() {
 		if !s.snapshot.Fleet.FreeCapacity(m).Fits(jobs.Resources{}) {
@@ -250,10 +250,9 @@
 	}
 }
 
-// TestAgedJobsGetWholeMachines: a job that has waited long, and whose tasks are
-// larger than the holes, gets a machine kept for it. Smaller tasks of a higher
-// priority filled every hole as it opened, and its last tasks began after four
-// minutes.
+// TestAgedJobsGetWholeMachines: a job that has waited long, and whose tasks are larger than the
+// holes, gets a machine reserved for it. Smaller tasks of a higher priority filled every hole
+// as it opened, and its last tasks started after four minutes.
 func TestAgedJobsGetWholeMachines(t *testing.T) {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
@@ -277,6 +276,6 @@
 		t.Error("small tasks took every hole from a job that has waited for five minutes")
 	}
 	if left == 4 {
-		t.Error("one old task keeps everything from the others")
+		t.Error("one aged task keeps everything from the others")
 	}
 }
--- /dev/null
+++ b/internal/scheduler/quota_test.go
@@ -0,0 +1,74 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+
+	"badgerbay/internal/config"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/jobs"
+)
+
+// TestReservationsCountAgainstTheLimit: what other nodes have reserved of a team's limit is
+// left to the jobs that the reservations cover.
+func TestReservationsCountAgainstTheLimit(t *testing.T) {
+	covered := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	other := waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	quotas := newQuotaTracker(&Snapshot{
+		Teams:    map[ident.Team]config.Team{"red": {CPULimit: 10}},
+		Reserved: map[ident.Team]jobs.Resources{"red": {CPUs: 6}},
+		ReservedTasks: func(job *jobs.Job) int {
+			if job == covered {
+				return 6
+			}
+			return 0
+		},
+	})
+	if n := quotas.tasksWithinQuota(other); n != 4 {
+		t.Errorf("%d tasks beside the reservations, want 4", n)
+	}
+	if n := quotas.tasksWithinQuota(covered); n != 10 {
+		t.Errorf("%d tasks of the covered job, want 10", n)
+	}
+	quotas.noteReservationBlocked(other, 9)
+	if blocked := quotas.reservationBlocked["red"].CPUs; blocked != 5 {
+		t.Errorf("%v CPUs are blocked by reservations, want 5", blocked)
+	}
+	quotas.use(covered, 6)
+	quotas.useReservation(covered, 6)
+	if n := quotas.tasksWithinQuota(other); n != 4 {
+		t.Errorf("%d tasks once the reserved ones are placed, want 4", n)
+	}
+}
+
+// TestEvictionsCountForGuarantees: a team's evicted work counts for its limit until it has
+// ended, and not for what can be reclaimed from it.
+func TestEvictionsCountForGuarantees(t *testing.T) {
+	victim := waitingJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
+	preemptor := waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
+	quotas := newQuotaTracker(&Snapshot{Teams: map[ident.Team]config.Team{"red": {CPUGuarantee: 4}, "blue": {CPUGuarantee: 4, CPULimit: 12}}})
+	quotas.use(victim, 2)
+	if !quotas.mayReclaim(preemptor) {
+		t.Error("nothing can be reclaimed from a team beyond its guarantee")
+	}
+	placement := &jobs.Placement{Job: victim}
+	if !quotas.staysWithinGuarantee(placement, 1) || quotas.staysWithinGuarantee(placement, 2) {
+		t.Error("want one task to be more than the guarantee, and two not")
+	}
+	quotas.markEvicted(placement)
+	if quotas.mayReclaim(preemptor) {
+		t.Error("more can be reclaimed than the team holds beyond its guarantee")
+	}
+	if n := quotas.tasksWithinQuota(victim); n != 1 {
+		t.Errorf("%d more tasks within the limit, want 1", n)
+	}
+}
+
+// TestNoLimit: a team without limits may have any number of tasks.
+func TestNoLimit(t *testing.T) {
+	quotas := newQuotaTracker(&Snapshot{})
+	job := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	if n := quotas.tasksWithinQuota(job); n != math.MaxInt32 {
+		t.Errorf("%d tasks", n)
+	}
+}
--- a/internal/scheduler/slack_test.go
+++ b/internal/scheduler/slack_test.go
@@ -4,15 +4,14 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 )
 
-// newGPUFixture has one machine type with many CPUs and two GPUs, whose spot machines
-// are all taken, and n ordinary machines that are up.
+// newGPUFixture has one machine type with many CPUs and two GPUs, whose spot machines are all
+// taken, and n on-demand machines that are up.
 func newGPUFixture(t *testing.T, n int) *fixture {
 	s := newFixture(t)
 	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
@@ -33,13 +32,13 @@
 
 // TestScarceGPUsDecide: 40 tasks that want a GPU each take four machines with two
 // GPUs five turns, however many CPUs those have. Counted in CPUs they seemed to have
-// room for all of them at once, and no machine was rented.
+// room for all of them at once, and no machine was provisioned.
 func TestScarceGPUsDecide(t *testing.T) {
 	s := newGPUFixture(t, 4)
 	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 110*time.Second)}
 	s.addJob("wk-000001", gpuArraySpec(40, 50))
 	if plan := s.plan(); len(plan.Record.Provisions) == 0 {
-		t.Error("no machine is rented for an array that the machines at hand would finish late")
+		t.Error("no machine is provisioned for an array that the machines at hand would finish late")
 	}
 }
 
@@ -50,7 +49,7 @@
 	s := newGPUFixture(t, 1)
 	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)}
 	j := s.addJob("wk-000001", gpuArraySpec(1, 50))
-	patienceAfter := func(waited time.Duration) float64 {
+	slackAfter := func(waited time.Duration) float64 {
 		w := *s.snapshot
 		w.WallMs = waited.Milliseconds()
 		return newUrgency(&w).slackSeconds(j)
@@ -65,31 +64,31 @@
 		{121 * time.Second, 250 - 121 - expectedRunRatio*50},
 		{240 * time.Second, 0},
 	} {
-		if got := patienceAfter(c.waited); got < c.want-0.01 || got > c.want+0.01 {
+		if got := slackAfter(c.waited); got < c.want-0.01 || got > c.want+0.01 {
 			t.Errorf("after %v: slack %v, want %v", c.waited, got, c.want)
 		}
 	}
 }
 
-// TestCheckpointingWorkIsEvictedInTime: work that saves within a quarter of the time in
+// TestCheckpointingWorkIsEvictedInTime: work that writes its checkpoint within a quarter of the time in
 // which a class must start leaves room for it; what takes longer does not.
 func TestCheckpointingWorkIsEvictedInTime(t *testing.T) {
-	for saves, hires := range map[float64]bool{2: false, 4: true} {
+	for checkpointSeconds, provisions := range map[float64]bool{2: false, 4: true} {
 		s := newGPUFixture(t, 3)
 		s.snapshot.Objectives = map[ident.Class]Objectives{"svc": Objectives{}.With("wait", 12*time.Second)}
 		replica := gpuArraySpec(2, 0)
 		replica.Class, replica.Service, replica.Spot, replica.Priority = "svc", true, false, jobs.PriorityProd
 		s.snapshot.SpareSpecs = []*jobs.Spec{&replica}
 		array := gpuArraySpec(6, 100)
-		array.CheckpointIntervalSeconds, array.CheckpointSeconds = 10, saves
+		array.CheckpointIntervalSeconds, array.CheckpointSeconds = 10, checkpointSeconds
 		j := s.addJob("wk-000001", array)
 		for i := range 6 {
 			p := s.place(j, ident.TaskIndex(i), ident.MachineID("host-"+string(rune('a'+i/2))))
 			p.RunningSince = s.snapshot.Now
 		}
 		j.Queue = nil
-		if plan := s.plan(); (len(plan.Record.Provisions) > 0) != hires {
-			t.Errorf("work that saves for %v s: rented %v", saves, plan.Record.Provisions)
+		if plan := s.plan(); (len(plan.Record.Provisions) > 0) != provisions {
+			t.Errorf("work that writes its checkpoint in %v s: provisioned %v", checkpointSeconds, plan.Record.Provisions)
 		}
 	}
 }
