--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -105,32 +105,37 @@
 	return r
 }
 
+const (
+	testValueBytes = 2048
+	testMaxValues  = 4
+)
+
+func marshal(t *testing.T, v any) []byte {
+	t.Helper()
+	data, err := msgpack.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
 // TestRecordInChunks: a round that does not fit into one value is split into chunks of the
-// smaller limit, and read back whole or not at all. One that fits is what the program before
-// reads.
+// smaller limit, and read back.
 func TestRecordInChunks(t *testing.T) {
-	const limit, values = 2048, 4
 	want := wideRecord(600)
-	head, rest, err := want.Split(limit, values, kvstore.JSONSize)
+	head, rest, err := want.Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rest) < 2 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > limit {
+	if len(rest) < 2 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > testValueBytes {
 		t.Fatalf("%d chunks, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
 	}
-	stored := func(v any) []byte {
-		data, encodeErr := msgpack.Marshal(v)
-		if encodeErr != nil {
-			t.Fatal(encodeErr)
-		}
-		return data
-	}
 	for _, value := range rest {
-		if n := kvstore.JSONSize(value); n > limit {
+		if n := kvstore.JSONSize(value); n > testValueBytes {
 			t.Errorf("a chunk of %d bytes", n)
 		}
 	}
-	got, err := Decode(stored(head), func(n int) []byte { return stored(rest[n-1]) })
+	got, err := Decode(marshal(t, head), func(n int) []byte { return marshal(t, rest[n-1]) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,28 +143,58 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
-	torn := *rest[0]
-	torn.Checksum++
+}
+
+// TestTornRecord: a record whose chunks are missing or are not its own is not read.
+func TestTornRecord(t *testing.T) {
+	head, rest, err := wideRecord(600).Split(testValueBytes, testMaxValues, kvstore.JSONSize)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(rest) < 2 {
+		t.Fatalf("%d chunks", len(rest))
+	}
+	foreign := *rest[0]
+	foreign.Checksum++
 	for _, c := range []struct {
-		what   string
+		name   string
 		chunks func(n int) []byte
 	}{
 		{"missing chunks", func(int) []byte { return nil }},
-		{"chunks of another record", func(int) []byte { return stored(torn) }},
-		{"chunks in another order", func(n int) []byte { return stored(rest[len(rest)-n]) }},
+		{"chunks of another record", func(int) []byte { return marshal(t, foreign) }},
+		{"chunks in another order", func(n int) []byte { return marshal(t, rest[len(rest)-n]) }},
 	} {
-		if _, err := Decode(stored(head), c.chunks); !errors.Is(err, chunk.ErrTorn) {
-			t.Errorf("%s: %v", c.what, err)
-		}
-	}
-	if small, none, err := wideRecord(3).Split(limit, values, kvstore.JSONSize); err != nil || len(none) > 0 || small.SchemaVersion != SchemaPlain {
-		t.Errorf("a small round: %d chunks, schema %d, %v", len(none), small.SchemaVersion, err)
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := Decode(marshal(t, head), c.chunks); !errors.Is(err, chunk.ErrTorn) {
+				t.Errorf("%v, want %v", err, chunk.ErrTorn)
+			}
+		})
 	}
-	if plain, none, err := want.Split(8192, 1, kvstore.JSONSize); err != nil || len(none) > 0 || plain.SchemaVersion != SchemaPlain {
-		t.Errorf("where the program before may serve: %d chunks, schema %d, %v", len(none), plain.SchemaVersion, err)
+}
+
+// TestRecordInOneValue: a round that fits into one value, or for which only one may be written,
+// is stored as the program before reads it; one that fits into no number of values is refused.
+func TestRecordInOneValue(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		starts        int
+		limit, values int
+	}{
+		{"a small round", 3, testValueBytes, testMaxValues},
+		{"one value only", 600, 8192, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			head, rest, err := wideRecord(c.starts).Split(c.limit, c.values, kvstore.JSONSize)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(rest) > 0 || head.SchemaVersion != SchemaPlain {
+				t.Errorf("%d chunks, schema %d", len(rest), head.SchemaVersion)
+			}
+		})
 	}
-	if _, _, err := wideRecord(9000).Split(limit, values, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
-		t.Errorf("9,000 starts: %v", err)
+	if _, _, err := wideRecord(9000).Split(testValueBytes, testMaxValues, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
+		t.Errorf("9,000 starts: %v, want %v", err, chunk.ErrTooLarge)
 	}
 }
 
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -216,13 +216,12 @@
 		if !j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%v may not run on %s", st, m.ID)
 		}
-		st.Tasks.Each(func(i ident.TaskIndex) bool {
+		for i := range st.Tasks.All() {
 			if !j.Queue.Contains(i) {
 				t.Fatalf("task %d of %s is not queued", i, j.ID)
 			}
 			s.place(j, i, m.ID)
-			return true
-		})
+		}
 	}
 	for _, m := range s.snapshot.Fleet.Machines() {
 		if !s.snapshot.Fleet.FreeCapacity(m).Fits(jobs.Resources{}) {
