--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -102,7 +102,11 @@
 
 // load takes in the records of all quotas.
 func (q *quotaManager) load(now clock.Instant, in QuotaRecordsRead) {
-	if err := q.allocator.Load(now, in.Epoch, in.Items, in.OK); err != nil {
+	if !in.OK {
+		q.allocator.ReadFailed(in.Epoch)
+		return
+	}
+	if err := q.allocator.Load(now, in.Epoch, in.Items); err != nil {
 		q.emit(StopNode{Err: err})
 	}
 }
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -38,7 +38,7 @@
 		t.Error("the holder was not told")
 	}
 	c.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: TeamKey("red"), Value: TeamRecord{SchemaVersion: 2}}}})
-	if err := c.allocator.Load(c.now, c.allocator.epoch, c.list(), true); !errors.Is(err, ErrNewerSchema) {
+	if err := c.allocator.Load(c.now, c.allocator.epoch, c.list()); !errors.Is(err, ErrNewerSchema) {
 		t.Errorf("a later schema: %v", err)
 	}
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -134,7 +134,7 @@
 // stepLeader lets the leader do what is due.
 func (c *cluster) stepLeader(now clock.Instant, answer func(Reply)) {
 	if c.allocator.BeginReadIfDue(now) {
-		if err := c.allocator.Load(now, c.allocator.epoch, c.list(), true); err != nil {
+		if err := c.allocator.Load(now, c.allocator.epoch, c.list()); err != nil {
 			panic(err)
 		}
 	}
--- a/internal/quota/load.go
+++ b/internal/quota/load.go
@@ -38,14 +38,21 @@
 	return false
 }
 
-// Load takes in all records, as they were read in the epoch; ok tells whether they were.
-// The error is an ErrNewerSchema: a program that can't read a record must not decide.
-func (a *Allocator) Load(now clock.Instant, epoch ident.Epoch, items []kvstore.KeyValue, ok bool) error {
+// ReadFailed takes in that the records could not be read in the epoch.
+func (a *Allocator) ReadFailed(epoch ident.Epoch) {
+	if epoch >= a.firstEpoch {
+		a.readInFlight = false
+	}
+}
+
+// Load takes in all records, as they were read in the epoch. The error is an
+// ErrNewerSchema: a program that can't read a record must not decide.
+func (a *Allocator) Load(now clock.Instant, epoch ident.Epoch, items []kvstore.KeyValue) error {
 	if epoch < a.firstEpoch {
 		return nil // of an earlier term: holders may have changed them since
 	}
 	a.readInFlight = false
-	if !ok || a.inFlight != nil {
+	if a.inFlight != nil {
 		return nil // what is being changed is read again
 	}
 	holders, reservations := map[string]ident.Revision{}, map[string]nodeReservations{}
