--- a/internal/roundlog/record.go
+++ b/internal/roundlog/record.go
@@ -153,7 +153,8 @@
 	out := *plain
 	out.SchemaVersion, out.Packed = schemaChunked, compressed[:1] // for its field to be counted
 	out.ChunkInfo = &ChunkInfo{Chunks: chunk.MaxChunks, Checksum: chunk.Checksum(compressed)}
-	head, rest, err := chunk.Split(compressed, chunk.Limits{HeadBytes: limit - size(&out), ValueBytes: limit, Chunks: values - 1}, schemaChunked)
+	limits := chunk.Limits{HeadBytes: limit - size(&out), ValueBytes: limit, Chunks: values - 1}
+	head, rest, err := chunk.Split(compressed, limits, schemaChunked)
 	if err != nil {
 		return nil, nil, fmt.Errorf("splitting the record of round %d: %w", r.RoundNo, err)
 	}
--- a/internal/roundlog/ring.go
+++ b/internal/roundlog/ring.go
@@ -109,8 +109,13 @@
 
 // Add notes that a record is stored under a revision of its key.
 func (r *Ring) Add(record *Record, revision ident.Revision) {
-	s := slot{revision: revision, roundNo: record.RoundNo,
-		pendingJobs: map[ident.JobID]bool{}, pendingProvisions: map[string]bool{}, pendingDeprovisions: map[ident.MachineID]bool{}}
+	s := slot{
+		revision:            revision,
+		roundNo:             record.RoundNo,
+		pendingJobs:         map[ident.JobID]bool{},
+		pendingProvisions:   map[string]bool{},
+		pendingDeprovisions: map[ident.MachineID]bool{},
+	}
 	for _, start := range record.Starts {
 		s.pendingJobs[start.Job] = true
 	}
--- a/internal/roundlog/starts.go
+++ b/internal/roundlog/starts.go
@@ -24,7 +24,9 @@
 		if err != nil {
 			return err
 		}
-		return compressed.DecompressRecord(maxDecompressedBytes, func(d *msgpack.Decoder) error { return r.decodeStarts(d, true) })
+		return compressed.DecompressRecord(maxDecompressedBytes, func(d *msgpack.Decoder) error {
+			return r.decodeStarts(d, true)
+		})
 	}
 	if r.Packed == "" {
 		return nil // there are none, or schema 1 lists them
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -43,6 +43,18 @@
 	evictions []Eviction
 }
 
+func newConsolidation(p *planner, surplusCPUs float64) *consolidation {
+	return &consolidation{
+		urgency:     p.urgency,
+		machines:    p.machines,
+		zones:       p.zones,
+		spare:       p.spare,
+		surplusCPUs: surplusCPUs,
+		free:        map[*candidateMachine]jobs.Resources{},
+		moved:       map[*jobs.Job]bool{},
+	}
+}
+
 // reservation is room that was set aside on a machine.
 type reservation struct {
 	machine *candidateMachine
@@ -61,7 +73,9 @@
 			sources = append(sources, m)
 		}
 	}
-	slices.SortStableFunc(sources, func(x, y *candidateMachine) int { return cmp.Compare(replicaShare(x), replicaShare(y)) })
+	slices.SortStableFunc(sources, func(x, y *candidateMachine) int {
+		return cmp.Compare(replicaShare(x), replicaShare(y))
+	})
 	maxDrained := max(1, len(c.free)/machinesPerDrain)
 	for i, m := range sources {
 		if len(c.drained) == maxDrained || i == candidatesPerDrain*maxDrained {
--- a/internal/scheduler/costpolicy.go
+++ b/internal/scheduler/costpolicy.go
@@ -12,7 +12,8 @@
 	offers  *offerCatalog
 	quotas  *quotaTracker
 	backlog *backlog
-	// placingAged tells that the entry being placed is one of aged work.
+	// placingAged tells that the last entry of single tasks was one of aged work. Gangs that
+	// come after it are judged by it too.
 	placingAged bool
 }
 
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -31,6 +31,24 @@
 	scaleOut            *scaleOut
 }
 
+func newGangPlacer(s *Snapshot, p *planner) *gangPlacer {
+	return &gangPlacer{
+		urgency:             p.urgency,
+		allZones:            s.Zones,
+		replacementAttempts: s.ReplacementAttempts,
+		machines:            p.machines,
+		zones:               p.zones,
+		quotas:              p.quotas,
+		record:              p.record,
+		offers:              p.offers,
+		costs:               p.costs,
+		selector:            p.selector,
+		assignments:         p.assignments,
+		preemptor:           p.preemptor,
+		scaleOut:            p.scaleOut,
+	}
+}
+
 // gangAssignment is the part of a gang that goes to one machine.
 type gangAssignment struct {
 	machine *candidateMachine
@@ -75,7 +93,9 @@
 		return
 	}
 	// A machine that still knows an exit of this attempt would ignore the start command.
-	machines := slices.DeleteFunc(p.selector.rank(gang), func(m *candidateMachine) bool { return m.machine.HasAttempt(gang.ID, attempt) })
+	machines := slices.DeleteFunc(p.selector.rank(gang), func(m *candidateMachine) bool {
+		return m.machine.HasAttempt(gang.ID, attempt)
+	})
 	if found := p.fit(gang, machines); found != nil {
 		p.start(gang, found, attempt)
 	}
@@ -226,7 +246,8 @@
 func (p *gangPlacer) eachMachine(gang *jobs.Job, zone ident.Zone, visit func(*candidateMachine)) {
 	for _, machines := range [][]*candidateMachine{p.machines.up, p.machines.pending} {
 		for _, m := range machines {
-			if (zone == anyZone || m.zone == zone) && m.accepts(gang, p.urgency.now) && (m.machine == nil || p.costs.mayUse(gang, m)) {
+			inZone, pending := zone == anyZone || m.zone == zone, m.machine == nil
+			if inZone && m.accepts(gang, p.urgency.now) && (pending || p.costs.mayUse(gang, m)) {
 				visit(m)
 			}
 		}
@@ -249,7 +270,9 @@
 // tasksIfEmpty is how many tasks of a gang a zone would hold if nothing else ran there.
 func (p *gangPlacer) tasksIfEmpty(gang *jobs.Job, zone ident.Zone) int {
 	sum := 0
-	p.eachMachine(gang, zone, func(m *candidateMachine) { sum += m.machineType.Capacity.MaxCopies(gang.Spec.TaskResources()) })
+	p.eachMachine(gang, zone, func(m *candidateMachine) {
+		sum += m.machineType.Capacity.MaxCopies(gang.Spec.TaskResources())
+	})
 	return sum
 }
 
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -217,7 +217,10 @@
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
 		s := newGangFixture(t, "a", "a")
 		s.snapshot.MayProvision = false
-		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPUGuarantee: 8, CPULimit: 40}, "blue": {CPUGuarantee: guarantee, CPULimit: 40}}
+		s.snapshot.Teams = map[ident.Team]config.Team{
+			"red":  {CPUGuarantee: 8, CPULimit: 40},
+			"blue": {CPUGuarantee: guarantee, CPULimit: 40},
+		}
 		victim := gangSpec(4, 2)
 		victim.Team = "blue"
 		j := s.addJob("wk-000001", victim)
@@ -259,8 +262,9 @@
 			t.Errorf("starts %+v", starts)
 		}
 		exit := s.place(j, 2, "host-3")
-		s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a", Session: 1, HeartbeatSeq: 2, FencingToken: 10,
-			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: "exited", Cause: fleet.ExitNoCapacity}}})
+		s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a",
+			Session: 1, HeartbeatSeq: 2, FencingToken: fixtureEpoch,
+			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: fleet.TaskExited, Cause: fleet.ExitNoCapacity}}})
 		if starts := s.plan().Record.Starts; len(starts) > 0 {
 			t.Errorf("starts %+v where the exit is known, or in another zone", starts)
 		}
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -5,16 +5,15 @@
 
 	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
-	"badgerbay/internal/policy"
 )
 
 // guaranteeKeeper sees to it that the machines hold what the teams are guaranteed, or use
 // beyond it, as long as they have work: guaranteed work need not wait, and a machine takes
 // long to come up.
 type guaranteeKeeper struct {
-	policy       *policy.Policy
-	teamActive   func(ident.Team) bool
-	typicalSpecs []*jobs.Spec // see Snapshot.TypicalSpecs
+	share        float64               // see policy.Policy.GuaranteeShare
+	teamActive   func(ident.Team) bool // see Snapshot.TeamActive
+	typicalSpecs []*jobs.Spec          // see Snapshot.TypicalSpecs
 	urgency      *urgency
 	machines     *machinePool
 	quotas       *quotaTracker
@@ -22,10 +21,23 @@
 	retain       map[ident.MachineID]bool // see Plan.Retain
 }
 
+func newGuaranteeKeeper(s *Snapshot, p *planner, retain map[ident.MachineID]bool) *guaranteeKeeper {
+	return &guaranteeKeeper{
+		share:        s.Policy.GuaranteeShare,
+		teamActive:   s.TeamActive,
+		typicalSpecs: s.TypicalSpecs,
+		urgency:      p.urgency,
+		machines:     p.machines,
+		quotas:       p.quotas,
+		scaleOut:     p.scaleOut,
+		retain:       retain,
+	}
+}
+
 // ensure retains idle machines that are needed for the guarantees, and provisions what is
 // missing. It returns how many CPUs the machines hold beyond that.
 func (g *guaranteeKeeper) ensure() (surplusCPUs float64) {
-	wanted := g.quotas.guaranteedCPUs(g.policy.GuaranteeShare, g.teamActive)
+	wanted := g.quotas.guaranteedCPUs(g.share, g.teamActive)
 	have := g.machines.totalCPUs()
 	for _, m := range g.machines.up {
 		cpus := m.machineType.Capacity.CPUs
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -76,7 +76,8 @@
 		offer := pending.Offer
 		pool.byZone[offer.Zone]++
 		if t := s.Fleet.MachineType(offer.Type); t != nil {
-			pool.pending = append(pool.pending, &candidateMachine{machineType: t, zone: offer.Zone, spot: offer.Spot, free: t.Capacity})
+			pool.pending = append(pool.pending, &candidateMachine{machineType: t, zone: offer.Zone, spot: offer.Spot,
+				free: t.Capacity})
 		}
 	}
 	return pool
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -30,6 +30,23 @@
 	claimed map[*jobs.Job]indexset.Set // tasks that the plan has dealt with
 }
 
+func newTaskPlacer(s *Snapshot, p *planner) *taskPlacer {
+	return &taskPlacer{
+		urgency:     p.urgency,
+		machines:    p.machines,
+		zones:       p.zones,
+		quotas:      p.quotas,
+		record:      p.record,
+		costs:       p.costs,
+		selector:    p.selector,
+		assignments: p.assignments,
+		preemptor:   p.preemptor,
+		scaleOut:    p.scaleOut,
+		aging:       newAgingBudget(p.machines, s.PlacedJobs, p.urgency),
+		claimed:     map[*jobs.Job]indexset.Set{},
+	}
+}
+
 // place starts as many of the job's tasks as fit, and returns how many that could start by
 // its limits need a machine provisioned.
 func (p *taskPlacer) place(entry queueEntry) int {
@@ -138,7 +155,8 @@
 	need := job.Spec.TaskResources()
 	var usable []*candidateMachine
 	for _, m := range p.machines.up {
-		if m.accepts(job, p.urgency.now) && p.costs.mayUse(job, m) && m.machineType.Capacity.Fits(need) && p.zones.room(job, m.zone) > 0 {
+		if m.accepts(job, p.urgency.now) && p.costs.mayUse(job, m) &&
+			m.machineType.Capacity.Fits(need) && p.zones.room(job, m.zone) > 0 {
 			usable = append(usable, m)
 		}
 	}
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -5,7 +5,6 @@
 
 import (
 	"badgerbay/internal/ident"
-	"badgerbay/internal/indexset"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/roundlog"
 )
@@ -39,18 +38,24 @@
 // planner holds the parts of a plan in the making. Each has a job of its own, and keeps what
 // it has decided until the plan is put together.
 type planner struct {
-	urgency   *urgency
-	machines  *machinePool
-	zones     *zoneTracker
-	quotas    *quotaTracker
-	backlog   *backlog
-	record    *recordBuilder
-	selector  *machineSelector
-	preemptor *preemptor
-	scaleOut  *scaleOut
-	spare     *spareCapacity
-	tasks     *taskPlacer
-	gangs     *gangPlacer
+	// What is known, and what the plan has made of it so far.
+	urgency  *urgency
+	machines *machinePool
+	zones    *zoneTracker
+	quotas   *quotaTracker
+	offers   *offerCatalog
+	backlog  *backlog
+	record   *recordBuilder
+
+	// What decides.
+	costs       *costPolicy
+	assignments *assignments
+	selector    *machineSelector
+	preemptor   *preemptor
+	scaleOut    *scaleOut
+	spare       *spareCapacity
+	tasks       *taskPlacer
+	gangs       *gangPlacer
 }
 
 // PlanRound plans a round. It changes nothing it is given.
@@ -62,13 +67,10 @@
 	if len(p.scaleOut.provisions) == 0 {
 		p.scaleOut.provision(p.spare.shortages)
 	}
-	guarantees := &guaranteeKeeper{policy: s.Policy, teamActive: s.TeamActive, typicalSpecs: s.TypicalSpecs,
-		urgency: p.urgency, machines: p.machines, quotas: p.quotas, scaleOut: p.scaleOut, retain: plan.Retain}
-	surplusCPUs := guarantees.ensure()
+	surplusCPUs := newGuaranteeKeeper(s, p, plan.Retain).ensure()
 	plan.Evictions = p.preemptor.evictions
 	if s.MayDrain && len(p.spare.shortages) == 0 && p.canWait(short) {
-		c := &consolidation{urgency: p.urgency, machines: p.machines, zones: p.zones, spare: p.spare, surplusCPUs: surplusCPUs,
-			free: map[*candidateMachine]jobs.Resources{}, moved: map[*jobs.Job]bool{}}
+		c := newConsolidation(p, surplusCPUs)
 		c.run()
 		plan.Drain = c.drained
 		plan.Evictions = append(plan.Evictions, c.evictions...)
@@ -81,27 +83,25 @@
 	return plan
 }
 
+// newPlanner makes the parts, those first that others need.
 func newPlanner(s *Snapshot, plan *Plan) *planner {
-	p := &planner{urgency: newUrgency(s), machines: newMachinePool(s), zones: newZoneTracker(), quotas: newQuotaTracker(s),
-		record: newRecordBuilder(s, &plan.Record)}
+	p := &planner{
+		urgency:  newUrgency(s),
+		machines: newMachinePool(s),
+		zones:    newZoneTracker(),
+		quotas:   newQuotaTracker(s),
+		offers:   newOfferCatalog(s),
+		record:   newRecordBuilder(s, &plan.Record),
+	}
 	p.backlog = newBacklog(p.machines, s.PlacedJobs)
-	offers := newOfferCatalog(s)
-	costs := &costPolicy{urgency: p.urgency, offers: offers, quotas: p.quotas, backlog: p.backlog}
-	assigned := &assignments{quotas: p.quotas, zones: p.zones, record: p.record, started: map[*jobs.Job]int{}}
-	p.selector = newMachineSelector(s, p.machines, costs)
-	p.preemptor = &preemptor{urgency: p.urgency, fleet: s.Fleet, machines: p.machines, zones: p.zones, quotas: p.quotas, costs: costs,
-		assignments: assigned, delay: s.Policy.PreemptionDelay,
-		evicted: map[*jobs.Placement]bool{}, oldest: map[*jobs.Job]*jobs.Placement{}}
-	p.scaleOut = &scaleOut{mayProvision: s.MayProvision, roundNo: s.RoundNo, epoch: s.Epoch,
-		urgency: p.urgency, machines: p.machines, zones: p.zones, offers: offers, costs: costs,
-		demand: map[ident.Class]int{}, awaitingMachine: map[*jobs.Job]int{}, zone: map[*jobs.Job]ident.Zone{}}
-	p.spare = &spareCapacity{specs: s.SpareSpecs, tasks: s.Policy.SpareTasks, urgency: p.urgency, machines: p.machines, retain: plan.Retain}
-	p.tasks = &taskPlacer{urgency: p.urgency, machines: p.machines, zones: p.zones, quotas: p.quotas, record: p.record, costs: costs,
-		selector: p.selector, assignments: assigned, preemptor: p.preemptor, scaleOut: p.scaleOut,
-		aging: newAgingBudget(p.machines, s.PlacedJobs, p.urgency), claimed: map[*jobs.Job]indexset.Set{}}
-	p.gangs = &gangPlacer{urgency: p.urgency, allZones: s.Zones, replacementAttempts: s.ReplacementAttempts,
-		machines: p.machines, zones: p.zones, quotas: p.quotas, record: p.record, offers: offers, costs: costs,
-		selector: p.selector, assignments: assigned, preemptor: p.preemptor, scaleOut: p.scaleOut}
+	p.costs = &costPolicy{urgency: p.urgency, offers: p.offers, quotas: p.quotas, backlog: p.backlog}
+	p.assignments = &assignments{quotas: p.quotas, zones: p.zones, record: p.record, started: map[*jobs.Job]int{}}
+	p.selector = newMachineSelector(s, p.machines, p.costs)
+	p.preemptor = newPreemptor(s, p)
+	p.scaleOut = newScaleOut(s, p)
+	p.spare = newSpareCapacity(s, p, plan.Retain)
+	p.tasks = newTaskPlacer(s, p)
+	p.gangs = newGangPlacer(s, p)
 	return p
 }
 
--- a/internal/scheduler/plan_golden_test.go
+++ b/internal/scheduler/plan_golden_test.go
@@ -72,8 +72,8 @@
 		"start":         len(plan.Record.Starts) > 0,
 		"consolidation": len(plan.Drain) > 0,
 		"scale-out":     len(plan.Record.Provisions) > 0,
-		"scale-out-for-guarantee": len(plan.Record.Provisions) > 0 && plan.ProvisionedFor == "" && len(s.snapshot.SpareSpecs) == 0 &&
-			len(s.snapshot.TypicalSpecs) > 0,
+		"scale-out-for-guarantee": len(plan.Record.Provisions) > 0 && plan.ProvisionedFor == "" &&
+			len(s.snapshot.SpareSpecs) == 0 && len(s.snapshot.TypicalSpecs) > 0,
 		"gang-in-parts": plan.Record.MaxJSONSize() > s.snapshot.ValueBytes,
 		"spare-kept":    len(plan.Retain) > 0,
 		"blocked":       len(plan.ReservationBlocked) > 0,
@@ -113,7 +113,8 @@
 		b.WriteString("\n")
 	}
 	for _, h := range r.Provisions {
-		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n", h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.ProvisionedFor)
+		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n",
+			h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.ProvisionedFor)
 	}
 	for _, m := range r.Deprovisions {
 		fmt.Fprintf(&b, "release %s\n", m)
@@ -130,7 +131,8 @@
 	}
 	for _, team := range slices.Sorted(maps.Keys(plan.ReservationBlocked)) {
 		amount := plan.ReservationBlocked[team]
-		fmt.Fprintf(&b, "blocked %s cpus=%s gpus=%s memory=%s\n", team, number(amount.CPUs), number(amount.GPUs), number(amount.MemoryGB))
+		fmt.Fprintf(&b, "blocked %s cpus=%s gpus=%s memory=%s\n",
+			team, number(amount.CPUs), number(amount.GPUs), number(amount.MemoryGB))
 	}
 	fmt.Fprintf(&b, "short=%d work=%d\n", plan.UnplacedTasks, plan.Examined)
 	return b.String()
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -363,7 +363,9 @@
 	first := s.below(len(s.machines))
 	for i := range s.machines {
 		m := s.machines[(first+i)%len(s.machines)]
-		if s.snapshot.Fleet.FreeCapacity(m).Fits(j.Spec.TaskResources()) && j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < j.Spec.MaxTasksPerZone() &&
+		if s.snapshot.Fleet.FreeCapacity(m).Fits(j.Spec.TaskResources()) &&
+			j.Spec.AllowsMachine(m.Type, m.Zone, m.Spot) &&
+			j.PlacementsByZone[m.Zone] < j.Spec.MaxTasksPerZone() &&
 			(!j.Spec.ZoneAffinity || len(j.Placements) == j.PlacementsByZone[m.Zone]) {
 			return m
 		}
@@ -416,7 +418,9 @@
 		j.LastPlacedAt = snapshotNow - clock.Instant(s.between(1, 120))*clock.Instant(time.Second)
 	}
 	if len(s.machines) > 0 && s.percent(15) {
-		j.AvoidUntil = map[ident.MachineID]clock.Instant{pick(&s.generator, s.machines...).ID: snapshotNow + clock.Instant(pick(&s.generator, -1, 5))*clock.Instant(time.Second)}
+		failedOn := pick(&s.generator, s.machines...).ID
+		until := snapshotNow + clock.Instant(pick(&s.generator, -1, 5))*clock.Instant(time.Second)
+		j.AvoidUntil = map[ident.MachineID]clock.Instant{failedOn: until}
 	}
 }
 
@@ -453,7 +457,9 @@
 	for range s.between(0, 5) {
 		if s.percent(50) {
 			t := pick(&s.generator, s.types...)
-			s.snapshot.PendingMachines = append(s.snapshot.PendingMachines, PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(50)}})
+			zone := pick(&s.generator, t.AvailableZones(s.zones)...)
+			pending := PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: zone, Spot: s.percent(50)}}
+			s.snapshot.PendingMachines = append(s.snapshot.PendingMachines, pending)
 		}
 	}
 }
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -22,7 +22,10 @@
 	jobs     map[ident.JobID]*jobs.Job
 }
 
-const leaderStart = clock.Instant(time.Hour)
+const (
+	leaderStart  = clock.Instant(time.Hour)
+	fixtureEpoch = ident.Epoch(10)
+)
 
 func newFixture(t interface{ Fatal(...any) }) *fixture {
 	defaults, err := policy.Default()
@@ -32,25 +35,43 @@
 	s := &fixture{jobs: map[ident.JobID]*jobs.Job{}}
 	types := []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 20,
 		HourlyPrice: 0.4, HourlySpotPrice: 0.1, BootTime: 20 * time.Second, Zones: []ident.Zone{"a", "b"}}}
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, 10, leaderStart,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, fixtureEpoch, leaderStart,
 		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(types)
-	s.snapshot = &Snapshot{Now: leaderStart.Add(10 * time.Second), RoundNo: 5, Epoch: 10, Fleet: f, MachineTypes: types, Zones: []ident.Zone{"a", "b"},
-		Teams:            map[ident.Team]config.Team{"red": {CPUGuarantee: 4, CPULimit: 8}, "blue": {CPUGuarantee: 8, CPULimit: 8}},
-		OfferUnavailable: func(cloud.Offer) bool { return false }, TeamActive: func(ident.Team) bool { return true }, MayProvision: true, Policy: defaults, ValueBytes: 8192,
-		SpecJSONSize: func(*jobs.Job) int { return 300 }}
+	s.snapshot = &Snapshot{
+		Now:          leaderStart.Add(10 * time.Second),
+		RoundNo:      5,
+		Epoch:        fixtureEpoch,
+		Policy:       defaults,
+		Fleet:        f,
+		MachineTypes: types,
+		Zones:        []ident.Zone{"a", "b"},
+		Teams: map[ident.Team]config.Team{
+			"red":  {CPUGuarantee: 4, CPULimit: 8},
+			"blue": {CPUGuarantee: 8, CPULimit: 8},
+		},
+		TeamActive:       func(ident.Team) bool { return true },
+		OfferUnavailable: func(cloud.Offer) bool { return false },
+		MayProvision:     true,
+		ValueBytes:       8192,
+		SpecJSONSize:     func(*jobs.Job) int { return 300 },
+	}
 	return s
 }
 
 func (s *fixture) addMachine(id ident.MachineID, zone ident.Zone, spot bool) {
-	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot, Session: 1, HeartbeatSeq: 1, FencingToken: 10})
+	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: id, Type: "m4", Zone: zone, Spot: spot,
+		Session: 1, HeartbeatSeq: 1, FencingToken: fixtureEpoch})
 }
 
 // sendHeartbeat has a machine report its tasks, all running.
 func (s *fixture) sendHeartbeat(id ident.MachineID) {
-	heartbeat := &fleet.Heartbeat{Machine: id, Type: "m4", Zone: s.snapshot.Fleet.Machine(id).Zone, Session: 1, HeartbeatSeq: 2, FencingToken: 10}
-	for _, p := range s.snapshot.Fleet.Machine(id).LivePlacements() {
-		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: fleet.TaskRunning})
+	m := s.snapshot.Fleet.Machine(id)
+	heartbeat := &fleet.Heartbeat{Machine: id, Type: m.Type, Zone: m.Zone,
+		Session: 1, HeartbeatSeq: 2, FencingToken: fixtureEpoch}
+	for _, p := range m.LivePlacements() {
+		status := fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: fleet.TaskRunning}
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
 	s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, heartbeat)
 }
@@ -62,7 +83,8 @@
 }
 
 func (s *fixture) place(j *jobs.Job, i ident.TaskIndex, m ident.MachineID) *jobs.Placement {
-	p := &jobs.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: 10, State: jobs.PlacementRunning, RunningSince: leaderStart}
+	p := &jobs.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: fixtureEpoch,
+		State: jobs.PlacementRunning, RunningSince: leaderStart}
 	s.snapshot.Fleet.Place(s.snapshot.Now, p)
 	return p
 }
@@ -81,7 +103,8 @@
 }
 
 func taskSpec(team ident.Team, priority jobs.Priority, n int, cpus float64) jobs.Spec {
-	return jobs.Spec{Team: team, Priority: priority, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimatedRunSeconds: 30}
+	return jobs.Spec{Team: team, Priority: priority, Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1,
+		EstimatedRunSeconds: 30}
 }
 
 // TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told to stop
@@ -177,18 +200,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFixture(t)
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			s.addMachine(ident.MachineID(fmt.Sprintf("host-%d", i)), rapid.SampledFrom([]ident.Zone{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			zone := rapid.SampledFrom([]ident.Zone{"a", "b"}).Draw(t, "zone")
+			s.addMachine(ident.MachineID(fmt.Sprintf("host-%d", i)), zone, rapid.Bool().Draw(t, "spot"))
 		}
 		for i := range rapid.IntRange(0, 8).Draw(t, "jobs") {
 			spec := taskSpec(rapid.SampledFrom([]ident.Team{"red", "blue"}).Draw(t, "team"),
 				jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
-				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"), rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
-			spec.ZoneSpread, spec.ZoneAffinity, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "one"), rapid.Bool().Draw(t, "spot")
+				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"),
+				rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
+			spec.ZoneSpread = rapid.Bool().Draw(t, "spread")
+			spec.ZoneAffinity = rapid.Bool().Draw(t, "one")
+			spec.Spot = rapid.Bool().Draw(t, "spot")
 			j := s.addJob(ident.JobID(fmt.Sprintf("wk-%06d", i)), spec)
 			for _, m := range s.snapshot.Fleet.Machines() {
-				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.snapshot.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
-					spec.AllowsMachine(m.Type, m.Zone, m.Spot) && j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() && (!spec.ZoneAffinity || len(j.Placements) == 0) &&
-					s.used(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit {
+				if j.Queue.Len() > 0 && rapid.IntRange(0, 3).Draw(t, "occupied") == 0 && s.mayPlace(j, m) {
 					s.place(j, j.Queue[0].First, m.ID)
 				}
 			}
@@ -197,6 +222,17 @@
 	})
 }
 
+// mayPlace tells whether a task of the job may run on the machine.
+func (s *fixture) mayPlace(j *jobs.Job, m *fleet.Machine) bool {
+	spec := &j.Spec
+	return s.snapshot.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
+		spec.AllowsMachine(m.Type, m.Zone, m.Spot) &&
+		j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() &&
+		(!spec.ZoneAffinity || len(j.Placements) == 0) &&
+		s.used(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit
+}
+
+// used is how many CPUs the team's placements hold.
 func (s *fixture) used(team ident.Team) float64 {
 	sum := 0.0
 	for _, j := range s.jobs {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -52,6 +52,21 @@
 	examined  int                           // see Plan.Examined
 }
 
+func newPreemptor(s *Snapshot, p *planner) *preemptor {
+	return &preemptor{
+		urgency:     p.urgency,
+		fleet:       s.Fleet,
+		machines:    p.machines,
+		zones:       p.zones,
+		quotas:      p.quotas,
+		costs:       p.costs,
+		assignments: p.assignments,
+		delay:       s.Policy.PreemptionDelay,
+		evicted:     map[*jobs.Placement]bool{},
+		oldest:      map[*jobs.Job]*jobs.Placement{},
+	}
+}
+
 // mayPreempt tells whether lower work may be evicted for the job: at once if it is urgent,
 // else once it has waited.
 func (p *preemptor) mayPreempt(job *jobs.Job) bool {
@@ -140,7 +155,8 @@
 // lower work.
 func mayYield(m *candidateMachine, job *jobs.Job) bool {
 	load := m.machine.Load()
-	return load.Stopping > 0 || load.TasksBelow(job.Spec.Priority) > 0 || m.free.Add(m.freeing).Fits(job.Spec.TaskResources())
+	return load.Stopping > 0 || load.TasksBelow(job.Spec.Priority) > 0 ||
+		m.free.Add(m.freeing).Fits(job.Spec.TaskResources())
 }
 
 // siteAt finds what must be evicted on the machine to fit one task of the job, and whether
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -46,7 +46,10 @@
 func TestEvictionsCountForGuarantees(t *testing.T) {
 	victim := waitingJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
 	preemptor := waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
-	quotas := newQuotaTracker(&Snapshot{Teams: map[ident.Team]config.Team{"red": {CPUGuarantee: 4}, "blue": {CPUGuarantee: 4, CPULimit: 12}}})
+	quotas := newQuotaTracker(&Snapshot{Teams: map[ident.Team]config.Team{
+		"red":  {CPUGuarantee: 4},
+		"blue": {CPUGuarantee: 4, CPULimit: 12},
+	}})
 	quotas.use(victim, 2)
 	if !quotas.mayReclaim(preemptor) {
 		t.Error("nothing can be reclaimed from a team beyond its guarantee")
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -46,6 +46,22 @@
 	provisionedFor  ident.JobID
 }
 
+func newScaleOut(s *Snapshot, p *planner) *scaleOut {
+	return &scaleOut{
+		mayProvision:    s.MayProvision,
+		roundNo:         s.RoundNo,
+		epoch:           s.Epoch,
+		urgency:         p.urgency,
+		machines:        p.machines,
+		zones:           p.zones,
+		offers:          p.offers,
+		costs:           p.costs,
+		demand:          map[ident.Class]int{},
+		awaitingMachine: map[*jobs.Job]int{},
+		zone:            map[*jobs.Job]ident.Zone{},
+	}
+}
+
 // noteUnplaced counts n tasks of the job that found no room.
 func (s *scaleOut) noteUnplaced(job *jobs.Job, n int) {
 	s.unplacedTasks += n
@@ -130,7 +146,8 @@
 		if zone := s.zone[job]; zone != "" && zone != offer.Zone {
 			return
 		}
-		if s.zones.room(job, offer.Zone) == 0 || s.offers.unavailable(offer) || !s.costs.worthProvisioning(job, t, offer.Spot) {
+		if s.zones.room(job, offer.Zone) == 0 || s.offers.unavailable(offer) ||
+			!s.costs.worthProvisioning(job, t, offer.Spot) {
 			return
 		}
 		if cost := s.offerCost(job, offer, t); cost < lowestCost {
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -56,7 +56,11 @@
 		if m.isAvoidedBy(job, s.now) || !s.costs.mayUse(job, m) {
 			continue
 		}
-		candidate := rankedMachine{candidateMachine: m, hasImage: m.machine.HasImage(job.Spec.Image), runsService: m.machine.RunsService()}
+		candidate := rankedMachine{
+			candidateMachine: m,
+			hasImage:         m.machine.HasImage(job.Spec.Image),
+			runsService:      m.machine.RunsService(),
+		}
 		if job.Spec.Service {
 			candidate.replicas = m.plannedReplicas + m.machine.Load().Services
 		}
--- a/internal/scheduler/slack_test.go
+++ b/internal/scheduler/slack_test.go
@@ -14,7 +14,8 @@
 // taken, and n on-demand machines that are up.
 func newGPUFixture(t *testing.T, n int) *fixture {
 	s := newFixture(t)
-	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: jobs.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}, CacheGB: 90, FetchGBps: 0.5,
+	capacity := jobs.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}
+	s.snapshot.MachineTypes = []*fleet.MachineType{{Name: "m4", Capacity: capacity, CacheGB: 90, FetchGBps: 0.5,
 		HourlyPrice: 4, HourlySpotPrice: 1, BootTime: 30 * time.Second, Zones: []ident.Zone{"a", "b"}}}
 	s.snapshot.Fleet.SetMachineTypes(s.snapshot.MachineTypes)
 	s.snapshot.Teams = nil
@@ -47,7 +48,8 @@
 // so work was planned to be done within the 250 s that only stragglers may take.
 func TestShortestObjectiveDecides(t *testing.T) {
 	s := newGPUFixture(t, 1)
-	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)}
+	objectives := Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)
+	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": objectives}
 	j := s.addJob("wk-000001", gpuArraySpec(1, 50))
 	slackAfter := func(waited time.Duration) float64 {
 		w := *s.snapshot
--- a/internal/scheduler/spare_capacity.go
+++ b/internal/scheduler/spare_capacity.go
@@ -21,6 +21,16 @@
 	shortages []shortage
 }
 
+func newSpareCapacity(s *Snapshot, p *planner, retain map[ident.MachineID]bool) *spareCapacity {
+	return &spareCapacity{
+		specs:    s.SpareSpecs,
+		tasks:    s.Policy.SpareTasks,
+		urgency:  p.urgency,
+		machines: p.machines,
+		retain:   retain,
+	}
+}
+
 // measure finds once how much is missing of the room, and which machines hold it.
 func (s *spareCapacity) measure() {
 	if s.measured {
