--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -43,7 +43,7 @@
 
 // buildQueue sorts the jobs: by priority, then work within a team's guarantee first, then
 // by arrival.
-func buildQueue(queued []*jobs.Job, quotas *quotaTracker, urgency *urgency) []queueEntry {
+func buildQueue(queued []*jobs.Job, quotas *quotaTracker, u *urgency) []queueEntry {
 	var queue []queueEntry
 	for _, job := range queued {
 		if job.Spec.Gang {
@@ -53,7 +53,7 @@
 			continue
 		}
 		queue = append(queue, queueEntry{job: job})
-		if urgency.isAged(job) && len(job.UnstartedTasks(1)) > 0 {
+		if u.isAged(job) && len(job.UnstartedTasks(1)) > 0 {
 			queue = append(queue, queueEntry{job: job, aged: true})
 		}
 		if quotas.withinGuarantee(job) {
@@ -71,13 +71,13 @@
 }
 
 // newAgingBudget leaves to aged jobs their share of the machines, less what they hold.
-func newAgingBudget(machines *machinePool, placed []*jobs.Job, urgency *urgency) *agingBudget {
-	b := &agingBudget{urgency: urgency}
+func newAgingBudget(machines *machinePool, placed []*jobs.Job, u *urgency) *agingBudget {
+	b := &agingBudget{urgency: u}
 	for _, m := range machines.up {
 		b.left = b.left.Add(m.machineType.Capacity.Scale(agedCapacityShare))
 	}
 	for _, job := range placed {
-		if urgency.isAged(job) {
+		if u.isAged(job) {
 			b.left = b.left.Sub(job.Spec.TaskResources().Multiply(len(job.Placements)))
 		}
 	}
