--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -102,23 +102,27 @@
 	m.Confirmed = true
 	m.Session = max(m.Session, g.Session)
 	for i := range g.Tasks.All() {
-		if int(i) >= j.Spec.Tasks || j.Done.Contains(i) {
-			continue
+		if int(i) < j.Spec.Tasks && !j.Done.Contains(i) {
+			t.restorePlacement(now, j, i, g)
 		}
-		if old := j.Placements[i]; old != nil {
-			if old.Attempt > g.Attempt {
-				continue
-			}
-			// The later was decided when the earlier had ended: another attempt, or a replacement within a gang's. Rounds are
-			// replayed in their order.
-			t.fleet.Retract(now, old)
-		}
-		p := &jobs.Placement{Job: j, Task: i, Machine: g.Machine, Session: g.Session,
-			Attempt: g.Attempt, FencingToken: t.epoch - 1, PlacedAt: now}
-		t.fleet.Place(now, p)
-		if j.Phase.Final() {
-			t.fleet.StopPlacement(now, p, 0)
+	}
+}
+
+// restorePlacement restores the placement of one task, unless a later one of it is known.
+func (t *term) restorePlacement(now clock.Instant, j *jobs.Job, task ident.TaskIndex, g jobs.PlacementGroup) {
+	if old := j.Placements[task]; old != nil {
+		if old.Attempt > g.Attempt {
+			return
 		}
+		// The later was decided when the earlier had ended: another attempt, or a replacement within a gang's. Rounds are
+		// replayed in their order.
+		t.fleet.Retract(now, old)
+	}
+	p := &jobs.Placement{Job: j, Task: task, Machine: g.Machine, Session: g.Session,
+		Attempt: g.Attempt, FencingToken: t.epoch - 1, PlacedAt: now}
+	t.fleet.Place(now, p)
+	if j.Phase.Final() {
+		t.fleet.StopPlacement(now, p, 0)
 	}
 }
 
