--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -79,10 +79,10 @@
 // Epoch is the epoch in which this node leads, 0 if it does not.
 func (c *Core) Epoch() ident.Epoch { return c.election.Epoch() }
 
-// Standby is how this node stands to the leader.
+// Standby tells how this node stands to the leader.
 func (c *Core) Standby() election.StandbyStatus { return c.election.Standby() }
 
-// DelegateIdleSince is since when this node has kept no worker by a grant.
+// DelegateIdleSince is since when, at the latest, this node has renewed no worker's lease by a grant.
 func (c *Core) DelegateIdleSince() clock.Instant { return c.delegate.IdleSince() }
 
 // MachineTypes are the machine types, or nil while they are not known.
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -5,9 +5,8 @@
 	"slices"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/leasedelegation"
 	"badgerbay/internal/peer"
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -5,10 +5,9 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/election"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 )
 
 // HeartbeatReceived is a worker's heartbeat.
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -5,10 +5,9 @@
 	"slices"
 	"time"
 
+	"badgerbay/internal/api"
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
-
-	"badgerbay/internal/api"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/recovery"
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -4,13 +4,12 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-	"badgerbay/internal/kvstore"
-	"badgerbay/internal/roundlog"
-
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/config"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/roundlog"
 )
 
 // ProvisionMachines is the effect that requests machines. A repeated Name requests no further machines.
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -4,10 +4,9 @@
 	"time"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/config"
 	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/quota"
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -4,9 +4,8 @@
 	"fmt"
 
 	"badgerbay/internal/clock"
-	"badgerbay/internal/ident"
-
 	"badgerbay/internal/cloud"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/recovery"
 )
