--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -13,6 +13,7 @@
 	"badgerbay/internal/kvstore"
 	"badgerbay/internal/leadtransfer"
 	"badgerbay/internal/leasedelegation"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/policy"
 )
 
@@ -52,11 +53,11 @@
 
 // NewCore returns the core of a node.
 func NewCore(settings *config.Settings, pol *policy.Policy, clk clock.Clock, budget *kvstore.Budget,
-	rng *rand.Rand, log *slog.Logger, metrics *Metrics) *Core {
+	rng *rand.Rand, log *slog.Logger, signals *metrics.Metrics) *Core {
 	elector := election.New(settings.NodeName, electionTiming(settings, pol), rng)
 	elector.SetNodes(append(settings.PeerNames(), settings.NodeName))
 	return &Core{
-		environment: &environment{settings: settings, policy: pol, log: log, metrics: metrics, budget: budget, clock: clk},
+		environment: &environment{settings: settings, policy: pol, log: log, metrics: signals, budget: budget, clock: clk},
 		election:    elector,
 		delegate:    leasedelegation.NewDelegate(ident.Zone(settings.Zone), settings.Params.Workers, clk.Now()),
 		probeNode:   nodeOutsideZone(settings),
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -9,6 +9,7 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/roundlog"
 
 	"badgerbay/internal/config"
@@ -38,7 +39,7 @@
 	}
 	now := clock.Instant(time.Hour)
 	c := NewCore(set, pol, stoppedClock(now), kvstore.NewBudget(2, 80, 25), rand.New(rand.NewPCG(1, 2)),
-		slog.New(slog.NewTextHandler(io.Discard, nil)), NewMetrics())
+		slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.New())
 	c.machineTypes = []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}
 	c.Step(now, ElectionInput{election.LeaderKeysRead{OK: true}})
 	c.Step(now, ElectionInput{election.LeaseGranted{OK: true, LeaseID: 1, SentAt: now}})
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -18,6 +18,7 @@
 	"badgerbay/internal/fleet"
 	"badgerbay/internal/jobs"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/policy"
 )
 
@@ -45,7 +46,7 @@
 	set.Params.Workers.HeartbeatSeconds = 5
 	g := &coreFixture{now: clock.Instant(time.Hour), version: 10}
 	g.core = NewCore(set, pol, g, kvstore.NewBudget(3, 150, 20), rand.New(rand.NewPCG(1, 2)),
-		slog.New(slog.NewTextHandler(io.Discard, nil)), NewMetrics())
+		slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.New())
 	g.core.machineTypes = []*fleet.MachineType{
 		{Name: "small", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, CacheGB: 50, FetchGBps: 0.2, HourlyPrice: 0.24, HourlySpotPrice: 0.07, BootTime: 40 * time.Second, Zones: []ident.Zone{"a", "b"}},
 		{Name: "large", Capacity: jobs.Resources{CPUs: 16, MemoryGB: 64}, CacheGB: 80, FetchGBps: 0.6, HourlyPrice: 1, HourlySpotPrice: 0.3, BootTime: 15 * time.Second, Zones: []ident.Zone{"a", "b"}}}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -6,6 +6,7 @@
 	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/policy"
 )
 
@@ -15,7 +16,7 @@
 	settings *config.Settings
 	policy   *policy.Policy
 	log      *slog.Logger
-	metrics  *Metrics
+	metrics  *metrics.Metrics
 	budget   *kvstore.Budget
 	clock    clock.Clock
 	effects  []Effect
--- /dev/null
+++ b/internal/controller/observe.go
@@ -0,0 +1,36 @@
+package controller
+
+import (
+	"badgerbay/internal/clock"
+	"badgerbay/internal/jobs"
+	"badgerbay/internal/metrics"
+)
+
+// observe sets the gauges of a leader.
+func (t *term) observe(now clock.Instant) {
+	m := t.metrics
+	observeJobs(m, t.jobs, now)
+	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
+	m.Machines.Set(float64(t.fleet.Len()))
+	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
+	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
+	m.Epoch.Set(float64(t.epoch))
+}
+
+func observeJobs(m *metrics.Metrics, table *jobTable, now clock.Instant) {
+	age, pending, queued := 0.0, 0, 0
+	for j := range table.all() {
+		if j.Dirty() {
+			age = max(age, now.Sub(j.DirtySince).Seconds())
+		}
+		queued += j.Queue.Len()
+		for _, p := range j.Placements {
+			if p.State == jobs.PlacementPending {
+				pending++
+			}
+		}
+	}
+	m.CheckpointAge.Set(age)
+	m.PendingPlacements.Set(float64(pending))
+	m.QueuedTasks.Set(float64(queued))
+}
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -9,6 +9,7 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/ident"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/roundlog"
 
 	"github.com/google/go-cmp/cmp"
@@ -40,7 +41,7 @@
 	life := n.incarnation
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n.core = NewCore(&set, s.policy, simulatedClock{s, n}, kvstore.NewBudget(3, 80, 25),
-		rand.New(rand.NewPCG(s.rng.Uint64(), s.rng.Uint64())), log, NewMetrics())
+		rand.New(rand.NewPCG(s.rng.Uint64(), s.rng.Uint64())), log, metrics.New())
 	n.follower, n.holder, n.knownMachines = nil, nil, MachineSnapshot{}
 	if s.policy.Features.TeamQuotas && !s.onPreviousVersion[n.index] {
 		n.holder = quota.NewHolder(n.name, s.settings.Params.StateService.MaxValueBytes())
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -144,5 +144,5 @@
 		t.probeSilentMachines(now)
 	}
 	t.jobs.answerOverdueCancellations(now)
-	t.metrics.observeTerm(t, now)
+	t.observe(now)
 }
--- a/internal/controller/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package controller
+package metrics
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := NewMetrics()
+	m := New()
 	m.RegisterConnections(connlimit.NewListener(nil, connlimit.Limits{}, nil))
 	m.UserResponses.WithLabelValues("200").Inc()
 	m.HeartbeatResponses.WithLabelValues("200").Inc()
--- a/internal/controller/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,17 +1,17 @@
-package controller
+// Package metrics names the signals of a node and registers them for Prometheus. It owns their names, labels and help
+// texts, which operators build alerts on. What they count is up to the packages that set them.
+package metrics
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
-	"badgerbay/internal/clock"
 	"badgerbay/internal/connlimit"
-	"badgerbay/internal/jobs"
 	"badgerbay/internal/standby"
 )
 
-// metricsNamespace begins the name of every metric.
-const metricsNamespace = "badgerbay"
+// namespace begins the name of every metric.
+const namespace = "badgerbay"
 
 // Metrics are the signals of one node, on a registry of their own. They may be used concurrently.
 type Metrics struct {
@@ -51,21 +51,21 @@
 	StandbyBytes        prometheus.Gauge
 }
 
-// NewMetrics returns metrics on a registry of their own.
-func NewMetrics() *Metrics {
+// New returns metrics on a registry of their own.
+func New() *Metrics {
 	m := &Metrics{Registry: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
-		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
+		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
 		m.Registry.MustRegister(c)
 		return c
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help})
+		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 		m.Registry.MustRegister(g)
 		return g
 	}
 	vec := func(name, help, label string) *prometheus.CounterVec {
-		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help}, []string{label})
+		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, []string{label})
 		m.Registry.MustRegister(c)
 		return c
 	}
@@ -109,7 +109,7 @@
 // RegisterConnections adds the connections of workers and users.
 func (m *Metrics) RegisterConnections(limited *connlimit.Listener) {
 	watch := func(name, help string, of func(connlimit.Stats) int) {
-		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help},
+		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help},
 			func() float64 { return float64(of(limited.Stats())) }))
 	}
 	watch("connections", "Connections of workers, users and those who have said nothing.", func(s connlimit.Stats) int { return s.Open })
@@ -131,31 +131,3 @@
 	m.StandbyRecords.Set(float64(s.Records))
 	m.StandbyBytes.Set(float64(s.Bytes))
 }
-
-// observeTerm sets the gauges of a leader.
-func (m *Metrics) observeTerm(t *term, now clock.Instant) {
-	m.observeJobs(t.jobs, now)
-	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
-	m.Machines.Set(float64(t.fleet.Len()))
-	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
-	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
-	m.Epoch.Set(float64(t.epoch))
-}
-
-func (m *Metrics) observeJobs(table *jobTable, now clock.Instant) {
-	age, pending, queued := 0.0, 0, 0
-	for j := range table.all() {
-		if j.Dirty() {
-			age = max(age, now.Sub(j.DirtySince).Seconds())
-		}
-		queued += j.Queue.Len()
-		for _, p := range j.Placements {
-			if p.State == jobs.PlacementPending {
-				pending++
-			}
-		}
-	}
-	m.CheckpointAge.Set(age)
-	m.PendingPlacements.Set(float64(pending))
-	m.QueuedTasks.Set(float64(queued))
-}
--- a/internal/node/environment.go
+++ b/internal/node/environment.go
@@ -5,7 +5,7 @@
 
 	"badgerbay/internal/clock"
 	"badgerbay/internal/config"
-	"badgerbay/internal/controller"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/relay"
 )
 
@@ -14,7 +14,7 @@
 	settings *config.Settings
 	clock    clock.Clock
 	log      *slog.Logger
-	metrics  *controller.Metrics
+	metrics  *metrics.Metrics
 }
 
 // storeLimits are the strictest limits of the state service, those that are announced
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,6 +26,7 @@
 	"badgerbay/internal/connlimit"
 	"badgerbay/internal/controller"
 	"badgerbay/internal/kvstore"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/policy"
 )
@@ -84,7 +85,7 @@
 	}
 	limits := settings.Params.StateService
 	budget := kvstore.NewBudget(len(settings.Peers)+1, limits.RPS, limits.Strictest().WriteRPS)
-	env := &environment{settings: settings, clock: deps.clock, log: log, metrics: controller.NewMetrics()}
+	env := &environment{settings: settings, clock: deps.clock, log: log, metrics: metrics.New()}
 	core := controller.NewCore(settings, pol, deps.clock, budget, newRand(), log, env.metrics)
 
 	n := &Node{environment: env, peers: newPeerNetwork(clients, deps.clock)}
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -9,6 +9,7 @@
 	"badgerbay/internal/api"
 	"badgerbay/internal/controller"
 	"badgerbay/internal/ident"
+	"badgerbay/internal/metrics"
 	"badgerbay/internal/peer"
 	"badgerbay/internal/peer/meshpb"
 )
@@ -16,7 +17,7 @@
 // peerServer answers the other nodes.
 type peerServer struct {
 	meshpb.UnimplementedMeshServer
-	metrics *controller.Metrics
+	metrics *metrics.Metrics
 	core    *coreActor
 	store   *stateService
 	batches *batchServer
