--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -26,8 +26,8 @@
 		if r, err := quota.DecodeTeamRecord(item.Value); err == nil && len(r.Allocations) > 0 && !r.Allocated().IsZero() {
 			left++
 		}
-		if _, jobs, err := quota.DecodeReservationRecord(item.Value); err == nil {
-			left += len(jobs)
+		if _, reservations, err := quota.DecodeReservationRecord(item.Value); err == nil {
+			left += len(reservations)
 		}
 	}
 	return left
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -238,11 +238,11 @@
 // loadRecords reads what a node takes over with: its replica, if it has one, which
 // must hold just what the state service does.
 func (s *simulation) loadRecords(n *simulatedNode, epoch ident.Epoch) (recovery.StoredRecords, error) {
-	jobs, _, err := s.store.List(jobs.KeyPrefix)
+	jobRecords, _, err := s.store.List(jobs.KeyPrefix)
 	rounds, _, err2 := s.store.List(roundlog.KeyPrefix)
 	rest, _, _ := s.store.List(chunk.KeyPrefix)
 	agreed, _ := s.store.Get(schemaversion.Key)
-	read := recovery.StoredRecords{Jobs: jobs, Rounds: rounds, Chunks: rest, SchemaAgreement: agreed}
+	read := recovery.StoredRecords{Jobs: jobRecords, Rounds: rounds, Chunks: rest, SchemaAgreement: agreed}
 	if n.follower == nil || err != nil || s.withoutStore(n) {
 		return read, errors.Join(err, err2)
 	}
@@ -445,8 +445,8 @@
 			}
 		}
 		if done.Outcome != election.OutcomeGone && unsure {
-			item, err := s.store.Get(c.Txn.OutcomeKey())
-			if err != nil {
+			item, readErr := s.store.Get(c.Txn.OutcomeKey())
+			if readErr != nil {
 				again(true)
 				return
 			}
