--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"io"
 	"log/slog"
 	"net/http"
@@ -72,19 +71,25 @@
 // becomeLeader makes the node the leader, with everything read.
 func (f *nodeFixture) becomeLeader(t *testing.T) {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
 	c := f.node.core.core
 	c.Step(f.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true}})
 	c.Step(f.clock.now, controller.ElectionInput{Input: election.LeaseGranted{OK: true, LeaseID: 1, SentAt: f.clock.now}})
 	c.Step(f.clock.now, controller.ElectionInput{Input: election.LeaderKeyAcquired{Outcome: election.OutcomeOK, Epoch: 77}})
 	c.Step(f.clock.now, controller.RecordsRead{Epoch: 77, OK: true})
 	f.node.core.published.Store(&coreView{leader: "n0", machineTypes: c.MachineTypes(), epoch: 77})
+	f.runCore(t)
+}
+
+// runCore feeds the core with what the handlers post, without ticks, until the test ends.
+func (f *nodeFixture) runCore(t *testing.T) {
+	ctx := t.Context()
 	go func() {
 		for {
 			select {
 			case in := <-f.node.core.inbox:
-				f.node.core.step(ctx, in)
+				if err := f.node.core.step(ctx, in); err != nil {
+					t.Errorf("core: %v", err)
+				}
 			case <-ctx.Done():
 				return
 			}
--- /dev/null
+++ b/internal/node/relay_test.go
@@ -0,0 +1,109 @@
+package node
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+
+	"badgerbay/internal/config"
+	"badgerbay/internal/controller"
+	"badgerbay/internal/election"
+	"badgerbay/internal/ident"
+	"badgerbay/internal/kvstore"
+	"badgerbay/internal/peer"
+)
+
+// newLeaderAndFollower returns a leader n0 with a server for its peers, which stop ends,
+// and a follower n1 of it. Both reach the same state service, and the leader serves what
+// is relayed through it.
+func newLeaderAndFollower(t *testing.T) (leader, follower *nodeFixture, stop func()) {
+	t.Helper()
+	leader, follower = newNodeFixture(t), newNodeFixture(t)
+	const epoch = 77 // of becomeLeader
+	key := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
+	for revision := ident.Revision(0); revision < epoch; {
+		var err error
+		if revision, err = leader.kv.Store.Commit(key); err != nil {
+			t.Fatal(err)
+		}
+	}
+	leader.becomeLeader(t)
+	go leader.node.batches.serveStored(t.Context(), epoch, epoch)
+
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	served := make(chan error, 1)
+	go func() { served <- peer.Serve(ctx, listener, leader.node.newPeerServer(), minQueuedRequests) }()
+	stop = sync.OnceFunc(func() {
+		cancel()
+		if err := <-served; err != nil {
+			t.Errorf("peer server: %v", err)
+		}
+	})
+
+	n := follower.node
+	n.settings.NodeName = "n1"
+	n.store.client = kvstore.NewClient("10.2.0.1:1", leader.kv)
+	if n.peers.Clients, err = peer.Dial([]config.Peer{{NodeName: "n0", Addr: listener.Addr().String()}}); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.peers.Close)
+	n.core.core.Step(follower.clock.now, controller.ElectionInput{
+		Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n0"}, Epoch: epoch}})
+	follower.runCore(t)
+	go n.uplink.run(t.Context())
+	return leader, follower, stop
+}
+
+// TestFollowerRelaysHeartbeats: a follower sends a worker to the leader. One that comes
+// back has not reached it, and is relayed: directly or, when the leader does not answer
+// this node either, through the state service.
+func TestFollowerRelaysHeartbeats(t *testing.T) {
+	leader, follower, stopPeerServer := newLeaderAndFollower(t)
+	defer stopPeerServer()
+	sequence := 0
+	send := func() int {
+		sequence++
+		body := heartbeatBody(0)
+		body["tally"] = sequence
+		return follower.call(http.MethodPost, heartbeatPath, body).Code
+	}
+	if code := send(); code != http.StatusMisdirectedRequest {
+		t.Errorf("first heartbeat: status %d, want a redirect", code)
+	}
+	if code := send(); code != http.StatusOK {
+		t.Errorf("heartbeat relayed directly: status %d", code)
+	}
+	if item, _ := leader.kv.Store.Get(peer.BatchKeyPrefix + "n1"); item.ModRevision != 0 {
+		t.Error("a batch was written although the leader answers")
+	}
+	stopPeerServer()
+	if code := send(); code != http.StatusOK {
+		t.Errorf("heartbeat relayed through the state service: status %d", code)
+	}
+	if item, _ := leader.kv.Store.Get(peer.BatchKeyPrefix + "n1"); item.ModRevision == 0 {
+		t.Error("no batch was written")
+	}
+}
+
+// TestFollowerQueriesTheLeader: a follower has the leader answer for a job and, when that
+// does not answer, a cancel request goes through the state service.
+func TestFollowerQueriesTheLeader(t *testing.T) {
+	_, follower, stopPeerServer := newLeaderAndFollower(t)
+	defer stopPeerServer()
+	if w := follower.call(http.MethodGet, "/submissions/wk-000001", nil); w.Code != http.StatusNotFound {
+		t.Errorf("unknown job: status %d", w.Code)
+	}
+	if !follower.node.peers.reachable("n0") {
+		t.Error("the leader was not asked, or did not answer")
+	}
+	stopPeerServer()
+	if w := follower.call(http.MethodPost, "/submissions/wk-000001/withdraw", nil); w.Code == http.StatusOK {
+		t.Errorf("unknown job cancelled: status %d", w.Code)
+	}
+}
