--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -84,6 +84,14 @@
 	}
 }
 
+// results returns the violations so far, and in how many states a node had reserved units.
+// The cluster still runs.
+func (h *clusterHistory) results() (violations []error, statesWithReservations int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.Clone(h.violations), h.statesWithReservations
+}
+
 // inspect lets a test look at what was done.
 func (h *clusterHistory) inspect(at func(*fake.LeaderHistory)) {
 	h.mu.Lock()
@@ -310,12 +318,13 @@
 		resume(leader)
 	}
 	c.awaitLeader()
-	for _, err := range c.history.violations {
+	violations, statesWithReservations := c.history.results()
+	for _, err := range violations {
 		t.Error(err)
 	}
-	if c.history.statesWithReservations == 0 {
+	if statesWithReservations == 0 {
 		t.Error("no node has admitted anything by itself")
 	}
 	slices.Sort(took)
-	t.Logf("takeovers took %v; units were reserved in %d stored states", took, c.history.statesWithReservations)
+	t.Logf("takeovers took %v; units were reserved in %d stored states", took, statesWithReservations)
 }
