--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -15,17 +15,18 @@
 	"badgerbay/internal/peer"
 )
 
-// newLeaderAndFollower returns a leader n0 with a server for its peers, which stop ends,
-// and a follower n1 of it. Both reach the same state service, and the leader serves what
+// newLeaderAndFollower returns a leader n0 with a server for its peers, a follower n1 of
+// it, and a function that stops the server. Both reach the same state service, and the leader serves what
 // is relayed through it.
-func newLeaderAndFollower(t *testing.T) (leader, follower *nodeFixture, stop func()) {
+func newLeaderAndFollower(t *testing.T) (*nodeFixture, *nodeFixture, func()) {
 	t.Helper()
-	leader, follower = newNodeFixture(t), newNodeFixture(t)
+	leader, follower := newNodeFixture(t), newNodeFixture(t)
 	const epoch = 77 // of becomeLeader
 	key := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	for revision := ident.Revision(0); revision < epoch; {
 		var err error
-		if revision, err = leader.kv.Store.Commit(key); err != nil {
+		revision, err = leader.kv.Store.Commit(key)
+		if err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,10 +40,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- peer.Serve(ctx, listener, leader.node.newPeerServer(), minQueuedRequests) }()
-	stop = sync.OnceFunc(func() {
+	stop := sync.OnceFunc(func() {
 		cancel()
-		if err := <-served; err != nil {
-			t.Errorf("peer server: %v", err)
+		if failure := <-served; failure != nil {
+			t.Errorf("peer server: %v", failure)
 		}
 	})
 
