--- a/internal/controller/faultcombinations_test.go
+++ b/internal/controller/faultcombinations_test.go
@@ -3,7 +3,6 @@
 import (
 	"flag"
 	"fmt"
-	"maps"
 	"slices"
 	"testing"
 	"time"
@@ -53,89 +52,6 @@
 
 var faultCombinationSeeds = flag.Int("meetseeds", 2, "days of each meeting of TestMeetings, each with other luck")
 
-// upMachines lists the machines that are up.
-func (s *simulation) upMachines() []ident.MachineID {
-	var out []ident.MachineID
-	for _, h := range s.cloud.Sorted() {
-		if h.Worker != nil {
-			out = append(out, h.ID)
-		}
-	}
-	return out
-}
-
-// randomMachines picks about a part of the machines that are up.
-func (s *simulation) randomMachines(part float64) []ident.MachineID {
-	return slices.DeleteFunc(s.upMachines(), func(ident.MachineID) bool { return s.rng.Float64() > part })
-}
-
-// randomDuration is a length between two.
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Int64N(int64(most-least)))
-}
-
-// repeatWhileFaulty calls do and again while faults are active.
-func (s *simulation) repeatWhileFaulty(least, most time.Duration, do func()) {
-	s.schedule(s.randomDuration(least, most), func() {
-		if s.faultsActive {
-			do()
-			s.repeatWhileFaulty(least, most, do)
-		}
-	})
-}
-
-// cancelRunningJobs cancels n jobs that run, at once.
-func (s *simulation) cancelRunningJobs(n int) {
-	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
-		if j := s.jobs[id]; n > 0 && !j.spec.Service && !j.isOver() && s.hasRunningTasks(id) {
-			n--
-			s.schedule(s.randomDuration(0, 200*time.Millisecond), func() { s.cancelJob(id) })
-		}
-	}
-}
-
-// crashLeader ends the leader, which comes back within the time.
-func (s *simulation) crashLeader(back time.Duration) {
-	if l := s.leader(); l != nil {
-		s.crash(l, s.randomDuration(20*time.Millisecond, back))
-	}
-}
-
-// storeOutage brings an outage about.
-func (s *simulation) storeOutage(d time.Duration) {
-	s.store.Down = true
-	s.schedule(d, func() { s.store.Down = false })
-}
-
-// refuseLeader has the state service refuse the leader alone.
-func (s *simulation) refuseLeader(d time.Duration) {
-	if l := s.leader(); l != nil {
-		s.refusedByStore[l.index] = true
-		s.schedule(d, func() { delete(s.refusedByStore, l.index) })
-	}
-}
-
-// isolateLeader takes state service and peers from the leader, but not its workers
-// and users.
-func (s *simulation) isolateLeader(d time.Duration) {
-	if l := s.leader(); l != nil {
-		s.isolated[l.index] = true
-		s.schedule(d, func() { delete(s.isolated, l.index) })
-	}
-}
-
-func (s *simulation) makeUnreachable(part float64, least, most time.Duration) {
-	for _, id := range s.randomMachines(part) {
-		s.unreachableUntil[id] = s.now.Add(s.randomDuration(least, most))
-	}
-}
-
-func (s *simulation) hangMachines(part float64, least, most time.Duration) {
-	for _, id := range s.randomMachines(part) {
-		s.hungUntil[id] = s.now.Add(s.randomDuration(least, most))
-	}
-}
-
 const sec = time.Second
 
 // faultCombinations are the combinations of two faults that break schedulers like this one.
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -48,16 +48,6 @@
 	})
 }
 
-// healPartition ends the partition of a zone; what it held arrives.
-func (s *simulation) healPartition() {
-	s.partitionedZone = ""
-	held := s.heldMessages
-	s.heldMessages = nil
-	for _, do := range held {
-		s.schedule(s.latency(), do)
-	}
-}
-
 func (s *simulation) callCloud(n *simulatedNode, life int, e Effect) {
 	if s.partitioned(n.zone, "") {
 		s.schedule(5*time.Second, func() { s.failCloudCall(n, life, e) })
@@ -120,20 +110,34 @@
 	s.cloud.Reclaim(id)
 }
 
-// advanceEnvironment lets time pass outside the nodes.
+// advanceEnvironment lets time pass outside the nodes, and checks the rules.
 func (s *simulation) advanceEnvironment() {
-	if s.store.LimitViolation != "" && s.now.Before(s.limitGraceUntil) {
-		// The limits came before anybody could know that all are upgraded.
-		s.store.LimitViolation = ""
-		s.limitViolations++
-	}
-	if s.store.LimitViolation != "" {
-		s.t.Fatalf("beyond the limits of the state service: %s", s.store.LimitViolation)
-	}
+	s.checkStoreLimits()
 	s.store.Expire(s.now)
 	if names := s.entitledNodes(); len(names) > 1 && s.heartbeatUnderstatement == 0 {
 		s.t.Fatalf("entitled at the same time: %v", names)
 	}
+	s.startMachines()
+	s.advanceWorkers()
+	s.checkCancelledJobsStopped()
+}
+
+// checkStoreLimits checks that nothing was written beyond the limits of the state
+// service, but for a time in which nobody can know them.
+func (s *simulation) checkStoreLimits() {
+	if s.store.LimitViolation == "" {
+		return
+	}
+	if !s.now.Before(s.limitGraceUntil) {
+		s.t.Fatalf("beyond the limits of the state service: %s", s.store.LimitViolation)
+	}
+	// The limits came before anybody could know that all are upgraded.
+	s.store.LimitViolation = ""
+	s.limitViolations++
+}
+
+// startMachines starts the workers of the machines that come up.
+func (s *simulation) startMachines() {
 	lease := s.settings.Params.Workers.LeaseTTL()
 	for _, w := range s.cloud.StartDue(s.now, func(h *fake.Machine) *fake.Worker {
 		return fake.NewWorker(h.ID, s.cloud.Type(h.Offer.Type), h.Offer.Zone, h.Offer.Spot, lease, s.now)
@@ -141,19 +145,33 @@
 		w.FetchTime = time.Second
 		w.OnTask = s.taskSeen
 		w.OnExit = s.countGangExit
-		w.Spec = func(id ident.JobID) (*jobs.Spec, time.Duration, bool) {
-			j := s.jobs[id]
-			if j == nil || !j.submitted {
-				return nil, 0, false
-			}
-			return &j.spec, j.runTime, true
-		}
-		w.RunTime = func(task ident.TaskID) time.Duration {
-			j := s.jobs[task.Job]
-			return j.runTime + time.Duration(task.Index)*j.runTimeStep
-		}
+		w.Spec = s.jobSpec
+		w.RunTime = s.taskRunTime
 		s.heartbeatLoop(w, s.rng.IntN(len(s.nodes)))
 	}
+}
+
+// jobSpec tells a worker what a job is, if it was submitted.
+func (s *simulation) jobSpec(id ident.JobID) (*jobs.Spec, time.Duration, bool) {
+	j := s.jobs[id]
+	if j == nil || !j.submitted {
+		return nil, 0, false
+	}
+	return &j.spec, j.runTime, true
+}
+
+func (s *simulation) taskRunTime(task ident.TaskID) time.Duration {
+	j := s.jobs[task.Job]
+	return j.runTime + time.Duration(task.Index)*j.runTimeStep
+}
+
+const (
+	gangStartTimeout = 20 * time.Second
+	gangPeerTimeout  = 8 * time.Second
+)
+
+// advanceWorkers lets time pass on the machines that are up.
+func (s *simulation) advanceWorkers() {
 	var up []*fake.Worker
 	for _, h := range s.cloud.Sorted() {
 		if h.Worker == nil || h.Failed {
@@ -166,7 +184,13 @@
 		}
 		up = append(up, h.Worker)
 	}
-	fake.AdvanceGangs(s.now, up, 20*time.Second, 8*time.Second, func(id ident.MachineID) bool { return s.now.Before(s.hungUntil[id]) })
+	hangs := func(id ident.MachineID) bool { return s.now.Before(s.hungUntil[id]) }
+	fake.AdvanceGangs(s.now, up, gangStartTimeout, gangPeerTimeout, hangs)
+}
+
+// checkCancelledJobsStopped checks that nothing of a cancelled job runs once its time
+// is over.
+func (s *simulation) checkCancelledJobsStopped() {
 	for id, j := range s.jobs {
 		if j.cancelledAt == 0 || s.now.Sub(j.cancelledAt) < s.settings.Params.Workers.CancelTimeout() {
 			continue
@@ -291,48 +315,3 @@
 		s.crash(n, time.Millisecond)
 	}
 }
-
-// injectRandomFault draws one fault, which may come on top of others.
-func (s *simulation) injectRandomFault() {
-	n := s.nodes[s.rng.IntN(3)]
-	if l := s.leader(); l != nil && s.rng.IntN(2) == 0 {
-		n = l
-	}
-	length := time.Duration(500<<s.rng.IntN(7)) * time.Millisecond
-	switch s.rng.IntN(7) {
-	case 0:
-		s.partitionedZone = s.settings.Params.Zones[s.rng.IntN(len(s.settings.Params.Zones))]
-		s.schedule(length+10*time.Second, s.healPartition)
-	case 1:
-		s.pausedUntil[n.index] = s.now.Add(length)
-	case 2:
-		for _, o := range s.nodes {
-			if o == n || s.rng.IntN(2) == 0 {
-				s.crash(o, time.Duration(20+s.rng.IntN(4000))*time.Millisecond)
-			}
-		}
-	case 3:
-		s.isolated[n.index] = true
-		s.schedule(length, func() { delete(s.isolated, n.index) })
-	case 4:
-		s.store.Down = true
-		s.schedule(length, func() { s.store.Down = false })
-	case 5:
-		s.forThirdOfMachines(func(id ident.MachineID) {
-			if s.cloud.Machines[id].Worker != nil {
-				s.reclaimMachine(id)
-			}
-		})
-	case 6:
-		s.forThirdOfMachines(func(id ident.MachineID) { s.hungUntil[id] = s.now.Add(length) })
-	}
-}
-
-// forThirdOfMachines draws a third of the machines.
-func (s *simulation) forThirdOfMachines(how func(ident.MachineID)) {
-	for _, h := range s.cloud.Sorted() {
-		if s.rng.IntN(3) == 0 {
-			how(h.ID)
-		}
-	}
-}
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -85,22 +85,6 @@
 	}
 }
 
-// partitioned tells whether nothing passes between two places; "" is the region,
-// where the state service and the cloud are.
-func (s *simulation) partitioned(a, b ident.Zone) bool {
-	return s.partitionedZone != "" && (a == s.partitionedZone) != (b == s.partitionedZone)
-}
-
-// withoutStore tells whether a node does not reach the state service.
-func (s *simulation) withoutStore(n *simulatedNode) bool {
-	return s.isolated[n.index] || s.refusedByStore[n.index] || s.partitioned(n.zone, "")
-}
-
-// reachesPeer tells whether one node reaches another over the peer network.
-func (s *simulation) reachesPeer(a, b *simulatedNode) bool {
-	return a.alive && b.alive && !s.peersPartitioned && !s.isolated[a.index] && !s.isolated[b.index] && !s.partitioned(a.zone, b.zone)
-}
-
 // pollPeers lets the nodes ask each other for grants, and find out what they are
 // cut off from.
 func (s *simulation) pollPeers() {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -38,40 +38,16 @@
 	nodes    []*simulatedNode
 	jobs     map[ident.JobID]*simulatedJob
 	running  *taskTable
-	// lossProbability is the chance that an answer is lost; duplicateProbability that a direct command
-	// is executed once more, much later.
-	lossProbability, duplicateProbability float64
-	unreachableByWorkers                  map[int]bool // nodes that the workers can't reach
-	taskStarts                            int
-	hungUntil                             map[ident.MachineID]clock.Instant // machines that hang, and until when
-	unreachableUntil                      map[ident.MachineID]clock.Instant // machines that nothing reaches, though their heartbeats arrive
-	pausedUntil                           map[int]clock.Instant             // nodes that are paused while their clocks run on, and until when
-	heldMessages                          []func()                          // what waits for the partition to end
-	partitionedZone                       ident.Zone                        // cut off from everything outside it
-	isolated                              map[int]bool                      // nodes without state service, and what follows from it
-	lateHeartbeatProbability              float64                           // the chance that a heartbeat comes once more, late
-	maxHeartbeatDelay                     time.Duration                     // how late at most
-	effectsUntilCrash                     int                               // the leader crashes before this many of its next effects
-	electionRequestsUntilCrash            int                               // likewise, any node before a request of its election; it is back at once
-
-	refusedByStore         map[int]bool                      // nodes that the state service refuses; their peers are reachable
-	peersPartitioned       bool                              // nodes refuse each other's connections
-	lateCommitProbability  float64                           // the share of transactions that are carried out late, without an answer
-	maxStoreLatency        time.Duration                     // how long the state service takes at most
-	loadDelay              time.Duration                     // how long a new leader needs to read the records
-	limitGraceUntil        clock.Instant                     // until when the limits of the state service may be met
-	limitViolations        int                               // how often they were
-	onPreviousVersion      map[int]bool                      // nodes that don't say their version
-	faultsActive           bool                              // the faults of the scenario go on
-	maxExtraLatency        time.Duration                     // how much longer messages take, at most
-	cancelAtEndProbability float64                           // the chance that a job is cancelled as its last task ends
-	silentUntil            map[ident.MachineID]clock.Instant // machines whose heartbeats reach nobody, though commands reach them
-	gangExits              map[ident.JobID]gangExitCounts    // of gangs' tasks
+	faults
+	taskStarts int
+	gangExits  map[ident.JobID]gangExitCounts // of gangs' tasks
+	// limitViolations is how often the limits of the state service were met in the
+	// time in which they may be.
+	limitViolations int
 
 	trace                        *wireTrace         // nil: the scenario is not traced
 	leaderHistory                fake.LeaderHistory // of those who act as leader
 	admissions                   int                // of jobs, by holders
-	heartbeatUnderstatement      time.Duration      // what heartbeats seem to claim less than they do
 	warmFailovers, coldFailovers int                // with a replica, and where it was of no use
 }
 
@@ -187,9 +163,7 @@
 	}
 	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: simulationStart, settings: simulationSettings(), policy: pol,
 		store: fake.NewKVStore(), cloud: fake.NewCloud(types, capacity), jobs: map[ident.JobID]*simulatedJob{},
-		running: newTaskTable(), unreachableByWorkers: map[int]bool{},
-		hungUntil: map[ident.MachineID]clock.Instant{}, unreachableUntil: map[ident.MachineID]clock.Instant{}, isolated: map[int]bool{}, pausedUntil: map[int]clock.Instant{},
-		refusedByStore: map[int]bool{}, silentUntil: map[ident.MachineID]clock.Instant{}, gangExits: map[ident.JobID]gangExitCounts{}, maxHeartbeatDelay: 40 * time.Second}
+		running: newTaskTable(), faults: noFaults(), gangExits: map[ident.JobID]gangExitCounts{}}
 	s.cloud.BootTime = func() time.Duration { return time.Duration(2+s.rng.IntN(10)) * time.Second }
 	s.store.MaxValueBytes, s.store.MaxTxnOps = s.settings.Params.StateService.MaxValueBytes(), s.settings.Params.StateService.MaxTxnOps
 	for i := range 3 {
