--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"time"
 
+	"badgerbay/internal/clock"
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/fake"
 	"badgerbay/internal/fleet"
@@ -200,6 +201,14 @@
 	}
 }
 
+// Times of a worker between heartbeats.
+const (
+	heartbeatReplyTimeout = 4 * time.Second
+	nextNodePause         = time.Second            // before it tries the next node
+	redirectPause         = 200 * time.Millisecond // before it goes to the leader that it was told of
+	newEpochPause         = 500 * time.Millisecond // after an answer with a higher fencing token
+)
+
 // heartbeatLoop sends a worker's heartbeats to a node, and goes on to another when
 // it is refused.
 func (s *simulation) heartbeatLoop(w *fake.Worker, node int) {
@@ -212,91 +221,130 @@
 		return
 	}
 	w.Advance(s.now)
-	n, sent, session, r := s.nodes[node], s.now, w.Session, w.Heartbeat()
 	interval := s.settings.Params.Workers.HeartbeatInterval()
-	next := interval*3/4 + time.Duration(s.rng.Int64N(int64(interval/2)))
-	answered := false
-	follow := func(node int, d time.Duration) {
-		if !answered {
-			answered = true
-			s.schedule(d, func() { s.heartbeatLoop(w, node) })
-		}
-	}
+	x := &heartbeatExchange{sim: s, worker: w, node: s.nodes[node], heartbeat: w.Heartbeat(), session: w.Session, sent: s.now,
+		pause: interval*3/4 + time.Duration(s.rng.Int64N(int64(interval/2)))}
 	if s.rng.Float64() < s.lateHeartbeatProbability {
-		// A copy that was held on its way; nobody waits for its answer.
-		s.schedule(time.Second+time.Duration(s.rng.Int64N(int64(s.maxHeartbeatDelay))), func() {
-			if n.alive {
-				s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
-			}
-		})
+		delay := time.Second + time.Duration(s.rng.Int64N(int64(s.maxHeartbeatDelay)))
+		s.schedule(delay, x.deliverCopy)
 	}
-	s.schedule(4*time.Second, func() { follow((node+1)%len(s.nodes), time.Second) })
-	if s.partitioned(n.zone, w.Zone) {
-		s.heldMessages = append(s.heldMessages, func() {
-			if n.alive {
-				s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
-			}
-		})
+	s.schedule(heartbeatReplyTimeout, x.tryNextNode)
+	x.send()
+}
+
+// heartbeatExchange is one heartbeat of a worker, and what becomes of it.
+type heartbeatExchange struct {
+	sim       *simulation
+	worker    *fake.Worker
+	node      *simulatedNode
+	heartbeat *fleet.Heartbeat
+	session   ident.Session
+	sent      clock.Instant
+	pause     time.Duration // until the next heartbeat, once this is answered
+	over      bool          // the next heartbeat is scheduled
+}
+
+// send sends the heartbeat to its node. If it is not answered in time, the worker tries
+// the next.
+func (x *heartbeatExchange) send() {
+	s, n := x.sim, x.node
+	if s.partitioned(n.zone, x.worker.Zone) {
+		s.heldMessages = append(s.heldMessages, x.deliverCopy)
 		return
 	}
-	if !n.alive || s.unreachableByWorkers[node] || s.now.Before(s.silentUntil[w.ID]) || s.isLost() {
+	if !n.alive || s.unreachableByWorkers[n.index] || s.now.Before(s.silentUntil[x.worker.ID]) || s.isLost() {
 		return
 	}
 	s.schedule(s.latency(), func() {
-		if !n.alive {
-			return
-		}
-		var take func(a HeartbeatReply)
-		take = func(a HeartbeatReply) {
-			if s.relayHeartbeat(n, r, a, take) {
-				return
-			}
-			s.schedule(s.latency(), func() {
-				if s.unreachableByWorkers[node] || s.partitioned(n.zone, w.Zone) || answered || s.now.Before(s.hungUntil[w.ID]) || s.now.Before(s.unreachableUntil[w.ID]) {
-					return
-				}
-				switch {
-				case a.Outcome == HeartbeatAccepted:
-					w.Advance(s.now)
-					before := w.FencingToken
-					if w.HandleHeartbeatReply(s.now, sent, session, a.Epoch, a.Commands) && w.FencingToken > before {
-						next = 500 * time.Millisecond
-					}
-					follow(node, next)
-				case a.Outcome == HeartbeatRedirected && a.Leader != "" && a.Leader != n.name:
-					follow(int(a.Leader[1]-'0'), 200*time.Millisecond)
-				default:
-					follow((node+1)%len(s.nodes), time.Second)
-				}
-			})
+		if n.alive {
+			s.step(n, HeartbeatReceived{Heartbeat: x.heartbeat, Responder: ResponderFunc[HeartbeatReply](x.reply)})
 		}
-		s.step(n, HeartbeatReceived{Heartbeat: r, Responder: ResponderFunc[HeartbeatReply](take)})
 	})
 }
 
-// relayHeartbeat hands a heartbeat over the peer network to a leader that the workers can't reach,
-// as a node does with a worker that has come back from there in vain.
-func (s *simulation) relayHeartbeat(n *simulatedNode, r *fleet.Heartbeat, a HeartbeatReply, take func(HeartbeatReply)) bool {
-	if a.Outcome != HeartbeatRedirected || a.Final || a.Leader == "" || a.Leader == n.name {
+// deliverCopy delivers a copy of the heartbeat that was held on its way; nobody waits
+// for its answer.
+func (x *heartbeatExchange) deliverCopy() {
+	if x.node.alive {
+		x.sim.step(x.node, HeartbeatReceived{Heartbeat: x.heartbeat, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
+	}
+}
+
+// reply sends the node's answer back to the worker, or the heartbeat on to the leader.
+func (x *heartbeatExchange) reply(answer HeartbeatReply) {
+	if x.relay(answer) {
+		return
+	}
+	x.sim.schedule(x.sim.latency(), func() { x.deliverReply(answer) })
+}
+
+// deliverReply lets the worker act on an answer, if it reaches it in time.
+func (x *heartbeatExchange) deliverReply(answer HeartbeatReply) {
+	s, w := x.sim, x.worker
+	if s.unreachableByWorkers[x.node.index] || s.partitioned(x.node.zone, w.Zone) || x.over ||
+		s.now.Before(s.hungUntil[w.ID]) || s.now.Before(s.unreachableUntil[w.ID]) {
+		return
+	}
+	switch {
+	case answer.Outcome == HeartbeatAccepted:
+		w.Advance(s.now)
+		before := w.FencingToken
+		if w.HandleHeartbeatReply(s.now, x.sent, x.session, answer.Epoch, answer.Commands) && w.FencingToken > before {
+			x.pause = newEpochPause
+		}
+		x.continueAt(x.node.index, x.pause)
+	case answer.Outcome == HeartbeatRedirected && answer.Leader != "" && answer.Leader != x.node.name:
+		x.continueAt(nodeIndex(answer.Leader), redirectPause)
+	default:
+		x.tryNextNode()
+	}
+}
+
+func (x *heartbeatExchange) tryNextNode() {
+	x.continueAt((x.node.index+1)%len(x.sim.nodes), nextNodePause)
+}
+
+// continueAt has the worker send its next heartbeat to a node, unless it was told to
+// before.
+func (x *heartbeatExchange) continueAt(node int, pause time.Duration) {
+	if x.over {
+		return
+	}
+	x.over = true
+	x.sim.schedule(pause, func() { x.sim.heartbeatLoop(x.worker, node) })
+}
+
+// nodeIndex is the index of a node by its name.
+func nodeIndex(name string) int { return int(name[1] - '0') }
+
+// relay hands the heartbeat over the peer network to a leader that the workers can't
+// reach, as a node does with a worker that has come back from there in vain.
+func (x *heartbeatExchange) relay(answer HeartbeatReply) bool {
+	s, n := x.sim, x.node
+	if answer.Outcome != HeartbeatRedirected || answer.Final || answer.Leader == "" || answer.Leader == n.name {
 		return false
 	}
-	l := s.nodes[int(a.Leader[1]-'0')]
-	if !s.unreachableByWorkers[l.index] || !s.reachesPeer(n, l) {
+	leader := s.nodes[nodeIndex(answer.Leader)]
+	if !s.unreachableByWorkers[leader.index] || !s.reachesPeer(n, leader) {
 		return false
 	}
 	s.schedule(s.latency(), func() {
-		if s.reachesPeer(n, l) {
-			s.step(l, HeartbeatReceived{Heartbeat: r, RelayedBy: n.name, Responder: ResponderFunc[HeartbeatReply](func(a HeartbeatReply) {
-				if a.Outcome != HeartbeatAccepted {
-					a = HeartbeatReply{}
-				}
-				take(a)
-			})})
+		if s.reachesPeer(n, leader) {
+			s.step(leader, HeartbeatReceived{Heartbeat: x.heartbeat, RelayedBy: n.name, Responder: ResponderFunc[HeartbeatReply](x.relayReply)})
 		}
 	})
 	return true
 }
 
+// relayReply takes the leader's answer to a relayed heartbeat: of a refusal the worker
+// hears only that the node can't answer.
+func (x *heartbeatExchange) relayReply(answer HeartbeatReply) {
+	if answer.Outcome != HeartbeatAccepted {
+		answer = HeartbeatReply{Outcome: HeartbeatUnavailable}
+	}
+	x.reply(answer)
+}
+
 // scaleCloud gives the cloud about so many machines in the zones; nodes stand in the
 // first two.
 func (s *simulation) scaleCloud(zones []ident.Zone, machines int) {
