--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -30,7 +30,7 @@
 	"badgerbay/internal/roundlog"
 )
 
-var failovers = flag.Int("takeovers", 2, "takeovers that TestTakeoversOnLoopback brings about, kills and freezes in turn")
+var failovers = flag.Int("takeovers", 2, "failovers that TestFailoversOnLoopback brings about, by a kill and a pause in turn")
 
 // cluster is real controller processes on loopback, beside stand-ins.
 type cluster struct {
--- a/internal/controller/cancellationgap_test.go
+++ b/internal/controller/cancellationgap_test.go
@@ -13,7 +13,7 @@
 	"badgerbay/internal/leasedelegation"
 )
 
-var cancellationGapStep = flag.Duration("gapstep", 1500*time.Millisecond, "between the offsets that TestGap tries")
+var cancellationGapStep = flag.Duration("gapstep", 1500*time.Millisecond, "time between the outage delays of TestCancellationsAroundOutage")
 
 // cancellationGap is one combination of a refused leader, cancellations and an outage.
 type cancellationGap struct {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -11,7 +11,7 @@
 	"badgerbay/internal/standby"
 )
 
-var failoverSeeds = flag.Int("takeoverseeds", 2, "takeovers of each kind that TestTakeoverTimes plays")
+var failoverSeeds = flag.Int("takeoverseeds", 2, "seeds of each cause in TestFailoverTimes")
 
 // failoverCause is a way in which a leader stops.
 type failoverCause struct {
@@ -272,7 +272,7 @@
 	t.Error("not found")
 }
 
-var warmStandbySeeds = flag.Int("standbydays", 4, "days that TestWarmStandbyDays plays")
+var warmStandbySeeds = flag.Int("standbydays", 4, "seeds of TestWarmStandbyUnderFaults")
 
 // injectFailoverFault draws a fault of the kinds that meet a failover: the leader stops,
 // and about when its standbys act, one of them dies or is paused, the nodes refuse
--- a/internal/controller/faultcombinations_test.go
+++ b/internal/controller/faultcombinations_test.go
@@ -49,13 +49,13 @@
 	s.healAndFinish()
 }
 
-var faultCombinationSeeds = flag.Int("meetseeds", 2, "days of each meeting of TestMeetings, each with other luck")
+var faultCombinationSeeds = flag.Int("meetseeds", 2, "seeds of each combination in TestFaultCombinations")
 
 const sec = time.Second
 
 // faultCombinations are the combinations of two faults that break schedulers like this one.
 var faultCombinations = []struct {
-	what  string
+	name  string
 	begin func(*simulation)
 }{
 	{"limit, takeover, machines that can't be asked, cancellations", func(s *simulation) {
@@ -198,7 +198,7 @@
 
 // workerTimings are the workers' times with which each fault combination is played.
 var workerTimings = []struct {
-	what    string
+	name    string
 	workers config.Workers
 }{
 	{"", simulationSettings().Params.Workers},
@@ -213,7 +213,7 @@
 	for i, m := range faultCombinations {
 		for _, times := range workerTimings {
 			for seed := range uint64(*faultCombinationSeeds) {
-				t.Run(fmt.Sprintf("%s%s/%d", times.what, m.what, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s%s/%d", times.name, m.name, seed), func(t *testing.T) {
 					t.Parallel()
 					s := newSimulationWithWorkers(t, 5000+100*uint64(i)+seed, times.workers)
 					if seed%2 == 1 {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -74,11 +74,11 @@
 }
 
 // forEachSeed plays a scenario with each of n seeds, side by side.
-func forEachSeed(t *testing.T, n int, day func(*testing.T, uint64)) {
+func forEachSeed(t *testing.T, n int, scenario func(*testing.T, uint64)) {
 	for seed := range uint64(n) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day(t, seed)
+			scenario(t, seed)
 		})
 	}
 }
@@ -283,7 +283,7 @@
 	partitionZone(t, 21)
 }
 
-var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "pairs of cuts of TestCutZoneWhereverItsWorkersAre, each with other luck")
+var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "seeds of TestPartitionedZoneWhereverItsWorkersReport, two scenarios each")
 
 // TestPartitionedZoneWhereverItsWorkersReport is the same whichever nodes the workers report
 // to as the partition begins. A worker waits four seconds for each node out of reach, and
@@ -397,7 +397,7 @@
 	})
 }
 
-var largeFleetSeeds = flag.Int("fleetseeds", 1, "days of TestFleetDays, each with other luck")
+var largeFleetSeeds = flag.Int("fleetseeds", 1, "seeds of TestLargeFleetFaults")
 
 // TestLargeFleetFaults draws scenarios of up to 1,900 machines: zones with and without a
 // node, replicas, large arrays beside many small ones, and faults of each kind
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -12,14 +12,14 @@
 	"badgerbay/internal/jobs"
 )
 
-var gangSeeds = flag.Int("gangseeds", 2, "days of each trouble of TestGangs, each with other luck")
+var gangSeeds = flag.Int("gangseeds", 2, "seeds of each fault in TestGangsUnderFaults")
 
 var gangSpec = jobs.Spec{Class: "gang", Team: "red", Gang: true, Priority: jobs.PriorityStandard, Tasks: 4, CPUs: 2, MemoryGB: 4,
 	Image: "img3", ImageGB: 1, EstimatedRunSeconds: 10, ZoneAffinity: true, CheckpointIntervalSeconds: 5, CheckpointSeconds: 2}
 
 // gangFaults are what may befall gangs at any step of start, run and end.
 var gangFaults = []struct {
-	what  string
+	name  string
 	begin func(*simulation)
 }{
 	{"quiet", func(*simulation) {}},
@@ -61,7 +61,7 @@
 	t.Parallel()
 	for i, trouble := range gangFaults {
 		for seed := range uint64(*gangSeeds) {
-			t.Run(fmt.Sprintf("%s/%d", trouble.what, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", trouble.name, seed), func(t *testing.T) {
 				t.Parallel()
 				s := newSimulation(t, 11000+100*uint64(i)+seed)
 				s.submitMixedLoad()
@@ -202,17 +202,17 @@
 // After a failover, or with too little time left, the gang ends and is placed anew.
 func TestLostGangTaskIsReplacedInTime(t *testing.T) {
 	t.Parallel()
-	for what, meanwhile := range map[string]func(*simulation){
+	for name, meanwhile := range map[string]func(*simulation){
 		"in time":       func(*simulation) {},
 		"lost twice":    func(*simulation) {},
 		"takeover":      func(s *simulation) { s.runFor(600 * time.Millisecond); s.crashLeader(sec) },
 		"late":          func(*simulation) {},
 		"version first": func(*simulation) {},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSimulation(t, 8)
-			switch what {
+			switch name {
 			case "version first":
 				s.onPreviousVersion = map[int]bool{0: true, 1: true, 2: true}
 			case "late":
@@ -241,7 +241,7 @@
 						return l.core.term.jobs.get(id)
 					}
 				}
-				t.Fatalf("%s: the gang is not placed", what)
+				t.Fatalf("%s: the gang is not placed", name)
 				return nil
 			}
 			placed()
@@ -252,7 +252,7 @@
 			lose := func() {
 				p := j.Placements[0]
 				if p == nil {
-					t.Fatalf("%s: task 0 is not placed", what)
+					t.Fatalf("%s: task 0 is not placed", name)
 				}
 				s.reclaimMachine(p.Machine)
 				tm.core.term.tasksEnded(s.now, tm.core.term.fleet.Remove(s.now, p.Machine))
@@ -267,20 +267,20 @@
 				}
 				return false
 			}
-			want := what == "in time" || what == "lost twice"
+			want := name == "in time" || name == "lost twice"
 			if got := replaced(); got != want {
-				t.Errorf("%s: replaced under the attempt %v, want %v", what, got, want)
+				t.Errorf("%s: replaced under the attempt %v, want %v", name, got, want)
 			}
-			if what == "lost twice" {
+			if name == "lost twice" {
 				lose()
 				if !replaced() {
-					t.Errorf("%s: not replaced a second time", what)
+					t.Errorf("%s: not replaced a second time", name)
 				}
 			}
 			s.runFor(60 * sec)
 			s.healAndFinish()
 			if n := s.gangExits[id]; want && n.incomplete > 0 {
-				t.Errorf("%s: the gang gave up: %+v", what, n)
+				t.Errorf("%s: the gang gave up: %+v", name, n)
 			}
 		})
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -15,7 +15,7 @@
 // teamQuotasPolicy enables team quotas beside the warm standby.
 const teamQuotasPolicy = "warm_standby = {}\nteam_quotas = {}"
 
-var quotaSeeds = flag.Int("quotadays", 4, "days that TestQuotaDays plays")
+var quotaSeeds = flag.Int("quotadays", 4, "seeds of TestQuotasUnderFaults")
 
 // remainingAllotments is what is still allotted or reserved.
 func (s *simulation) remainingAllotments() int {
@@ -103,7 +103,7 @@
 func TestIdleAllotmentsAreRecalled(t *testing.T) {
 	t.Parallel()
 	const bound = 10 * time.Second
-	for what, trouble := range map[string]func(*simulation, *simulatedNode){
+	for name, trouble := range map[string]func(*simulation, *simulatedNode){
 		"answers":          func(*simulation, *simulatedNode) {},
 		"is dead":          func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute) },
 		"stands still":     func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(20 * time.Second) },
@@ -111,7 +111,7 @@
 		"and a new leader": func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute); s.crash(s.leader(), time.Minute) },
 	} {
 		for seed := range uint64(2) {
-			t.Run(fmt.Sprintf("%s/%d", what, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				s, holder := simulationWithIdleHolder(t, seed)
 				trouble(s, holder)
@@ -121,15 +121,15 @@
 				s.runFor(bound + 3*time.Second) // and a failover, where there is one
 				l := s.leader()
 				if l == nil {
-					t.Fatalf("%s: nobody leads", what)
+					t.Fatalf("%s: nobody leads", name)
 				}
 				if left := l.core.term.quotas.allocator.Allocated("red"); left.MilliCPU > 4_000 {
-					t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", what, seed, left)
+					t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", name, seed, left)
 				}
 				s.peersPartitioned = false
 				s.runFor(30 * time.Second)
 				if err := s.checkUsageWithinLimits(); err != nil {
-					t.Errorf("%s: %v", what, err)
+					t.Errorf("%s: %v", name, err)
 				}
 			})
 		}
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -257,12 +257,12 @@
 // many; not so the machines of a zone that falls silent as a whole.
 func TestThirdOfMachinesFails(t *testing.T) {
 	t.Parallel()
-	for what, dies := range map[string]func(int) bool{
+	for name, dies := range map[string]func(int) bool{
 		"a third":    func(i int) bool { return i%3 == 0 },
 		"a zone":     func(i int) bool { return i%2 == 0 },
 		"everything": func(int) bool { return true },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := newCoreFixture(t, 100)
 			g.fillMachines(100)
@@ -292,8 +292,8 @@
 					gone++
 				}
 			}
-			if want := map[bool]int{true: len(busy)}[what == "a third"]; gone != want || len(busy) < 7 {
-				t.Errorf("%s: %d of %d dead machines with tasks were returned in 13 s, want %d", what, gone, len(busy), want)
+			if want := map[bool]int{true: len(busy)}[name == "a third"]; gone != want || len(busy) < 7 {
+				t.Errorf("%s: %d of %d dead machines with tasks were returned in 13 s, want %d", name, gone, len(busy), want)
 			}
 		})
 	}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -131,7 +131,7 @@
 
 // allWithWarmStandby makes scenarios that name no policy of their own be played with the warm
 // standby.
-var allWithWarmStandby = flag.Bool("warmstandby", false, "play all days with the warm standby")
+var allWithWarmStandby = flag.Bool("warmstandby", false, "play all scenarios with the warm standby")
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	script := ""
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -92,7 +92,7 @@
 // nothing that a user sees.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
-	for what, trouble := range map[string]func(*simulation){
+	for name, trouble := range map[string]func(*simulation){
 		"quiet": func(*simulation) {},
 		"crashes": func(s *simulation) {
 			s.faultsActive = true
@@ -129,7 +129,7 @@
 			s.schedule(90*sec, func() { delete(s.isolated, 1) })
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/zonerestriction_test.go
+++ b/internal/controller/zonerestriction_test.go
@@ -9,7 +9,7 @@
 
 // replacementCauses are the ways in which tasks come to be placed anew.
 var replacementCauses = []struct {
-	what  string
+	name  string
 	begin func(*simulation)
 }{
 	{"machines are lost", func(s *simulation) {
@@ -64,7 +64,7 @@
 	t.Parallel()
 	for i, path := range replacementCauses {
 		for _, times := range workerTimings {
-			t.Run(times.what+path.what, func(t *testing.T) {
+			t.Run(times.name+path.name, func(t *testing.T) {
 				t.Parallel()
 				s := newSimulationWithWorkers(t, 8000+uint64(i), times.workers)
 				for k := range 4 {
