--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -15,13 +15,12 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"badgerbay/internal/cloud"
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 	"badgerbay/internal/jobs"
 )
 
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,11 +8,10 @@
 	"testing"
 	"time"
 
-	"badgerbay/internal/ident"
-
 	"github.com/google/go-cmp/cmp"
 
 	"badgerbay/internal/fleet"
+	"badgerbay/internal/ident"
 )
 
 // golden reads the recorded messages: a name and the bytes in hexadecimal on each line.
--- a/internal/node/coreactor_test.go
+++ b/internal/node/coreactor_test.go
@@ -1,8 +1,6 @@
 package node
 
-import (
-	"testing"
-)
+import "testing"
 
 // TestQueuesHoldARequestOfEachConnection: a request of each connection that may be open fits
 // into the queue of the core, and into that of the relay.
