--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -309,8 +309,7 @@
 			s.maxStoreLatency = s.randomDuration(200*time.Millisecond, 2*time.Second)
 			s.schedule(length, func() { s.maxStoreLatency = 0 })
 		case 4:
-			s.store.Down = true
-			s.schedule(length, func() { s.store.Down = false })
+			s.storeOutage(length)
 		case 5:
 			s.refusedByStore[n.index] = true
 			s.schedule(length, func() { delete(s.refusedByStore, n.index) })
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -102,10 +102,7 @@
 				s.crash(n, time.Duration(100+s.rng.IntN(8000))*time.Millisecond)
 			}
 		})
-		s.schedule(40*time.Second, func() {
-			s.store.Down = true
-			s.schedule(20*time.Second, func() { s.store.Down = false })
-		})
+		s.schedule(40*time.Second, func() { s.storeOutage(20 * time.Second) })
 		s.schedule(75*time.Second, func() {
 			s.cloud.Down = true
 			s.schedule(30*time.Second, func() { s.cloud.Down = false })
@@ -182,10 +179,7 @@
 			s.unreachableByWorkers[2] = true
 			s.schedule(20*time.Second, func() { delete(s.unreachableByWorkers, 2) })
 		})
-		s.schedule(55*time.Second, func() {
-			s.store.Down = true
-			s.schedule(15*time.Second, func() { s.store.Down = false })
-		})
+		s.schedule(55*time.Second, func() { s.storeOutage(15 * time.Second) })
 		s.submitMixedLoad()
 		s.schedule(5*time.Second, func() { s.cancelJob("wk-000003") })
 		s.runFor(150 * time.Second)
@@ -215,10 +209,7 @@
 				s.crash(n, time.Duration(20+s.rng.IntN(500))*time.Millisecond)
 			}
 		})
-		s.schedule(45*time.Second, func() {
-			s.store.Down = true
-			s.schedule(15*time.Second, func() { s.store.Down = false })
-		})
+		s.schedule(45*time.Second, func() { s.storeOutage(15 * time.Second) })
 		s.submitMixedLoad()
 		s.schedule(5*time.Second, func() { s.cancelJob("wk-000003") })
 		s.runFor(150 * time.Second)
@@ -378,10 +369,7 @@
 		}
 		peak := 0
 		s.scheduleEvery(time.Second, func() { peak = max(peak, len(s.cloud.Machines)) })
-		s.schedule(45*time.Second, func() {
-			s.store.Down = true
-			s.schedule(12*time.Second, func() { s.store.Down = false })
-		})
+		s.schedule(45*time.Second, func() { s.storeOutage(12 * time.Second) })
 		s.schedule(50*time.Second, func() {
 			for i, id := range slices.Sorted(maps.Keys(s.cloud.Machines)) {
 				if h := s.cloud.Machines[id]; i%9 == 0 && h.Worker != nil {
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -116,8 +116,7 @@
 		s.isolated[n.index] = true
 		s.schedule(length, func() { delete(s.isolated, n.index) })
 	case 4:
-		s.store.Down = true
-		s.schedule(length, func() { s.store.Down = false })
+		s.storeOutage(length)
 	case 5:
 		s.forThirdOfMachines(func(id ident.MachineID) {
 			if s.cloud.Machines[id].Worker != nil {
@@ -186,7 +185,7 @@
 	}
 }
 
-// storeOutage brings an outage about.
+// storeOutage makes the state service unavailable to all nodes for d.
 func (s *simulation) storeOutage(d time.Duration) {
 	s.store.Down = true
 	s.schedule(d, func() { s.store.Down = false })
