--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -36,7 +36,7 @@
 		t.core.stepElection(now, election.LeadershipLost{})
 		return
 	}
-	t.monitor.noteRegained(now, t.acquiredAt, t.fleet.Machine(in.Machine))
+	t.monitor.recordReconnect(now, t.acquiredAt, t.fleet.Machine(in.Machine))
 	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
 	if !changes.Stale {
 		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -96,7 +96,7 @@
 	c.effects = nil
 	c.detectStall(now)
 	c.handle(now, in)
-	if isFrequent(in) {
+	if isHighRateInput(in) {
 		if c.term != nil && c.term.recovery.isLoaded() && c.election.LeaseValid(now) {
 			c.term.pushCommands(now)
 		}
@@ -132,9 +132,9 @@
 	return now.Sub(c.stallEnded) < interval+interval/2
 }
 
-// isFrequent tells whether the input is of a kind that comes from each machine
+// isHighRateInput tells whether the input is of a kind that comes from each machine
 // or user.
-func isFrequent(in Input) bool {
+func isHighRateInput(in Input) bool {
 	switch in.(type) {
 	case HeartbeatReceived, CommandsAcknowledged, JobRequest, JobChanged, JobRecordRead, DelegationRequest, PeerStatusReceived:
 		return true
@@ -168,7 +168,7 @@
 		c.log.Info("leadership lost", "epoch", before)
 		c.grantOwnDelegation(now, before)
 		c.budget.SetLeader(now, false)
-		c.term.abandon()
+		c.term.answerPendingRequests()
 		c.term = nil
 	}
 }
--- a/internal/controller/epoch.go
+++ b/internal/controller/epoch.go
@@ -14,10 +14,10 @@
 const (
 	// minEpochDuration is the least time between two advances of the epoch.
 	minEpochDuration = 5 * time.Second
-	// stuckCheckInterval is the pause between two looks for stops that are stuck.
-	stuckCheckInterval = time.Second
-	// stuckStopTimeout is how long a stop of a task may wait that was not seen to start.
-	stuckStopTimeout = 3 * time.Second
+	// epochCheckInterval is the pause between two looks for stops that are stuck.
+	epochCheckInterval = time.Second
+	// unconfirmedStopTimeout is how long a stop of a task may wait that was not seen to start.
+	unconfirmedStopTimeout = 3 * time.Second
 )
 
 // epochAdvance decides when the leader advances its epoch, the fencing token of all its commands: agents refuse commands
@@ -39,8 +39,8 @@
 	if since < minEpochDuration || now.Before(a.nextCheckAt) {
 		return false
 	}
-	a.nextCheckAt = now.Add(stuckCheckInterval)
-	if !hasStuckStop(now, epoch, table) && (machines.TombstoneCount() == 0 || since < a.policy.EpochAdvanceInterval) {
+	a.nextCheckAt = now.Add(epochCheckInterval)
+	if !hasUnconfirmedStop(now, epoch, table) && (machines.TombstoneCount() == 0 || since < a.policy.EpochAdvanceInterval) {
 		return false
 	}
 	a.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
@@ -58,10 +58,10 @@
 	}
 }
 
-func hasStuckStop(now clock.Instant, epoch ident.Epoch, table *jobTable) bool {
+func hasUnconfirmedStop(now clock.Instant, epoch ident.Epoch, table *jobTable) bool {
 	for j := range table.all() {
 		for _, p := range j.Placements {
-			if p.Stopping && p.State == jobs.PlacementPending && now.Sub(p.PlacedAt) > stuckStopTimeout && p.FencingToken == epoch {
+			if p.Stopping && p.State == jobs.PlacementPending && now.Sub(p.PlacedAt) > unconfirmedStopTimeout && p.FencingToken == epoch {
 				return true
 			}
 		}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -79,13 +79,13 @@
 
 // refuseOverdue refuses the heartbeats whose deadline has passed.
 func (d *deferredHeartbeats) refuseOverdue(now clock.Instant) {
-	d.refuse(func(h deferredHeartbeat) bool { return !now.Before(h.deadline) })
+	d.refuseIf(func(h deferredHeartbeat) bool { return !now.Before(h.deadline) })
 }
 
 // refuseAll refuses all heartbeats, when leadership ends.
-func (d *deferredHeartbeats) refuseAll() { d.refuse(func(deferredHeartbeat) bool { return true }) }
+func (d *deferredHeartbeats) refuseAll() { d.refuseIf(func(deferredHeartbeat) bool { return true }) }
 
-func (d *deferredHeartbeats) refuse(due func(deferredHeartbeat) bool) {
+func (d *deferredHeartbeats) refuseIf(due func(deferredHeartbeat) bool) {
 	d.waiting = slices.DeleteFunc(d.waiting, func(h deferredHeartbeat) bool {
 		if !due(h) {
 			return false
@@ -152,7 +152,7 @@
 		t.refuseHeartbeat(in)
 		return
 	}
-	t.monitor.noteRegained(now, t.acquiredAt, m)
+	t.monitor.recordReconnect(now, t.acquiredAt, m)
 	// A heartbeat overtaken by the answer to a direct command is stale, and the worker still waits for its answer.
 	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat); !changes.Stale {
 		t.applyChanges(now, m, changes)
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// goneMargin, neverListedMargin and removedRetention are added to the lag of the machine list: to the time after which
+	// unlistedMargin, neverListedMargin and removedRetention are added to the lag of the machine list: to the time after which
 	// a machine that is no longer listed, or was never, counts as gone, and to that for which a removed one is remembered.
-	goneMargin        = 3 * time.Second
+	unlistedMargin    = 3 * time.Second
 	neverListedMargin = 10 * time.Second
 	removedRetention  = 10 * time.Minute
 )
@@ -29,7 +29,7 @@
 	for _, l := range list.Machines {
 		seen[l.ID] = true
 		if !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, list.RequestedAt, l)
+			t.applyListedMachine(now, list.RequestedAt, l)
 		}
 	}
 	t.fleet.PruneRemoved(now, 10*lag+removedRetention)
@@ -37,7 +37,7 @@
 		if seen[m.ID] {
 			continue
 		}
-		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+goneMargin
+		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+unlistedMargin
 		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+neverListedMargin
 		if gone || never {
 			t.log.Info("machine disappeared", "machine", m.ID, "epoch", t.epoch)
@@ -51,8 +51,8 @@
 	t.rounds.requestPlan()
 }
 
-// observeListed takes in a machine of a list that was requested at sent.
-func (t *term) observeListed(now, sent clock.Instant, l cloud.Machine) {
+// applyListedMachine takes in a machine of a list that was requested at sent.
+func (t *term) applyListedMachine(now, sent clock.Instant, l cloud.Machine) {
 	known := t.fleet.Machine(l.ID) != nil
 	m := t.fleet.Ensure(now, l.ID)
 	if m.ListedAt == 0 {
--- a/internal/controller/machinemonitor.go
+++ b/internal/controller/machinemonitor.go
@@ -15,9 +15,9 @@
 // machineMonitor follows which machines the leader hears, and through which node.
 type machineMonitor struct {
 	*environment
-	nextSweepAt clock.Instant
-	reach       leadtransfer.Reachability
-	regainedAt  clock.Instant // when a machine that was silent for too long was last heard again
+	nextSweepAt   clock.Instant
+	reachability  leadtransfer.Reachability
+	reconnectedAt clock.Instant // when a machine that was silent for too long was last heard again
 }
 
 // beginSweepIfDue tells whether a sweep is due now.
@@ -31,17 +31,17 @@
 
 // recordHeartbeat notes that a machine is heard, and through which node.
 func (w *machineMonitor) recordHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	w.reach.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
+	w.reachability.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
 }
 
 // transferee is the node that had better lead, since the workers reach it and not this one, or "". settled tells that
 // this node and the workers have had the time to hear each other.
 func (w *machineMonitor) transferee(now clock.Instant, settled bool, activeMachines int, delay time.Duration) string {
 	if !settled {
-		w.reach.ResetDelay()
+		w.reachability.ResetDelay()
 		return ""
 	}
-	return w.reach.Transferee(now, activeMachines, delay)
+	return w.reachability.Transferee(now, activeMachines, delay)
 }
 
 // silentMachines are those that have stopped sending heartbeats while others go on. Returning one proves that its tasks
@@ -70,40 +70,40 @@
 	few := all.missed <= max(1, all.machines/10)
 	silent := map[ident.MachineID]bool{}
 	// Looking over all heartbeats is left out where it does not matter.
-	regained := !few && (w.reach.HasRelayed() || now.Sub(w.regainedAt) < regainedWindow)
+	regained := !few && (w.reachability.HasRelayed() || now.Sub(w.reconnectedAt) < reconnectWindow)
 	for _, z := range zones {
-		settled := !regained && all.missed == len(all.silent) && z.missed <= z.machines/2
+		settled := !regained && all.missed == len(all.timedOut) && z.missed <= z.machines/2
 		if all.machines < 3 || !few && !settled {
 			continue
 		}
-		for _, id := range z.silent {
+		for _, id := range z.timedOut {
 			silent[id] = true
 		}
 	}
 	return silent
 }
 
-// regainedWindow is how long it counts that a machine was heard again after it had been silent for too long: others may
+// reconnectWindow is how long it counts that a machine was heard again after it had been silent for too long: others may
 // be on their way too. As the workers of a leader that they did not reach came back through other nodes, the half that
 // was not there yet was returned.
-const regainedWindow = 20 * time.Second
+const reconnectWindow = 20 * time.Second
 
 // silentFor is how long this leader has not heard the machine.
 func silentFor(now, acquiredAt clock.Instant, m *fleet.Machine) time.Duration {
 	return now.Sub(max(m.LastContact, acquiredAt))
 }
 
-// noteRegained notes that a machine is heard that was silent for too long.
-func (w *machineMonitor) noteRegained(now, acquiredAt clock.Instant, m *fleet.Machine) {
+// recordReconnect notes that a machine is heard that was silent for too long.
+func (w *machineMonitor) recordReconnect(now, acquiredAt clock.Instant, m *fleet.Machine) {
 	if m.Up && silentFor(now, acquiredAt, m) > w.silenceTimeout() {
-		w.regainedAt = now
+		w.reconnectedAt = now
 	}
 }
 
 // silenceCount counts machines that are up, and those of them that have missed a heartbeat.
 type silenceCount struct {
 	machines, missed int
-	silent           []ident.MachineID // for too long
+	timedOut         []ident.MachineID // for too long
 }
 
 func (c *silenceCount) add(silence, limit, missedAfter time.Duration, id ident.MachineID) {
@@ -112,7 +112,7 @@
 		c.missed++
 	}
 	if silence > limit {
-		c.silent = append(c.silent, id)
+		c.timedOut = append(c.timedOut, id)
 	}
 }
 
--- a/internal/controller/observe.go
+++ b/internal/controller/observe.go
@@ -6,10 +6,10 @@
 	"badgerbay/internal/metrics"
 )
 
-// observe sets the gauges of a leader.
-func (t *term) observe(now clock.Instant) {
+// updateGauges sets the gauges of a leader.
+func (t *term) updateGauges(now clock.Instant) {
 	m := t.metrics
-	observeJobs(m, t.jobs, now)
+	updateJobGauges(m, t.jobs, now)
 	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
 	m.Machines.Set(float64(t.fleet.Len()))
 	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
@@ -17,7 +17,7 @@
 	m.Epoch.Set(float64(t.epoch))
 }
 
-func observeJobs(m *metrics.Metrics, table *jobTable, now clock.Instant) {
+func updateJobGauges(m *metrics.Metrics, table *jobTable, now clock.Instant) {
 	age, pending, queued := 0.0, 0, 0
 	for j := range table.all() {
 		if j.Dirty() {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -35,9 +35,9 @@
 // scheduling.
 type recoveryProgress struct {
 	loaded         bool // the records are read
-	lostRounds     bool // the record of some round can't be read
+	hasLostRounds  bool // the record of some round can't be read
 	schedulingOpen bool // enough is known to place tasks
-	hinted         bool // machines are known from a list that was read before the term
+	hasSnapshot    bool // machines are known from a list that was read before the term
 	poll           recovery.HeartbeatPoll
 }
 
@@ -69,7 +69,7 @@
 	for _, r := range open {
 		t.replayRound(now, r)
 	}
-	t.recovery.loaded, t.recovery.lostRounds = true, len(records.LostRounds) > 0
+	t.recovery.loaded, t.recovery.hasLostRounds = true, len(records.LostRounds) > 0
 	t.rounds.requestPlan()
 	t.adoptSnapshot(now, in.KnownMachines)
 	t.handleDeferred(now)
@@ -125,20 +125,20 @@
 	}
 }
 
-// maxInquiriesPerStep bounds the machines whose heartbeats are requested in one step.
-const maxInquiriesPerStep = 100
+// maxHeartbeatRequestsPerStep bounds the machines whose heartbeats are requested in one step.
+const maxHeartbeatRequestsPerStep = 100
 
-// inquireMachines requests heartbeats of the machines that the cloud lists, where there is a warm standby: workers that
+// requestHeartbeats requests heartbeats of the machines that the cloud lists, where there is a warm standby: workers that
 // wait for an answer of the lost leader come by themselves only when they have given it up.
-func (t *term) inquireMachines(now clock.Instant) {
-	if t.recovery.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.recovery.hinted {
+func (t *term) requestHeartbeats(now clock.Instant) {
+	if t.recovery.schedulingOpen || t.policy.Features.WarmStandby == nil || !t.provisioner.hasListed() && !t.recovery.hasSnapshot {
 		return
 	}
-	asked := t.fleet.ClaimHeartbeatRequests(maxInquiriesPerStep)
+	asked := t.fleet.ClaimHeartbeatRequests(maxHeartbeatRequestsPerStep)
 	for _, m := range asked {
 		t.sendCommands(m, t.fleet.Commands(m, false))
 	}
-	t.recovery.poll.RecordSent(now, len(asked), len(asked) == maxInquiriesPerStep)
+	t.recovery.poll.RecordSent(now, len(asked), len(asked) == maxHeartbeatRequestsPerStep)
 }
 
 // adoptSnapshot takes in the machines that this node listed as a standby, so that their heartbeats can be requested before
@@ -147,8 +147,8 @@
 func (t *term) adoptSnapshot(now clock.Instant, snapshot MachineSnapshot) {
 	for _, l := range snapshot.Machines {
 		if l.State == cloud.MachineRunning && !t.fleet.WasRemoved(l.ID) {
-			t.observeListed(now, snapshot.RequestedAt, l)
-			t.recovery.hinted = true
+			t.applyListedMachine(now, snapshot.RequestedAt, l)
+			t.recovery.hasSnapshot = true
 		}
 	}
 }
@@ -156,7 +156,7 @@
 // knowsAllMachines tells whether machines may be requested by what is known of those there are: a list that was read as a
 // standby is too old for that, unless the new one is late.
 func (t *term) knowsAllMachines(now clock.Instant) bool {
-	return t.provisioner.hasListed() || !t.recovery.hinted || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
+	return t.provisioner.hasListed() || !t.recovery.hasSnapshot || now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
 }
 
 // openScheduling lets scheduling begin once enough is known of what earlier leaders did.
@@ -165,7 +165,7 @@
 		return
 	}
 	gate := recovery.SchedulingGate{AcquiredAt: t.acquiredAt, Epoch: t.epoch, Workers: t.settings.Params.Workers,
-		Poll: t.recovery.poll, LostRounds: t.recovery.lostRounds, Pristine: t.provisioner.hasListed() && t.rounds.isUnused() && t.fleet.Len() == 0}
+		Poll: t.recovery.poll, LostRounds: t.recovery.hasLostRounds, Pristine: t.provisioner.hasListed() && t.rounds.isUnused() && t.fleet.Len() == 0}
 	if !gate.Open(now, t.fleet.Machines()) {
 		return
 	}
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -58,8 +58,8 @@
 	return a.storeLimits().MaxTxnValues()
 }
 
-// countOutdatedNodes sets the gauge of the nodes that have not said lately that they run this version.
-func (a *schemaAgreement) countOutdatedNodes(now clock.Instant) {
+// updateOutdatedNodesGauge sets the gauge of the nodes that have not said lately that they run this version.
+func (a *schemaAgreement) updateOutdatedNodesGauge(now clock.Instant) {
 	a.metrics.OutdatedNodes.Set(float64(a.negotiator.BehindCount(now)))
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -72,8 +72,8 @@
 	t.quotas.setEpoch(epoch)
 }
 
-// abandon answers those who wait when leadership ends.
-func (t *term) abandon() {
+// answerPendingRequests answers those who wait when leadership ends.
+func (t *term) answerPendingRequests() {
 	t.jobs.abandonCancellations()
 	t.deferred.refuseAll()
 }
@@ -116,9 +116,9 @@
 	if t.transferLeadershipIfUnreached(now) {
 		return
 	}
-	t.inquireMachines(now)
+	t.requestHeartbeats(now)
 	t.openScheduling(now)
-	t.schema.countOutdatedNodes(now)
+	t.schema.updateOutdatedNodesGauge(now)
 	if !t.core.election.AdvancingEpoch() {
 		t.schema.proposeIfDue(now, t.epoch)
 	}
@@ -144,5 +144,5 @@
 		t.probeSilentMachines(now)
 	}
 	t.jobs.answerOverdueCancellations(now)
-	t.observe(now)
+	t.updateGauges(now)
 }
