--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -7,11 +7,11 @@
 	"badgerbay/internal/ident"
 )
 
-// CommandsAcknowledged is what came of a SendCommands.
+// CommandsAcknowledged is the outcome of a SendCommands.
 type CommandsAcknowledged struct {
 	Machine   ident.MachineID
 	Epoch     ident.Epoch
-	Heartbeat *fleet.Heartbeat // nil: no answer
+	Heartbeat *fleet.Heartbeat // nil if the worker did not answer
 }
 
 // SendCommands is the effect that sends commands to a worker without waiting for its next heartbeat.
@@ -26,7 +26,7 @@
 func (CommandsAcknowledged) input() {}
 func (SendCommands) effect()        {}
 
-// commandsAcknowledged takes in the heartbeat by which a worker answers commands.
+// commandsAcknowledged applies the heartbeat with which a worker answers commands.
 func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
 	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
 	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
@@ -43,14 +43,15 @@
 	}
 }
 
-// probeSilentMachines sends commands to machines that have missed a heartbeat.
+// probeSilentMachines sends the pending commands, possibly none, to machines that have missed a heartbeat and to those
+// that have sent one but are not confirmed yet. An answer shows that the machine is up.
 func (t *term) probeSilentMachines(now clock.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
 		t.sendCommands(m, t.fleet.Commands(m, false))
 	}
 }
 
-// pushCommands sends commands to the machines for which some are due.
+// pushCommands sends due commands to their machines without waiting for the next heartbeat.
 func (t *term) pushCommands(now clock.Instant) {
 	for _, m := range t.fleet.ClaimDueCommands() {
 		commands := t.fleet.Commands(m, false)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// stallThreshold is how long a core may take no step, although ticks come far more often, before it counts as stalled:
-	// it stood still while its clocks ran on, or was starved.
+	// stallThreshold is the gap between two steps above which the core counts as stalled. Ticks are far more frequent,
+	// so a longer gap means that the process was suspended or starved of CPU while its clocks advanced.
 	stallThreshold = 500 * time.Millisecond
-	// machineTypesRetryInterval is the pause between two reads of the machine types while they are not known.
+	// machineTypesRetryInterval is the time between two reads of the machine types while they are unknown.
 	machineTypesRetryInterval = 2 * time.Second
 )
 
-// Core is the state machine of one node. It is not safe for concurrent use.
+// Core implements the state machine of one node. It is not safe for concurrent use.
 type Core struct {
 	*environment
 	election     *election.Elector
 	term         *term // nil unless this node holds the leader key
 	machineTypes []*fleet.MachineType
 	delegate     *leasedelegation.Delegate
-	isolation    leasedelegation.Isolation // what this node is cut off from
-	// probeNode is the node in another zone that workers try before this node renews their leases by its grant.
+	isolation    leasedelegation.Isolation // whether this node, or every node, cannot reach the state service
+	// probeNode is the node in another zone that workers are redirected to before this node, while isolated, renews
+	// their leases under its delegation grant; "" if there is none.
 	probeNode          string
 	transferHistory    leadtransfer.History
 	peersUnreachable   bool // whether some other node is unreachable
@@ -42,16 +43,16 @@
 	nextMachineTypesAt clock.Instant
 }
 
-// ElectionInput carries an input of the election.
+// ElectionInput wraps an input to the leader election.
 type ElectionInput struct{ Input election.Input }
 
-// ElectionEffect carries an effect of the election.
+// ElectionEffect wraps an effect of the leader election.
 type ElectionEffect struct{ Effect election.Effect }
 
 func (ElectionInput) input()   {}
 func (ElectionEffect) effect() {}
 
-// NewCore returns the core of a node.
+// NewCore returns the core of the node that the settings describe.
 func NewCore(settings *config.Settings, pol *policy.Policy, clk clock.Clock, budget *kvstore.Budget,
 	rng *rand.Rand, log *slog.Logger, signals *metrics.Metrics) *Core {
 	elector := election.New(settings.NodeName, electionTiming(settings, pol), rng)
@@ -64,7 +65,7 @@
 	}
 }
 
-// electionTiming is the timing of the lease and, with a warm standby, of the leader's heartbeats.
+// electionTiming returns the timing of the leader lease and, if warm standby is enabled, of the leader's heartbeats.
 func electionTiming(settings *config.Settings, pol *policy.Policy) election.Timing {
 	timing := election.Timing{LeaseTTL: pol.LeaseTTL, RenewInterval: pol.LeaseRenewInterval, PollInterval: pol.LeaderPollInterval}
 	timing = timing.ShortenedTo(settings.Params.Workers.FailoverTime())
@@ -74,24 +75,25 @@
 	return timing
 }
 
-// Leader is the node that was last seen to lead, or "".
+// Leader returns the name of the last known leader, or "" if none is known.
 func (c *Core) Leader() string { return c.election.LeaderNode() }
 
-// Epoch is the epoch in which this node leads, 0 if it does not.
+// Epoch returns the epoch in which this node is the leader, or 0 if it is not.
 func (c *Core) Epoch() ident.Epoch { return c.election.Epoch() }
 
-// Standby tells how this node stands to the leader.
+// Standby returns the status of this node as a standby of the leader.
 func (c *Core) Standby() election.StandbyStatus { return c.election.Standby() }
 
-// DelegateIdleSince is since when, at the latest, this node has renewed no worker's lease by a grant.
+// DelegateIdleSince returns a time since which this node has certainly renewed no worker lease under a delegation
+// grant: its last such renewal or, if that is later, the start of the process.
 func (c *Core) DelegateIdleSince() clock.Instant { return c.delegate.IdleSince() }
 
-// MachineTypes are the machine types, or nil while they are not known.
+// MachineTypes returns the machine types, or nil while they are unknown.
 func (c *Core) MachineTypes() []*fleet.MachineType { return c.machineTypes }
 
-// Step takes one input at now and returns what to send, write and answer. Inputs that come by the hundred a second only
-// take in what they bring, and send what they make due; what looks over machines and jobs waits for the next tick. At
-// 1,500 machines doing all of it for each heartbeat took 2 ms.
+// Step applies one input at time now and returns the resulting effects: messages, writes and replies. For inputs that
+// arrive hundreds of times per second it only updates the state and sends the commands that became due. Work that scans
+// all machines and jobs waits for the next tick, since it took 2 ms per heartbeat with 1,500 machines.
 func (c *Core) Step(now clock.Instant, in Input) []Effect {
 	c.effects = nil
 	c.detectStall(now)
@@ -113,27 +115,26 @@
 	return c.effects
 }
 
-// detectStall notes a stall that ends with this step.
+// detectStall records the end of a stall if the last step was longer ago than stallThreshold.
 func (c *Core) detectStall(now clock.Instant) {
-	if pause := now.Sub(c.lastStep); pause > stallThreshold {
+	if gap := now.Sub(c.lastStep); gap > stallThreshold {
 		c.stallEnded = now
 		if c.lastStep != 0 {
 			c.metrics.Stalls.Inc()
-			c.log.Debug("stall ended", "duration", pause)
+			c.log.Debug("stall ended", "duration", gap)
 		}
 	}
 	c.lastStep = now
 }
 
-// recentlyStalled tells whether a stall ended so short a time ago that what the node has not heard since proves nothing:
-// heartbeats and answers were there to be heard during it.
+// recentlyStalled reports whether a stall ended less than one and a half heartbeat intervals ago. Until then a missing
+// heartbeat or reply does not show that its sender failed: it may have arrived during the stall.
 func (c *Core) recentlyStalled(now clock.Instant) bool {
 	interval := c.settings.Params.Workers.HeartbeatInterval()
 	return now.Sub(c.stallEnded) < interval+interval/2
 }
 
-// isHighRateInput tells whether the input is of a kind that comes from each machine
-// or user.
+// isHighRateInput reports whether the input is of a kind whose rate grows with the number of machines or users.
 func isHighRateInput(in Input) bool {
 	switch in.(type) {
 	case HeartbeatReceived, CommandsAcknowledged, JobRequest, JobChanged, JobRecordRead, DelegationRequest, PeerStatusReceived:
@@ -142,7 +143,7 @@
 	return false
 }
 
-// stepElection runs the election and follows what it decides.
+// stepElection applies an input to the leader election, and begins, continues or ends the term by its result.
 func (c *Core) stepElection(now clock.Instant, in election.Input) {
 	before := c.election.Epoch()
 	for _, e := range c.election.Step(now, in) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// beginTerm begins to lead: first of all, the records are read.
+// beginTerm starts a term of leadership, whose first action is to read all records.
 func (c *Core) beginTerm(now clock.Instant, epoch ident.Epoch) {
 	quotas, err := newQuotaManager(c.environment, epoch)
 	if err != nil {
@@ -184,6 +185,7 @@
 	c.emit(ReadRecords{Epoch: epoch})
 }
 
+// handle passes the input to its handler. Inputs that only a leader handles are ignored on other nodes.
 func (c *Core) handle(now clock.Instant, in Input) {
 	switch in := in.(type) {
 	case ElectionInput:
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -13,34 +13,35 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// DelegationRequest asks this node, on behalf of another, for a grant and for what it has renewed by its own.
+// DelegationRequest is the request of another node for a delegation grant, and for the time since this node last
+// renewed a lease under its own grant.
 type DelegationRequest struct {
 	Responder Responder[DelegationReply]
 	Node      string
 }
 
-// DelegationReply answers a DelegationRequest.
+// DelegationReply is the answer to a DelegationRequest.
 type DelegationReply struct {
 	Responder Responder[DelegationReply]
 	Status    leasedelegation.Status
 }
 
-// PeerStatusReceived is what another node answered to the same question.
+// PeerStatusReceived is the answer of another node to a delegation request of this node.
 type PeerStatusReceived struct {
 	Node           string
-	SentAt         clock.Instant // of the question
+	SentAt         clock.Instant // when the request was sent
 	Status         leasedelegation.Status
-	SchemaVersion  schemaversion.Version // the newest that the node can read; 0: it does not say
+	SchemaVersion  schemaversion.Version // the newest that the node can read; 0 if not reported
 	EnforcesQuotas bool                  // whether the node, as leader, enforces quota allocations
 }
 
-// IsolationChanged tells what this node is cut off from.
+// IsolationChanged reports whether the state service is now out of reach of this node, or of every node.
 type IsolationChanged struct{ Isolation leasedelegation.Isolation }
 
-// PeerReachabilityChanged tells whether some other node is unreachable.
+// PeerReachabilityChanged reports whether any other node is unreachable.
 type PeerReachabilityChanged struct{ Unreachable bool }
 
-// Deliver hands the reply to the node that asked.
+// Deliver passes the reply to the node that sent the request.
 func (r DelegationReply) Deliver() { r.Responder.Respond(r) }
 
 func (DelegationRequest) input()       {}
@@ -49,7 +50,7 @@
 func (PeerReachabilityChanged) input() {}
 func (DelegationReply) effect()        {}
 
-// handlePeerStatus takes in what another node says of itself.
+// handlePeerStatus applies the status that another node reports of itself.
 func (c *Core) handlePeerStatus(now clock.Instant, in PeerStatusReceived) {
 	c.delegate.AcceptStatus(in.SentAt, in.Status)
 	if c.term == nil {
@@ -62,8 +63,9 @@
 	}
 }
 
-// answerDelegated answers a heartbeat that came to an isolated node: by the grant that it holds, or at once that the
-// worker should try another node. It returns false if the node is not isolated, so that the leader is to answer.
+// answerDelegated answers a heartbeat if this node is isolated: it renews the worker's lease under the delegation grant
+// or redirects the worker to another node, in both cases without forwarding the heartbeat. It reports whether the
+// heartbeat was answered. If not, the leader must answer it: the node is not isolated or has never had a grant.
 func (c *Core) answerDelegated(now clock.Instant, in HeartbeatReceived) bool {
 	if c.term != nil {
 		c.grantOwnDelegation(now, c.election.Epoch())
@@ -71,7 +73,7 @@
 	switch c.delegate.Decide(now, c.isolation, in.Heartbeat) {
 	case leasedelegation.RenewLease:
 		if c.term != nil {
-			// Should this node lead on, it must count what it did.
+			// If this node continues to lead, it must account for the lease that it renews here.
 			m := c.term.fleet.Ensure(now, in.Heartbeat.Machine)
 			m.LastRenewal = max(m.LastRenewal, now)
 		}
@@ -88,10 +90,13 @@
 	return true
 }
 
-// grantOwnDelegation grants this node, which led in the epoch, what it would have granted another at the last moment of
-// its lease. Until then no other can have confirmed a cancellation, and those that it confirmed itself it knows; who leads
-// next acquires the key later, and counts every grant from there. For a leader that resigns that moment is the
-// resignation, whatever its lease allows.
+// grantOwnDelegation gives this node, the leader of the epoch, the delegation grant that it would have given another
+// node at the end of its leader lease, or at the resignation if it resigns earlier. This is safe:
+//
+//  1. Until that time no other node can have confirmed a cancellation, and this node knows those that it confirmed
+//     itself.
+//  2. The next leader acquires the leader key later than that, and assumes that every earlier grant lasts for its full
+//     duration from the acquisition.
 func (c *Core) grantOwnDelegation(now clock.Instant, epoch ident.Epoch) {
 	base := min(c.election.LastLeaseDeadline(), now)
 	if !c.term.recovery.isLoaded() || base == 0 || base == c.delegate.GrantRequestedAt() {
@@ -100,9 +105,10 @@
 	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
 }
 
-// nodeOutsideZone is the last node before this one, in the order of their names, in another zone. A worker that it doesn't
-// answer tries the nodes after it, so it comes back to this zone next; without a name it would try every other node, 5 s
-// each, and be back only when the grant has ended.
+// nodeOutsideZone returns the closest node before this one in name order, cyclically, that is in another zone, or "" if
+// there is none. A worker that gets no answer there tries the following nodes by name and so returns to this zone next.
+// If the redirect named no node, the worker would try every other node, 5 s each, and return only after the grant
+// expired.
 func nodeOutsideZone(settings *config.Settings) string {
 	names := append(settings.PeerNames(), settings.NodeName)
 	slices.Sort(names)
@@ -120,8 +126,8 @@
 	return ""
 }
 
-// handleDelegationRequest says what this node has renewed by its grant and, if it leads, grants the one that asks the
-// right to renew leases should it be isolated.
+// handleDelegationRequest replies with the time since this node last renewed a lease under its grant. If this node is
+// the leader, the reply also grants the requesting node the right to renew leases while it is isolated.
 func (c *Core) handleDelegationRequest(now clock.Instant, in DelegationRequest) {
 	var status leasedelegation.Status
 	if c.term != nil && c.term.recovery.isLoaded() && c.election.LeaseValid(now) {
@@ -134,8 +140,9 @@
 	c.emit(DelegationReply{Responder: in.Responder, Status: status})
 }
 
-// delegationGrant is what the leader lets others do. Machines with tasks of cancelled jobs are left out: those must be gone
-// in time, whatever is partitioned. If their names do not fit into a message, nothing is granted.
+// delegationGrant returns the grant that the leader gives to other nodes. It excludes machines with tasks of cancelled
+// jobs, because these tasks must end in time even during a network partition. If the IDs of the excluded machines do
+// not fit into a message, nothing is granted.
 func (t *term) delegationGrant(epoch ident.Epoch) leasedelegation.Status {
 	status := leasedelegation.Status{Epoch: epoch, GrantDuration: leasedelegation.GrantDuration(t.settings.Params.Workers)}
 	excluded := map[ident.MachineID]bool{}
@@ -149,7 +156,7 @@
 	}
 	for _, m := range t.fleet.Machines() {
 		if m.HasRunningStray() {
-			// No placement tells whose it is.
+			// A stray task has no placement, so its job is unknown and may be cancelled.
 			excluded[m.ID] = true
 		}
 	}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/policy"
 )
 
-// environment is what all parts of the core share: the node's settings and policy, where it logs and counts, its share
-// of the requests to the state service, and the effects of the step under way.
+// environment holds what all parts of the core share: the node's settings and policy, its logger, metrics and clock,
+// its budget of requests to the state service, and the effects of the current step.
 type environment struct {
 	settings *config.Settings
 	policy   *policy.Policy
--- a/internal/controller/epoch.go
+++ b/internal/controller/epoch.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// minEpochDuration is the least time between two advances of the epoch.
+	// minEpochDuration is the minimum time between two advances of the epoch.
 	minEpochDuration = 5 * time.Second
-	// epochCheckInterval is the pause between two looks for stops that are stuck.
+	// epochCheckInterval is the minimum time between two checks for unconfirmed stops.
 	epochCheckInterval = time.Second
-	// unconfirmedStopTimeout is how long a stop of a task may wait that was not seen to start.
+	// unconfirmedStopTimeout is how long after its placement a task that is being stopped, but was never reported as
+	// started, may stay unconfirmed before the epoch is advanced.
 	unconfirmedStopTimeout = 3 * time.Second
 )
 
-// epochAdvance decides when the leader advances its epoch, the fencing token of all its commands: agents refuse commands
-// under an older one, so that no late copy of a start can take effect.
+// epochAdvance decides when the leader advances its epoch. The epoch is the fencing token of all its commands: workers
+// reject commands with an older one, so a delayed copy of a start command cannot take effect after an advance.
 type epochAdvance struct {
 	*environment
 	advancedAt  clock.Instant
@@ -32,8 +33,9 @@
 	return &epochAdvance{environment: env, advancedAt: now}
 }
 
-// beginIfDue tells whether the epoch is to be advanced now: exits wait to be forgotten, or a start that was taken back
-// has not been seen.
+// beginIfDue reports whether the epoch must be advanced now, and if so records the advance as begun. It is due in two
+// cases: workers still remember ended placements and the regular interval has passed, or a task was stopped before it
+// was reported as started, and only fencing proves that its start command can no longer take effect.
 func (a *epochAdvance) beginIfDue(now clock.Instant, epoch ident.Epoch, table *jobTable, machines *fleet.Fleet) bool {
 	since := now.Sub(a.advancedAt)
 	if since < minEpochDuration || now.Before(a.nextCheckAt) {
@@ -48,7 +50,7 @@
 	return true
 }
 
-// advanceEpochIfDue advances the epoch while no other transaction that it would fence is in flight.
+// advanceEpochIfDue advances the epoch if that is due and no transaction is in flight that the advance would fence.
 func (t *term) advanceEpochIfDue(now clock.Instant) {
 	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.quotas.isWriting() || t.core.election.AdvancingEpoch() {
 		return
@@ -58,6 +60,8 @@
 	}
 }
 
+// hasUnconfirmedStop reports whether a task that was placed in this epoch is being stopped and, after the timeout, has
+// still not been reported as started.
 func hasUnconfirmedStop(now clock.Instant, epoch ident.Epoch, table *jobTable) bool {
 	for j := range table.all() {
 		for _, p := range j.Placements {
--- a/internal/controller/observe.go
+++ b/internal/controller/gauges.go
@@ -6,7 +6,7 @@
 	"badgerbay/internal/metrics"
 )
 
-// updateGauges sets the gauges of a leader.
+// updateGauges sets the gauges that only a leader maintains.
 func (t *term) updateGauges(now clock.Instant) {
 	m := t.metrics
 	updateJobGauges(m, t.jobs, now)
@@ -17,6 +17,7 @@
 	m.Epoch.Set(float64(t.epoch))
 }
 
+// updateJobGauges sets the gauges that are computed from all jobs.
 func updateJobGauges(m *metrics.Metrics, table *jobTable, now clock.Instant) {
 	age, pending, queued := 0.0, 0, 0
 	for j := range table.all() {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -10,18 +10,18 @@
 	"badgerbay/internal/ident"
 )
 
-// HeartbeatReceived is a worker's heartbeat.
+// HeartbeatReceived is a heartbeat of a worker.
 type HeartbeatReceived struct {
 	Responder Responder[HeartbeatReply]
 	Heartbeat *fleet.Heartbeat
-	RelayedBy string // the node that relays the heartbeat, or ""
+	RelayedBy string // the node that relayed the heartbeat, or "" if it came directly
 }
 
-// HeartbeatOutcome tells how a heartbeat is answered.
+// HeartbeatOutcome is the kind of answer to a heartbeat.
 type HeartbeatOutcome int
 
 const (
-	// HeartbeatUnavailable refuses: the worker tries another node.
+	// HeartbeatUnavailable refuses the heartbeat; the worker tries another node.
 	HeartbeatUnavailable HeartbeatOutcome = iota
 	// HeartbeatAccepted renews the worker's lease.
 	HeartbeatAccepted
@@ -29,33 +29,35 @@
 	HeartbeatRedirected
 )
 
-// HeartbeatReply answers a heartbeat.
+// HeartbeatReply is the answer to a heartbeat.
 type HeartbeatReply struct {
 	Responder Responder[HeartbeatReply]
 	Outcome   HeartbeatOutcome
 	Epoch     ident.Epoch
 	Commands  []fleet.Command
-	Leader    string // the node to go to, if it is known
-	// ValidUntil is when an accepting reply must have left, unless it is relayed.
+	Leader    string // the node to redirect to, or "" if unknown
+	// ValidUntil is the deadline for sending an accepting reply. It is not checked if Relayed is set.
 	ValidUntil clock.Instant
-	// Relayed tells that another node has checked ValidUntil.
+	// Relayed is set if another node has already checked ValidUntil.
 	Relayed bool
-	// Final tells that no other node is to be asked.
+	// Final is set if the heartbeat must not be forwarded to another node.
 	Final bool
 }
 
-// Deliver hands the reply to whoever sent the heartbeat.
+// Deliver passes the reply to the sender of the heartbeat.
 func (r HeartbeatReply) Deliver() { r.Responder.Respond(r) }
 
 func (HeartbeatReceived) input() {}
 func (HeartbeatReply) effect()   {}
 
-// heartbeatDeferral bounds how long a heartbeat waits for the records: its worker waits for the answer.
+// heartbeatDeferral bounds how long a heartbeat is held until the records are read, since the worker blocks on the
+// reply.
 const heartbeatDeferral = 1500 * time.Millisecond
 
-// deferredHeartbeats are the heartbeats that came before the records were read. Without the records nobody knows which
-// tasks must stop, and an answer without that command renews the lease of what a user was told is cancelled: leaders that
-// came and went before they had read anything kept such tasks running for as long as they did.
+// deferredHeartbeats holds the heartbeats that arrive before the records are read. Without the records the leader does
+// not know which tasks must stop. A reply without the stop commands would renew the lease of tasks whose cancellation
+// has already been confirmed to a user. A series of leaders that each lost leadership before reading the records kept
+// such tasks running for as long as the series lasted.
 type deferredHeartbeats struct {
 	*environment
 	waiting []deferredHeartbeat
@@ -66,23 +68,24 @@
 	deadline clock.Instant
 }
 
+// add holds a heartbeat until the records are read or its deadline passes.
 func (d *deferredHeartbeats) add(now clock.Instant, in HeartbeatReceived) {
 	d.waiting = append(d.waiting, deferredHeartbeat{in, now.Add(heartbeatDeferral)})
 }
 
-// take returns all heartbeats that wait; none waits any more.
+// take removes and returns all held heartbeats.
 func (d *deferredHeartbeats) take() []deferredHeartbeat {
 	waiting := d.waiting
 	d.waiting = nil
 	return waiting
 }
 
-// refuseOverdue refuses the heartbeats whose deadline has passed.
+// refuseOverdue removes and refuses the heartbeats whose deadline has passed.
 func (d *deferredHeartbeats) refuseOverdue(now clock.Instant) {
 	d.refuseIf(func(h deferredHeartbeat) bool { return !now.Before(h.deadline) })
 }
 
-// refuseAll refuses all heartbeats, when leadership ends.
+// refuseAll removes and refuses all heartbeats. It is called when leadership ends.
 func (d *deferredHeartbeats) refuseAll() { d.refuseIf(func(deferredHeartbeat) bool { return true }) }
 
 func (d *deferredHeartbeats) refuseIf(due func(deferredHeartbeat) bool) {
@@ -95,16 +98,16 @@
 	})
 }
 
-// refuseHeartbeat has the worker try another node.
+// refuseHeartbeat refuses the heartbeat, so that the worker tries another node.
 func (e *environment) refuseHeartbeat(in HeartbeatReceived) {
 	e.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatUnavailable})
 }
 
-// handleDeferred handles the heartbeats that waited for the records.
+// handleDeferred handles the heartbeats that were held until the records were read.
 func (t *term) handleDeferred(now clock.Instant) {
 	for _, h := range t.deferred.take() {
 		if t.core.term != t {
-			// One of them has shown a later leader.
+			// An earlier heartbeat of this batch carried a newer fencing token, which ended this term.
 			t.refuseHeartbeat(h.received)
 			continue
 		}
@@ -112,8 +115,9 @@
 	}
 }
 
-// handleHeartbeat answers a worker. A node without a valid lease of its own must not renew the worker's, so that leases
-// really expire: it names the leader, or refuses.
+// handleHeartbeat answers a worker. A node without a valid leader lease must not renew the worker's lease, or worker
+// leases would not expire: unless a delegation grant applies, it redirects the worker to the leader or refuses the
+// heartbeat.
 func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	if !c.election.LeaseValid(now) || c.term == nil {
 		if in.RelayedBy == "" && c.answerDelegated(now, in) {
@@ -129,13 +133,13 @@
 	c.term.handleHeartbeat(now, in)
 }
 
-// handleHeartbeat takes in a heartbeat and answers it.
+// handleHeartbeat applies a heartbeat to the leader's state and answers it.
 func (t *term) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	validUntil := t.core.election.LeaseValidUntil()
 	t.monitor.recordHeartbeat(now, in)
 	switch {
 	case in.Heartbeat.FencingToken > t.epoch:
-		// Another node was elected, or an advance of ours came through late.
+		// Another node was elected, or an epoch advance of this node was applied late.
 		t.core.stepElection(now, election.LeadershipLost{})
 		t.refuseHeartbeat(in)
 		return
@@ -148,12 +152,12 @@
 	}
 	m := t.fleet.Ensure(now, in.Heartbeat.Machine)
 	if in.Heartbeat.Session < m.Session {
-		// Its lease is surely over; the answer would be dropped.
+		// The lease of an earlier session has certainly expired, and the worker would discard the reply.
 		t.refuseHeartbeat(in)
 		return
 	}
 	t.monitor.recordReconnect(now, t.acquiredAt, m)
-	// A heartbeat overtaken by the answer to a direct command is stale, and the worker still waits for its answer.
+	// A heartbeat that arrives after the answer to a later direct command is stale, but the worker still needs a reply.
 	if changes := t.fleet.ApplyHeartbeat(now, in.Heartbeat); !changes.Stale {
 		t.applyChanges(now, m, changes)
 	}
@@ -161,7 +165,7 @@
 		Commands: t.fleet.Commands(m, true), ValidUntil: validUntil})
 }
 
-// applyChanges follows what a heartbeat brought.
+// applyChanges acts on the state changes that a heartbeat caused.
 func (t *term) applyChanges(now clock.Instant, m *fleet.Machine, ch fleet.Changes) {
 	if ch.CameUp {
 		t.rounds.requestPlan()
@@ -177,8 +181,8 @@
 	t.tasksEnded(now, ch)
 }
 
-// stopForInterruption stops what is on a machine that the cloud takes away, with time to write a checkpoint as far as the
-// notice allows.
+// stopForInterruption stops the tasks on a machine that the cloud provider is about to reclaim. The grace period lets a
+// task write a checkpoint, as far as the notice period allows.
 func (t *term) stopForInterruption(now clock.Instant, m *fleet.Machine) {
 	t.rounds.requestPlan()
 	t.log.Info("machine interruption noticed", "machine", m.ID, "in", m.InterruptionAt.Sub(now), "epoch", t.epoch)
--- a/internal/controller/leadtransfer.go
+++ b/internal/controller/leadtransfer.go
@@ -6,13 +6,14 @@
 	"badgerbay/internal/leadtransfer"
 )
 
-// transferLeadershipIfUnreached gives leadership to another node that can do the work better, and rests so that this one
-// is not elected again at once.
+// transferLeadershipIfUnreached resigns in favour of another node if the workers reach that node and not this one. It
+// then stays out of the election for a cooldown so that it is not re-elected at once. It reports whether it resigned.
 func (t *term) transferLeadershipIfUnreached(now clock.Instant) bool {
 	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.core.election.AdvancingEpoch() {
 		return false
 	}
-	// A node that stalled has heard nobody meanwhile, and the workers of a new leader need the time to come.
+	// A node that stalled has missed the heartbeats meanwhile, and after an election workers need time to reach the new
+	// leader.
 	settled := !t.core.recentlyStalled(now) && now.Sub(t.acquiredAt) >= t.settings.Params.Workers.MaxHeartbeatGap()
 	transferee := t.monitor.transferee(now, settled, t.fleet.ActiveCount(), t.core.transferHistory.Delay(now))
 	if transferee == "" {
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -9,16 +9,19 @@
 	"badgerbay/internal/ident"
 )
 
+// Margins that are added to multiples of the lag of the cloud provider's machine list.
 const (
-	// unlistedMargin, neverListedMargin and removedRetention are added to the lag of the machine list: to the time after which
-	// a machine that is no longer listed, or was never, counts as gone, and to that for which a removed one is remembered.
-	unlistedMargin    = 3 * time.Second
+	// unlistedMargin is added to the time after which a machine that is no longer listed counts as gone.
+	unlistedMargin = 3 * time.Second
+	// neverListedMargin is added to the time after which a machine that was never listed counts as gone.
 	neverListedMargin = 10 * time.Second
-	removedRetention  = 10 * time.Minute
+	// removedRetention is added to the time for which a removed machine is remembered.
+	removedRetention = 10 * time.Minute
 )
 
-// machinesPageListed takes in a page of the machine list, and the list once it is complete. Absence proves that a machine
-// is gone only if it was listed before, so long ago that even an old list would show it.
+// machinesPageListed adds a page to the machine list and applies the list once it is complete. A listed machine that is
+// missing from the list is removed only if it was first listed so long ago that even an outdated list would contain it.
+// A machine that was never listed and has no known session is removed after a longer time.
 func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
 	list, complete := t.provisioner.addPage(now, in.Page)
 	if !complete {
@@ -46,13 +49,14 @@
 	}
 }
 
+// removeMachine removes the machine from the fleet and ends its tasks.
 func (t *term) removeMachine(now clock.Instant, m *fleet.Machine) {
 	t.tasksEnded(now, t.fleet.Remove(now, m.ID))
 	t.rounds.requestPlan()
 }
 
-// applyListedMachine takes in a machine of a list that was requested at sent.
-func (t *term) applyListedMachine(now, sent clock.Instant, l cloud.Machine) {
+// applyListedMachine adds or updates a machine from a machine list that was requested at requestedAt.
+func (t *term) applyListedMachine(now, requestedAt clock.Instant, l cloud.Machine) {
 	known := t.fleet.Machine(l.ID) != nil
 	m := t.fleet.Ensure(now, l.ID)
 	if m.ListedAt == 0 {
@@ -63,7 +67,7 @@
 	}
 	if m.Type == "" || !known {
 		m.SetAttributes(l.Type, l.Zone, l.Spot)
-		m.ProvisionedAt = sent.Add(-clock.Seconds(l.AgeSeconds))
+		m.ProvisionedAt = requestedAt.Add(-clock.Seconds(l.AgeSeconds))
 		t.rounds.requestPlan()
 	}
 	if l.State == cloud.MachineFailed && !m.Failed {
--- a/internal/controller/machinemonitor.go
+++ b/internal/controller/machinemonitor.go
@@ -9,49 +9,57 @@
 	"badgerbay/internal/leadtransfer"
 )
 
-// sweepInterval is the pause between two sweeps over machines and jobs for what only time brings about.
+// sweepInterval is the time between two sweeps over machines and jobs for expired deadlines.
 const sweepInterval = 200 * time.Millisecond
 
-// machineMonitor follows which machines the leader hears, and through which node.
+// machineMonitor tracks which machines send heartbeats to the leader, and through which node.
 type machineMonitor struct {
 	*environment
 	nextSweepAt   clock.Instant
 	reachability  leadtransfer.Reachability
-	reconnectedAt clock.Instant // when a machine that was silent for too long was last heard again
+	reconnectedAt clock.Instant // when a machine last made contact after exceeding the silence timeout
 }
 
-// beginSweepIfDue tells whether a sweep is due now.
-func (w *machineMonitor) beginSweepIfDue(now clock.Instant) bool {
-	if now.Before(w.nextSweepAt) {
+// beginSweepIfDue reports whether a sweep is due now, and if so schedules the next one.
+func (mm *machineMonitor) beginSweepIfDue(now clock.Instant) bool {
+	if now.Before(mm.nextSweepAt) {
 		return false
 	}
-	w.nextSweepAt = now.Add(sweepInterval)
+	mm.nextSweepAt = now.Add(sweepInterval)
 	return true
 }
 
-// recordHeartbeat notes that a machine is heard, and through which node.
-func (w *machineMonitor) recordHeartbeat(now clock.Instant, in HeartbeatReceived) {
-	w.reachability.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
+// recordHeartbeat records a heartbeat of a machine and the node that relayed it, if any.
+func (mm *machineMonitor) recordHeartbeat(now clock.Instant, in HeartbeatReceived) {
+	mm.reachability.RecordHeartbeat(now, in.Heartbeat.Machine, in.RelayedBy)
 }
 
-// transferee is the node that had better lead, since the workers reach it and not this one, or "". settled tells that
-// this node and the workers have had the time to hear each other.
-func (w *machineMonitor) transferee(now clock.Instant, settled bool, activeMachines int, delay time.Duration) string {
+// transferee returns the node that should become the leader because the workers reach it and not this node, or "" if
+// there is none. settled states that the workers have had enough time to send heartbeats to this node; until then the
+// delay before a transfer does not begin.
+func (mm *machineMonitor) transferee(now clock.Instant, settled bool, activeMachines int, delay time.Duration) string {
 	if !settled {
-		w.reachability.ResetDelay()
+		mm.reachability.ResetDelay()
 		return ""
 	}
-	return w.reachability.Transferee(now, activeMachines, delay)
+	return mm.reachability.Transferee(now, activeMachines, delay)
 }
 
-// silentMachines are those that have stopped sending heartbeats while others go on. Returning one proves that its tasks
-// are gone sooner than its lease does. Many silent machines may be a network partition, and are left alone unless they
-// surely are none: no other falls silent any more, none is regained or comes through another node, and most machines of
-// the zone go on.
-func (w *machineMonitor) silentMachines(now, acquiredAt clock.Instant, machines []*fleet.Machine) map[ident.MachineID]bool {
+// silentMachines returns the machines that have exceeded the silence timeout while others still send heartbeats. The
+// caller deprovisions them, which proves that their tasks have ended sooner than the expiry of their leases would.
+//
+// If more than a tenth of the machines, and more than one, have missed a heartbeat, the cause may be a network
+// partition. The silent machines of a zone are then returned only if the following conditions rule that out:
+//
+//  1. every machine that has missed a heartbeat has also exceeded the timeout, so no more machines are falling silent;
+//  2. no silent machine has reconnected lately, and no machine's last heartbeat was relayed by another node;
+//  3. at least half of the zone's machines still send heartbeats.
+//
+// With fewer than three machines up, none is returned.
+func (mm *machineMonitor) silentMachines(now, acquiredAt clock.Instant, machines []*fleet.Machine) map[ident.MachineID]bool {
 	zones := map[ident.Zone]*silenceCount{}
 	var all silenceCount
-	limit, missedAfter := w.silenceTimeout(), w.settings.Params.Workers.HeartbeatInterval()*3/2
+	timeout, missedAfter := mm.silenceTimeout(), mm.settings.Params.Workers.HeartbeatInterval()*3/2
 	for _, m := range machines {
 		if !m.Up {
 			continue
@@ -62,18 +70,18 @@
 			zones[m.Zone] = z
 		}
 		silence := silentFor(now, acquiredAt, m)
-		z.add(silence, limit, missedAfter, m.ID)
-		all.add(silence, limit, missedAfter, m.ID)
+		z.add(silence, timeout, missedAfter, m.ID)
+		all.add(silence, timeout, missedAfter, m.ID)
 	}
-	// Those that miss their first heartbeat count too: in a partition the machines fall silent one after the other, and the
-	// first must not be returned alone.
-	few := all.missed <= max(1, all.machines/10)
+	// Machines that have missed only their first heartbeat count too. In a partition machines fall silent one after the
+	// other, and the first one must not be deprovisioned as if it were the only one.
+	fewMissed := all.missed <= max(1, all.machines/10)
 	silent := map[ident.MachineID]bool{}
-	// Looking over all heartbeats is left out where it does not matter.
-	regained := !few && (w.reachability.HasRelayed() || now.Sub(w.reconnectedAt) < reconnectWindow)
+	// HasRelayed scans all heartbeats, so it is called only if the result matters.
+	reconnecting := !fewMissed && (mm.reachability.HasRelayed() || now.Sub(mm.reconnectedAt) < reconnectWindow)
 	for _, z := range zones {
-		settled := !regained && all.missed == len(all.timedOut) && z.missed <= z.machines/2
-		if all.machines < 3 || !few && !settled {
+		stable := !reconnecting && all.missed == len(all.timedOut) && z.missed <= z.machines/2
+		if all.machines < 3 || !fewMissed && !stable {
 			continue
 		}
 		for _, id := range z.timedOut {
@@ -83,42 +91,47 @@
 	return silent
 }
 
-// reconnectWindow is how long it counts that a machine was heard again after it had been silent for too long: others may
-// be on their way too. As the workers of a leader that they did not reach came back through other nodes, the half that
-// was not there yet was returned.
+// reconnectWindow is how long after the reconnect of one silent machine others are expected to reconnect as well.
+// Without it, when workers that could not reach the leader reconnected through other nodes, the half that had not
+// reconnected yet was deprovisioned.
 const reconnectWindow = 20 * time.Second
 
-// silentFor is how long this leader has not heard the machine.
+// silentFor returns the time since the machine's last contact with this leader, or since the leader's election if that
+// is later.
 func silentFor(now, acquiredAt clock.Instant, m *fleet.Machine) time.Duration {
 	return now.Sub(max(m.LastContact, acquiredAt))
 }
 
-// recordReconnect notes that a machine is heard that was silent for too long.
-func (w *machineMonitor) recordReconnect(now, acquiredAt clock.Instant, m *fleet.Machine) {
-	if m.Up && silentFor(now, acquiredAt, m) > w.silenceTimeout() {
-		w.reconnectedAt = now
+// recordReconnect records that a machine makes contact after it had exceeded the silence timeout. It must be called
+// before the contact is applied to the machine.
+func (mm *machineMonitor) recordReconnect(now, acquiredAt clock.Instant, m *fleet.Machine) {
+	if m.Up && silentFor(now, acquiredAt, m) > mm.silenceTimeout() {
+		mm.reconnectedAt = now
 	}
 }
 
-// silenceCount counts machines that are up, and those of them that have missed a heartbeat.
+// silenceCount counts the machines that are up and those that have missed a heartbeat, and lists those that have
+// exceeded the silence timeout.
 type silenceCount struct {
 	machines, missed int
-	timedOut         []ident.MachineID // for too long
+	timedOut         []ident.MachineID // machines that have exceeded the silence timeout
 }
 
-func (c *silenceCount) add(silence, limit, missedAfter time.Duration, id ident.MachineID) {
+// add counts a machine that has been silent for the given time.
+func (c *silenceCount) add(silence, timeout, missedAfter time.Duration, id ident.MachineID) {
 	c.machines++
 	if silence > missedAfter {
 		c.missed++
 	}
-	if silence > limit {
+	if silence > timeout {
 		c.timedOut = append(c.timedOut, id)
 	}
 }
 
-// silenceTimeout is how long a worker may be silent before its machine is taken for dead. It spans two heartbeats, of
-// which each may come a quarter late, and the probe in between: at six seconds fixed, with heartbeats every five, healthy
-// machines were returned by the hundred with all that ran on them.
-func (w *machineMonitor) silenceTimeout() time.Duration {
-	return max(w.policy.SilenceTimeout, 2*w.settings.Params.Workers.HeartbeatInterval())
+// silenceTimeout returns how long a worker may be silent before its machine is considered failed. It covers two
+// heartbeat intervals, since each heartbeat may be late by a quarter of the interval, and the probe between them. With
+// a fixed timeout of 6 s and an interval of 5 s, hundreds of healthy machines were deprovisioned together with their
+// tasks.
+func (mm *machineMonitor) silenceTimeout() time.Duration {
+	return max(mm.policy.SilenceTimeout, 2*mm.settings.Params.Workers.HeartbeatInterval())
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -1,38 +1,39 @@
-// Package controller is the state machine of one node: inputs go in, effects come out, and nothing else happens in it.
-// It owns what a leader decides (scheduling, checkpoints, provisioning, quotas) and how a follower answers on its own.
-// Clocks, sockets and goroutines belong to package node, which feeds the core and carries its effects out.
+// Package controller implements the state machine of one node. The core maps inputs to effects and performs no I/O
+// itself. It makes the decisions of a leader (scheduling, checkpoints, provisioning, quotas) and those that a follower
+// makes without the leader. Package node owns clocks, sockets and goroutines; it passes inputs to the core and executes
+// the returned effects.
 package controller
 
 // Input is an event that the core handles. Each input type is declared beside the code that handles it.
 type Input interface{ input() }
 
-// Effect is an action that the core asks its caller to carry out. Each effect type is declared beside the code that
+// Effect is an action that the core requests from its caller. Each effect type is declared beside the code that
 // emits it.
 type Effect interface{ effect() }
 
-// Reply is an effect that answers a request.
+// Reply is an effect that delivers the answer to a request.
 type Reply interface {
 	Effect
-	// Deliver hands the answer to whoever made the request.
+	// Deliver passes the answer to the sender of the request.
 	Deliver()
 }
 
-// Responder receives the answer to one request. The core hands it back within the reply and never calls it.
+// Responder receives the answer to one request. The core returns it as part of the reply and never calls it.
 type Responder[T any] interface {
-	// Respond takes the answer. It must not block.
+	// Respond receives the answer. It must not block.
 	Respond(answer T)
 }
 
-// ResponderFunc is a function that serves as a Responder.
+// ResponderFunc adapts a function to the Responder interface.
 type ResponderFunc[T any] func(T)
 
-// Respond calls the function.
+// Respond calls f with the answer.
 func (f ResponderFunc[T]) Respond(answer T) { f(answer) }
 
-// Tick lets time pass.
+// Tick is the periodic input that makes the core run what is due by time.
 type Tick struct{}
 
-// StopNode ends the process: the node cannot go on.
+// StopNode is the effect that ends the process after an error that the node cannot recover from.
 type StopNode struct{ Err error }
 
 func (Tick) input()      {}
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// schemaAgreement follows which schema version all nodes can read, stores it, and derives from it the limits that the
-// leader's writes keep to.
+// schemaAgreement tracks the newest schema version that all nodes can read, stores it, and derives from it the limits
+// that the leader's writes must observe.
 type schemaAgreement struct {
 	*environment
 	negotiator *schemaversion.Negotiator
@@ -21,21 +21,22 @@
 	return &schemaAgreement{environment: env, negotiator: schemaversion.New(env.settings.PeerNames(), 0)}
 }
 
-// load takes over what an earlier leader has stored.
+// load restores the version that an earlier leader stored, and the revision of its key.
 func (a *schemaAgreement) load(agreed schemaversion.Version, revision ident.Revision) {
 	a.negotiator, a.revision = schemaversion.New(a.settings.PeerNames(), agreed), revision
 }
 
-// nodeReported notes the newest version that a node can read.
+// nodeReported records the newest version that a node can read.
 func (a *schemaAgreement) nodeReported(now clock.Instant, node string, version schemaversion.Version) {
 	a.negotiator.RecordReport(now, node, version)
 }
 
-// version is the newest schema version that all nodes are known to read.
+// version returns the newest schema version that all nodes are known to be able to read.
 func (a *schemaAgreement) version() schemaversion.Version { return a.negotiator.Version() }
 
-// storeLimits are the limits of the state service that writes keep to. The announced stricter ones come into force at
-// some moment after all nodes run the version that knows them; until then records stay readable to the version before.
+// storeLimits returns the limits of the state service that writes must observe. The announced stricter limits take
+// effect at some time after all nodes run the version that knows them. Until all do, the old limits apply, so that
+// records stay readable to the previous version.
 func (a *schemaAgreement) storeLimits() config.State {
 	if a.version() < schemaversion.ChunkedJobs {
 		return a.settings.Params.StateService
@@ -43,14 +44,14 @@
 	return a.settings.Params.StateService.Strictest()
 }
 
-// maxJobValues is how many values the record of a job may take.
+// maxJobValues returns how many values a job record may occupy.
 func (a *schemaAgreement) maxJobValues() int { return a.maxValuesSince(schemaversion.ChunkedJobs) }
 
-// maxRoundValues is how many values the record of a round may take.
+// maxRoundValues returns how many values a round record may occupy.
 func (a *schemaAgreement) maxRoundValues() int { return a.maxValuesSince(schemaversion.ChunkedRounds) }
 
-// maxValuesSince is how many values a record may take that has chunks since a schema version: as many as one transaction
-// holds, once all nodes can read them.
+// maxValuesSince returns how many values a record may occupy whose chunking was introduced in the given schema version:
+// as many as fit into one transaction if all nodes can read chunks, otherwise one.
 func (a *schemaAgreement) maxValuesSince(version schemaversion.Version) int {
 	if a.version() < version {
 		return 1
@@ -58,12 +59,12 @@
 	return a.storeLimits().MaxTxnValues()
 }
 
-// updateOutdatedNodesGauge sets the gauge of the nodes that have not said lately that they run this version.
+// updateOutdatedNodesGauge sets the gauge of the nodes that have not recently reported that they run this version.
 func (a *schemaAgreement) updateOutdatedNodesGauge(now clock.Instant) {
 	a.metrics.OutdatedNodes.Set(float64(a.negotiator.BehindCount(now)))
 }
 
-// proposeIfDue stores the newest version that all nodes can read, once they have said so.
+// proposeIfDue stores a newer schema version once all nodes have reported that they can read it.
 func (a *schemaAgreement) proposeIfDue(now clock.Instant, epoch ident.Epoch) {
 	version := a.negotiator.Propose(now)
 	if version == 0 {
@@ -76,6 +77,7 @@
 	}})
 }
 
+// completed applies the outcome of the transaction that stores the version.
 func (a *schemaAgreement) completed(in TransactionCompleted) {
 	stored := in.Outcome == election.OutcomeOK
 	a.negotiator.Settle(stored)
@@ -85,8 +87,8 @@
 	}
 }
 
-// limitsReduced notes that the state service has refused what its stricter limits forbid. They come into force only
-// after the upgrade, so all nodes have this version, even one that is unreachable and can't say so.
+// limitsReduced records that the state service has rejected a write that exceeds the stricter limits. These take effect
+// only after the upgrade, so all nodes run this version, including any that is unreachable and cannot report it.
 func (a *schemaAgreement) limitsReduced(epoch ident.Epoch) {
 	if a.version() < schemaversion.ChunkedJobs {
 		a.log.Info("state service limits reduced", "epoch", epoch)
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -8,8 +8,9 @@
 	"badgerbay/internal/leasedelegation"
 )
 
-// term is what a node holds while it leads: a working copy of what the state service, the workers and the cloud are the
-// authority of. Each part owns its fields; term passes one what it needs of another, and follows inputs through them.
+// term is the state of a node for as long as it is the leader: a working copy of data whose authoritative sources are
+// the state service, the workers and the cloud provider. Each component owns its fields; term passes data between the
+// components and dispatches inputs to them.
 type term struct {
 	*environment
 	core       *Core
@@ -65,19 +66,20 @@
 	return timing
 }
 
-// setEpoch goes on under an epoch that this node has advanced to.
+// setEpoch continues the term under a later epoch that this node has advanced to.
 func (t *term) setEpoch(epoch ident.Epoch) {
 	t.epoch = epoch
 	t.fleet.SetEpoch(epoch)
 	t.quotas.setEpoch(epoch)
 }
 
-// answerPendingRequests answers those who wait when leadership ends.
+// answerPendingRequests answers the cancellations and heartbeats that are still pending when leadership ends.
 func (t *term) answerPendingRequests() {
 	t.jobs.abandonCancellations()
 	t.deferred.refuseAll()
 }
 
+// handle passes an input that only a leader handles to its handler.
 func (t *term) handle(now clock.Instant, in Input) {
 	switch in := in.(type) {
 	case RecordsRead:
@@ -103,7 +105,7 @@
 	}
 }
 
-// advance does whatever is due.
+// advance performs all periodic work that is due. Most of it requires a valid leader lease.
 func (t *term) advance(now clock.Instant) {
 	if !t.recovery.isLoaded() {
 		t.deferred.refuseOverdue(now)
@@ -133,7 +135,8 @@
 	t.pushCommands(now)
 }
 
-// sweep does what only time brings about.
+// sweep runs the time-driven checks if they are due: it expires worker leases, stops broken gangs, probes silent
+// machines and answers overdue cancellations. It also updates the gauges.
 func (t *term) sweep(now clock.Instant) {
 	if !t.monitor.beginSweepIfDue(now) {
 		return
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -8,7 +8,7 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TransactionKind tells the leader's transactions apart. At most one of each kind is in flight.
+// TransactionKind is the purpose of a leader's transaction. At most one transaction of each kind is in flight.
 type TransactionKind int
 
 // Kinds of transactions.
@@ -20,7 +20,7 @@
 	QuotaTransaction
 )
 
-// CommitTransaction is the effect that applies a transaction of the leader.
+// CommitTransaction is the effect that commits a transaction of the leader to the state service.
 type CommitTransaction struct {
 	Kind  TransactionKind
 	Epoch ident.Epoch
@@ -34,14 +34,14 @@
 	Outcome          election.Outcome
 	Revision         ident.Revision
 	FailedConditions []string
-	// ExceedsNextLimits tells that the transaction was refused, and is larger than the announced limits allow.
+	// ExceedsNextLimits is set if the transaction was rejected and is larger than the announced limits allow.
 	ExceedsNextLimits bool
 }
 
 func (CommitTransaction) effect()   {}
 func (TransactionCompleted) input() {}
 
-// recordOperations are the operations that store a record and its chunks.
+// recordOperations returns the operations that store a record and its chunks. Chunk numbers begin at 1.
 func recordOperations(key string, record any, chunks []*chunk.Value, chunkKey func(n int) string) []kvstore.Operation {
 	operations := []kvstore.Operation{{SetKey: key, Value: record}}
 	for i, value := range chunks {
@@ -50,9 +50,10 @@
 	return operations
 }
 
+// transactionCompleted passes the outcome of a transaction to the component that issued it.
 func (t *term) transactionCompleted(now clock.Instant, in TransactionCompleted) {
 	if in.Epoch != t.epoch {
-		// Of an earlier term of this node, whose records were read anew.
+		// The transaction was issued in an earlier term of this node. Each term reads all records again.
 		return
 	}
 	if in.Outcome == election.OutcomeGone {
