--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// failureBackoff and gangBackoff are the first backoffs of a job whose task or gang failed; each further failure
+	// failureBackoffBase and gangBackoffBase are the first backoffs of a job whose task or gang failed; each further failure
 	// doubles it, up to maxBackoff.
-	failureBackoff = 500 * time.Millisecond
-	gangBackoff    = 250 * time.Millisecond
-	maxBackoff     = 30 * time.Second
+	failureBackoffBase = 500 * time.Millisecond
+	gangBackoffBase    = 250 * time.Millisecond
+	maxBackoff         = 30 * time.Second
 	// maxBackoffDoublings keeps the doubled backoff from overflowing.
 	maxBackoffDoublings = 7
 	// refusalBackoff is the backoff of a job whose task a machine has refused.
@@ -25,8 +25,8 @@
 	// maxMachineFailures is the number of failed tasks in a row, of jobs that run elsewhere, by which a machine is
 	// quarantined.
 	maxMachineFailures = 3
-	// maxBlamedFailures is the number of failures of a job in a row that count against machines; after more it is the job.
-	maxBlamedFailures = 3
+	// maxAttributedFailures is the number of failures of a job in a row that count against machines; after more it is the job.
+	maxAttributedFailures = 3
 )
 
 // tasksEnded follows the ends of tasks.
@@ -60,21 +60,21 @@
 	j.AvoidUntil[id] = until
 }
 
-// backOff counts a failure of a job, and puts its next start off.
-func backOff(now clock.Instant, j *jobs.Job, first time.Duration) {
+// applyBackoff counts a failure of a job, and puts its next start off.
+func applyBackoff(now clock.Instant, j *jobs.Job, base time.Duration) {
 	j.ConsecutiveFailures++
-	backoff := min(maxBackoff, first<<min(j.ConsecutiveFailures, maxBackoffDoublings))
+	backoff := min(maxBackoff, base<<min(j.ConsecutiveFailures, maxBackoffDoublings))
 	j.BackoffUntil = max(j.BackoffUntil, now.Add(backoff))
 }
 
 // taskFailed backs the job off, and counts the failure against the machine unless the job fails wherever it goes.
 func (t *term) taskFailed(now clock.Instant, j *jobs.Job, m *fleet.Machine) {
-	backOff(now, j, failureBackoff)
+	applyBackoff(now, j, failureBackoffBase)
 	if m == nil {
 		return
 	}
 	avoidMachine(j, m.ID, now.Add(failureAvoidance))
-	if j.ConsecutiveFailures > maxBlamedFailures {
+	if j.ConsecutiveFailures > maxAttributedFailures {
 		return
 	}
 	m.ConsecutiveFailures++
@@ -92,5 +92,5 @@
 		return
 	}
 	j.LastFailedAttempt = p.Attempt
-	backOff(now, j, gangBackoff)
+	applyBackoff(now, j, gangBackoffBase)
 }
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -76,7 +76,7 @@
 	if n <= 0 {
 		return
 	}
-	fold, txn := w.foldOf(now, epoch, schema, batch[:n], min(available, maxOps))
+	fold, txn := w.newFold(now, epoch, schema, batch[:n], min(available, maxOps))
 	if len(fold.jobs) == 0 {
 		return
 	}
@@ -85,14 +85,14 @@
 	w.emit(CommitTransaction{Kind: FoldTransaction, Epoch: epoch, Txn: txn})
 }
 
-// foldOf makes one transaction of the checkpoints of jobs, as many as fit into it.
-func (w *checkpointWriter) foldOf(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job,
+// newFold makes one transaction of the checkpoints of jobs, as many as fit into it.
+func (w *checkpointWriter) newFold(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job,
 	maxOps int) (*foldInFlight, kvstore.Txn) {
 	fold := &foldInFlight{}
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(epoch)}}
 	size := 0
 	for _, j := range batch {
-		operations, folded, ok := w.operations(now, epoch, schema, j)
+		operations, folded, ok := w.checkpointOperations(now, epoch, schema, j)
 		if !ok {
 			continue
 		}
@@ -108,9 +108,9 @@
 	return fold, txn
 }
 
-// operations store the checkpoint of a job: its record and its chunks. One that is too large for a transaction is
+// checkpointOperations store the checkpoint of a job: its record and its chunks. One that is too large for a transaction is
 // staged, or tried again a little later; it keeps no others from their turn.
-func (w *checkpointWriter) operations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement,
+func (w *checkpointWriter) checkpointOperations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement,
 	j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
 	record := j.Record(epoch)
 	head, chunks, err := record.Split(schema.storeLimits().MaxValueBytes(), schema.maxJobValues(), kvstore.JSONSize)
@@ -131,7 +131,7 @@
 func (w *checkpointWriter) candidates(now clock.Instant, table *jobTable, rounds *schedulingLoop) (urgent, late []*jobs.Job) {
 	blocking := rounds.jobsBlockingRing()
 	for j := range table.all() {
-		if !j.Dirty() || j.FoldInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.isChanging(j.ID) {
+		if !j.Dirty() || j.FoldInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.startsTasksOf(j.ID) {
 			continue
 		}
 		if j.NeedsUrgentFold() || blocking[j.ID] || table.isAwaited(j.ID) {
@@ -189,12 +189,12 @@
 		}
 	}
 	if wasWriting && in.Outcome != election.OutcomeOK {
-		t.readConflicting(in.FailedConditions)
+		t.readConflictingRecords(in.FailedConditions)
 	}
 }
 
-// readConflicting reads the job records whose conditions failed.
-func (t *term) readConflicting(keys []string) {
+// readConflictingRecords reads the job records whose conditions failed.
+func (t *term) readConflictingRecords(keys []string) {
 	for _, key := range keys {
 		t.metrics.CASConflicts.Inc()
 		id := ident.JobID(strings.TrimPrefix(key, jobs.KeyPrefix))
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -16,14 +16,14 @@
 	gangReplacementWindow = 3 * time.Second
 	// gangReplacementMargin is what a replacement takes beside its image: the round, the command and the heartbeat.
 	gangReplacementMargin = 3 * time.Second
-	// fetchTimeSpread is how much longer than announced an image may take: rates vary by a third.
-	fetchTimeSpread = 4.0 / 3
+	// maxFetchTimeFactor is how much longer than announced an image may take: rates vary by a third.
+	maxFetchTimeFactor = 4.0 / 3
 )
 
 // stopGang stops all tasks of a gang at once: those that are told late can't write a checkpoint.
 func (t *term) stopGang(now clock.Instant, j *jobs.Job, gracePeriod time.Duration) {
 	for _, p := range j.Placements {
-		if !p.Stopping && !t.rounds.isProposed(p) {
+		if !p.Stopping && !t.rounds.isPlacementInFlight(p) {
 			t.fleet.StopPlacement(now, p, gracePeriod)
 		}
 	}
@@ -34,7 +34,7 @@
 // One whose lost tasks may still be replaced goes on waiting.
 func (t *term) stopBrokenGangs(now clock.Instant) {
 	for j := range t.jobs.all() {
-		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.rounds.isChanging(j.ID) {
+		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.rounds.startsTasksOf(j.ID) {
 			continue
 		}
 		gracePeriod, stopping := gangGracePeriod(j)
@@ -86,17 +86,17 @@
 		attempt, placedAt = p.Attempt, min(placedAt, p.PlacedAt)
 	}
 	wait := clock.Seconds(t.settings.Params.Workers.GangWaitSeconds)
-	startsAt := now.Add(slowestFetch(t.core.machineTypes, &j.Spec) + gangReplacementMargin)
+	startsAt := now.Add(maxImageFetchTime(t.core.machineTypes, &j.Spec) + gangReplacementMargin)
 	inWindow := j.IncompleteSince == 0 || now.Sub(j.IncompleteSince) < gangReplacementWindow
 	return attempt, attempt > j.LastFailedAttempt && startsAt.Before(placedAt.Add(wait)) && inWindow
 }
 
-// slowestFetch is how long the image of a job takes at most, on any machine type.
-func slowestFetch(types []*fleet.MachineType, s *jobs.Spec) time.Duration {
+// maxImageFetchTime is how long the image of a job takes at most, on any machine type.
+func maxImageFetchTime(types []*fleet.MachineType, s *jobs.Spec) time.Duration {
 	slowest := time.Duration(0)
 	for _, typ := range types {
 		if typ.FetchGBps > 0 {
-			slowest = max(slowest, clock.Seconds(fetchTimeSpread*s.ImageGB/typ.FetchGBps))
+			slowest = max(slowest, clock.Seconds(maxFetchTimeFactor*s.ImageGB/typ.FetchGBps))
 		}
 	}
 	return slowest
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -166,7 +166,7 @@
 		return
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.Placements)) {
-		if !t.rounds.isProposed(j.Placements[i]) {
+		if !t.rounds.isPlacementInFlight(j.Placements[i]) {
 			t.fleet.StopPlacement(now, j.Placements[i], 0)
 		}
 	}
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -98,8 +98,8 @@
 
 // answerCancellations answers the cancel requests for a job.
 func (t *jobTable) answerCancellations(id ident.JobID, outcome api.QueryOutcome, validUntil clock.Instant) {
-	for _, waiting := range t.pendingCancels[id] {
-		reply := JobReply{Responder: waiting.responder, Outcome: outcome, ValidUntil: validUntil}
+	for _, pending := range t.pendingCancels[id] {
+		reply := JobReply{Responder: pending.responder, Outcome: outcome, ValidUntil: validUntil}
 		if j := t.byID[id]; j != nil {
 			reply.Status = api.StatusOfJob(j)
 		}
@@ -111,7 +111,7 @@
 // answerOverdueCancellations answers the cancel requests whose deadline has passed.
 func (t *jobTable) answerOverdueCancellations(now clock.Instant) {
 	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
-		if waiting := t.pendingCancels[id]; len(waiting) > 0 && !now.Before(waiting[0].deadline) {
+		if pending := t.pendingCancels[id]; len(pending) > 0 && !now.Before(pending[0].deadline) {
 			t.answerCancellations(id, api.LeaderBusy, 0)
 		}
 	}
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -19,16 +19,16 @@
 	if !t.recovery.isSchedulingOpen() || !t.quotas.isReady() || t.core.election.AdvancingEpoch() {
 		return
 	}
-	no, due := t.rounds.beginIfDue(now)
+	no, due := t.rounds.beginRoundIfDue(now)
 	if !due {
 		return
 	}
 	plan := scheduler.PlanRound(t.snapshot(now, no))
-	t.rounds.planned(now, plan)
+	t.rounds.recordPlan(now, plan)
 	t.quotas.noteBlocked(now, plan.ReservationBlocked)
 	t.drain(plan.Drain)
 	t.evict(now, plan.Evictions)
-	t.propose(now, plan)
+	t.writeRound(now, plan)
 }
 
 func (t *term) drain(machines []ident.MachineID) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// propose reserves what the plan decides and writes the record of the round.
-func (t *term) propose(now clock.Instant, plan *scheduler.Plan) {
-	round := t.reserve(now, plan)
+// writeRound reserves what the plan decides and writes the record of the round.
+func (t *term) writeRound(now clock.Instant, plan *scheduler.Plan) {
+	round := t.placeTasks(now, plan)
 	record := round.record
 	record.Deprovisions = t.machinesToDeprovision(now, plan.Retain, max(0, t.schema.storeLimits().MaxValueBytes()-record.MaxJSONSize()))
 	if record.IsEmpty() {
@@ -64,8 +64,8 @@
 	}
 }
 
-// reserve places the tasks that a plan starts. None starts before the record is stored.
-func (t *term) reserve(now clock.Instant, plan *scheduler.Plan) *roundInFlight {
+// placeTasks places the tasks that a plan starts. None starts before the record is stored.
+func (t *term) placeTasks(now clock.Instant, plan *scheduler.Plan) *roundInFlight {
 	record := &plan.Record
 	round := &roundInFlight{record: record, provisionFor: plan.ProvisionedFor, jobs: map[ident.JobID]bool{}}
 	for _, start := range record.Starts {
@@ -96,7 +96,7 @@
 
 // roundCompleted carries out a round that is stored.
 func (t *term) roundCompleted(now clock.Instant, in TransactionCompleted) {
-	round, stored := t.rounds.completed(now, in)
+	round, stored := t.rounds.completeWrite(now, in)
 	if round == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 		MaxRoundValues:      t.schema.maxRoundValues(),
 		ReplacementAttempts: t.replaceableGangs(now),
 		SpecJSONSize:        t.jobs.specJSONSize,
-		TeamActive:          func(team ident.Team) bool { return t.rounds.isActive(now, team) },
+		TeamActive:          func(team ident.Team) bool { return t.rounds.isTeamActive(now, team) },
 	}
 	s.Reserved, s.ReservedTasks = t.quotas.reserved(t.jobs)
 	t.addJobsTo(s, now)
@@ -183,7 +183,7 @@
 func (t *term) addJobsTo(s *scheduler.Snapshot, now clock.Instant) {
 	for j := range t.jobs.all() {
 		if len(j.Placements) > 0 || len(j.Queue) > 0 {
-			t.rounds.noteActive(now, j.Spec.Team)
+			t.rounds.recordTeamActivity(now, j.Spec.Team)
 		}
 		if len(j.Placements) > 0 {
 			s.PlacedJobs = append(s.PlacedJobs, j)
@@ -193,11 +193,11 @@
 		}
 	}
 	// Sums of decimal numbers depend on the order of their terms.
-	slices.SortFunc(s.PlacedJobs, byID)
-	slices.SortFunc(s.QueuedJobs, byID)
+	slices.SortFunc(s.PlacedJobs, compareByID)
+	slices.SortFunc(s.QueuedJobs, compareByID)
 }
 
-func byID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
 
 // mayProvision tells whether machines may be requested by what is known of those there are, and of the cloud.
 func (t *term) mayProvision(now clock.Instant) bool {
@@ -208,15 +208,15 @@
 func (t *term) spareSpecs() []*jobs.Spec {
 	var specs []*jobs.Spec
 	for _, s := range t.jobs.typicalByClass() {
-		if within := t.rounds.objectivesOf(s.Class).StartWithin; within > 0 && within < t.fastestBoot(s) {
+		if within := t.rounds.objectivesOf(s.Class).StartWithin; within > 0 && within < t.minBootTime(s) {
 			specs = append(specs, s)
 		}
 	}
 	return specs
 }
 
-// fastestBoot is the shortest boot time among the machine types that a spec allows.
-func (t *term) fastestBoot(s *jobs.Spec) time.Duration {
+// minBootTime is the shortest boot time among the machine types that a spec allows.
+func (t *term) minBootTime(s *jobs.Spec) time.Duration {
 	fastest := time.Duration(math.MaxInt64)
 	for _, typ := range t.core.machineTypes {
 		allowed := slices.ContainsFunc(typ.AvailableZones(t.settings.Params.Zones), func(z ident.Zone) bool { return s.AllowsMachine(typ.Name, z, false) })
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -150,8 +150,10 @@
 	}
 }
 
-// pending are the provision requests that are not answered.
-func (p *provisioner) pending() []*cloud.ProvisionRequest { return p.tracker.PendingProvisions() }
+// pendingProvisions are the provision requests that are not answered.
+func (p *provisioner) pendingProvisions() []*cloud.ProvisionRequest {
+	return p.tracker.PendingProvisions()
+}
 
 // finishProvision takes in the answer to a provision request. It tells whether the request needs no repetition.
 func (p *provisioner) finishProvision(now clock.Instant, in ProvisionCompleted) bool {
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -151,7 +151,7 @@
 // version would not.
 func (q *quotaManager) allNodesEnforce(now clock.Instant) bool {
 	for _, p := range q.settings.Peers {
-		if last, said := q.enforcers[p.NodeName]; !said || now.Sub(last) > quotaEnforcerTTL {
+		if last, ok := q.enforcers[p.NodeName]; !ok || now.Sub(last) > quotaEnforcerTTL {
 			return false
 		}
 	}
@@ -222,11 +222,11 @@
 	}
 	covered := func(j *jobs.Job) int { return q.allocator.CoveredTasks(j.ID, j.Spec.Team) }
 	for j := range table.all() {
-		left, ok := allocated[j.Spec.Team]
+		remaining, ok := allocated[j.Spec.Team]
 		n := min(len(j.Placements), covered(j))
 		demand, err := quota.DemandOf(&j.Spec)
 		if ok && n > 0 && err == nil {
-			allocated[j.Spec.Team] = left.Sub(demand.Mul(n)).Max(quota.Quantity{})
+			allocated[j.Spec.Team] = remaining.Sub(demand.Mul(n)).Max(quota.Quantity{})
 		}
 	}
 	reserved := make(map[ident.Team]jobs.Resources, len(allocated))
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -21,11 +21,11 @@
 func (t *term) pendingMachines(now clock.Instant) []scheduler.PendingMachine {
 	var pending []scheduler.PendingMachine
 	for _, m := range t.fleet.Machines() {
-		if m.Type != "" && m.Session == 0 && !m.Deprovisioning && !m.Failed && !t.isLate(now, m) {
+		if m.Type != "" && m.Session == 0 && !m.Deprovisioning && !m.Failed && !t.isBootLate(now, m) {
 			pending = append(pending, scheduler.PendingMachine{Offer: cloud.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
 		}
 	}
-	for _, request := range t.provisioner.pending() {
+	for _, request := range t.provisioner.pendingProvisions() {
 		for range request.Count {
 			pending = append(pending, scheduler.PendingMachine{Offer: request.Offer})
 		}
@@ -33,15 +33,15 @@
 	return pending
 }
 
-// isLate tells whether a machine should have come up by now. It may yet, but work does not wait for it any longer: others
+// isBootLate tells whether a machine should have come up by now. It may yet, but work does not wait for it any longer: others
 // are provisioned for it. Guards against an incident in which services waited 80 s for machines that never came.
-func (t *term) isLate(now clock.Instant, m *fleet.Machine) bool {
+func (t *term) isBootLate(now clock.Instant, m *fleet.Machine) bool {
 	typ := t.fleet.MachineType(m.Type)
 	return typ != nil && now.Sub(m.ProvisionedAt) > time.Duration(t.policy.LateBootFactor*float64(typ.BootTime))+firstHeartbeatMargin
 }
 
-// isOverdue tells whether a machine has taken so long to boot that it is not counted on any more.
-func (t *term) isOverdue(now clock.Instant, m *fleet.Machine) bool {
+// isBootOverdue tells whether a machine has taken so long to boot that it is not counted on any more.
+func (t *term) isBootOverdue(now clock.Instant, m *fleet.Machine) bool {
 	return m.Session == 0 && now.Sub(m.ProvisionedAt) > t.bootTimeout(m)
 }
 
@@ -64,7 +64,7 @@
 
 // machinesToDeprovision lists the machines to return in this round, as many as fit into room bytes of its record. Those in
 // retain are kept although they are idle.
-func (t *term) machinesToDeprovision(now clock.Instant, retain map[ident.MachineID]bool, room int) []ident.MachineID {
+func (t *term) machinesToDeprovision(now clock.Instant, retain map[ident.MachineID]bool, roomBytes int) []ident.MachineID {
 	var machines []ident.MachineID
 	silent := t.silentMachines(now)
 	for _, m := range t.fleet.Machines() {
@@ -74,8 +74,8 @@
 		if !m.Failed && !silent[m.ID] && !t.isUnneeded(now, m, retain[m.ID]) {
 			continue
 		}
-		room -= len(m.ID) + machineIDOverheadBytes
-		if room < 0 {
+		roomBytes -= len(m.ID) + machineIDOverheadBytes
+		if roomBytes < 0 {
 			break
 		}
 		machines = append(machines, m.ID)
@@ -86,7 +86,7 @@
 // isUnneeded tells whether a machine is idle and is not to be used again, or did not come up.
 func (t *term) isUnneeded(now clock.Instant, m *fleet.Machine, retained bool) bool {
 	if m.Session == 0 {
-		return t.isOverdue(now, m) && !t.core.recentlyStalled(now)
+		return t.isBootOverdue(now, m) && !t.core.recentlyStalled(now)
 	}
 	timedOut := now.Sub(m.IdleSince) > t.idleTimeout(m) && !retained
 	return !m.Busy() && (timedOut || m.Quarantined || m.Draining)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// candidateCost is about the processor time that examining one machine for one job takes.
-	candidateCost = 60 * time.Nanosecond
+	// candidatePlanTime is about the processor time that examining one machine for one job takes.
+	candidatePlanTime = 60 * time.Nanosecond
 	// maxPlanCPUShare is the share of the node's processors that planning may take.
 	maxPlanCPUShare = 0.25
 	// idlePlanInterval is the pause between two plans while nothing changes.
@@ -32,7 +32,7 @@
 	planNeeded   bool           // something has changed since the last plan
 	lastRoundAt  clock.Instant
 	nextPlanAt   clock.Instant
-	planCost     time.Duration // processor time of the last plan, estimated
+	planCPUTime  time.Duration // processor time of the last plan, estimated
 	lastDrainAt  clock.Instant
 	objectives   map[ident.Class]scheduler.Objectives
 	teamActiveAt map[ident.Team]clock.Instant // when the team last had work
@@ -82,14 +82,14 @@
 // isWriting tells whether the record of a round is being written.
 func (l *schedulingLoop) isWriting() bool { return l.inFlight != nil }
 
-// isChanging tells whether the round in flight starts tasks of a job.
-func (l *schedulingLoop) isChanging(id ident.JobID) bool {
+// startsTasksOf tells whether the round in flight starts tasks of a job.
+func (l *schedulingLoop) startsTasksOf(id ident.JobID) bool {
 	return l.inFlight != nil && l.inFlight.jobs[id]
 }
 
-// isProposed tells whether a placement belongs to the round in flight: its start has not left, and won't before the
+// isPlacementInFlight tells whether a placement belongs to the round in flight: its start has not left, and won't before the
 // record is stored.
-func (l *schedulingLoop) isProposed(p *jobs.Placement) bool {
+func (l *schedulingLoop) isPlacementInFlight(p *jobs.Placement) bool {
 	return l.inFlight != nil && p.RoundNo == l.inFlight.record.RoundNo
 }
 
@@ -100,7 +100,7 @@
 	if cpus <= 0 {
 		cpus = 1
 	}
-	interval := max(l.policy.MinRoundInterval, time.Duration(float64(l.planCost)/(cpus*maxPlanCPUShare)))
+	interval := max(l.policy.MinRoundInterval, time.Duration(float64(l.planCPUTime)/(cpus*maxPlanCPUShare)))
 	switch writes := l.budget.AvailableWrites(now, kvstore.PurposeRound); {
 	case writes < 2:
 		return max(interval, 16*l.policy.MinRoundInterval)
@@ -110,8 +110,8 @@
 	return interval
 }
 
-// beginIfDue returns the number of the round to plan now, if one is due and its record can be written.
-func (l *schedulingLoop) beginIfDue(now clock.Instant) (ident.RoundNo, bool) {
+// beginRoundIfDue returns the number of the round to plan now, if one is due and its record can be written.
+func (l *schedulingLoop) beginRoundIfDue(now clock.Instant) (ident.RoundNo, bool) {
 	if l.inFlight != nil || now.Sub(l.lastRoundAt) < l.minRoundInterval(now) {
 		return 0, false
 	}
@@ -126,9 +126,9 @@
 	return no, true
 }
 
-// planned notes what a plan has cost, and whether it drains machines.
-func (l *schedulingLoop) planned(now clock.Instant, plan *scheduler.Plan) {
-	l.planCost = time.Duration(plan.Examined) * candidateCost
+// recordPlan notes what a plan has cost, and whether it drains machines.
+func (l *schedulingLoop) recordPlan(now clock.Instant, plan *scheduler.Plan) {
+	l.planCPUTime = time.Duration(plan.Examined) * candidatePlanTime
 	if len(plan.Drain) > 0 {
 		l.lastDrainAt = now
 	}
@@ -139,11 +139,13 @@
 	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.DrainInterval
 }
 
-// noteActive notes that a team has work.
-func (l *schedulingLoop) noteActive(now clock.Instant, team ident.Team) { l.teamActiveAt[team] = now }
+// recordTeamActivity notes that a team has work.
+func (l *schedulingLoop) recordTeamActivity(now clock.Instant, team ident.Team) {
+	l.teamActiveAt[team] = now
+}
 
-// isActive tells whether a team has had work lately, so that its guarantee is held for it.
-func (l *schedulingLoop) isActive(now clock.Instant, team ident.Team) bool {
+// isTeamActive tells whether a team has had work lately, so that its guarantee is held for it.
+func (l *schedulingLoop) isTeamActive(now clock.Instant, team ident.Team) bool {
 	last, ok := l.teamActiveAt[team]
 	return ok && now.Sub(last) <= l.policy.GuaranteeHoldTime
 }
@@ -151,7 +153,7 @@
 // write writes the record of a round; it returns false if the record can't be written now.
 func (l *schedulingLoop) write(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, r *roundInFlight) bool {
 	r.record.LowWatermark = min(l.ring.LowWatermark(), r.record.RoundNo)
-	operations, err := l.operations(schema, r.record)
+	operations, err := l.storeOperations(schema, r.record)
 	if err != nil {
 		l.metrics.OversizedRecords.Inc()
 		l.log.Error("round record rejected", "round", r.record.RoundNo, "err", err, "epoch", epoch)
@@ -169,8 +171,8 @@
 	return true
 }
 
-// operations store a round: its record and its chunks.
-func (l *schedulingLoop) operations(schema *schemaAgreement, r *roundlog.Record) ([]kvstore.Operation, error) {
+// storeOperations store a round: its record and its chunks.
+func (l *schedulingLoop) storeOperations(schema *schemaAgreement, r *roundlog.Record) ([]kvstore.Operation, error) {
 	key := l.ring.Key(r.RoundNo)
 	head, chunks, err := r.Split(schema.storeLimits().MaxValueBytes(), schema.maxRoundValues(), kvstore.JSONSize)
 	if err != nil {
@@ -179,8 +181,8 @@
 	return recordOperations(key, head, chunks, func(n int) string { return roundlog.ChunkKey(key, n) }), nil
 }
 
-// completed returns the round that was in flight, or nil, and whether it is stored.
-func (l *schedulingLoop) completed(now clock.Instant, in TransactionCompleted) (r *roundInFlight, stored bool) {
+// completeWrite returns the round that was in flight, or nil, and whether it is stored.
+func (l *schedulingLoop) completeWrite(now clock.Instant, in TransactionCompleted) (r *roundInFlight, stored bool) {
 	r = l.inFlight
 	if r == nil {
 		return nil, false
