--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -10,26 +10,30 @@
 )
 
 const (
-	// failureBackoffBase and gangBackoffBase are the first backoffs of a job whose task or gang failed; each further failure
-	// doubles it, up to maxBackoff.
+	// failureBackoffBase and gangBackoffBase are the units of the backoff of a job whose task or gang failed. The
+	// backoff is twice the unit after the first failure, and doubles with each further consecutive failure, up to
+	// maxBackoff.
 	failureBackoffBase = 500 * time.Millisecond
 	gangBackoffBase    = 250 * time.Millisecond
 	maxBackoff         = 30 * time.Second
-	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	// maxBackoffDoublings bounds the number of doublings, so that the backoff does not overflow.
 	maxBackoffDoublings = 7
-	// refusalBackoff is the backoff of a job whose task a machine has refused.
+	// refusalBackoff is the backoff of a job after a machine refused to start one of its tasks.
 	refusalBackoff = time.Second
-	// failureAvoidance and refusalAvoidance are how long a job avoids a machine on which its task failed, or that refused it.
+	// failureAvoidance and refusalAvoidance are how long a job avoids a machine on which its task failed, or that
+	// refused to start its task.
 	failureAvoidance = time.Minute
 	refusalAvoidance = 3 * time.Second
-	// maxMachineFailures is the number of failed tasks in a row, of jobs that run elsewhere, by which a machine is
-	// quarantined.
+	// maxMachineFailures is the number of consecutive task failures after which a machine is quarantined. Failures
+	// beyond maxAttributedFailures of a job do not count.
 	maxMachineFailures = 3
-	// maxAttributedFailures is the number of failures of a job in a row that count against machines; after more it is the job.
+	// maxAttributedFailures is how many consecutive failures of a job count against machines. Further failures are
+	// attributed to the job itself.
 	maxAttributedFailures = 3
 )
 
-// tasksEnded follows the ends of tasks.
+// tasksEnded handles tasks that have ended: according to the cause it applies backoffs, lets jobs avoid machines and
+// counts failures.
 func (t *term) tasksEnded(now clock.Instant, ch fleet.Changes) {
 	for _, ended := range ch.Ended {
 		t.rounds.requestPlan()
@@ -60,14 +64,15 @@
 	j.AvoidUntil[id] = until
 }
 
-// applyBackoff counts a failure of a job, and puts its next start off.
+// applyBackoff counts a failure of a job and sets the backoff before its next start.
 func applyBackoff(now clock.Instant, j *jobs.Job, base time.Duration) {
 	j.ConsecutiveFailures++
 	backoff := min(maxBackoff, base<<min(j.ConsecutiveFailures, maxBackoffDoublings))
 	j.BackoffUntil = max(j.BackoffUntil, now.Add(backoff))
 }
 
-// taskFailed backs the job off, and counts the failure against the machine unless the job fails wherever it goes.
+// taskFailed applies the backoff to the job. It counts the failure against the machine, unless the job has failed more
+// than maxAttributedFailures times in a row: such a job is assumed to fail on every machine.
 func (t *term) taskFailed(now clock.Instant, j *jobs.Job, m *fleet.Machine) {
 	applyBackoff(now, j, failureBackoffBase)
 	if m == nil {
@@ -84,8 +89,8 @@
 	}
 }
 
-// gangFailed backs a gang off that was not complete in time or has lost a task, once for an attempt. No machine is blamed:
-// which of them is at fault is not known.
+// gangFailed applies the backoff, once per attempt, to a gang that was not complete in time or lost a task. The failure
+// is counted against no machine, because it is unknown which of the gang's machines is at fault.
 func gangFailed(now clock.Instant, p *jobs.Placement) {
 	j := p.Job
 	if p.Attempt <= j.LastFailedAttempt {
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -17,35 +17,36 @@
 const (
 	// maxFoldBytes keeps a transaction below the state service's limit of 64 KiB.
 	maxFoldBytes = 40 << 10
-	// maxFoldedJobs bounds the checkpoints of one fold, so that those who wait for changes have their turn in between. In a
-	// flood the folds of the jobs just placed took three changes of four, and 440 users needed 50 s to get in.
+	// maxFoldedJobs bounds the checkpoints in one fold, so that other writes get their turn between folds. Without the
+	// bound, under a burst of submissions, folds of newly placed jobs took three of four writes, and it took 50 s until
+	// 440 users were served.
 	maxFoldedJobs = 4
-	// oversizedRetryDelay is the pause after a checkpoint that was too large.
+	// oversizedRetryDelay is the delay before a checkpoint that was too large is retried.
 	oversizedRetryDelay = 2 * time.Second
-	// foldRetryDelay is the pause after a fold, or a part of a staged record, that was refused.
+	// foldRetryDelay is the delay after a fold, or a part of a staged record, that was not stored.
 	foldRetryDelay = 200 * time.Millisecond
 )
 
-// checkpointWriter writes the checkpoints of jobs, one transaction at a time: several jobs in one (a fold), or a record
-// that fits into none in several (staging).
+// checkpointWriter writes the checkpoints of jobs, one transaction at a time. A transaction holds the checkpoints of
+// several jobs (a fold); a record that is too large for one transaction is spread over several (staging).
 type checkpointWriter struct {
 	*environment
-	inFlight       *foldInFlight // nil: no fold is being written
+	inFlight       *foldInFlight // nil if no fold is being written
 	retryAt        clock.Instant
-	oversizedUntil map[ident.JobID]clock.Instant // checkpoints that are not tried before
+	oversizedUntil map[ident.JobID]clock.Instant // when an oversized checkpoint may be retried
 	staging        stagedWrite
 }
 
 // foldInFlight is a fold that is being written.
 type foldInFlight struct {
 	jobs        []foldedJob
-	chunkOffset int // the number before that of the first chunk of its records
+	chunkOffset int // the chunks of its records are numbered from chunkOffset+1
 }
 
-// foldedJob is what the record of a job holds that is being written.
+// foldedJob is a job whose record is being written, with the state that the record will hold.
 type foldedJob struct {
 	job    *jobs.Job
-	stored jobs.StoredState // but for its revision and chunk offset
+	stored jobs.StoredState // without ModRevision and ChunkOffset, which are set once the record is stored
 }
 
 func newFoldedJob(j *jobs.Job, record *jobs.Record) foldedJob {
@@ -56,11 +57,11 @@
 	return &checkpointWriter{environment: env, oversizedUntil: map[ident.JobID]clock.Instant{}}
 }
 
-// isWriting tells whether a fold is being written.
+// isWriting reports whether a fold is being written.
 func (w *checkpointWriter) isWriting() bool { return w.inFlight != nil }
 
-// foldIfDue writes the checkpoints that somebody waits for, then those that have lagged longest, as far as the folds'
-// share of the write rate goes.
+// foldIfDue writes the urgent checkpoints or, if there are none, those that have been out of date longest, within the
+// write budget for folds.
 func (w *checkpointWriter) foldIfDue(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, table *jobTable, rounds *schedulingLoop) {
 	if w.inFlight != nil || now.Before(w.retryAt) {
 		return
@@ -85,7 +86,7 @@
 	w.emit(CommitTransaction{Kind: FoldTransaction, Epoch: epoch, Txn: txn})
 }
 
-// newFold makes one transaction of the checkpoints of jobs, as many as fit into it.
+// newFold combines the checkpoints of jobs into one transaction, as many as fit.
 func (w *checkpointWriter) newFold(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, batch []*jobs.Job,
 	maxOps int) (*foldInFlight, kvstore.Txn) {
 	fold := &foldInFlight{}
@@ -108,8 +109,9 @@
 	return fold, txn
 }
 
-// checkpointOperations store the checkpoint of a job: its record and its chunks. One that is too large for a transaction is
-// staged, or tried again a little later; it keeps no others from their turn.
+// checkpointOperations returns the operations that store the checkpoint of a job: its record and the chunks of the
+// record. It returns false for a checkpoint that is too large for one transaction: the checkpoint is staged, or retried
+// after oversizedRetryDelay, and does not delay those of other jobs.
 func (w *checkpointWriter) checkpointOperations(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement,
 	j *jobs.Job) ([]kvstore.Operation, foldedJob, bool) {
 	record := j.Record(epoch)
@@ -126,8 +128,9 @@
 	return operations, newFoldedJob(j, record), true
 }
 
-// candidates lists the jobs whose record may be written now: those that a user or the ring of rounds waits for, and those
-// that have lagged long enough.
+// candidates returns the jobs whose records may be written now, each group in the order in which they became dirty: the
+// urgent ones, for which a user or the ring of round records waits, and those that have been out of date for
+// MaxFoldDelay.
 func (w *checkpointWriter) candidates(now clock.Instant, table *jobTable, rounds *schedulingLoop) (urgent, late []*jobs.Job) {
 	blocking := rounds.jobsBlockingRing()
 	for j := range table.all() {
@@ -151,7 +154,7 @@
 	})
 }
 
-// foldCompleted ends the fold in flight, and returns what it has stored of which jobs.
+// foldCompleted ends the fold in flight. It returns the jobs whose records are stored, with the states that these hold.
 func (w *checkpointWriter) foldCompleted(now clock.Instant, in TransactionCompleted) []foldedJob {
 	fold := w.inFlight
 	if fold == nil {
@@ -177,7 +180,8 @@
 	return fold.jobs
 }
 
-// foldCompleted tells those who waited for the checkpoints of a fold, and reads the records that were not as expected.
+// foldCompleted settles the rounds that a fold has stored and answers the cancel requests that waited for it. If the
+// fold failed, it reads the records that have changed unexpectedly.
 func (t *term) foldCompleted(now clock.Instant, in TransactionCompleted) {
 	wasWriting := t.checkpoints.isWriting()
 	for _, folded := range t.checkpoints.foldCompleted(now, in) {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -11,16 +11,19 @@
 )
 
 const (
-	// gangReplacementWindow is how long a gang that lost a task before it began waits for a machine that can take the
-	// task: longer than the backoff after a refusal.
+	// gangReplacementWindow is how long a gang that lost a task before it began waits for a machine that can run the
+	// task. It is longer than refusalBackoff, during which the job is not placed.
 	gangReplacementWindow = 3 * time.Second
-	// gangReplacementMargin is what a replacement takes beside its image: the round, the command and the heartbeat.
+	// gangReplacementMargin is the time that a replacement takes besides fetching its image: for the round, the start
+	// command and the heartbeat.
 	gangReplacementMargin = 3 * time.Second
-	// maxFetchTimeFactor is how much longer than announced an image may take: rates vary by a third.
+	// maxFetchTimeFactor is the ratio of the longest image fetch time to the one at the announced rate: rates vary by a
+	// third.
 	maxFetchTimeFactor = 4.0 / 3
 )
 
-// stopGang stops all tasks of a gang at once: those that are told late can't write a checkpoint.
+// stopGang stops all tasks of a gang at the same time, because tasks that are stopped later than their peers can't
+// write a checkpoint.
 func (t *term) stopGang(now clock.Instant, j *jobs.Job, gracePeriod time.Duration) {
 	for _, p := range j.Placements {
 		if !p.Stopping && !t.rounds.isPlacementInFlight(p) {
@@ -29,9 +32,9 @@
 	}
 }
 
-// stopBrokenGangs stops the gangs of which some task has ended or is being stopped. The tasks that are left make no
-// progress: they wait for what does not come, or have lost a peer. The gang is placed anew once the end of each is proven.
-// One whose lost tasks may still be replaced goes on waiting.
+// stopBrokenGangs stops the gangs of which a task has ended or is being stopped. Their other tasks make no progress:
+// they wait for a peer that will not start, or have lost one. The gang is placed again once each of its tasks is known
+// to have ended. A gang whose lost tasks may still be replaced is not stopped.
 func (t *term) stopBrokenGangs(now clock.Instant) {
 	for j := range t.jobs.all() {
 		if !j.Spec.Gang || len(j.Placements) == 0 || j.Phase.Final() || t.rounds.startsTasksOf(j.ID) {
@@ -47,8 +50,8 @@
 	}
 }
 
-// gangGracePeriod is the longest grace period among the tasks of a gang that are being stopped. It returns false if none
-// is.
+// gangGracePeriod returns the longest grace period among the tasks of a gang that are being stopped. It returns false
+// if no task is being stopped.
 func gangGracePeriod(j *jobs.Job) (gracePeriod time.Duration, stopping bool) {
 	for _, p := range j.Placements {
 		if p.Stopping {
@@ -58,7 +61,8 @@
 	return gracePeriod, stopping
 }
 
-// hasLostTasks tells whether a gang lacks tasks, and notes since when.
+// hasLostTasks reports whether a gang lacks tasks. It also maintains IncompleteSince, and requests a plan when the gang
+// starts to lack tasks.
 func (t *term) hasLostTasks(now clock.Instant, j *jobs.Job) bool {
 	switch {
 	case len(j.Queue) == 0:
@@ -70,9 +74,15 @@
 	return len(j.Queue) > 0
 }
 
-// replacementAttempt is the attempt under which the tasks that a gang has lost may be started again: where none of it has
-// begun or is being stopped, and a replacement is there before the others give up. What an earlier leader placed is left
-// to end: it is not known since when it waits.
+// replacementAttempt returns the attempt under which the lost tasks of a gang may be started again. It returns false
+// unless all of these hold:
+//  1. The gang lacks some of its tasks, its job has not ended, and the agreed schema version is at least
+//     ChunkedRounds.
+//  2. None of the gang's remaining tasks has begun or is being stopped.
+//  3. This leader placed the gang's remaining tasks, all under one attempt, which has not failed. If an earlier leader
+//     placed one, it is unknown since when the gang has been waiting, and the attempt is left to end.
+//  4. A replacement can start before the other tasks stop waiting for it.
+//  5. The gang has lacked tasks for less than gangReplacementWindow.
 func (t *term) replacementAttempt(now clock.Instant, j *jobs.Job) (ident.Attempt, bool) {
 	if t.schema.version() < schemaversion.ChunkedRounds || len(j.Placements) == 0 || len(j.Queue) == 0 || j.Phase.Final() {
 		return 0, false
@@ -91,7 +101,7 @@
 	return attempt, attempt > j.LastFailedAttempt && startsAt.Before(placedAt.Add(wait)) && inWindow
 }
 
-// maxImageFetchTime is how long the image of a job takes at most, on any machine type.
+// maxImageFetchTime returns the longest time that fetching the image of a job may take, over all machine types.
 func maxImageFetchTime(types []*fleet.MachineType, s *jobs.Spec) time.Duration {
 	slowest := time.Duration(0)
 	for _, typ := range types {
@@ -102,7 +112,7 @@
 	return slowest
 }
 
-// replaceableGangs lists the gangs whose lost tasks may be replaced, with the attempts.
+// replaceableGangs returns the gangs whose lost tasks may be replaced, with their attempts.
 func (t *term) replaceableGangs(now clock.Instant) map[ident.JobID]ident.Attempt {
 	attempts := map[ident.JobID]ident.Attempt{}
 	for j := range t.jobs.all() {
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -13,7 +13,7 @@
 	"badgerbay/internal/recovery"
 )
 
-// JobRequest is a status query or a cancel request of a user.
+// JobRequest is a user's status query or cancel request.
 type JobRequest struct {
 	Responder Responder[JobReply]
 	Job       ident.JobID
@@ -25,17 +25,17 @@
 	Responder Responder[JobReply]
 	Outcome   api.QueryOutcome
 	Status    api.Status
-	// ValidUntil is when a reply with the status of a job must have left.
+	// ValidUntil is the deadline for sending a reply that holds the status of a job.
 	ValidUntil clock.Instant
 }
 
 // JobChanged notifies the leader that a job was stored or has changed.
 type JobChanged struct {
 	Job         ident.JobID
-	ModRevision ident.Revision // 0: not known
+	ModRevision ident.Revision // 0 if unknown
 }
 
-// ReadJobRecord is the effect that reads the record of one job with its chunks.
+// ReadJobRecord is the effect that reads the record of one job and its chunks.
 type ReadJobRecord struct{ Job ident.JobID }
 
 // JobRecordRead is the outcome of a ReadJobRecord.
@@ -43,10 +43,10 @@
 	Job    ident.JobID
 	OK     bool
 	Item   kvstore.KeyValue
-	Chunks map[int][]byte // by number
+	Chunks map[int][]byte // by chunk number
 }
 
-// Deliver hands the reply to whoever made the request.
+// Deliver sends the reply to the responder of the request.
 func (r JobReply) Deliver() { r.Responder.Respond(r) }
 
 func (JobRequest) input()     {}
@@ -55,17 +55,17 @@
 func (JobReply) effect()      {}
 func (ReadJobRecord) effect() {}
 
-// cancelStoreTimeout bounds how long a cancel request waits for the checkpoint of its job.
+// cancelStoreTimeout bounds how long a cancel request waits until the checkpoint of its job is stored.
 const cancelStoreTimeout = 1500 * time.Millisecond
 
-// jobChanged has the record of a job read that was stored since the records were.
+// jobChanged reads the record of a job that was stored or changed after the leader loaded the records.
 func (t *term) jobChanged(in JobChanged) {
 	if t.recovery.isLoaded() {
 		t.jobs.changed(in.Job, in.ModRevision)
 	}
 }
 
-// jobRecordRead adds a job by its record, or follows a record that is newer than known.
+// jobRecordRead adds a job from its record, or adopts a record that is newer than the known one.
 func (t *term) jobRecordRead(now clock.Instant, in JobRecordRead) {
 	t.jobs.readCompleted(in.Job)
 	if !t.recovery.isLoaded() || !in.OK || in.Item.ModRevision == 0 {
@@ -79,8 +79,9 @@
 	if j.FoldInFlight || in.Item.ModRevision <= j.Stored.ModRevision {
 		return
 	}
-	// Only this leader changes records, under the condition of its epoch: this is a write of its own whose answer was lost.
-	// Write again, on top of it.
+	// Only this leader changes job records, since each of its writes is conditional on its epoch. A newer record was
+	// therefore written by this leader, and the answer to that write was lost. Its revision is adopted, and the record
+	// is written again on top of it.
 	t.metrics.CASConflicts.Inc()
 	j.Stored.ModRevision, j.Stored.ChunkOffset = in.Item.ModRevision, 0
 	if r, err := jobs.Decode(in.Item.Value); err == nil {
@@ -89,7 +90,7 @@
 	j.MarkDirty(now)
 }
 
-// acceptJob adds a job that was stored since this leader read the records.
+// acceptJob adds a job that was stored after this leader loaded the records.
 func (t *term) acceptJob(now clock.Instant, in JobRecordRead) {
 	stored, err := recovery.DecodeJob(in.Job, in.Item, func(n int) []byte { return in.Chunks[n] })
 	if err != nil {
@@ -101,7 +102,8 @@
 	t.log.Info("job accepted", "job", in.Job, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "epoch", t.epoch)
 }
 
-// adoptStoredRecord takes over the head of a record that a write of this leader has stored.
+// adoptStoredRecord adopts the chunk offset and the final phase from the head of a record that a write of this leader
+// has stored.
 func (t *term) adoptStoredRecord(now clock.Instant, j *jobs.Job, head *jobs.Record) {
 	if head.ChunkInfo != nil {
 		j.Stored.ChunkOffset = head.ChunkInfo.Offset
@@ -116,7 +118,8 @@
 	j.Stored.Phase = head.Phase
 }
 
-// handleJobRequest answers a user, if this node may act as leader.
+// handleJobRequest passes a user's request to the term if this node holds a valid lease and has loaded the records.
+// Otherwise it replies NoLeader.
 func (c *Core) handleJobRequest(now clock.Instant, in JobRequest) {
 	if !c.election.LeaseValid(now) || c.term == nil || !c.term.recovery.isLoaded() {
 		c.emit(JobReply{Responder: in.Responder, Outcome: api.NoLeader})
@@ -125,7 +128,7 @@
 	c.term.handleJobRequest(now, in)
 }
 
-// handleJobRequest answers a status query, or begins a cancellation.
+// handleJobRequest answers a status query, or starts a cancellation.
 func (t *term) handleJobRequest(now clock.Instant, in JobRequest) {
 	j := t.jobs.get(in.Job)
 	if j == nil {
@@ -143,7 +146,7 @@
 	}
 }
 
-// cancel cancels a job. The answer waits until the cancellation is stored.
+// cancel cancels a job. The reply is sent once the cancellation is stored.
 func (t *term) cancel(now clock.Instant, j *jobs.Job, responder Responder[JobReply]) {
 	if !j.Phase.Final() {
 		t.log.Info("job cancelled", "job", j.ID, "epoch", t.epoch)
@@ -154,13 +157,14 @@
 	t.rounds.requestPlan()
 }
 
-// isFinalPhaseInFlight tells whether the end of a job is being stored, and may be already: where the answer to the write is
-// late or lost, another node may have read it and told its user. Only the record itself can tell then.
+// isFinalPhaseInFlight reports whether the final phase of a job is being written, and may already be stored. If the
+// answer to the write is late or lost, another node may have read the phase and reported it to a user. Until the write
+// completes, only the stored record shows which phase is valid.
 func isFinalPhaseInFlight(j *jobs.Job) bool {
 	return j.FoldInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
 }
 
-// stopCancelledTasks stops the tasks of a job if it is cancelled, but for those whose start is being recorded.
+// stopCancelledTasks stops the tasks of a cancelled job, except those whose start is being recorded.
 func (t *term) stopCancelledTasks(now clock.Instant, j *jobs.Job) {
 	if j.Phase != jobs.PhaseCancelled {
 		return
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -13,18 +13,18 @@
 	"badgerbay/internal/recovery"
 )
 
-// jobTable is the leader's copy of all jobs, with the reads of job records in flight and the cancel requests whose
-// answers wait for a checkpoint.
+// jobTable is the leader's copy of all jobs, with the reads of job records in flight and the cancel requests that wait
+// for a checkpoint.
 type jobTable struct {
 	*environment
 	byID           map[ident.JobID]*jobs.Job
-	specBytes      map[ident.JobID]int // as JSON
+	specBytes      map[ident.JobID]int // size of the spec as JSON
 	readsInFlight  map[ident.JobID]bool
 	pendingCancels map[ident.JobID][]pendingCancel
-	typicalSpecs   map[ident.Class]*jobs.Spec // the last that was seen of each class
+	typicalSpecs   map[ident.Class]*jobs.Spec // of the last active job added of each class, or else of the first job
 }
 
-// pendingCancel is a cancel request whose answer waits for the checkpoint.
+// pendingCancel is a cancel request whose reply waits for the checkpoint of its job.
 type pendingCancel struct {
 	responder Responder[JobReply]
 	deadline  clock.Instant
@@ -36,15 +36,15 @@
 		typicalSpecs: map[ident.Class]*jobs.Spec{}}
 }
 
-// get returns a job, or nil if it is not known.
+// get returns a job, or nil if it is unknown.
 func (t *jobTable) get(id ident.JobID) *jobs.Job { return t.byID[id] }
 
 func (t *jobTable) len() int { return len(t.byID) }
 
-// all goes through the jobs, in no particular order.
+// all iterates over the jobs in no particular order.
 func (t *jobTable) all() iter.Seq[*jobs.Job] { return maps.Values(t.byID) }
 
-// add makes a job of its record, without placements.
+// add adds a job from its record, without placements.
 func (t *jobTable) add(now clock.Instant, stored recovery.JobRecord) *jobs.Job {
 	spec := &stored.Record.Spec
 	j := jobs.NewJob(stored.ID, stored.Record, stored.Revision, now)
@@ -56,10 +56,10 @@
 	return j
 }
 
-// specJSONSize is the size of a job's spec as JSON.
+// specJSONSize returns the size of a job's spec as JSON, in bytes.
 func (t *jobTable) specJSONSize(j *jobs.Job) int { return t.specBytes[j.ID] }
 
-// typicalByClass lists the typical spec of each class, in the order of their names.
+// typicalByClass returns the typical spec of each class, sorted by class name.
 func (t *jobTable) typicalByClass() []*jobs.Spec {
 	var specs []*jobs.Spec
 	for _, class := range slices.Sorted(maps.Keys(t.typicalSpecs)) {
@@ -68,7 +68,7 @@
 	return specs
 }
 
-// changed reads a job's record, unless what it would bring is known.
+// changed reads a job's record, unless the revision is already known or this leader is writing the record.
 func (t *jobTable) changed(id ident.JobID, revision ident.Revision) {
 	j := t.byID[id]
 	known := j != nil && (revision <= j.Stored.ModRevision || j.FoldInFlight)
@@ -88,15 +88,15 @@
 
 func (t *jobTable) readCompleted(id ident.JobID) { delete(t.readsInFlight, id) }
 
-// awaitCancellation lets a cancel request wait for the checkpoint of its job.
+// awaitCancellation makes a cancel request wait for the checkpoint of its job.
 func (t *jobTable) awaitCancellation(now clock.Instant, id ident.JobID, responder Responder[JobReply]) {
 	t.pendingCancels[id] = append(t.pendingCancels[id], pendingCancel{responder, now.Add(cancelStoreTimeout)})
 }
 
-// isAwaited tells whether a cancel request waits for the checkpoint of a job.
+// isAwaited reports whether a cancel request waits for the checkpoint of a job.
 func (t *jobTable) isAwaited(id ident.JobID) bool { return len(t.pendingCancels[id]) > 0 }
 
-// answerCancellations answers the cancel requests for a job.
+// answerCancellations answers all pending cancel requests for a job.
 func (t *jobTable) answerCancellations(id ident.JobID, outcome api.QueryOutcome, validUntil clock.Instant) {
 	for _, pending := range t.pendingCancels[id] {
 		reply := JobReply{Responder: pending.responder, Outcome: outcome, ValidUntil: validUntil}
@@ -108,7 +108,8 @@
 	delete(t.pendingCancels, id)
 }
 
-// answerOverdueCancellations answers the cancel requests whose deadline has passed.
+// answerOverdueCancellations replies LeaderBusy to the pending cancel requests of each job whose oldest request is past
+// its deadline.
 func (t *jobTable) answerOverdueCancellations(now clock.Instant) {
 	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
 		if pending := t.pendingCancels[id]; len(pending) > 0 && !now.Before(pending[0].deadline) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// abandonCancellations answers all cancel requests when leadership ends.
+// abandonCancellations replies NoLeader to all pending cancel requests when leadership ends.
 func (t *jobTable) abandonCancellations() {
 	for _, id := range slices.Sorted(maps.Keys(t.pendingCancels)) {
 		t.answerCancellations(id, api.NoLeader, 0)
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -14,7 +14,7 @@
 	"badgerbay/internal/scheduler"
 )
 
-// scheduleIfDue plans a round, if one is due, and writes its record.
+// scheduleIfDue plans a round and writes its record, if a round is due.
 func (t *term) scheduleIfDue(now clock.Instant) {
 	if !t.recovery.isSchedulingOpen() || !t.quotas.isReady() || t.core.election.AdvancingEpoch() {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// writeRound reserves what the plan decides and writes the record of the round.
+// writeRound places the tasks that a plan starts, adds the machines to deprovision, and writes the record of the round.
 func (t *term) writeRound(now clock.Instant, plan *scheduler.Plan) {
 	round := t.placeTasks(now, plan)
 	record := round.record
@@ -64,7 +64,8 @@
 	}
 }
 
-// placeTasks places the tasks that a plan starts. None starts before the record is stored.
+// placeTasks places the tasks that a plan starts, so that their resources are in use. No task is started before the
+// record is stored.
 func (t *term) placeTasks(now clock.Instant, plan *scheduler.Plan) *roundInFlight {
 	record := &plan.Record
 	round := &roundInFlight{record: record, provisionFor: plan.ProvisionedFor, jobs: map[ident.JobID]bool{}}
@@ -81,7 +82,7 @@
 	return round
 }
 
-// abortRound takes back a round that surely was not stored.
+// abortRound reverts a round whose record is known not to be stored.
 func (t *term) abortRound(now clock.Instant, round *roundInFlight) {
 	for _, p := range round.placements {
 		t.fleet.Retract(now, p)
@@ -94,7 +95,7 @@
 	t.rounds.requestPlan()
 }
 
-// roundCompleted carries out a round that is stored.
+// roundCompleted executes a round once its record is stored, or reverts it if the record was not stored.
 func (t *term) roundCompleted(now clock.Instant, in TransactionCompleted) {
 	round, stored := t.rounds.completeWrite(now, in)
 	if round == nil {
@@ -118,7 +119,7 @@
 		"provisions", len(record.Provisions), "deprovisions", len(record.Deprovisions))
 }
 
-// provision has the machines of a stored round requested and returned.
+// provision passes the provision requests and deprovisions of a stored round to the provisioner.
 func (t *term) provision(now clock.Instant, round *roundInFlight) {
 	record := round.record
 	for _, p := range record.Provisions {
@@ -132,8 +133,8 @@
 	}
 }
 
-// startPlacement lets a recorded placement start, unless its job or its machine has changed while the record was being
-// written.
+// startPlacement allows the start of a placement whose record is stored. It retracts the placement if the job has
+// ended, or if the machine is gone, has a new session or is not schedulable any more, since the round was planned.
 func (t *term) startPlacement(now clock.Instant, p *jobs.Placement, no ident.RoundNo) {
 	if p.State == jobs.PlacementEnded {
 		return
@@ -148,7 +149,7 @@
 	t.log.Debug("task start commanded", "job", p.Job.ID, "task", p.Task, "machine", p.Machine, "round", no, "epoch", t.epoch)
 }
 
-// snapshot gathers what a round is planned from.
+// snapshot returns the state that a round is planned from.
 func (t *term) snapshot(now clock.Instant, no ident.RoundNo) *scheduler.Snapshot {
 	s := &scheduler.Snapshot{
 		Now:                 now,
@@ -179,7 +180,7 @@
 	return s
 }
 
-// addJobsTo adds the jobs that have tasks on machines, and those whose tasks wait for one, to a snapshot.
+// addJobsTo adds the jobs that have placements, and those that have queued tasks and are not in backoff, to a snapshot.
 func (t *term) addJobsTo(s *scheduler.Snapshot, now clock.Instant) {
 	for j := range t.jobs.all() {
 		if len(j.Placements) > 0 || len(j.Queue) > 0 {
@@ -192,19 +193,22 @@
 			s.QueuedJobs = append(s.QueuedJobs, j)
 		}
 	}
-	// Sums of decimal numbers depend on the order of their terms.
+	// The planner sums floating-point numbers, and such a sum depends on the order of its terms. Sorting makes the plan
+	// the same for the same jobs.
 	slices.SortFunc(s.PlacedJobs, compareByID)
 	slices.SortFunc(s.QueuedJobs, compareByID)
 }
 
 func compareByID(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) }
 
-// mayProvision tells whether machines may be requested by what is known of those there are, and of the cloud.
+// mayProvision reports whether a round may request machines: the machine types and the existing machines are known, and
+// the provisioner may send another request.
 func (t *term) mayProvision(now clock.Instant) bool {
 	return len(t.core.machineTypes) > 0 && t.knowsAllMachines(now) && t.provisioner.mayRequest(now)
 }
 
-// spareSpecs are the typical specs of the classes that must start faster than machines boot.
+// spareSpecs returns the typical specs of the classes whose start objective is shorter than the shortest boot time of a
+// machine.
 func (t *term) spareSpecs() []*jobs.Spec {
 	var specs []*jobs.Spec
 	for _, s := range t.jobs.typicalByClass() {
@@ -215,7 +219,7 @@
 	return specs
 }
 
-// minBootTime is the shortest boot time among the machine types that a spec allows.
+// minBootTime returns the shortest boot time among the machine types that a spec allows and that its tasks fit on.
 func (t *term) minBootTime(s *jobs.Spec) time.Duration {
 	fastest := time.Duration(math.MaxInt64)
 	for _, typ := range t.core.machineTypes {
@@ -227,8 +231,11 @@
 	return fastest
 }
 
-// replayRound applies a round that is not folded into all its jobs. Whether its effects came about is not known:
-// placements wait for heartbeats, provision requests are repeated under their names, machines are returned again.
+// replayRound applies a round of an earlier leader that is not folded into the checkpoints of all its jobs. It is
+// unknown which of its effects have taken place, so all are applied again:
+//  1. Placements are restored, and wait for heartbeats that report their tasks.
+//  2. Provision requests are repeated under the same names, by which the cloud recognizes duplicates.
+//  3. Machines are deprovisioned again.
 func (t *term) replayRound(now clock.Instant, r *roundlog.Record) {
 	for _, s := range r.Starts {
 		j := t.jobs.get(s.Job)
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -12,7 +12,8 @@
 	"badgerbay/internal/roundlog"
 )
 
-// ProvisionMachines is the effect that requests machines. A repeated Name requests no further machines.
+// ProvisionMachines is the effect that requests machines from the cloud. Repeating a request under the same Name
+// provisions no further machines.
 type ProvisionMachines struct {
 	Name  string
 	Offer cloud.Offer
@@ -28,7 +29,7 @@
 	Machines []ident.MachineID
 }
 
-// DeprovisionMachines is the effect that returns machines.
+// DeprovisionMachines is the effect that returns machines to the cloud.
 type DeprovisionMachines struct{ Machines []ident.MachineID }
 
 // DeprovisionCompleted is the outcome of a DeprovisionMachines.
@@ -37,18 +38,18 @@
 	OK       bool
 }
 
-// ListMachines is the effect that reads the page of the machine list that begins after a machine.
+// ListMachines is the effect that reads the page of the machine list that begins after the machine After.
 type ListMachines struct{ After ident.MachineID }
 
 // MachinesListed is the outcome of a ListMachines.
 type MachinesListed struct{ Page cloud.Page }
 
-// ReadMachineTypes is the effect that reads the machine types.
+// ReadMachineTypes is the effect that reads the machine types from the cloud.
 type ReadMachineTypes struct{}
 
 // MachineTypesRead is the outcome of a ReadMachineTypes.
 type MachineTypesRead struct {
-	Types []*fleet.MachineType // nil: they could not be read
+	Types []*fleet.MachineType // nil if they could not be read
 }
 
 func (ProvisionCompleted) input()   {}
@@ -61,20 +62,20 @@
 func (ReadMachineTypes) effect()    {}
 
 const (
-	// LeaderCloudShare is the share of the cloud's call rate that the leader uses.
+	// LeaderCloudShare is the share of the cloud's call rate that the leader may use.
 	LeaderCloudShare = 0.8
-	// maxPendingProvisions bounds the provision requests that are in flight when a round makes others.
+	// maxPendingProvisions is the number of pending provision requests from which on a round makes no others.
 	maxPendingProvisions = 4
 	// machineTypesDelay is the time from the start of a term to its first read of the machine types, and
-	// machineTypesInterval the pause between two.
+	// machineTypesInterval the time between two reads.
 	machineTypesDelay    = 5 * time.Second
 	machineTypesInterval = time.Minute
-	// minListInterval is the least time between two machine lists.
+	// minListInterval is the minimum time between two reads of the machine list.
 	minListInterval = 2 * time.Second
 )
 
-// provisioner calls the cloud within its call rate: it repeats provision and deprovision requests until they are
-// answered, and reads the lists of machines and machine types.
+// provisioner calls the cloud within the leader's call rate. It repeats provision and deprovision requests until they
+// are answered, and reads the machine list and the machine types.
 type provisioner struct {
 	*environment
 	tracker            *cloud.Tracker
@@ -90,41 +91,42 @@
 		calls: kvstore.NewTokenBucket(limits.RPS*LeaderCloudShare, cloudCallBurst(limits)), nextMachineTypesAt: now.Add(machineTypesDelay)}
 }
 
-// cloudCallBurst is how many calls to the cloud may leave at once: a second's worth.
+// cloudCallBurst returns how many calls may be sent to the cloud at once: those of one second.
 func cloudCallBurst(limits config.Cloud) float64 { return max(1, limits.RPS) }
 
-// reservedCalls is how many calls the reading of lists leaves to the requests: one, if the rate allows more than one at a
-// time.
+// reservedCalls returns how many calls the reads of lists leave to provision and deprovision requests: one, if the
+// burst allows more than one call at a time.
 func (p *provisioner) reservedCalls() float64 {
 	return min(1, cloudCallBurst(p.settings.Params.Cloud)-1)
 }
 
-// request requests the machines of a round; repeated tells that an earlier leader may have done so.
+// request adds the provision request of a round. repeated means that an earlier leader may already have sent it.
 func (p *provisioner) request(now clock.Instant, r roundlog.Provision, repeated bool) {
 	p.tracker.AddProvision(now, r.Name, r.Offer, r.Count, repeated)
 }
 
-// release returns machines.
+// release adds machines to deprovision.
 func (p *provisioner) release(machines ...ident.MachineID) { p.tracker.AddDeprovision(machines...) }
 
-// isBlocked tells whether an offer was refused so short a time ago that it is not tried again.
+// isBlocked reports whether the cloud refused an offer so recently that it is not requested again yet.
 func (p *provisioner) isBlocked(now clock.Instant, offer cloud.Offer) bool {
 	return p.tracker.Blocked(now, offer)
 }
 
-// mayRequest tells whether a round may request machines: a call is left, and few requests are in flight.
+// mayRequest reports whether a round may request machines: a call is available, and fewer than maxPendingProvisions
+// requests are pending.
 func (p *provisioner) mayRequest(now clock.Instant) bool {
 	return p.calls.Available(now) >= 1 && len(p.tracker.PendingProvisions()) < maxPendingProvisions
 }
 
-// hasListed tells whether the machine list has been read in this term.
+// hasListed reports whether the machine list has been read in this term.
 func (p *provisioner) hasListed() bool { return p.listed }
 
-// uncertain is how many provision requests have an unknown outcome.
+// uncertain returns the number of provision requests whose outcome is unknown.
 func (p *provisioner) uncertain() int { return p.tracker.UnknownOutcomeCount() }
 
-// call makes the calls that are due: deprovision requests first, since they stop costs, then provision requests, then the
-// lists.
+// call sends the calls that are due: deprovision requests first, because they stop costs, then provision requests, then
+// reads of the machine list and the machine types.
 func (p *provisioner) call(now clock.Instant) {
 	if p.calls.Available(now) < 1 {
 		return
@@ -150,29 +152,29 @@
 	}
 }
 
-// pendingProvisions are the provision requests that are not answered.
+// pendingProvisions returns the provision requests that are not settled.
 func (p *provisioner) pendingProvisions() []*cloud.ProvisionRequest {
 	return p.tracker.PendingProvisions()
 }
 
-// finishProvision takes in the answer to a provision request. It tells whether the request needs no repetition.
+// finishProvision applies the answer to a provision request, and reports whether the request needs no further attempts.
 func (p *provisioner) finishProvision(now clock.Instant, in ProvisionCompleted) bool {
 	return p.tracker.FinishProvision(now, in.Name, in.Result, len(in.Machines))
 }
 
-// finishDeprovision takes in the answer to a deprovision request.
+// finishDeprovision applies the answer to a deprovision request.
 func (p *provisioner) finishDeprovision(now clock.Instant, in DeprovisionCompleted) {
 	p.tracker.FinishDeprovision(now, in.Machines, in.OK)
 }
 
-// addPage takes in a page of the machine list. It returns the list and true once all pages are read.
+// addPage adds a page of the machine list. It returns the list and true once all pages have been read.
 func (p *provisioner) addPage(now clock.Instant, page cloud.Page) (cloud.MachineList, bool) {
 	list, complete := p.lister.AddPage(now, page, max(p.settings.Params.Cloud.ListLag(), minListInterval))
 	p.listed = p.listed || complete
 	return list, complete
 }
 
-// provisionCompleted takes in the machines that were provisioned.
+// provisionCompleted applies the answer to a provision request, and adds the provisioned machines to the fleet.
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
 	if t.provisioner.finishProvision(now, in) {
 		t.rounds.provisionSettled(in.Name)
@@ -180,7 +182,7 @@
 	t.rounds.requestPlan()
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
-			continue // a repeated request names the machines of the first
+			continue // the answer to a repeated request names the machines of the first one
 		}
 		known := t.fleet.Machine(id) != nil
 		m := t.fleet.Ensure(now, id)
@@ -192,7 +194,7 @@
 	t.log.Info("provision request answered", "provision", in.Name, "result", in.Result.String(), "machines", len(in.Machines), "epoch", t.epoch)
 }
 
-// deprovisionCompleted removes the machines that were returned.
+// deprovisionCompleted removes the deprovisioned machines from the fleet.
 func (t *term) deprovisionCompleted(now clock.Instant, in DeprovisionCompleted) {
 	t.provisioner.finishDeprovision(now, in)
 	if !in.OK {
@@ -205,7 +207,7 @@
 	t.rounds.requestPlan()
 }
 
-// setMachineTypes takes in the machine types, if they could be read.
+// setMachineTypes replaces the machine types, if they could be read.
 func (c *Core) setMachineTypes(in MachineTypesRead) {
 	if in.Types == nil {
 		return
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -12,7 +12,7 @@
 	"badgerbay/internal/quota"
 )
 
-// QuotaRequest is a request of a quota holder for allocations.
+// QuotaRequest is an allocation request from a quota holder.
 type QuotaRequest struct {
 	Responder Responder[quota.AllocationResponse]
 	Request   quota.AllocationRequest
@@ -24,13 +24,13 @@
 	Response  quota.AllocationResponse
 }
 
-// QuotaStatusRequest is an operator's request for the state of all quotas.
+// QuotaStatusRequest is an operator's query for the state of all quotas.
 type QuotaStatusRequest struct{ Responder Responder[QuotaStatusReply] }
 
 // QuotaStatusReply answers a QuotaStatusRequest.
 type QuotaStatusReply struct {
 	Responder Responder[QuotaStatusReply]
-	Teams     map[ident.Team]quota.TeamStatus // nil: this node does not lead
+	Teams     map[ident.Team]quota.TeamStatus // nil if this node is not the leader or has not loaded the records
 }
 
 // ReadQuotaRecords is the effect that reads all quota records.
@@ -43,10 +43,10 @@
 	Items []kvstore.KeyValue
 }
 
-// Deliver hands the reply to the holder.
+// Deliver sends the response to the holder.
 func (r QuotaReply) Deliver() { r.Responder.Respond(r.Response) }
 
-// Deliver hands the reply to whoever asked.
+// Deliver sends the reply to the responder of the request.
 func (r QuotaStatusReply) Deliver() { r.Responder.Respond(r) }
 
 func (QuotaRequest) input()       {}
@@ -57,21 +57,22 @@
 func (ReadQuotaRecords) effect()  {}
 
 const (
-	// quotaEnforcerTTL is how long a node's word counts that it enforces allocations.
+	// quotaEnforcerTTL is how long a node's announcement that it enforces allocations is valid.
 	quotaEnforcerTTL = 5 * time.Second
-	// maxUnplacedReservation is how long reserved tasks may wait for a place before their reservation ends: others of the
-	// team may fit where they do not.
+	// maxUnplacedReservation is how long reserved tasks may wait for placement before their reservation ends, because
+	// other tasks of the team may fit where these do not.
 	maxUnplacedReservation = 20 * time.Second
-	// revocationOps are the operations that revoke a holder, beside the records of the teams.
+	// revocationOps is the number of operations that revoke a holder, not counting the records of the teams.
 	revocationOps = 2
 )
 
-// quotaManager allocates parts of the teams' quotas to the nodes that hold them, and tells the planner what is reserved.
+// quotaManager allocates parts of the teams' quotas to the nodes that hold them, and provides the planner with what is
+// reserved.
 type quotaManager struct {
 	*environment
 	allocator *quota.Allocator
 	teams     map[ident.Team]config.Team
-	enforcers map[string]clock.Instant // when each node last said that it would enforce allocations
+	enforcers map[string]clock.Instant // by node, when it last announced that it enforces allocations
 }
 
 func newQuotaManager(env *environment, epoch ident.Epoch) (*quotaManager, error) {
@@ -85,21 +86,21 @@
 
 func (q *quotaManager) setEpoch(epoch ident.Epoch) { q.allocator.SetEpoch(epoch) }
 
-// isReady tells whether the allocations are known, so that rounds may be planned.
+// isReady reports whether the allocations have been read. No round may be planned before.
 func (q *quotaManager) isReady() bool { return q.allocator.Ready() }
 
-// isWriting tells whether a change of allocations is being written.
+// isWriting reports whether a change of allocations is being written.
 func (q *quotaManager) isWriting() bool { return q.allocator.ChangeInFlight() }
 
-// nodeEnforces notes that a node has said that it would enforce allocations if it led.
+// nodeEnforces records a node's announcement that it would enforce allocations as leader.
 func (q *quotaManager) nodeEnforces(now clock.Instant, node string) { q.enforcers[node] = now }
 
-// receive takes in a request of a holder.
+// receive queues a holder's request, which step or completed answers.
 func (q *quotaManager) receive(now clock.Instant, in QuotaRequest) {
 	q.allocator.Receive(now, in.Request, in.Responder)
 }
 
-// load takes in the records of all quotas.
+// load loads the records of all quotas. It stops the node if the allocator rejects a record of a newer schema.
 func (q *quotaManager) load(now clock.Instant, in QuotaRecordsRead) {
 	if !in.OK {
 		q.allocator.ReadFailed(in.Epoch)
@@ -110,14 +111,14 @@
 	}
 }
 
-// readIfDue reads the records of all quotas.
+// readIfDue reads the records of all quotas, if a read is due.
 func (q *quotaManager) readIfDue(now clock.Instant, epoch ident.Epoch) {
 	if q.allocator.BeginReadIfDue(now) {
 		q.emit(ReadQuotaRecords{Epoch: epoch})
 	}
 }
 
-// step answers holders, and writes what their requests change.
+// step answers the holders' requests, and writes the changes of allocations that these need.
 func (q *quotaManager) step(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, table *jobTable) {
 	maxRecords := min(schema.storeLimits().MaxTxnOps, q.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)) - revocationOps
 	if maxRecords < 1 {
@@ -137,18 +138,18 @@
 	}
 }
 
-// completed answers the holders whose requests are stored.
+// completed answers the holders whose changes are stored.
 func (q *quotaManager) completed(now clock.Instant, in TransactionCompleted, table *jobTable) {
 	q.reply(q.allocator.CompleteChange(now, in.Outcome == election.OutcomeOK, in.Revision, q.jobUsage(now, table)))
 }
 
-// status tells how the teams stand.
+// status returns the quota state of all teams.
 func (q *quotaManager) status(now clock.Instant, table *jobTable) map[ident.Team]quota.TeamStatus {
 	return q.allocator.Status(now, q.jobUsage(now, table))
 }
 
-// allNodesEnforce tells whether every node has said lately that it would enforce allocations if it led: one of an earlier
-// version would not.
+// allNodesEnforce reports whether every node has announced, within quotaEnforcerTTL, that it would enforce allocations
+// as leader. Nodes of an earlier version would not enforce them.
 func (q *quotaManager) allNodesEnforce(now clock.Instant) bool {
 	for _, p := range q.settings.Peers {
 		if last, ok := q.enforcers[p.NodeName]; !ok || now.Sub(last) > quotaEnforcerTTL {
@@ -158,8 +159,8 @@
 	return true
 }
 
-// jobUsage is what the allocator may ask of the jobs. What is placed without a reservation is counted when it is asked
-// for first.
+// jobUsage returns the queries about jobs that the allocator may make. The quantity that is placed without a
+// reservation is computed at the first query for it.
 func (q *quotaManager) jobUsage(now clock.Instant, table *jobTable) quota.JobUsage {
 	var uncovered map[ident.Team]quota.Quantity
 	return quota.JobUsage{
@@ -178,7 +179,7 @@
 	}
 }
 
-// uncovered is what the teams have placed without a reservation.
+// uncovered returns, by team, the quantity that is placed without a reservation.
 func (q *quotaManager) uncovered(table *jobTable) map[ident.Team]quota.Quantity {
 	uncovered := map[ident.Team]quota.Quantity{}
 	for j := range table.all() {
@@ -187,7 +188,7 @@
 		if n <= 0 {
 			continue
 		}
-		// A spec was checked when it was submitted.
+		// The spec was validated when the job was submitted, so DemandOf is not expected to fail.
 		if demand, err := quota.DemandOf(&j.Spec); err == nil {
 			uncovered[team] = uncovered[team].Add(demand.Mul(n))
 		}
@@ -195,8 +196,8 @@
 	return uncovered
 }
 
-// remainingTasks is how many tasks of a job a reservation may still cover: those that are not stored as done, or may be
-// on a machine. Tasks that find no place keep their reservation for a while only.
+// remainingTasks returns how many tasks of a job a reservation may still cover: those that are not stored as done, or
+// that may be on a machine. Tasks that can't be placed are covered for maxUnplacedReservation only.
 func remainingTasks(now clock.Instant, j *jobs.Job) int {
 	if j.Stored.Phase.Final() {
 		return len(j.Placements)
@@ -208,8 +209,8 @@
 	return max(j.Spec.Tasks-j.Stored.DoneTasks, len(j.Placements))
 }
 
-// reserved is what of the teams' limits is kept for reservations, beside what is placed of them, and how many tasks of a
-// job they cover; nil where nothing is allocated.
+// reserved returns, by team, the part of the limit that is kept for reservations and not placed yet, and a function
+// that returns how many tasks of a job reservations cover. Both are nil if nothing is allocated.
 func (q *quotaManager) reserved(table *jobTable) (map[ident.Team]jobs.Resources, func(*jobs.Job) int) {
 	allocated := map[ident.Team]quota.Quantity{}
 	for team := range q.teams {
@@ -236,7 +237,8 @@
 	return reserved, covered
 }
 
-// noteBlocked has holders give back what work found no room for.
+// noteBlocked informs the allocator of the demand that did not fit into a team's limit because of reservations. The
+// allocator then recalls the allocations that holders do not use.
 func (q *quotaManager) noteBlocked(now clock.Instant, blocked map[ident.Team]jobs.Resources) {
 	for team, r := range blocked {
 		if quantity, err := quota.DemandOf(&jobs.Spec{CPUs: r.CPUs, GPUs: r.GPUs}); err == nil {
@@ -245,7 +247,7 @@
 	}
 }
 
-// stepQuotas reads the records of quotas, and lets the manager act while the epoch stays.
+// stepQuotas reads the quota records if due, and runs a step of the quota manager unless the epoch is being advanced.
 func (t *term) stepQuotas(now clock.Instant) {
 	t.quotas.readIfDue(now, t.epoch)
 	if !t.core.election.AdvancingEpoch() {
@@ -253,7 +255,8 @@
 	}
 }
 
-// handleQuotaStatusRequest tells an operator how the teams stand, if this node leads.
+// handleQuotaStatusRequest replies to an operator with the quota state of the teams, if this node is the leader and has
+// loaded the records.
 func (c *Core) handleQuotaStatusRequest(now clock.Instant, in QuotaStatusRequest) {
 	reply := QuotaStatusReply{Responder: in.Responder}
 	if c.term != nil && c.term.recovery.isLoaded() {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// firstHeartbeatMargin is added to the boot time of a machine for its first heartbeat.
+	// firstHeartbeatMargin is the time that a machine has for its first heartbeat after its boot time.
 	firstHeartbeatMargin = 2 * time.Second
-	// machineIDOverheadBytes bounds what a machine takes in a round record beside its name.
+	// machineIDOverheadBytes bounds the size of a machine's entry in a round record without the machine ID.
 	machineIDOverheadBytes = 8
 )
 
-// pendingMachines lists the machines that are provisioned, or being provisioned, and not up.
+// pendingMachines returns the machines that are requested or provisioned but not up yet. It leaves out those that have
+// failed, are being deprovisioned, or are late.
 func (t *term) pendingMachines(now clock.Instant) []scheduler.PendingMachine {
 	var pending []scheduler.PendingMachine
 	for _, m := range t.fleet.Machines() {
@@ -33,18 +34,20 @@
 	return pending
 }
 
-// isBootLate tells whether a machine should have come up by now. It may yet, but work does not wait for it any longer: others
-// are provisioned for it. Guards against an incident in which services waited 80 s for machines that never came.
+// isBootLate reports whether a machine should have come up by now. It may still come up, but work does not wait for it
+// any longer, and other machines are provisioned for that work. This guards against an incident in which services
+// waited 80 s for machines that never came up.
 func (t *term) isBootLate(now clock.Instant, m *fleet.Machine) bool {
 	typ := t.fleet.MachineType(m.Type)
 	return typ != nil && now.Sub(m.ProvisionedAt) > time.Duration(t.policy.LateBootFactor*float64(typ.BootTime))+firstHeartbeatMargin
 }
 
-// isBootOverdue tells whether a machine has taken so long to boot that it is not counted on any more.
+// isBootOverdue reports whether a machine has not come up within its boot timeout, so that it is given up.
 func (t *term) isBootOverdue(now clock.Instant, m *fleet.Machine) bool {
 	return m.Session == 0 && now.Sub(m.ProvisionedAt) > t.bootTimeout(m)
 }
 
+// bootTimeout returns how long a machine may take to come up before it is given up.
 func (t *term) bootTimeout(m *fleet.Machine) time.Duration {
 	timeout := t.policy.MinBootTimeout
 	if typ := t.fleet.MachineType(m.Type); typ != nil {
@@ -53,8 +56,10 @@
 	return timeout
 }
 
-// silentMachines are those whose silence proves that they are gone. While a node is unreachable a machine may be
-// partitioned with it, and a leader that stalled itself does not know who went on.
+// silentMachines returns the machines that have stopped sending heartbeats and are therefore considered gone. It
+// returns none in two cases:
+//  1. While a peer node is unreachable, because a machine may be in the same partition as that node.
+//  2. After this leader has stalled, because it does not know which machines sent heartbeats meanwhile.
 func (t *term) silentMachines(now clock.Instant) map[ident.MachineID]bool {
 	if t.core.peersUnreachable || t.core.recentlyStalled(now) {
 		return nil
@@ -62,8 +67,8 @@
 	return t.monitor.silentMachines(now, t.acquiredAt, t.fleet.Machines())
 }
 
-// machinesToDeprovision lists the machines to return in this round, as many as fit into room bytes of its record. Those in
-// retain are kept although they are idle.
+// machinesToDeprovision returns the machines to deprovision in this round, as many as fit into roomBytes of its record.
+// Machines in retain are kept even if they have been idle for longer than their idle timeout.
 func (t *term) machinesToDeprovision(now clock.Instant, retain map[ident.MachineID]bool, roomBytes int) []ident.MachineID {
 	var machines []ident.MachineID
 	silent := t.silentMachines(now)
@@ -83,7 +88,8 @@
 	return machines
 }
 
-// isUnneeded tells whether a machine is idle and is not to be used again, or did not come up.
+// isUnneeded reports whether a machine did not come up in time, or is idle and has passed its idle timeout, is
+// quarantined or is being drained.
 func (t *term) isUnneeded(now clock.Instant, m *fleet.Machine, retained bool) bool {
 	if m.Session == 0 {
 		return t.isBootOverdue(now, m) && !t.core.recentlyStalled(now)
@@ -92,8 +98,8 @@
 	return !m.Busy() && (timedOut || m.Quarantined || m.Draining)
 }
 
-// idleTimeout is how long a machine may be idle: as long as its like takes to boot again, and some. Longer costs more than
-// to provision it anew.
+// idleTimeout returns how long a machine may be idle: a multiple of the boot time of its type, within the bounds of the
+// policy. Keeping it idle for longer costs more than provisioning a new one.
 func (t *term) idleTimeout(m *fleet.Machine) time.Duration {
 	timeout := t.policy.IdleTimeout
 	if typ := t.fleet.MachineType(m.Type); typ != nil && typ.BootTime > 0 {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// candidatePlanTime is about the processor time that examining one machine for one job takes.
+	// candidatePlanTime is the approximate processor time that examining one machine for one job takes.
 	candidatePlanTime = 60 * time.Nanosecond
-	// maxPlanCPUShare is the share of the node's processors that planning may take.
+	// maxPlanCPUShare is the share of the node's processors that planning may use.
 	maxPlanCPUShare = 0.25
-	// idlePlanInterval is the pause between two plans while nothing changes.
+	// idlePlanInterval is the time between two plans while nothing changes.
 	idlePlanInterval = time.Second
-	// roundRetryDelay is the pause after a round that was not stored.
+	// roundRetryDelay is the delay after a round whose record was not stored.
 	roundRetryDelay = 200 * time.Millisecond
 )
 
-// schedulingLoop times the rounds, of which one at a time is in flight, and owns the ring of round records. A round takes
-// effect only once its record is stored.
+// schedulingLoop decides when rounds are planned, and owns the ring of round records. At most one round is in flight,
+// and a round takes effect only once its record is stored.
 type schedulingLoop struct {
 	*environment
 	ring         *roundlog.Ring
-	inFlight     *roundInFlight // nil: no record is being written
+	inFlight     *roundInFlight // nil if no record is being written
 	planNeeded   bool           // something has changed since the last plan
 	lastRoundAt  clock.Instant
 	nextPlanAt   clock.Instant
-	planCPUTime  time.Duration // processor time of the last plan, estimated
+	planCPUTime  time.Duration // estimated processor time of the last plan
 	lastDrainAt  clock.Instant
 	objectives   map[ident.Class]scheduler.Objectives
-	teamActiveAt map[ident.Team]clock.Instant // when the team last had work
+	teamActiveAt map[ident.Team]clock.Instant // when the team last had placed or queued tasks
 }
 
 // roundInFlight is a round whose record is being written.
@@ -55,8 +55,8 @@
 	return l
 }
 
-// restore makes the ring of the records that an earlier leader has stored, and returns the rounds that may not be folded
-// into all their jobs.
+// restore rebuilds the ring from the records that an earlier leader stored, and marks the slots of the unreadable ones
+// for reuse. It returns the rounds that may not be folded into the checkpoints of all their jobs.
 func (l *schedulingLoop) restore(records []roundlog.StoredRecord, unreadable []kvstore.KeyValue) []*roundlog.Record {
 	ring, open := roundlog.RestoreRing(l.policy.RingSlots, records)
 	l.ring = ring
@@ -66,35 +66,35 @@
 	return open
 }
 
-// objectivesByClass are the service-level objectives of all classes.
+// objectivesByClass returns the service-level objectives of all classes.
 func (l *schedulingLoop) objectivesByClass() map[ident.Class]scheduler.Objectives {
 	return l.objectives
 }
 
-// objectivesOf are the service-level objectives of a class.
+// objectivesOf returns the service-level objectives of a class.
 func (l *schedulingLoop) objectivesOf(class ident.Class) scheduler.Objectives {
 	return l.objectives[class]
 }
 
-// requestPlan has the next round planned as soon as it may be.
+// requestPlan causes the next round to be planned as soon as minRoundInterval allows.
 func (l *schedulingLoop) requestPlan() { l.planNeeded = true }
 
-// isWriting tells whether the record of a round is being written.
+// isWriting reports whether the record of a round is being written.
 func (l *schedulingLoop) isWriting() bool { return l.inFlight != nil }
 
-// startsTasksOf tells whether the round in flight starts tasks of a job.
+// startsTasksOf reports whether the round in flight starts tasks of a job.
 func (l *schedulingLoop) startsTasksOf(id ident.JobID) bool {
 	return l.inFlight != nil && l.inFlight.jobs[id]
 }
 
-// isPlacementInFlight tells whether a placement belongs to the round in flight: its start has not left, and won't before the
-// record is stored.
+// isPlacementInFlight reports whether a placement belongs to the round in flight. Its start command has not been sent,
+// and will not be sent before the record is stored.
 func (l *schedulingLoop) isPlacementInFlight(p *jobs.Placement) bool {
 	return l.inFlight != nil && p.RoundNo == l.inFlight.record.RoundNo
 }
 
-// minRoundInterval is the least time between two rounds. It grows as the write budget shrinks, and with what the last
-// plan took of the processor, so that there are fewer rounds and each decides more.
+// minRoundInterval returns the minimum time between two rounds. It grows as the write budget shrinks and as planning
+// uses more processor time, so that there are fewer rounds and each decides more.
 func (l *schedulingLoop) minRoundInterval(now clock.Instant) time.Duration {
 	cpus := l.settings.Params.MachineLimits.CPUs
 	if cpus <= 0 {
@@ -110,7 +110,8 @@
 	return interval
 }
 
-// beginRoundIfDue returns the number of the round to plan now, if one is due and its record can be written.
+// beginRoundIfDue returns the number of the round to plan now. It returns false if no round is due or its record can't
+// be written now.
 func (l *schedulingLoop) beginRoundIfDue(now clock.Instant) (ident.RoundNo, bool) {
 	if l.inFlight != nil || now.Sub(l.lastRoundAt) < l.minRoundInterval(now) {
 		return 0, false
@@ -126,7 +127,7 @@
 	return no, true
 }
 
-// recordPlan notes what a plan has cost, and whether it drains machines.
+// recordPlan records the estimated processor time of a plan, and the time of the drain if the plan drains machines.
 func (l *schedulingLoop) recordPlan(now clock.Instant, plan *scheduler.Plan) {
 	l.planCPUTime = time.Duration(plan.Examined) * candidatePlanTime
 	if len(plan.Drain) > 0 {
@@ -134,23 +135,25 @@
 	}
 }
 
-// mayDrain tells whether the last drain is long enough ago.
+// mayDrain reports whether DrainInterval has passed since the last drain, and since this node became leader.
 func (l *schedulingLoop) mayDrain(now, acquiredAt clock.Instant) bool {
 	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.DrainInterval
 }
 
-// recordTeamActivity notes that a team has work.
+// recordTeamActivity records that a team has placed or queued tasks.
 func (l *schedulingLoop) recordTeamActivity(now clock.Instant, team ident.Team) {
 	l.teamActiveAt[team] = now
 }
 
-// isTeamActive tells whether a team has had work lately, so that its guarantee is held for it.
+// isTeamActive reports whether a team has had tasks within GuaranteeHoldTime, so that machines are kept for its
+// guarantee.
 func (l *schedulingLoop) isTeamActive(now clock.Instant, team ident.Team) bool {
 	last, ok := l.teamActiveAt[team]
 	return ok && now.Sub(last) <= l.policy.GuaranteeHoldTime
 }
 
-// write writes the record of a round; it returns false if the record can't be written now.
+// write starts writing the record of a round. It returns false if the record is too large or the write budget does not
+// allow it now.
 func (l *schedulingLoop) write(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, r *roundInFlight) bool {
 	r.record.LowWatermark = min(l.ring.LowWatermark(), r.record.RoundNo)
 	operations, err := l.storeOperations(schema, r.record)
@@ -171,7 +174,7 @@
 	return true
 }
 
-// storeOperations store a round: its record and its chunks.
+// storeOperations returns the operations that store a round: its record and the chunks of the record.
 func (l *schedulingLoop) storeOperations(schema *schemaAgreement, r *roundlog.Record) ([]kvstore.Operation, error) {
 	key := l.ring.Key(r.RoundNo)
 	head, chunks, err := r.Split(schema.storeLimits().MaxValueBytes(), schema.maxRoundValues(), kvstore.JSONSize)
@@ -181,7 +184,7 @@
 	return recordOperations(key, head, chunks, func(n int) string { return roundlog.ChunkKey(key, n) }), nil
 }
 
-// completeWrite returns the round that was in flight, or nil, and whether it is stored.
+// completeWrite returns the round that was in flight, or nil if there was none, and whether its record is stored.
 func (l *schedulingLoop) completeWrite(now clock.Instant, in TransactionCompleted) (r *roundInFlight, stored bool) {
 	r = l.inFlight
 	if r == nil {
@@ -197,22 +200,23 @@
 	return r, true
 }
 
-// jobFolded notes that the rounds of a job up to one are in its record.
+// jobFolded records that the checkpoint of a job holds its rounds up to and including no.
 func (l *schedulingLoop) jobFolded(id ident.JobID, no ident.RoundNo) { l.ring.JobFolded(id, no) }
 
-// provisionSettled notes that a provision request of a round needs no repetition.
+// provisionSettled records that a provision request of a round needs no further attempts.
 func (l *schedulingLoop) provisionSettled(name string) { l.ring.SettleProvision(name) }
 
-// deprovisionSettled notes that a machine is returned.
+// deprovisionSettled records that a machine has been deprovisioned.
 func (l *schedulingLoop) deprovisionSettled(id ident.MachineID) { l.ring.SettleDeprovision(id) }
 
-// isUnused tells whether no round was ever stored.
+// isUnused reports whether no round was ever stored.
 func (l *schedulingLoop) isUnused() bool { return l.ring.IsUnused() }
 
-// freeSlots is how many rounds can be stored before a job must be folded.
+// freeSlots returns how many rounds can be stored before the checkpoint of a job must be folded.
 func (l *schedulingLoop) freeSlots() int { return l.ring.FreeSlots() }
 
-// jobsBlockingRing are the jobs whose folds free the oldest slot, while few slots are free.
+// jobsBlockingRing returns the jobs whose checkpoints must be folded to free the oldest slot in use. It returns none
+// while more than a third of the slots are free.
 func (l *schedulingLoop) jobsBlockingRing() map[ident.JobID]bool {
 	blocking := map[ident.JobID]bool{}
 	if l.ring.FreeSlots() <= l.policy.RingSlots/3 {
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// stagingKey is changed by each transaction that stores chunks of a staged record. Its revision fences them: a late
-	// copy of one fails, so that it can't overwrite chunks of a later record.
+	// stagingKey is written by each transaction that stores chunks of a staged record, on condition of the key's
+	// previous revision. This fences the transactions: a delayed duplicate of one fails, so that it can't overwrite the
+	// chunks of a later record.
 	stagingKey = chunk.KeyPrefix + "stage"
-	// maxStagedChunkBytes bounds the chunks of a staged record, so that a transaction holds one beside the key whatever a
-	// value may hold.
+	// maxStagedChunkBytes bounds the size of a chunk of a staged record, so that a transaction has room for one chunk
+	// and stagingKey, whatever the size limit of a value is.
 	maxStagedChunkBytes = 16 << 10
 )
 
 // stagingMarker is the value of stagingKey.
 type stagingMarker struct {
 	Job   ident.JobID `msgpack:"j" json:"j"`
-	Chunk int         `msgpack:"n" json:"n"` // the first that was written with it
+	Chunk int         `msgpack:"n" json:"n"` // number of the first chunk in the same transaction
 }
 
-// stagedWrite is a record that is too large for one transaction and is being written in several: its chunks, then its
-// head, by which they come to count. There is at most one at a time.
+// stagedWrite is a record that is too large for one transaction and is written in several: first its chunks, then its
+// head, which makes the chunks valid. At most one record is staged at a time.
 type stagedWrite struct {
 	revision ident.Revision // of stagingKey
-	job      *jobs.Job      // nil: nothing is staged
+	job      *jobs.Job      // nil if nothing is staged
 	head     *jobs.Record
 	chunks   []*chunk.Value
 	written  int // chunks that are stored
@@ -37,10 +38,11 @@
 	folded   foldedJob
 }
 
-// resumeStaging takes over the revision of stagingKey from an earlier leader.
+// resumeStaging adopts the revision of stagingKey that an earlier leader left.
 func (w *checkpointWriter) resumeStaging(revision ident.Revision) { w.staging.revision = revision }
 
-// beginStaging begins to write a record in several transactions, if all nodes can read it. It tells whether it did.
+// beginStaging starts to write a record in several transactions. It returns false if another record is being staged, if
+// not all nodes can read such a record, or if the record can't be split.
 func (w *checkpointWriter) beginStaging(j *jobs.Job, record *jobs.Record, epoch ident.Epoch, schema *schemaAgreement) bool {
 	if w.staging.job != nil || schema.version() < schemaversion.ChunkedRounds {
 		return false
@@ -56,8 +58,8 @@
 	return true
 }
 
-// continueStaging writes the next chunks of a staged record, as far as the budget goes, and its head when all are stored.
-// Folds wait meanwhile: they write job records too.
+// continueStaging writes the next chunks of a staged record, within the write budget, and its head once all chunks are
+// stored. It waits while a fold is in flight, because folds write job records too.
 func (w *checkpointWriter) continueStaging(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement) {
 	s := &w.staging
 	if s.job == nil || s.inFlight > 0 || w.inFlight != nil || now.Before(w.retryAt) {
@@ -84,7 +86,7 @@
 	w.emit(CommitTransaction{Kind: StagingTransaction, Epoch: epoch, Txn: txn})
 }
 
-// commitStagedHead writes the head of a staged record, as a fold of its own.
+// commitStagedHead writes the head of a staged record as a fold with only this job.
 func (w *checkpointWriter) commitStagedHead(now clock.Instant, epoch ident.Epoch) {
 	s := &w.staging
 	if w.budget.AvailableWrites(now, kvstore.PurposeUrgentFold) < 1 {
@@ -100,7 +102,7 @@
 	w.staging = stagedWrite{revision: s.revision}
 }
 
-// stagingCompleted notes that chunks are stored, or has them written anew a little later.
+// stagingCompleted records that chunks are stored. If they were not, they are written again after foldRetryDelay.
 func (w *checkpointWriter) stagingCompleted(now clock.Instant, in TransactionCompleted) {
 	s := &w.staging
 	if s.job == nil || s.inFlight == 0 {
