--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -27,11 +27,11 @@
 	if job.Spec.Service {
 		m.plannedReplicas += n
 	}
-	a.count(job, m, n)
+	a.addUsage(job, m, n)
 }
 
-// count counts n tasks of the job as being on the machine.
-func (a *assignments) count(job *jobs.Job, m *candidateMachine, n int) {
+// addUsage counts n tasks of the job as being on the machine.
+func (a *assignments) addUsage(job *jobs.Job, m *candidateMachine, n int) {
 	a.quotas.use(job, n)
 	a.quotas.useReservation(job, n)
 	a.zones.add(job, m.zone, n)
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -32,8 +32,8 @@
 	// surplusCPUs is what may be drained beyond the guarantees.
 	surplusCPUs float64
 
-	free  map[*candidateMachine]jobs.Resources // of the machines in use that stay
-	moved map[*jobs.Job]bool
+	free      map[*candidateMachine]jobs.Resources // of the machines in use that stay
+	movedJobs map[*jobs.Job]bool
 	// reservations is the room that the replicas of the machine at hand have been given, to
 	// be released if not all of them find some. A copy of all machines for each one that
 	// was tried cost 77 MB a plan at 4,000.
@@ -51,7 +51,7 @@
 		spare:       p.spare,
 		surplusCPUs: surplusCPUs,
 		free:        map[*candidateMachine]jobs.Resources{},
-		moved:       map[*jobs.Job]bool{},
+		movedJobs:   map[*jobs.Job]bool{},
 	}
 }
 
@@ -99,18 +99,18 @@
 	if !c.areMovable(replicas) {
 		return
 	}
-	own := c.free[m]
+	sourceFree := c.free[m]
 	delete(c.free, m)
 	c.reservations = c.reservations[:0]
 	if !c.reserveAll(replicas, m.zone) || !c.leavesHeadroom(&replicas[0].Job.Spec) {
 		c.releaseReservations()
-		c.free[m] = own
+		c.free[m] = sourceFree
 		return
 	}
 	c.surplusCPUs -= m.machineType.Capacity.CPUs
 	c.drained = append(c.drained, m.machine.ID)
 	for _, replica := range replicas {
-		c.moved[replica.Job] = true
+		c.movedJobs[replica.Job] = true
 		c.evictions = append(c.evictions, Eviction{Placement: replica})
 	}
 }
@@ -136,9 +136,9 @@
 }
 
 // reserveAll finds a place for each of the replicas that leave a zone.
-func (c *consolidation) reserveAll(replicas []*jobs.Placement, leaving ident.Zone) bool {
+func (c *consolidation) reserveAll(replicas []*jobs.Placement, sourceZone ident.Zone) bool {
 	for _, replica := range replicas {
-		if !c.reserve(replica.Job, leaving) {
+		if !c.reserve(replica.Job, sourceZone) {
 			return false
 		}
 	}
@@ -147,15 +147,15 @@
 
 // reserve finds a place for a replica of the job that leaves a zone. Of a job, machines drained
 // before may have no replica, so that its own place in the zone is free again.
-func (c *consolidation) reserve(job *jobs.Job, leaving ident.Zone) bool {
-	if c.moved[job] {
+func (c *consolidation) reserve(job *jobs.Job, sourceZone ident.Zone) bool {
+	if c.movedJobs[job] {
 		return false
 	}
 	need := job.Spec.TaskResources()
 	for _, m := range c.machines.up {
 		free, stays := c.free[m]
 		if stays && free.Fits(need) && m.accepts(job, c.urgency.now) && m.machine.HasImage(job.Spec.Image) &&
-			(m.zone == leaving || c.zones.room(job, m.zone) > 0) {
+			(m.zone == sourceZone || c.zones.room(job, m.zone) > 0) {
 			c.free[m] = free.Sub(need)
 			c.reservations = append(c.reservations, reservation{m, need})
 			return true
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -80,7 +80,7 @@
 		p.start(gang, found, 0)
 		return 0
 	}
-	p.scaleOut.noteUnplaced(gang, n)
+	p.scaleOut.recordUnplaced(gang, n)
 	return p.reserveZone(gang, n, entry.guaranteed)
 }
 
@@ -123,15 +123,15 @@
 // order of preference; the zone of the first that holds the gang is taken. Where the records
 // don't hold that many machines, those that take most tasks are tried first.
 func (p *gangPlacer) fit(gang *jobs.Job, machines []*candidateMachine) []gangAssignment {
-	if found := p.fitInOneOf(zonesOf(gang, machines), gang, machines); found != nil {
+	if found := p.fitInFirstZone(zonesOf(gang, machines), gang, machines); found != nil {
 		return found
 	}
 	need := gang.Spec.TaskResources()
-	roomiest := slices.Clone(machines)
-	slices.SortStableFunc(roomiest, func(x, y *candidateMachine) int {
+	byFreeCapacity := slices.Clone(machines)
+	slices.SortStableFunc(byFreeCapacity, func(x, y *candidateMachine) int {
 		return cmp.Compare(y.free.MaxCopies(need), x.free.MaxCopies(need))
 	})
-	return p.fitInOneOf(zonesOf(gang, roomiest), gang, roomiest)
+	return p.fitInFirstZone(zonesOf(gang, byFreeCapacity), gang, byFreeCapacity)
 }
 
 // zonesOf lists the zones of the machines, one for each choice of the gang.
@@ -148,7 +148,7 @@
 	return zones
 }
 
-func (p *gangPlacer) fitInOneOf(zones []ident.Zone, gang *jobs.Job, machines []*candidateMachine) []gangAssignment {
+func (p *gangPlacer) fitInFirstZone(zones []ident.Zone, gang *jobs.Job, machines []*candidateMachine) []gangAssignment {
 	for _, zone := range zones {
 		if found := p.fitInZone(gang, machines, zone); found != nil {
 			return found
@@ -199,18 +199,18 @@
 	missing := max(0, n-best.tasks)
 	if missing > 0 && (guaranteed || p.preemptor.mayPreempt(gang)) {
 		for _, z := range zones {
-			if p.preemptor.makeRoomForGang(gang, z.zone, n) {
+			if p.preemptor.preemptForGang(gang, z.zone, n) {
 				return 0
 			}
 		}
 	}
-	p.reserveRoom(gang, best.zone, n)
-	p.scaleOut.zone[gang] = best.zone
+	p.reserveCapacity(gang, best.zone, n)
+	p.scaleOut.requiredZone[gang] = best.zone
 	return missing
 }
 
-// zoneRoom is a zone with the number of a gang's tasks that it has room for.
-type zoneRoom struct {
+// zoneCapacity is a zone with the number of a gang's tasks that it has room for.
+type zoneCapacity struct {
 	zone  ident.Zone
 	tasks int
 }
@@ -218,15 +218,15 @@
 // feasibleZones lists the zones that can come to hold n tasks of a gang, the one that lacks
 // least first. A zone that can't be completed is no choice, unless the machines that others
 // use now are enough for the gang.
-func (p *gangPlacer) feasibleZones(gang *jobs.Job, n int) []zoneRoom {
-	var feasible []zoneRoom
+func (p *gangPlacer) feasibleZones(gang *jobs.Job, n int) []zoneCapacity {
+	var feasible []zoneCapacity
 	for _, zone := range p.allowedZones(gang) {
-		room := p.freeTasks(gang, zone)
-		if room >= n || p.canProvision(gang, zone) || p.tasksIfEmpty(gang, zone) >= n {
-			feasible = append(feasible, zoneRoom{zone, room})
+		tasks := p.freeTasks(gang, zone)
+		if tasks >= n || p.canProvision(gang, zone) || p.tasksIfEmpty(gang, zone) >= n {
+			feasible = append(feasible, zoneCapacity{zone, tasks})
 		}
 	}
-	slices.SortStableFunc(feasible, func(x, y zoneRoom) int { return cmp.Compare(y.tasks, x.tasks) })
+	slices.SortStableFunc(feasible, func(x, y zoneCapacity) int { return cmp.Compare(y.tasks, x.tasks) })
 	return feasible
 }
 
@@ -286,9 +286,9 @@
 	return can
 }
 
-// reserveRoom keeps room for up to n tasks of a gang from what is planned after it. It starts
+// reserveCapacity keeps room for up to n tasks of a gang from what is planned after it. It starts
 // nothing.
-func (p *gangPlacer) reserveRoom(gang *jobs.Job, zone ident.Zone, n int) {
+func (p *gangPlacer) reserveCapacity(gang *jobs.Job, zone ident.Zone, n int) {
 	need := gang.Spec.TaskResources()
 	p.eachMachine(gang, zone, func(m *candidateMachine) {
 		if k := min(n, m.free.MaxCopies(need)); k > 0 {
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -7,10 +7,10 @@
 	"badgerbay/internal/jobs"
 )
 
-// guaranteeKeeper sees to it that the machines hold what the teams are guaranteed, or use
+// capacityGuarantor sees to it that the machines hold what the teams are guaranteed, or use
 // beyond it, as long as they have work: guaranteed work need not wait, and a machine takes
 // long to come up.
-type guaranteeKeeper struct {
+type capacityGuarantor struct {
 	share        float64               // see policy.Policy.GuaranteeShare
 	teamActive   func(ident.Team) bool // see Snapshot.TeamActive
 	typicalSpecs []*jobs.Spec          // see Snapshot.TypicalSpecs
@@ -21,8 +21,8 @@
 	retain       map[ident.MachineID]bool // see Plan.Retain
 }
 
-func newGuaranteeKeeper(s *Snapshot, p *planner, retain map[ident.MachineID]bool) *guaranteeKeeper {
-	return &guaranteeKeeper{
+func newCapacityGuarantor(s *Snapshot, p *planner, retain map[ident.MachineID]bool) *capacityGuarantor {
+	return &capacityGuarantor{
 		share:        s.Policy.GuaranteeShare,
 		teamActive:   s.TeamActive,
 		typicalSpecs: s.TypicalSpecs,
@@ -36,7 +36,7 @@
 
 // ensure retains idle machines that are needed for the guarantees, and provisions what is
 // missing. It returns how many CPUs the machines hold beyond that.
-func (g *guaranteeKeeper) ensure() (surplusCPUs float64) {
+func (g *capacityGuarantor) ensure() (surplusCPUs float64) {
 	wanted := g.quotas.guaranteedCPUs(g.share, g.teamActive)
 	have := g.machines.totalCPUs()
 	for _, m := range g.machines.up {
@@ -56,7 +56,7 @@
 }
 
 // provision provisions machines with so many CPUs, whatever they cost.
-func (g *guaranteeKeeper) provision(cpus float64) {
+func (g *capacityGuarantor) provision(cpus float64) {
 	spec := *g.typicalSpecs[0]
 	for _, typical := range g.typicalSpecs {
 		if typical.Spot && !spec.Spot {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -57,7 +57,7 @@
 	}
 	tasks := p.claim(job, n, entry.aged)
 	p.costs.placingAged = entry.aged
-	tasks = p.startWhereFree(job, tasks)
+	tasks = p.startOnFreeMachines(job, tasks)
 	unplaced := min(len(tasks), job.FittingSingleTasks(p.record.jobSpareBytes(job)))
 	if unplaced == 0 || p.record.full {
 		return 0
@@ -107,14 +107,14 @@
 	return tasks
 }
 
-// startWhereFree starts tasks on machines that have room, and returns those that found none.
-func (p *taskPlacer) startWhereFree(job *jobs.Job, tasks []ident.TaskIndex) []ident.TaskIndex {
+// startOnFreeMachines starts tasks on machines that have room, and returns those that found none.
+func (p *taskPlacer) startOnFreeMachines(job *jobs.Job, tasks []ident.TaskIndex) []ident.TaskIndex {
 	preempted := false
 	for _, m := range p.selector.rank(job) {
 		if !preempted && !m.machine.HasImage(job.Spec.Image) && p.fetchTooSlow(job, m) {
 			// The fetch alone would take too long: rather evict something where the image is.
 			preempted = true
-			tasks = tasks[p.preemptor.makeRoom(job, len(tasks), imageHolders):]
+			tasks = tasks[p.preemptor.preemptFor(job, len(tasks), machinesWithImage):]
 		}
 		if len(tasks) == 0 || p.record.full {
 			break
@@ -176,16 +176,16 @@
 // the rules allow it; else they wait for pending machines. It returns how many need a machine
 // provisioned.
 func (p *taskPlacer) handleUnplaced(job *jobs.Job, n int, guaranteed bool) int {
-	p.scaleOut.noteUnplaced(job, n)
+	p.scaleOut.recordUnplaced(job, n)
 	if guaranteed || p.preemptor.mayPreempt(job) {
-		n -= p.preemptor.makeRoom(job, n, allMachines)
+		n -= p.preemptor.preemptFor(job, n, allMachines)
 	}
 	need := job.Spec.TaskResources()
 	for _, m := range p.machines.pending {
 		if n == 0 {
 			break
 		}
-		if !m.free.Fits(need) || !m.isAllowedBy(&job.Spec) || !p.mayAwait(job, m) {
+		if !m.free.Fits(need) || !m.isAllowedBy(&job.Spec) || !p.mayWaitForPending(job, m) {
 			continue
 		}
 		k := min(n, m.free.MaxCopies(need), p.zones.room(job, m.zone))
@@ -197,8 +197,8 @@
 	return n
 }
 
-// mayAwait tells whether the job may count on a pending machine. Work that can wait does not
+// mayWaitForPending tells whether the job may count on a pending machine. Work that can wait does not
 // count on expensive ones: they were provisioned for what can't.
-func (p *taskPlacer) mayAwait(job *jobs.Job, m *candidateMachine) bool {
+func (p *taskPlacer) mayWaitForPending(job *jobs.Job, m *candidateMachine) bool {
 	return p.quotas.hasGuarantees || p.costs.worthProvisioning(job, m.machineType, m.spot)
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -62,14 +62,14 @@
 func PlanRound(s *Snapshot) *Plan {
 	plan := &Plan{Retain: map[ident.MachineID]bool{}}
 	p := newPlanner(s, plan)
-	short := p.placeQueue(buildQueue(s.QueuedJobs, p.quotas, p.urgency))
-	p.scaleOut.provision(short)
+	shortages := p.placeQueue(buildQueue(s.QueuedJobs, p.quotas, p.urgency))
+	p.scaleOut.provision(shortages)
 	if len(p.scaleOut.provisions) == 0 {
 		p.scaleOut.provision(p.spare.shortages)
 	}
-	surplusCPUs := newGuaranteeKeeper(s, p, plan.Retain).ensure()
+	surplusCPUs := newCapacityGuarantor(s, p, plan.Retain).ensure()
 	plan.Evictions = p.preemptor.evictions
-	if s.MayDrain && len(p.spare.shortages) == 0 && p.canWait(short) {
+	if s.MayDrain && len(p.spare.shortages) == 0 && p.canWait(shortages) {
 		c := newConsolidation(p, surplusCPUs)
 		c.run()
 		plan.Drain = c.drained
@@ -108,7 +108,7 @@
 // placeQueue places the tasks of the queue in its order, and lists those that are short of
 // machines.
 func (p *planner) placeQueue(queue []queueEntry) []shortage {
-	var short []shortage
+	var shortages []shortage
 	for _, entry := range queue {
 		p.backlog.addQueued(entry.job)
 		if entry.job.Spec.Priority < jobs.PriorityHigh {
@@ -120,16 +120,16 @@
 			place = p.gangs.place
 		}
 		if n := place(entry); n > 0 && !p.record.full {
-			short = append(short, shortage{entry.job, n})
+			shortages = append(shortages, shortage{entry.job, n})
 		}
 	}
 	p.spare.measure()
-	return short
+	return shortages
 }
 
 // canWait tells whether all work that is short of machines has ample slack.
-func (p *planner) canWait(short []shortage) bool {
-	for _, shortage := range short {
+func (p *planner) canWait(shortages []shortage) bool {
+	for _, shortage := range shortages {
 		if p.urgency.slackSeconds(shortage.job) < ampleSlackSeconds {
 			return false
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -32,7 +32,7 @@
 
 const (
 	allMachines machineScope = iota
-	imageHolders
+	machinesWithImage
 )
 
 // preemptor makes room for jobs by evicting what yields to them.
@@ -99,10 +99,10 @@
 	return site
 }
 
-// makeRoom makes room for up to n tasks of the job where that costs least work, and returns
+// preemptFor makes room for up to n tasks of the job where that costs least work, and returns
 // for how many it did. Room that is being made already, or is left there, is kept for the
 // job.
-func (p *preemptor) makeRoom(job *jobs.Job, n int, scope machineScope) int {
+func (p *preemptor) preemptFor(job *jobs.Job, n int, scope machineScope) int {
 	if n <= 0 {
 		return 0
 	}
@@ -135,7 +135,7 @@
 	mayReclaim := p.quotas.mayReclaim(job)
 	p.examined += len(p.machines.up)
 	for _, m := range p.machines.up {
-		if !mayReclaim && !mayYield(m, job) || scope == imageHolders && !m.machine.HasImage(job.Spec.Image) {
+		if !mayReclaim && !canFreeCapacity(m, job) || scope == machinesWithImage && !m.machine.HasImage(job.Spec.Image) {
 			continue
 		}
 		// On an expensive machine that the job may not use, what is free was promised to it
@@ -151,9 +151,9 @@
 	return sites
 }
 
-// mayYield tells whether the machine may have room for a task of the job after evictions of
+// canFreeCapacity tells whether the machine may have room for a task of the job after evictions of
 // lower work.
-func mayYield(m *candidateMachine, job *jobs.Job) bool {
+func canFreeCapacity(m *candidateMachine, job *jobs.Job) bool {
 	load := m.machine.Load()
 	return load.Stopping > 0 || load.TasksBelow(job.Spec.Priority) > 0 ||
 		m.free.Add(m.freeing).Fits(job.Spec.TaskResources())
@@ -179,7 +179,7 @@
 		site.victims = append(site.victims, victim)
 		free = free.Add(victim.Job.Spec.TaskResources())
 		if victim.Job != lastGang || victim.Stopping {
-			lost += p.lostWork(victim)
+			lost += p.lostCPUSeconds(victim)
 		}
 		if victim.Job.Spec.Gang && !victim.Stopping {
 			lastGang = victim.Job // it is lost whole, and counted once
@@ -205,12 +205,12 @@
 
 func (p *preemptor) compareVictims(x, y *jobs.Placement) int {
 	if x.Stopping != y.Stopping {
-		return preferTrue(x.Stopping)
+		return compareTrueFirst(x.Stopping)
 	}
 	if x.Job.Spec.Priority != y.Job.Spec.Priority {
 		return cmp.Compare(x.Job.Spec.Priority, y.Job.Spec.Priority)
 	}
-	lostX, lostY := p.lostWork(x), p.lostWork(y)
+	lostX, lostY := p.lostCPUSeconds(x), p.lostCPUSeconds(y)
 	if lostX == lostY && x.Job.Spec.Gang && x.Job != y.Job {
 		return cmp.Compare(x.Job.ID, y.Job.ID) // so that those of one gang stay together
 	}
@@ -285,9 +285,9 @@
 	return x.Task < y.Task
 }
 
-// lostWork is the work, in CPU seconds, that evicting a placement throws away, with that of
+// lostCPUSeconds is the work, in CPU seconds, that evicting a placement throws away, with that of
 // its whole gang.
-func (p *preemptor) lostWork(placement *jobs.Placement) float64 {
+func (p *preemptor) lostCPUSeconds(placement *jobs.Placement) float64 {
 	if placement.Stopping {
 		return 0
 	}
@@ -343,7 +343,7 @@
 		}
 	}
 	site.machine.reserveTask(job.Spec.TaskResources())
-	p.assignments.count(job, site.machine, 1)
+	p.assignments.addUsage(job, site.machine, 1)
 	return gangEvicted
 }
 
@@ -359,19 +359,19 @@
 	}
 }
 
-// makeRoomForGang evicts what yields to a gang in one zone, if that makes room for all n
+// preemptForGang evicts what yields to a gang in one zone, if that makes room for all n
 // tasks there with what is free, and tells whether it does. A part would be evicted for
 // nothing; pending machines may never come up, and don't count.
-func (p *preemptor) makeRoomForGang(gang *jobs.Job, zone ident.Zone, n int) bool {
-	there := *gang // the same gang, bound to the zone
+func (p *preemptor) preemptForGang(gang *jobs.Job, zone ident.Zone, n int) bool {
+	zonalGang := *gang // the same gang, bound to the zone
 	if zone != "" {
-		there.Spec.Zone = zone
+		zonalGang.Spec.Zone = zone
 	}
-	before := p.save()
-	if p.makeRoom(&there, n, allMachines) == n {
+	saved := p.save()
+	if p.preemptFor(&zonalGang, n, allMachines) == n {
 		return true
 	}
-	p.restore(before)
+	p.restore(saved)
 	return false
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -34,7 +34,7 @@
 	case x.priorityRank() != y.priorityRank():
 		return cmp.Compare(y.priorityRank(), x.priorityRank())
 	case x.guaranteed != y.guaranteed:
-		return preferTrue(x.guaranteed)
+		return compareTrueFirst(x.guaranteed)
 	case x.job.AcceptedAtMs != y.job.AcceptedAtMs:
 		return cmp.Compare(x.job.AcceptedAtMs, y.job.AcceptedAtMs)
 	}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -41,7 +41,7 @@
 	// one large job would.
 	demand          map[ident.Class]int
 	awaitingMachine map[*jobs.Job]int        // tasks that wait for pending machines
-	zone            map[*jobs.Job]ident.Zone // where machines for a gang must be
+	requiredZone    map[*jobs.Job]ident.Zone // where machines for a gang must be
 	provisions      []roundlog.Provision
 	provisionedFor  ident.JobID
 }
@@ -58,29 +58,29 @@
 		costs:           p.costs,
 		demand:          map[ident.Class]int{},
 		awaitingMachine: map[*jobs.Job]int{},
-		zone:            map[*jobs.Job]ident.Zone{},
+		requiredZone:    map[*jobs.Job]ident.Zone{},
 	}
 }
 
-// noteUnplaced counts n tasks of the job that found no room.
-func (s *scaleOut) noteUnplaced(job *jobs.Job, n int) {
+// recordUnplaced counts n tasks of the job that found no room.
+func (s *scaleOut) recordUnplaced(job *jobs.Job, n int) {
 	s.unplacedTasks += n
 	s.demand[job.Spec.Class] += n
 }
 
 // provision decides on at most one provision: of the best offer for the first job that is
 // short of machines, as many as that job and those behind it fill.
-func (s *scaleOut) provision(short []shortage) {
+func (s *scaleOut) provision(shortages []shortage) {
 	if !s.mayProvision {
 		return
 	}
-	s.raiseDemand(short)
-	for i, first := range short {
+	s.raiseDemand(shortages)
+	for i, first := range shortages {
 		offer, t := s.bestOffer(first.job)
 		if t == nil {
 			continue
 		}
-		if count := s.machinesNeeded(short[i:], offer, t); count > 0 {
+		if count := s.machinesNeeded(shortages[i:], offer, t); count > 0 {
 			s.provisionedFor = first.job.ID
 			name := roundlog.ProvisionName(s.epoch, s.roundNo, 0)
 			s.provisions = []roundlog.Provision{{Name: name, Offer: offer, Count: count}}
@@ -90,9 +90,9 @@
 }
 
 // raiseDemand sees to it that the demand of each class is no less than its shortages.
-func (s *scaleOut) raiseDemand(short []shortage) {
+func (s *scaleOut) raiseDemand(shortages []shortage) {
 	byClass := map[ident.Class]int{}
-	for _, shortage := range short {
+	for _, shortage := range shortages {
 		byClass[shortage.job.Spec.Class] += shortage.tasks
 	}
 	for class, n := range byClass {
@@ -111,10 +111,10 @@
 
 // machinesNeeded is how many machines of the offer the shortages fill: the first, and those
 // behind it for which the offer is the best too.
-func (s *scaleOut) machinesNeeded(short []shortage, offer cloud.Offer, t *fleet.MachineType) int {
+func (s *scaleOut) machinesNeeded(shortages []shortage, offer cloud.Offer, t *fleet.MachineType) int {
 	free := jobs.Resources{}
 	count := 0
-	for i, shortage := range short {
+	for i, shortage := range shortages {
 		job := shortage.job
 		if i > 0 {
 			if best, _ := s.bestOffer(job); best != offer {
@@ -143,7 +143,7 @@
 	var bestType *fleet.MachineType
 	lowestCost := math.Inf(1)
 	s.offers.each(job, func(offer cloud.Offer, t *fleet.MachineType) {
-		if zone := s.zone[job]; zone != "" && zone != offer.Zone {
+		if zone := s.requiredZone[job]; zone != "" && zone != offer.Zone {
 			return
 		}
 		if s.zones.room(job, offer.Zone) == 0 || s.offers.unavailable(offer) ||
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -80,15 +80,15 @@
 func (s *machineSelector) compare(x, y rankedMachine) int {
 	switch {
 	case x.hasImage != y.hasImage:
-		return preferTrue(x.hasImage)
+		return compareTrueFirst(x.hasImage)
 	case s.preferSpot && x.spot != y.spot:
-		return preferTrue(x.spot)
+		return compareTrueFirst(x.spot)
 	case !x.hasImage:
 		return cmp.Compare(y.free.CPUs, x.free.CPUs)
 	// Among those that hold the image, the fullest: so that others run empty and can be
 	// deprovisioned.
 	case x.runsService != y.runsService:
-		return preferTrue(x.runsService)
+		return compareTrueFirst(x.runsService)
 	// Replicas go where fewest are: a machine that fails takes few of them.
 	case x.replicas != y.replicas:
 		return cmp.Compare(x.replicas, y.replicas)
@@ -96,8 +96,8 @@
 	return cmp.Compare(x.free.CPUs, y.free.CPUs)
 }
 
-// preferTrue orders what is so before what isn't, given which of two that differ is so.
-func preferTrue(first bool) int {
+// compareTrueFirst orders what is so before what isn't, given which of two that differ is so.
+func compareTrueFirst(first bool) int {
 	if first {
 		return -1
 	}
