--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -5,15 +5,15 @@
 	"badgerbay/internal/roundlog"
 )
 
-// assignments puts tasks on machines, and counts them wherever they count.
+// assignments assigns tasks to machines, and updates the quotas, zones and record accordingly.
 type assignments struct {
 	quotas  *quotaTracker
 	zones   *zoneTracker
 	record  *recordBuilder
-	started map[*jobs.Job]int // tasks that the plan starts
+	started map[*jobs.Job]int // number of tasks that the plan starts
 }
 
-// start records a start of n tasks on a machine that is up.
+// start records the start of n tasks of the job on a machine that is up.
 func (a *assignments) start(job *jobs.Job, m *candidateMachine, start roundlog.Start, n int) {
 	a.record.add(job, start, n)
 	a.started[job] += n
@@ -21,7 +21,7 @@
 	a.allocate(job, m, n)
 }
 
-// allocate gives n tasks of the job what they need of the machine, which may be pending.
+// allocate allocates capacity for n tasks of the job on the machine, which may be pending.
 func (a *assignments) allocate(job *jobs.Job, m *candidateMachine, n int) {
 	m.free = m.free.Sub(job.Spec.TaskResources().Multiply(n))
 	if job.Spec.Service {
@@ -30,7 +30,8 @@
 	a.addUsage(job, m, n)
 }
 
-// addUsage counts n tasks of the job as being on the machine.
+// addUsage adds n tasks of the job on the machine to the usage of its team and to the tasks in
+// the zone.
 func (a *assignments) addUsage(job *jobs.Job, m *candidateMachine, n int) {
 	a.quotas.use(job, n)
 	a.quotas.useReservation(job, n)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -11,10 +11,10 @@
 	"badgerbay/internal/roundlog"
 )
 
-// anyZone stands for all zones together, where a gang needs not be in one.
+// anyZone stands for all zones together, for gangs without zone affinity.
 const anyZone = ident.Zone("")
 
-// gangPlacer places gangs, each whole or not at all.
+// gangPlacer places gangs: either all tasks of a gang start or none.
 type gangPlacer struct {
 	urgency             *urgency
 	allZones            []ident.Zone
@@ -49,16 +49,16 @@
 	}
 }
 
-// gangAssignment is the part of a gang that goes to one machine.
+// gangAssignment holds the tasks of a gang that are assigned to one machine.
 type gangAssignment struct {
 	machine *candidateMachine
 	tasks   []ident.TaskIndex
 }
 
-// place starts a gang whole, or not at all. One that does not fit reserves what is free or
-// pending in one zone, as long as that zone can hold it, so that tasks that come one by one
-// do not fill each hole before it. It returns for how many tasks machines must be
-// provisioned: for those of the whole gang that its zone lacks.
+// place starts all tasks of a gang or none. A gang that does not fit reserves the free and
+// pending capacity of one zone, as long as that zone can hold it, so that individually placed
+// tasks do not use the capacity first. place returns how many tasks need machines to be
+// provisioned: those of the whole gang that its zone lacks capacity for.
 func (p *gangPlacer) place(entry queueEntry) int {
 	gang := entry.job
 	if p.record.full {
@@ -71,8 +71,9 @@
 	n := gang.Queue.Len()
 	p.quotas.noteReservationBlocked(gang, n)
 	if allowed := p.quotas.tasksWithinQuota(gang); allowed < n {
-		// It reserves no machine, but what is left of its team's limit: else tasks of its
-		// team that come one by one would take each bit as it comes free.
+		// The gang reserves no machine, but it reserves the rest of its team's limit.
+		// Otherwise, individually placed tasks of the team use up the limit bit by bit as it
+		// becomes available.
 		p.quotas.use(gang, allowed)
 		return 0
 	}
@@ -84,15 +85,15 @@
 	return p.reserveZone(gang, n, entry.guaranteed)
 }
 
-// replaceTasks starts the tasks again that a gang lost before it began, under the attempt in
-// which the others wait. What is left of any other attempt must be over first: it stays on
-// its machines, and in its zone.
+// replaceTasks restarts the tasks that a gang lost before it began, in the attempt in which the
+// other tasks wait. The placements of any other attempt must have ended first, because they
+// keep their machines and their zone.
 func (p *gangPlacer) replaceTasks(gang *jobs.Job) {
 	attempt, ok := p.replacementAttempts[gang.ID]
 	if !ok || p.quotas.tasksWithinQuota(gang) < gang.Queue.Len() {
 		return
 	}
-	// A machine that still knows an exit of this attempt would ignore the start command.
+	// A machine that still remembers an exit of this attempt ignores the start command.
 	machines := slices.DeleteFunc(p.selector.rank(gang), func(m *candidateMachine) bool {
 		return m.machine.HasAttempt(gang.ID, attempt)
 	})
@@ -101,8 +102,8 @@
 	}
 }
 
-// start records the starts of a gang in an attempt; 0: that of the round. If the record has
-// no room left for them, a new round takes them.
+// start records the starts of a gang in an attempt; 0 means the attempt of this round. If the
+// record has no space left for them, a new round starts the gang.
 func (p *gangPlacer) start(gang *jobs.Job, parts []gangAssignment, attempt ident.Attempt) {
 	var starts []roundlog.Start
 	for _, part := range parts {
@@ -118,10 +119,11 @@
 	}
 }
 
-// fit finds room for all queued tasks of a gang, in one zone if it must be, within what the
-// job's record and the round's hold. It returns nil if there is none. The machines are in the
-// order of preference; the zone of the first that holds the gang is taken. Where the records
-// don't hold that many machines, those that take most tasks are tried first.
+// fit finds capacity for all queued tasks of a gang, in one zone if the gang has zone affinity,
+// within the free space of the job's record and of the round record. It returns nil if there is
+// none. The machines are tried in order of preference, and the zone of the first machine whose
+// zone holds the gang is used. If that fails, which may be because the records have no space for
+// that many machines, the machines that fit the most tasks are tried first.
 func (p *gangPlacer) fit(gang *jobs.Job, machines []*candidateMachine) []gangAssignment {
 	if found := p.fitInFirstZone(zonesOf(gang, machines), gang, machines); found != nil {
 		return found
@@ -134,7 +136,8 @@
 	return p.fitInFirstZone(zonesOf(gang, byFreeCapacity), gang, byFreeCapacity)
 }
 
-// zonesOf lists the zones of the machines, one for each choice of the gang.
+// zonesOf returns the zones of the machines in which the gang may be placed, in the order of
+// the machines.
 func zonesOf(gang *jobs.Job, machines []*candidateMachine) []ident.Zone {
 	if !gang.Spec.ZoneAffinity {
 		return []ident.Zone{anyZone}
@@ -187,9 +190,9 @@
 	return nil
 }
 
-// reserveZone picks the zone that lacks least for a gang and keeps what is free and pending
-// there for it, unless it can preempt all it lacks. It returns for how many tasks machines
-// are missing, and notes that these must be provisioned in that zone.
+// reserveZone selects the zone that lacks the least capacity for a gang and reserves the free
+// and pending capacity there, unless preemptions can free all that is missing. It returns how
+// many tasks lack machines, and records that these machines must be provisioned in that zone.
 func (p *gangPlacer) reserveZone(gang *jobs.Job, n int, guaranteed bool) int {
 	zones := p.feasibleZones(gang, n)
 	if len(zones) == 0 {
@@ -209,15 +212,15 @@
 	return missing
 }
 
-// zoneCapacity is a zone with the number of a gang's tasks that it has room for.
+// zoneCapacity is a zone with the number of a gang's tasks that it has capacity for.
 type zoneCapacity struct {
 	zone  ident.Zone
 	tasks int
 }
 
-// feasibleZones lists the zones that can come to hold n tasks of a gang, the one that lacks
-// least first. A zone that can't be completed is no choice, unless the machines that others
-// use now are enough for the gang.
+// feasibleZones returns the zones that can eventually hold n tasks of a gang, the zone that
+// lacks the least capacity first. A zone in which no machine can be provisioned is feasible
+// only if its machines, including those that other work uses now, are enough for the gang.
 func (p *gangPlacer) feasibleZones(gang *jobs.Job, n int) []zoneCapacity {
 	var feasible []zoneCapacity
 	for _, zone := range p.allowedZones(gang) {
@@ -230,7 +233,7 @@
 	return feasible
 }
 
-// allowedZones are the zones that a gang may be in, one for each choice.
+// allowedZones returns the zones in which a gang may be placed.
 func (p *gangPlacer) allowedZones(gang *jobs.Job) []ident.Zone {
 	switch {
 	case !gang.Spec.ZoneAffinity:
@@ -241,8 +244,8 @@
 	return p.allZones
 }
 
-// eachMachine calls visit for the machines of a zone that the gang may use, those that are up
-// first.
+// eachMachine calls visit for the machines of a zone that the gang may use: first those that
+// are up, then those that are pending.
 func (p *gangPlacer) eachMachine(gang *jobs.Job, zone ident.Zone, visit func(*candidateMachine)) {
 	for _, machines := range [][]*candidateMachine{p.machines.up, p.machines.pending} {
 		for _, m := range machines {
@@ -254,7 +257,8 @@
 	}
 }
 
-// freeTasks is for how many tasks of a gang a zone has, or will have, free room.
+// freeTasks returns how many tasks of a gang fit into the free capacity of a zone, pending
+// machines included.
 func (p *gangPlacer) freeTasks(gang *jobs.Job, zone ident.Zone) int {
 	byZone := map[ident.Zone]int{}
 	p.eachMachine(gang, zone, func(m *candidateMachine) {
@@ -267,7 +271,7 @@
 	return sum
 }
 
-// tasksIfEmpty is how many tasks of a gang a zone would hold if nothing else ran there.
+// tasksIfEmpty returns how many tasks of a gang a zone could hold if nothing else ran there.
 func (p *gangPlacer) tasksIfEmpty(gang *jobs.Job, zone ident.Zone) int {
 	sum := 0
 	p.eachMachine(gang, zone, func(m *candidateMachine) {
@@ -276,7 +280,7 @@
 	return sum
 }
 
-// canProvision tells whether a machine for the gang may be provisioned in the zone.
+// canProvision reports whether a machine for the gang may be provisioned in the zone.
 func (p *gangPlacer) canProvision(gang *jobs.Job, zone ident.Zone) bool {
 	can := false
 	p.offers.each(gang, func(offer cloud.Offer, t *fleet.MachineType) {
@@ -286,8 +290,8 @@
 	return can
 }
 
-// reserveCapacity keeps room for up to n tasks of a gang from what is planned after it. It starts
-// nothing.
+// reserveCapacity reserves capacity for up to n tasks of a gang, so that work planned later
+// does not use it. It starts no task.
 func (p *gangPlacer) reserveCapacity(gang *jobs.Job, zone ident.Zone, n int) {
 	need := gang.Spec.TaskResources()
 	p.eachMachine(gang, zone, func(m *candidateMachine) {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -9,11 +9,12 @@
 	"badgerbay/internal/jobs"
 )
 
-// reservedTaskDivisor: of the tasks of an aged job that a machine could hold, one in so many
-// is counted on when the machine is reserved for it.
+// reservedTaskDivisor limits how many tasks of an aged job a reserved machine accounts for:
+// 1/reservedTaskDivisor of the tasks that fit on the machine when it is empty.
 const reservedTaskDivisor = 2
 
-// taskPlacer places tasks of arrays and services, each on its own.
+// taskPlacer places the tasks of arrays and services. Unlike the tasks of a gang, each is
+// placed independently.
 type taskPlacer struct {
 	urgency     *urgency
 	machines    *machinePool
@@ -27,7 +28,7 @@
 	scaleOut    *scaleOut
 	aging       *agingBudget
 
-	claimed map[*jobs.Job]indexset.Set // tasks that the plan has dealt with
+	claimed map[*jobs.Job]indexset.Set // tasks that this plan has already selected
 }
 
 func newTaskPlacer(s *Snapshot, p *planner) *taskPlacer {
@@ -47,8 +48,8 @@
 	}
 }
 
-// place starts as many of the job's tasks as fit, and returns how many that could start by
-// its limits need a machine provisioned.
+// place starts as many of the job's tasks as fit. It returns how many of the remaining tasks
+// may start within the job's limits but need a machine to be provisioned.
 func (p *taskPlacer) place(entry queueEntry) int {
 	job := entry.job
 	n := p.eligibleTasks(entry)
@@ -68,7 +69,8 @@
 	return p.handleUnplaced(job, unplaced, entry.guaranteed)
 }
 
-// eligibleTasks is how many tasks of the entry its limits allow to start.
+// eligibleTasks returns how many tasks of the entry may start within the limits that apply to
+// it.
 func (p *taskPlacer) eligibleTasks(entry queueEntry) int {
 	job := entry.job
 	n := job.Queue.Len() - p.claimed[job].Len()
@@ -83,8 +85,9 @@
 	return n
 }
 
-// claim lists n queued tasks of the job that the plan has not dealt with yet, or only such
-// as never ran.
+// claim selects up to n queued tasks of the job and marks them as claimed. If neverRan is set,
+// it selects tasks that have never run for long enough to count as started; otherwise, it
+// selects tasks that this plan has not claimed yet.
 func (p *taskPlacer) claim(job *jobs.Job, n int, neverRan bool) []ident.TaskIndex {
 	var tasks []ident.TaskIndex
 	claimed := p.claimed[job]
@@ -107,12 +110,14 @@
 	return tasks
 }
 
-// startOnFreeMachines starts tasks on machines that have room, and returns those that found none.
+// startOnFreeMachines starts tasks on machines with enough free capacity. It returns the tasks
+// that it neither started nor preempted other work for.
 func (p *taskPlacer) startOnFreeMachines(job *jobs.Job, tasks []ident.TaskIndex) []ident.TaskIndex {
 	preempted := false
 	for _, m := range p.selector.rank(job) {
 		if !preempted && !m.machine.HasImage(job.Spec.Image) && p.fetchTooSlow(job, m) {
-			// The fetch alone would take too long: rather evict something where the image is.
+			// Fetching the image alone would take too long: preempt work on machines that hold
+			// the image instead.
 			preempted = true
 			tasks = tasks[p.preemptor.preemptFor(job, len(tasks), machinesWithImage):]
 		}
@@ -131,14 +136,15 @@
 	return tasks
 }
 
-// fetchTooSlow tells whether the job must start sooner than the machine could fetch its
-// image.
+// fetchTooSlow reports whether the machine would take longer to fetch the job's image than the
+// job may take to start. It is always false for jobs below PriorityHigh.
 func (p *taskPlacer) fetchTooSlow(job *jobs.Job, m *candidateMachine) bool {
 	within, bandwidth := p.urgency.startWithinSeconds(job.Spec.Class), m.machineType.FetchGBps
 	return within > 0 && job.Spec.Priority >= jobs.PriorityHigh && bandwidth > 0 && job.Spec.ImageGB/bandwidth > within
 }
 
-// start starts tasks on a machine if the record has room for them.
+// start starts tasks on a machine if the record has space for the start, and reports whether it
+// has.
 func (p *taskPlacer) start(job *jobs.Job, m *candidateMachine, tasks []ident.TaskIndex) bool {
 	start := newStart(job, m, tasks)
 	if !p.record.fits(&start) {
@@ -148,9 +154,10 @@
 	return true
 }
 
-// reserveMachines keeps machines for n tasks of an aged job that found no room: what becomes
-// free there goes to nobody after it. Smaller tasks filled every hole as it opened, and
-// larger ones waited behind them for ever.
+// reserveMachines reserves machines for n tasks of an aged job that fit nowhere yet: capacity
+// that becomes free there is withheld from all work later in the queue. Without the
+// reservation, smaller tasks take all capacity as soon as it becomes free, and larger tasks
+// starve.
 func (p *taskPlacer) reserveMachines(job *jobs.Job, n int) {
 	need := job.Spec.TaskResources()
 	var usable []*candidateMachine
@@ -160,7 +167,8 @@
 			usable = append(usable, m)
 		}
 	}
-	// Those first of which the least must still become free.
+	// Prefer the machines with the most free CPUs: the least capacity has yet to become free
+	// there.
 	slices.SortStableFunc(usable, func(x, y *candidateMachine) int { return cmp.Compare(y.free.CPUs, x.free.CPUs) })
 	maxReserved := int(agedCapacityShare * float64(len(p.machines.up)))
 	for i, m := range usable {
@@ -172,9 +180,9 @@
 	}
 }
 
-// handleUnplaced handles n tasks that fit no machine: lower work is evicted for them where
-// the rules allow it; else they wait for pending machines. It returns how many need a machine
-// provisioned.
+// handleUnplaced handles n tasks that fit on no machine. It preempts other work for them where
+// that is allowed, and assigns the remaining tasks to pending machines. It returns how many
+// tasks need a machine to be provisioned.
 func (p *taskPlacer) handleUnplaced(job *jobs.Job, n int, guaranteed bool) int {
 	p.scaleOut.recordUnplaced(job, n)
 	if guaranteed || p.preemptor.mayPreempt(job) {
@@ -197,8 +205,9 @@
 	return n
 }
 
-// mayWaitForPending tells whether the job may count on a pending machine. Work that can wait does not
-// count on expensive ones: they were provisioned for what can't.
+// mayWaitForPending reports whether the job may rely on the capacity of a pending machine. A
+// job that can wait may not rely on an expensive machine, because that was provisioned for work
+// that cannot wait.
 func (p *taskPlacer) mayWaitForPending(job *jobs.Job, m *candidateMachine) bool {
 	return p.quotas.hasGuarantees || p.costs.worthProvisioning(job, m.machineType, m.spot)
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,6 +1,7 @@
-// Package scheduler plans a round from a snapshot: which queued tasks start on which machines,
-// which running tasks are preempted for them, which machines are drained, and what is
-// provisioned. It is pure; the core stores a plan as a round record and carries it out.
+// Package scheduler plans a scheduling round from a snapshot: which queued tasks start on which
+// machines, which running tasks are preempted for them, which machines are drained, and which
+// machines are provisioned. Planning has no side effects; the controller stores the plan as a
+// round record and carries it out.
 package scheduler
 
 import (
@@ -9,36 +10,39 @@
 	"badgerbay/internal/roundlog"
 )
 
-// Plan is what a round decides.
+// Plan holds the decisions of one round.
 type Plan struct {
 	Record    roundlog.Record
 	Evictions []Eviction
-	// UnplacedTasks counts the tasks that found no room.
+	// UnplacedTasks is the number of tasks for which no free capacity was found.
 	UnplacedTasks int
-	// ProvisionedFor is the job that machines are provisioned for, if it is one.
+	// ProvisionedFor is the job that machines are provisioned for. It is empty if none are, or
+	// if they are provisioned for spare capacity or a guarantee.
 	ProvisionedFor ident.JobID
-	// Drain are machines to be drained, so that they can be deprovisioned.
+	// Drain lists the machines to drain, so that they can be deprovisioned.
 	Drain []ident.MachineID
-	// Retain are idle machines that hold the room kept free for a class or a guarantee.
+	// Retain holds the machines that must not be deprovisioned when they are idle, because they
+	// provide the capacity that is kept free for a class or a guarantee.
 	Retain map[ident.MachineID]bool
-	// Examined counts the machines and placements that were looked at, for one job or
-	// another: what the plan cost.
+	// Examined is the number of machines and placements examined, counted once for each job
+	// that they were examined for. It measures the computational cost of the plan.
 	Examined int
-	// ReservationBlocked is what work of a team would fit its limit, but for what is
-	// reserved by other nodes.
+	// ReservationBlocked holds, for each team, the resources of the work that fits the team's
+	// limit but is blocked by the reservations of other nodes.
 	ReservationBlocked map[ident.Team]jobs.Resources
 }
 
-// Eviction is a placement to be stopped: to make room, or to drain its machine.
+// Eviction is a placement to be stopped, either to free capacity for a job or to drain its
+// machine.
 type Eviction struct {
 	Placement *jobs.Placement
-	Preemptor ident.JobID // the job that room is made for; empty if a machine is drained
+	Preemptor ident.JobID // the job that capacity is freed for; empty if the machine is drained
 }
 
-// planner holds the parts of a plan in the making. Each has a job of its own, and keeps what
-// it has decided until the plan is put together.
+// planner holds the components that build a plan. Each component makes one kind of decision,
+// and keeps its decisions until the plan is assembled.
 type planner struct {
-	// What is known, and what the plan has made of it so far.
+	// State of the cluster according to the snapshot, updated with the decisions of the plan.
 	urgency  *urgency
 	machines *machinePool
 	zones    *zoneTracker
@@ -47,7 +51,7 @@
 	backlog  *backlog
 	record   *recordBuilder
 
-	// What decides.
+	// Components that make decisions.
 	costs       *costPolicy
 	assignments *assignments
 	selector    *machineSelector
@@ -58,7 +62,7 @@
 	gangs       *gangPlacer
 }
 
-// PlanRound plans a round. It changes nothing it is given.
+// PlanRound plans a round. It does not modify the snapshot.
 func PlanRound(s *Snapshot) *Plan {
 	plan := &Plan{Retain: map[ident.MachineID]bool{}}
 	p := newPlanner(s, plan)
@@ -83,7 +87,7 @@
 	return plan
 }
 
-// newPlanner makes the parts, those first that others need.
+// newPlanner creates the components in the order of their dependencies.
 func newPlanner(s *Snapshot, plan *Plan) *planner {
 	p := &planner{
 		urgency:  newUrgency(s),
@@ -105,14 +109,15 @@
 	return p
 }
 
-// placeQueue places the tasks of the queue in its order, and lists those that are short of
-// machines.
+// placeQueue places the queued tasks in queue order. It returns the tasks that need machines to
+// be provisioned.
 func (p *planner) placeQueue(queue []queueEntry) []shortage {
 	var shortages []shortage
 	for _, entry := range queue {
 		p.backlog.addQueued(entry.job)
 		if entry.job.Spec.Priority < jobs.PriorityHigh {
-			// Before work that would yield to it takes the room.
+			// Measure the spare capacity before it is occupied by work that the classes with
+			// spare capacity could preempt.
 			p.spare.measure()
 		}
 		place := p.tasks.place
@@ -127,7 +132,7 @@
 	return shortages
 }
 
-// canWait tells whether all work that is short of machines has ample slack.
+// canWait reports whether every job with a shortage has ample slack.
 func (p *planner) canWait(shortages []shortage) bool {
 	for _, shortage := range shortages {
 		if p.urgency.slackSeconds(shortage.job) < ampleSlackSeconds {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// gangRestartSeconds is what it costs a gang, in seconds of all its tasks, to be placed
-	// anew: room for all of it at once must be found. Without it replicas of one CPU
-	// stopped gangs that had just begun, rather than a task of an array.
+	// gangRestartSeconds is the cost of restarting an evicted gang, in seconds of all its
+	// tasks: capacity for all of them must be found at once. Without this cost, replicas of one
+	// CPU preempt gangs that have just started rather than a single task of an array.
 	gangRestartSeconds = 60
-	// notRunningLostSeconds is what a task loses that has been placed and does not run yet.
+	// notRunningLostSeconds is the loss of an evicted task that is placed but not running yet.
 	notRunningLostSeconds = 0.5
-	// evictionLostSeconds is what every running task loses that is evicted.
+	// evictionLostSeconds is the fixed part of the loss of every evicted task that is running.
 	evictionLostSeconds = 1
-	// fetchCostPerGB is the cost, in CPU seconds, of making room on a machine that must
-	// fetch the image, beside missingImageCost.
+	// fetchCostPerGB, for each GB of the image, and missingImageCost, a fixed amount, are the
+	// additional cost, in CPU seconds, of preempting work on a machine that must fetch the image.
 	fetchCostPerGB   = 4
 	missingImageCost = 1
 )
 
-// machineScope says on which machines room is made.
+// machineScope selects the machines on which work may be preempted.
 type machineScope int
 
 const (
@@ -35,7 +35,7 @@
 	machinesWithImage
 )
 
-// preemptor makes room for jobs by evicting what yields to them.
+// preemptor frees capacity for jobs by evicting work that they may preempt.
 type preemptor struct {
 	urgency     *urgency
 	fleet       *fleet.Fleet
@@ -67,8 +67,8 @@
 	}
 }
 
-// mayPreempt tells whether lower work may be evicted for the job: at once if it is urgent,
-// else once it has waited.
+// mayPreempt reports whether work of lower priority may be evicted for the job: immediately if
+// the job is urgent, otherwise after the preemption delay.
 func (p *preemptor) mayPreempt(job *jobs.Job) bool {
 	if job.Spec.Priority >= jobs.PriorityHigh || p.urgency.slackSeconds(job) < 2*urgentSlackSeconds {
 		return true
@@ -76,15 +76,15 @@
 	return p.urgency.now.Sub(job.QueuedSince) >= p.delay
 }
 
-// preemptionSite is a machine where room for one task can be made, and what that costs, in
-// CPU seconds of lost work.
+// preemptionSite is a machine on which capacity for one task can be freed, with the placements
+// to evict and the resulting cost in CPU seconds of lost work.
 type preemptionSite struct {
 	machine *candidateMachine
 	victims []*jobs.Placement
 	cost    float64
 }
 
-// siteHeap is a heap, the cheapest first.
+// siteHeap is a min-heap ordered by cost.
 type siteHeap []preemptionSite
 
 func (h siteHeap) Len() int           { return len(h) }
@@ -99,9 +99,9 @@
 	return site
 }
 
-// preemptFor makes room for up to n tasks of the job where that costs least work, and returns
-// for how many it did. Room that is being made already, or is left there, is kept for the
-// job.
+// preemptFor frees capacity for up to n tasks of the job where the least work is lost, and
+// returns the number of tasks that it freed capacity for. Capacity that earlier evictions are
+// already freeing, and free capacity on the same machine, is used too and reserved for the job.
 func (p *preemptor) preemptFor(job *jobs.Job, n int, scope machineScope) int {
 	if n <= 0 {
 		return 0
@@ -110,7 +110,7 @@
 	made := 0
 	for made < n && sites.Len() > 0 {
 		cheapest := &(*sites)[0]
-		// What was decided since may have changed what this one costs.
+		// Decisions made since the cost was computed may have changed it.
 		site, ok := p.siteAt(job, cheapest.machine)
 		switch {
 		case !ok || p.zones.room(job, site.machine.zone) == 0:
@@ -121,7 +121,7 @@
 		default:
 			made++
 			if p.evictAt(job, site) {
-				// The gang makes room on other machines too.
+				// The eviction of a gang frees capacity on other machines too.
 				sites = p.sites(job, scope)
 			}
 		}
@@ -129,7 +129,7 @@
 	return made
 }
 
-// sites lists where room for one task of the job can be made.
+// sites returns the machines on which capacity for one task of the job can be freed.
 func (p *preemptor) sites(job *jobs.Job, scope machineScope) *siteHeap {
 	sites := &siteHeap{}
 	mayReclaim := p.quotas.mayReclaim(job)
@@ -138,8 +138,8 @@
 		if !mayReclaim && !canFreeCapacity(m, job) || scope == machinesWithImage && !m.machine.HasImage(job.Spec.Image) {
 			continue
 		}
-		// On an expensive machine that the job may not use, what is free was promised to it
-		// in each plan, never used, and kept from those that could.
+		// Skip expensive machines that the job may not use. Otherwise, every plan reserves free
+		// capacity there for a job that never uses it, and withholds it from jobs that could.
 		if !m.accepts(job, p.urgency.now) || !p.costs.mayUse(job, m) || p.zones.room(job, m.zone) == 0 {
 			continue
 		}
@@ -151,16 +151,16 @@
 	return sites
 }
 
-// canFreeCapacity tells whether the machine may have room for a task of the job after evictions of
-// lower work.
+// canFreeCapacity reports whether the machine might have capacity for a task of the job once
+// stopping and lower-priority tasks have ended. It is a quick check before siteAt.
 func canFreeCapacity(m *candidateMachine, job *jobs.Job) bool {
 	load := m.machine.Load()
 	return load.Stopping > 0 || load.TasksBelow(job.Spec.Priority) > 0 ||
 		m.free.Add(m.freeing).Fits(job.Spec.TaskResources())
 }
 
-// siteAt finds what must be evicted on the machine to fit one task of the job, and whether
-// that is enough.
+// siteAt determines the placements to evict on the machine to fit one task of the job, and
+// reports whether their eviction is sufficient.
 func (p *preemptor) siteAt(job *jobs.Job, m *candidateMachine) (site preemptionSite, ok bool) {
 	site.machine = m
 	if !m.machine.HasImage(job.Spec.Image) {
@@ -182,15 +182,15 @@
 			lost += p.lostCPUSeconds(victim)
 		}
 		if victim.Job.Spec.Gang && !victim.Stopping {
-			lastGang = victim.Job // it is lost whole, and counted once
+			lastGang = victim.Job // the loss covers the whole gang, so it is added once
 		}
 	}
 	site.cost = lost + site.cost
 	return site, free.Fits(need)
 }
 
-// candidates lists what may be evicted for the job: first what is stopping already, then the
-// lowest priority, then what loses least.
+// candidates returns the placements that may be evicted for the job: first those that are
+// stopping already, then by ascending priority, then by ascending loss.
 func (p *preemptor) candidates(job *jobs.Job, m *candidateMachine) []*jobs.Placement {
 	var candidates []*jobs.Placement
 	p.examined += m.machine.Load().Tasks
@@ -212,12 +212,12 @@
 	}
 	lostX, lostY := p.lostCPUSeconds(x), p.lostCPUSeconds(y)
 	if lostX == lostY && x.Job.Spec.Gang && x.Job != y.Job {
-		return cmp.Compare(x.Job.ID, y.Job.ID) // so that those of one gang stay together
+		return cmp.Compare(x.Job.ID, y.Job.ID) // keeps the tasks of a gang adjacent
 	}
 	return cmp.Compare(lostX, lostY)
 }
 
-// mayEvict tells whether the placement yields to the job.
+// mayEvict reports whether the placement may be evicted for the job.
 func (p *preemptor) mayEvict(job *jobs.Job, placement *jobs.Placement) bool {
 	victim := &placement.Job.Spec
 	if job.Spec.Priority < jobs.PriorityHigh && p.isProtected(placement) {
@@ -226,15 +226,17 @@
 	if victim.Priority < job.Spec.Priority {
 		return true
 	}
-	// Work beyond another team's guarantee must yield whatever its priority; but stopping
-	// what would go before the job again is of no use to anybody.
+	// Work beyond its team's guarantee may be evicted for another team's work within its
+	// guarantee, even if its priority is not lower. If its priority is higher, eviction is
+	// useless, because the work would be queued before the job again.
 	if victim.Team == job.Spec.Team || victim.Priority > job.Spec.Priority || !p.quotas.withinGuarantee(job) {
 		return false
 	}
 	return p.quotas.staysWithinGuarantee(placement, evictionSize(placement))
 }
 
-// evictionSize is how many tasks end if the placement is evicted: a gang ends whole.
+// evictionSize returns how many tasks end if the placement is evicted: a gang is evicted as a
+// whole.
 func evictionSize(placement *jobs.Placement) int {
 	if placement.Job.Spec.Gang {
 		return len(placement.Job.Placements)
@@ -242,9 +244,11 @@
 	return 1
 }
 
-// isProtected tells whether the placement belongs to an aged job and has not run for long
-// enough to count as started, or has run longest of a job with nothing done, and is let run
-// to its end.
+// isProtected reports whether the placement belongs to an aged job and is protected from
+// eviction for work below PriorityHigh. This is so in two cases:
+//  1. The task has not run for long enough to count as started.
+//  2. None of the job's tasks is done, and the placement has run longest of all; it may run to
+//     completion.
 func (p *preemptor) isProtected(placement *jobs.Placement) bool {
 	job := placement.Job
 	if !p.urgency.isAged(job) {
@@ -259,7 +263,7 @@
 	return p.urgency.now.Sub(placement.RunningSince)
 }
 
-// oldestPlacement is the placement of the job that has run longest.
+// oldestPlacement returns the placement of the job that has run longest.
 func (p *preemptor) oldestPlacement(job *jobs.Job) *jobs.Placement {
 	if placement, ok := p.oldest[job]; ok {
 		return placement
@@ -274,7 +278,8 @@
 	return oldest
 }
 
-// ranLonger tells whether one placement of a job has run longer than another.
+// ranLonger reports whether placement x of a job has run longer than placement y. Ties are
+// broken by the task index.
 func ranLonger(x, y *jobs.Placement) bool {
 	switch {
 	case (x.RunningSince == 0) != (y.RunningSince == 0):
@@ -285,8 +290,8 @@
 	return x.Task < y.Task
 }
 
-// lostCPUSeconds is the work, in CPU seconds, that evicting a placement throws away, with that of
-// its whole gang.
+// lostCPUSeconds returns the work, in CPU seconds, that is lost if the placement is evicted.
+// For a gang, it includes the loss of all its tasks.
 func (p *preemptor) lostCPUSeconds(placement *jobs.Placement) float64 {
 	if placement.Stopping {
 		return 0
@@ -299,15 +304,15 @@
 	return p.lostSecondsPerTask(placement) * cpus
 }
 
-// lostSecondsPerTask is the work, in seconds, that a task loses which is evicted.
+// lostSecondsPerTask returns the work, in seconds, that a task loses if it is evicted.
 func (p *preemptor) lostSecondsPerTask(placement *jobs.Placement) float64 {
 	spec := &placement.Job.Spec
 	switch {
 	case placement.State != jobs.PlacementRunning:
 		return notRunningLostSeconds
 	case spec.CheckpointIntervalSeconds > 0 && spec.Gang && !p.gangReachable(placement.Job):
-		// Not all of its tasks can be told in time, so it can't write a checkpoint: what it
-		// did since its last one is lost.
+		// Not all tasks of the gang can receive the stop command in time, so the gang cannot
+		// write a checkpoint and loses the work since its last one.
 		return evictionLostSeconds + min(spec.CheckpointIntervalSeconds, p.runTime(placement).Seconds())
 	case spec.CheckpointIntervalSeconds > 0:
 		return evictionLostSeconds + spec.CheckpointSeconds
@@ -315,8 +320,8 @@
 	return evictionLostSeconds + p.runTime(placement).Seconds()
 }
 
-// gangReachable tells whether all machines of a gang send heartbeats, so that its tasks can
-// be told to stop at about the same time.
+// gangReachable reports whether all machines of a gang send heartbeats, so that all its tasks
+// can receive the stop command at about the same time.
 func (p *preemptor) gangReachable(gang *jobs.Job) bool {
 	for _, placement := range gang.Placements {
 		m := p.fleet.Machine(placement.Machine)
@@ -327,8 +332,8 @@
 	return true
 }
 
-// evictAt evicts what is in the way at a site, gangs whole, and promises the room to a task
-// of the job. It tells whether a gang was evicted.
+// evictAt evicts the victims of a site, gangs as a whole, and reserves the capacity for a task
+// of the job. It reports whether a gang was evicted.
 func (p *preemptor) evictAt(job *jobs.Job, site preemptionSite) (gangEvicted bool) {
 	for _, victim := range site.victims {
 		if !victim.Job.Spec.Gang || victim.Stopping {
@@ -347,7 +352,7 @@
 	return gangEvicted
 }
 
-// evict evicts one placement. The room that it leaves is promised to nobody yet.
+// evict evicts one placement. The capacity that this frees is not reserved for any job yet.
 func (p *preemptor) evict(job *jobs.Job, placement *jobs.Placement) {
 	p.evicted[placement] = true
 	if m := p.machines.find(placement.Machine); m != nil {
@@ -359,11 +364,12 @@
 	}
 }
 
-// preemptForGang evicts what yields to a gang in one zone, if that makes room for all n
-// tasks there with what is free, and tells whether it does. A part would be evicted for
-// nothing; pending machines may never come up, and don't count.
+// preemptForGang evicts work for a gang in one zone and reports whether this, together with the
+// free capacity there, provides capacity for all n tasks. If not, it evicts nothing, because
+// evictions for a part of the gang are useless. Pending machines do not count, because they may
+// never come up.
 func (p *preemptor) preemptForGang(gang *jobs.Job, zone ident.Zone, n int) bool {
-	zonalGang := *gang // the same gang, bound to the zone
+	zonalGang := *gang // a copy of the gang that is restricted to the zone
 	if zone != "" {
 		zonalGang.Spec.Zone = zone
 	}
@@ -375,7 +381,8 @@
 	return false
 }
 
-// preemptionState is what making room changes of a plan.
+// preemptionState is the part of the plan's state that save copies before a preemption, so that
+// restore can undo the preemption.
 type preemptionState struct {
 	evictions    int
 	evicted      map[*jobs.Placement]bool
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -8,20 +8,22 @@
 	"badgerbay/internal/jobs"
 )
 
-// agedCapacityShare bounds the part of the machines that aged jobs may have before others.
+// agedCapacityShare is the maximum share of the machines that aged jobs may use before other
+// jobs.
 const agedCapacityShare = 0.3
 
-// queueEntry is a place of a job in the queue. A job has two if only some of its tasks fit
-// its team's guarantee: those come first. An aged job has one more, for its tasks that
-// never ran, before all work below PriorityHigh.
+// queueEntry is one position of a job in the queue. A job with tasks that fit its team's
+// guarantee has an additional entry for these, ahead of its regular one. An aged job has an
+// additional entry for its tasks that never ran, ahead of all work below PriorityHigh. A gang
+// has a single entry.
 type queueEntry struct {
 	job        *jobs.Job
 	guaranteed bool
 	aged       bool
 }
 
-// priorityRank orders entries by priority, the highest first; aged work stands between
-// PriorityHigh and what is below.
+// priorityRank returns the rank of the entry by priority; higher ranks are placed first. Aged
+// entries rank between PriorityHigh and the priorities below it.
 func (e queueEntry) priorityRank() int {
 	if e.aged {
 		return 2*int(jobs.PriorityHigh) - 1
@@ -41,13 +43,13 @@
 	return cmp.Compare(x.job.ID, y.job.ID)
 }
 
-// buildQueue sorts the jobs: by priority, then work within a team's guarantee first, then
-// by arrival.
+// buildQueue returns the entries of the jobs, sorted by priority, then entries within a team's
+// guarantee first, then by time of arrival.
 func buildQueue(queued []*jobs.Job, quotas *quotaTracker, u *urgency) []queueEntry {
 	var queue []queueEntry
 	for _, job := range queued {
 		if job.Spec.Gang {
-			// A gang has one entry: it starts whole.
+			// A gang has a single entry, because its tasks start all together.
 			guaranteed := quotas.tasksWithinGuarantee(job) >= job.Queue.Len() && quotas.withinGuarantee(job)
 			queue = append(queue, queueEntry{job: job, guaranteed: guaranteed})
 			continue
@@ -64,13 +66,14 @@
 	return queue
 }
 
-// agingBudget bounds what aged jobs may start before others.
+// agingBudget limits the resources of the tasks that aged jobs may start before other jobs.
 type agingBudget struct {
 	urgency *urgency
 	left    jobs.Resources
 }
 
-// newAgingBudget leaves to aged jobs their share of the machines, less what they hold.
+// newAgingBudget allows aged jobs their share of the capacity of the machines, less the
+// resources that they already use.
 func newAgingBudget(machines *machinePool, placed []*jobs.Job, u *urgency) *agingBudget {
 	b := &agingBudget{urgency: u}
 	for _, m := range machines.up {
@@ -84,8 +87,8 @@
 	return b
 }
 
-// take returns how many tasks an aged job may start before others, and takes them out of
-// the budget. A job of which nothing runs may start one in any case.
+// take returns how many tasks an aged job may start before other jobs, and deducts them from
+// the budget. A job without placements may start one task regardless of the budget.
 func (b *agingBudget) take(job *jobs.Job) int {
 	n := b.left.MaxCopies(job.Spec.TaskResources())
 	if b.urgency.waitedSeconds(job) >= agingDeadlineSeconds {
