--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -2,11 +2,10 @@
 
 import "badgerbay/internal/jobs"
 
-// remainingRunRatio is the part of its run that a running task has left, on average.
+// remainingRunRatio is the average share of its run time that a running task has left.
 const remainingRunRatio = 0.5
 
-// backlog sums up the work, in resources times seconds, that arrays and gangs have to get
-// through the machines.
+// backlog sums up the outstanding work of arrays and gangs, in resources times seconds.
 type backlog struct {
 	machines   *machinePool
 	byPriority [jobs.PriorityProd + 1]jobs.Resources
@@ -28,7 +27,8 @@
 	return b
 }
 
-// expectedWork is what n tasks of the job hold, times the seconds that they run.
+// expectedWork returns the resources of n tasks of the job, multiplied by their expected run
+// time in seconds.
 func expectedWork(job *jobs.Job, n int) jobs.Resources {
 	return job.Spec.TaskResources().Scale(float64(n) * expectedRunSeconds(job))
 }
@@ -37,8 +37,9 @@
 	b.byPriority[priority] = b.byPriority[priority].Add(work)
 }
 
-// addQueued notes what goes before the end of the job: what runs of its priority and
-// above, what is queued before it, and the job itself. Jobs come in the order of the queue.
+// addQueued records the work that is ahead of the completion of the job: the running work of
+// its priority and above, the work queued before it, and the work of the job itself. Jobs must
+// be added in queue order.
 func (b *backlog) addQueued(job *jobs.Job) {
 	if _, counted := b.ahead[job]; job.Spec.Service || counted {
 		return
@@ -51,17 +52,18 @@
 	b.ahead[job] = sum
 }
 
-// seconds is how long the machines that are up or pending take to get through what goes
-// before the job's last start, by the resource that is the scarcest. A machine that is
-// provisioned for work which will have found room by then comes too late to help: in
-// bursts hundreds of expensive ones came when those they were provisioned for were done.
-// Counted in CPUs alone, machines whose GPUs were all taken seemed to have room.
+// seconds returns how long the machines that are up or pending take to complete the work ahead
+// of the job's last start, limited by the scarcest resource. A machine that is provisioned for
+// work which finds capacity within this time comes too late to help: in bursts, hundreds of
+// expensive machines came up after the work that they were provisioned for was done. All
+// resources count: by CPUs alone, machines whose GPUs are all in use seem to have free
+// capacity.
 func (b *backlog) seconds(job *jobs.Job) float64 {
 	return b.ahead[job].DominantShare(b.capacityUsableBy(job))
 }
 
-// capacityUsableBy is what arrays of the job's shape can have of the machines that are up
-// or pending.
+// capacityUsableBy returns the capacity, on machines that are up or pending, that arrays of the
+// job's shape can use.
 func (b *backlog) capacityUsableBy(job *jobs.Job) jobs.Resources {
 	shape := shapeOf(&job.Spec)
 	sum, ok := b.usable[shape]
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -9,34 +9,37 @@
 )
 
 const (
-	// minReplicaAgeSeconds: a replica is moved only so long after its start: one that is
-	// soon undone is no start to its user.
+	// minReplicaAgeSeconds is the minimum age of a replica that may be moved. The start of a
+	// replica that is stopped earlier does not count as a start to its user.
 	minReplicaAgeSeconds = 40
-	// machinesPerDrain: of the machines in use, one in so many is drained at a time.
+	// machinesPerDrain is the number of machines in use for each machine that may be drained at
+	// a time.
 	machinesPerDrain = 20
-	// candidatesPerDrain is how many machines are tried for each that may be drained.
+	// candidatesPerDrain is the number of machines that are tried for each machine that may be
+	// drained.
 	candidatesPerDrain = 2
-	// replicaHeadroomShare is the part of the room for replicas that stays free, so that
-	// those that come next need not wait for machines just deprovisioned.
+	// replicaHeadroomShare is the share of the capacity for replicas that stays free, so that
+	// the next replicas need not wait for machines to replace those just deprovisioned.
 	replicaHeadroomShare = 0.1
 )
 
-// consolidation drains machines with few replicas that all fit on others which hold their
-// images, so that the machines can be deprovisioned: replicas end one by one, and what is left
-// would keep many machines for little. Tasks of arrays on them run to their end.
+// consolidation drains machines with few replicas that all fit on other machines in use which
+// hold their images, so that the drained machines can be deprovisioned. Replicas end one by
+// one; without consolidation, the remaining replicas keep many machines up for little work.
+// Tasks of arrays on drained machines run to completion.
 type consolidation struct {
 	urgency  *urgency
 	machines *machinePool
 	zones    *zoneTracker
 	spare    *spareCapacity
-	// surplusCPUs is what may be drained beyond the guarantees.
+	// surplusCPUs is the number of CPUs that may be drained without violating the guarantees.
 	surplusCPUs float64
 
-	free      map[*candidateMachine]jobs.Resources // of the machines in use that stay
+	free      map[*candidateMachine]jobs.Resources // free capacity of the machines in use that are not drained
 	movedJobs map[*jobs.Job]bool
-	// reservations is the room that the replicas of the machine at hand have been given, to
-	// be released if not all of them find some. A copy of all machines for each one that
-	// was tried cost 77 MB a plan at 4,000.
+	// reservations holds the capacity reserved for the replicas of the machine that is being
+	// examined. It is released unless all of them fit. Copying the state of all machines for
+	// each examined machine instead took 77 MB per plan with 4,000 machines.
 	reservations []reservation
 
 	drained   []ident.MachineID
@@ -55,13 +58,13 @@
 	}
 }
 
-// reservation is room that was set aside on a machine.
+// reservation is an amount of capacity that is reserved on a machine.
 type reservation struct {
 	machine *candidateMachine
 	need    jobs.Resources
 }
 
-// run drains some of the machines that hold the least for their size.
+// run drains some of the machines with the fewest replicas for their size.
 func (c *consolidation) run() {
 	var sources []*candidateMachine
 	for _, m := range c.machines.up {
@@ -87,13 +90,14 @@
 	}
 }
 
-// replicaShare is about the part of the machine that its replicas take.
+// replicaShare returns the number of replicas per CPU of the machine, which approximates the
+// share of the machine that they use.
 func replicaShare(m *candidateMachine) float64 {
 	return float64(m.machine.Load().Services) / max(1, m.machineType.Capacity.CPUs)
 }
 
-// drain evicts the replicas of a machine if they fit on others in use, with the room kept free
-// still there after it.
+// drain evicts the replicas of a machine if they fit on other machines in use, and if the
+// headroom and the spare capacity remain available afterwards.
 func (c *consolidation) drain(m *candidateMachine) {
 	replicas := replicasOn(m)
 	if !c.areMovable(replicas) {
@@ -135,7 +139,8 @@
 	return true
 }
 
-// reserveAll finds a place for each of the replicas that leave a zone.
+// reserveAll reserves capacity for all replicas, which leave sourceZone, and reports whether
+// all of them fit.
 func (c *consolidation) reserveAll(replicas []*jobs.Placement, sourceZone ident.Zone) bool {
 	for _, replica := range replicas {
 		if !c.reserve(replica.Job, sourceZone) {
@@ -145,8 +150,9 @@
 	return true
 }
 
-// reserve finds a place for a replica of the job that leaves a zone. Of a job, machines drained
-// before may have no replica, so that its own place in the zone is free again.
+// reserve reserves capacity for a replica of the job that leaves sourceZone, and reports
+// whether it fits. It rejects a job that had a replica on a machine drained earlier by this
+// plan, so that the place that the replica vacates in sourceZone is still free.
 func (c *consolidation) reserve(job *jobs.Job, sourceZone ident.Zone) bool {
 	if c.movedJobs[job] {
 		return false
@@ -164,15 +170,15 @@
 	return false
 }
 
-// releaseReservations undoes what was reserved for the machine at hand.
+// releaseReservations releases the capacity reserved for the machine that is being examined.
 func (c *consolidation) releaseReservations() {
 	for _, reserved := range c.reservations {
 		c.free[reserved.machine] = c.free[reserved.machine].Add(reserved.need)
 	}
 }
 
-// leavesHeadroom tells whether the machines that stay keep the headroom for replicas like
-// these, and the room kept free for the classes that must start fast.
+// leavesHeadroom reports whether the remaining machines provide the headroom for replicas of
+// this spec and the spare capacity for the classes that must start fast.
 func (c *consolidation) leavesHeadroom(spec *jobs.Spec) bool {
 	var free, capacity jobs.Resources
 	for m, room := range c.free {
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -7,9 +7,9 @@
 	"badgerbay/internal/jobs"
 )
 
-// capacityGuarantor sees to it that the machines hold what the teams are guaranteed, or use
-// beyond it, as long as they have work: guaranteed work need not wait, and a machine takes
-// long to come up.
+// capacityGuarantor keeps enough machines for what the teams are guaranteed, or use beyond
+// their guarantees, as long as they have work. Guaranteed work then need not wait for a new
+// machine, which takes long to come up.
 type capacityGuarantor struct {
 	share        float64               // see policy.Policy.GuaranteeShare
 	teamActive   func(ident.Team) bool // see Snapshot.TeamActive
@@ -34,8 +34,8 @@
 	}
 }
 
-// ensure retains idle machines that are needed for the guarantees, and provisions what is
-// missing. It returns how many CPUs the machines hold beyond that.
+// ensure retains the idle machines that the guarantees need, and provisions machines for the
+// missing CPUs. It returns how many CPUs the machines have beyond the guarantees.
 func (g *capacityGuarantor) ensure() (surplusCPUs float64) {
 	wanted := g.quotas.guaranteedCPUs(g.share, g.teamActive)
 	have := g.machines.totalCPUs()
@@ -55,7 +55,7 @@
 	return have - wanted
 }
 
-// provision provisions machines with so many CPUs, whatever they cost.
+// provision provisions machines with the given number of CPUs, regardless of their price.
 func (g *capacityGuarantor) provision(cpus float64) {
 	spec := *g.typicalSpecs[0]
 	for _, typical := range g.typicalSpecs {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -7,23 +7,24 @@
 	"badgerbay/internal/jobs"
 )
 
-// candidateMachine is a machine, up or pending, with the room that the plan has left on it.
+// candidateMachine is a machine, up or pending, with the capacity that the plan has not
+// allocated yet.
 type candidateMachine struct {
-	machine     *fleet.Machine // nil: pending
+	machine     *fleet.Machine // nil if the machine is pending
 	machineType *fleet.MachineType
 	zone        ident.Zone
 	spot        bool
 	free        jobs.Resources
-	// freeing is room that evictions make and that is promised to nobody yet. Nothing may
-	// start in it before their exits are seen.
+	// freeing is the capacity that evictions free and that is not reserved for any job yet. No
+	// task may start in it before the exits of the evicted tasks are observed.
 	freeing         jobs.Resources
 	placements      []*jobs.Placement // see livePlacements
-	plannedReplicas int               // service tasks that the plan puts here
-	receivesTasks   bool              // the plan starts tasks here
+	plannedReplicas int               // service tasks that the plan places on the machine
+	receivesTasks   bool              // the plan starts tasks on the machine
 }
 
-// livePlacements lists the placements on the machine. A plan changes none, so they are
-// listed once.
+// livePlacements returns the placements that may exist on the machine. They are cached, because
+// planning does not change them.
 func (m *candidateMachine) livePlacements() []*jobs.Placement {
 	if m.placements == nil {
 		m.placements = m.machine.LivePlacements()
@@ -31,25 +32,28 @@
 	return m.placements
 }
 
-// reserveTask keeps room for one task: what evictions make first, then what is free.
+// reserveTask reserves capacity for one task: first the capacity that evictions free, then free
+// capacity.
 func (m *candidateMachine) reserveTask(need jobs.Resources) {
 	rest := m.freeing.Sub(need)
 	m.freeing = rest.Max(jobs.Resources{})
 	m.free = m.free.Add(rest.Sub(m.freeing)).Max(jobs.Resources{})
 }
 
-// isAllowedBy tells whether the spec allows a machine like this one.
+// isAllowedBy reports whether the spec allows a machine of this type and zone, spot or on
+// demand.
 func (m *candidateMachine) isAllowedBy(spec *jobs.Spec) bool {
 	return spec.AllowsMachine(m.machineType.Name, m.zone, m.spot)
 }
 
-// isAvoidedBy tells whether the job has just failed on the machine.
+// isAvoidedBy reports whether the job avoids the machine because it has just failed there.
 func (m *candidateMachine) isAvoidedBy(job *jobs.Job, now clock.Instant) bool {
 	until, failed := job.AvoidUntil[m.machine.ID]
 	return failed && !until.Before(now)
 }
 
-// accepts tells whether the machine may take tasks of the job, leaving aside its room.
+// accepts reports whether the machine may run tasks of the job, regardless of its free
+// capacity.
 func (m *candidateMachine) accepts(job *jobs.Job, now clock.Instant) bool {
 	return m.isAllowedBy(&job.Spec) && (m.machine == nil || !m.isAvoidedBy(job, now))
 }
@@ -58,7 +62,7 @@
 type machinePool struct {
 	up      []*candidateMachine
 	pending []*candidateMachine
-	byZone  map[ident.Zone]int // how many, the pending ones included
+	byZone  map[ident.Zone]int // number of machines, including pending ones
 	byID    map[ident.MachineID]*candidateMachine
 }
 
@@ -83,7 +87,7 @@
 	return pool
 }
 
-// find returns a machine that is up, or nil if the plan does not use it.
+// find returns the machine with the ID if it is up, or nil if the plan does not use it.
 func (pool *machinePool) find(id ident.MachineID) *candidateMachine {
 	if pool.byID == nil {
 		pool.byID = make(map[ident.MachineID]*candidateMachine, len(pool.up))
@@ -94,7 +98,7 @@
 	return pool.byID[id]
 }
 
-// totalCPUs is what all machines hold, those that are pending included.
+// totalCPUs returns the number of CPUs of all machines, including pending ones.
 func (pool *machinePool) totalCPUs() float64 {
 	sum := 0.0
 	for _, m := range pool.up {
@@ -106,8 +110,8 @@
 	return sum
 }
 
-// placementShape is what decides on which machines a task may go, leaving aside where the
-// job's other tasks are.
+// placementShape holds the properties of a task that determine on which machines it may run,
+// regardless of where the job's other tasks are.
 type placementShape struct {
 	need         jobs.Resources
 	zone         ident.Zone
--- a/internal/scheduler/offers.go
+++ b/internal/scheduler/offers.go
@@ -9,17 +9,17 @@
 	"badgerbay/internal/jobs"
 )
 
-// cheapPriceRatio: a machine is cheap for a job if a task costs at most so many times what
-// it costs on the cheapest kind of machine.
+// cheapPriceRatio is the highest price of a task on a machine that is cheap for the job,
+// relative to the price of the task on the cheapest kind of machine.
 const cheapPriceRatio = 1.5
 
-// offerCatalog lists the kinds of machines that the cloud has, with what they cost a job.
+// offerCatalog lists the kinds of machines that the cloud offers, with their prices for a job.
 type offerCatalog struct {
 	machineTypes []*fleet.MachineType
 	zones        []ident.Zone
 	unavailable  func(cloud.Offer) bool
 
-	// These are asked for every machine, so they are worked out once a plan.
+	// These values are needed for every machine, so they are computed once per plan.
 	lowestPrices  map[*jobs.Job]float64 // see lowestTaskPrice
 	fastestStarts map[*jobs.Job]float64 // see fastestStartSeconds
 }
@@ -47,13 +47,14 @@
 	}
 }
 
-// isCheap tells whether a task of the job costs about the least on such a machine.
+// isCheap reports whether the price of a task of the job on such a machine is close to the
+// lowest price.
 func (c *offerCatalog) isCheap(job *jobs.Job, t *fleet.MachineType, spot bool) bool {
 	return taskPrice(job, t, spot) <= cheapPriceRatio*c.lowestTaskPrice(job)
 }
 
-// lowestTaskPrice is what a task of the job costs on the cheapest kind of machine that it
-// allows.
+// lowestTaskPrice returns the price of a task of the job on the cheapest kind of machine that
+// the job allows.
 func (c *offerCatalog) lowestTaskPrice(job *jobs.Job) float64 {
 	if price, ok := c.lowestPrices[job]; ok {
 		return price
@@ -66,8 +67,8 @@
 	return lowest
 }
 
-// fastestStartSeconds is how long the fastest new machine that is available takes to run
-// the job. While that is soon enough, the job waits for cheap room.
+// fastestStartSeconds returns how long the fastest new machine that is available takes until it
+// can run the job. As long as that is soon enough, the job waits for cheap capacity.
 func (c *offerCatalog) fastestStartSeconds(job *jobs.Job) float64 {
 	if seconds, ok := c.fastestStarts[job]; ok {
 		return seconds
@@ -82,8 +83,8 @@
 	return fastest
 }
 
-// newMachineStartSeconds is how long a new machine takes to run the job: to boot, and to
-// fetch the image.
+// newMachineStartSeconds returns how long a new machine takes until it can run the job: the
+// time to boot and to fetch the image.
 func newMachineStartSeconds(job *jobs.Job, t *fleet.MachineType) float64 {
 	seconds := t.BootTime.Seconds()
 	if t.FetchGBps > 0 {
@@ -92,7 +93,8 @@
 	return seconds
 }
 
-// taskPrice is the hourly price of a machine for each task of the job that it holds.
+// taskPrice returns the hourly price of a machine, divided by the number of tasks of the job
+// that it holds.
 func taskPrice(job *jobs.Job, t *fleet.MachineType, spot bool) float64 {
 	tasks := t.Capacity.MaxCopies(job.Spec.TaskResources())
 	if tasks == 0 {
@@ -101,7 +103,7 @@
 	return machinePrice(t, spot) / float64(tasks)
 }
 
-// machinePrice is the present hourly price of a machine, spot or on demand.
+// machinePrice returns the current hourly price of a machine, spot or on demand.
 func machinePrice(t *fleet.MachineType, spot bool) float64 {
 	if spot {
 		return t.HourlySpotPrice
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -10,19 +10,19 @@
 	"badgerbay/internal/jobs"
 )
 
-// amountEpsilon forgives the rounding of sums of decimal amounts.
+// amountEpsilon is the tolerance for rounding errors in sums of decimal amounts.
 const amountEpsilon = 1e-6
 
-// quotaTracker counts what the teams use of their guarantees and limits, the plan's own
-// decisions included.
+// quotaTracker tracks how much of their guarantees and limits the teams use, including the
+// plan's own decisions.
 type quotaTracker struct {
 	teams         map[ident.Team]config.Team
-	hasGuarantees bool // some team has one
+	hasGuarantees bool // at least one team has a guarantee
 
-	// usage counts all placements that may exist. An evicted one stays in it until its
-	// exit is seen, so that no other takes its place in the team's limit.
+	// usage counts all placements that may exist. An evicted placement is included until its
+	// exit is observed, so that no other task uses its share of the team's limit before.
 	usage map[ident.Team]jobs.Resources
-	// evictedUsage is the part of usage that is told to stop.
+	// evictedUsage is the part of usage that belongs to placements which are requested to stop.
 	evictedUsage map[ident.Team]jobs.Resources
 
 	reserved           map[ident.Team]jobs.Resources // see Snapshot.Reserved
@@ -57,24 +57,25 @@
 	return q
 }
 
-// use counts n more tasks of the job as placed.
+// use adds n tasks of the job to the usage of its team.
 func (q *quotaTracker) use(job *jobs.Job, n int) {
 	team := job.Spec.Team
 	q.usage[team] = q.usage[team].Add(job.Spec.TaskResources().Multiply(n))
 }
 
-// markEvicted notes that a placement is told to stop.
+// markEvicted records that a placement is requested to stop.
 func (q *quotaTracker) markEvicted(placement *jobs.Placement) {
 	spec := &placement.Job.Spec
 	q.evictedUsage[spec.Team] = q.evictedUsage[spec.Team].Add(spec.TaskResources())
 }
 
-// usageAfterEvictions is what the team will use once all that is told to stop has ended.
+// usageAfterEvictions returns the usage of the team after all placements that are requested to
+// stop have ended.
 func (q *quotaTracker) usageAfterEvictions(team ident.Team) jobs.Resources {
 	return q.usage[team].Sub(q.evictedUsage[team])
 }
 
-// tasksWithinGuarantee is how many more tasks of the job its team's guarantee covers.
+// tasksWithinGuarantee returns how many more tasks of the job its team's guarantee covers.
 func (q *quotaTracker) tasksWithinGuarantee(job *jobs.Job) int {
 	team, used := q.teams[job.Spec.Team], q.usage[job.Spec.Team]
 	n := int((team.CPUGuarantee - used.CPUs + amountEpsilon) / job.Spec.CPUs)
@@ -84,8 +85,8 @@
 	return max(0, n)
 }
 
-// withinGuarantee tells whether one more task of the job keeps its team within its
-// guarantee.
+// withinGuarantee reports whether the team of the job remains within its guarantee with one
+// more task of the job.
 func (q *quotaTracker) withinGuarantee(job *jobs.Job) bool {
 	team := q.teams[job.Spec.Team]
 	after := q.usage[job.Spec.Team].Add(job.Spec.TaskResources())
@@ -93,16 +94,16 @@
 		(after.GPUs == 0 || after.GPUs <= team.GPUGuarantee+amountEpsilon)
 }
 
-// staysWithinGuarantee tells whether the team of a placement keeps its guarantee when n
-// tasks like it end.
+// staysWithinGuarantee reports whether the team of a placement still uses at least its CPU
+// guarantee after n tasks like this one have ended.
 func (q *quotaTracker) staysWithinGuarantee(placement *jobs.Placement, n int) bool {
 	spec := &placement.Job.Spec
 	left := q.usageAfterEvictions(spec.Team).Sub(spec.TaskResources().Multiply(n))
 	return left.CPUs >= q.teams[spec.Team].CPUGuarantee-amountEpsilon
 }
 
-// mayReclaim tells whether work of any priority may be stopped for the job: its team is
-// within its guarantee, and another is beyond its own.
+// mayReclaim reports whether work may be evicted for the job regardless of the job's priority:
+// its team is within its guarantee, and another team is beyond its own.
 func (q *quotaTracker) mayReclaim(job *jobs.Job) bool {
 	if !q.hasGuarantees || !q.withinGuarantee(job) {
 		return false
@@ -115,9 +116,9 @@
 	return false
 }
 
-// guaranteedCPUs is what machines should hold for the teams that are active: their
-// guarantees, or what they use beyond these. The order of the teams is fixed, so that
-// the sum is rounded alike in each plan.
+// guaranteedCPUs returns how many CPUs the machines should have for the active teams: for each
+// team its guarantee, multiplied by share, or its usage if that is higher. The teams are added
+// in a fixed order, so that the sum is rounded in the same way in each plan.
 func (q *quotaTracker) guaranteedCPUs(share float64, active func(ident.Team) bool) float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(q.teams)) {
@@ -128,8 +129,9 @@
 	return sum
 }
 
-// tasksWithinQuota is how many more tasks of the job its team's limit allows: as many as
-// reservations cover, and what usage and reservations for others leave of the limit.
+// tasksWithinQuota returns how many more tasks of the job its team's limit allows: the tasks
+// that reservations cover, and those that fit into the part of the limit that is neither used
+// nor reserved for others.
 func (q *quotaTracker) tasksWithinQuota(job *jobs.Job) int {
 	used := q.usage[job.Spec.Team]
 	n := q.tasksWithinLimit(job, used)
@@ -139,8 +141,8 @@
 	return n
 }
 
-// tasksWithinLimit is how many more tasks of the job its team's limit allows beside what
-// is used.
+// tasksWithinLimit returns how many more tasks of the job its team's limit allows in addition
+// to the used resources.
 func (q *quotaTracker) tasksWithinLimit(job *jobs.Job, used jobs.Resources) int {
 	team := q.teams[job.Spec.Team]
 	n := math.MaxInt32
@@ -153,7 +155,7 @@
 	return max(0, n)
 }
 
-// unusedReservedTasks is how many more tasks of the job reservations cover.
+// unusedReservedTasks returns how many more tasks of the job reservations cover.
 func (q *quotaTracker) unusedReservedTasks(job *jobs.Job) int {
 	n, known := q.unusedReserved[job]
 	if !known && q.reservedTasksOf != nil {
@@ -163,8 +165,8 @@
 	return n
 }
 
-// useReservation takes n tasks of the job out of what is reserved, as far as reservations
-// cover them: they count as used from now on.
+// useReservation deducts n tasks of the job from the reserved resources, as far as reservations
+// cover them, because they now count as usage.
 func (q *quotaTracker) useReservation(job *jobs.Job, n int) {
 	reserved, ok := q.reserved[job.Spec.Team]
 	if !ok {
@@ -175,8 +177,8 @@
 	q.reserved[job.Spec.Team] = reserved.Sub(job.Spec.TaskResources().Multiply(n)).Max(jobs.Resources{})
 }
 
-// noteReservationBlocked notes, once for each job, what of n tasks of it fits the limit
-// but for what is reserved.
+// noteReservationBlocked records, once for each job, the resources of those of its n tasks that
+// fit the team's limit but are blocked by reservations.
 func (q *quotaTracker) noteReservationBlocked(job *jobs.Job, n int) {
 	team := job.Spec.Team
 	if _, ok := q.reserved[team]; !ok || q.reservationChecked[job] {
--- a/internal/scheduler/recordbuilder.go
+++ b/internal/scheduler/recordbuilder.go
@@ -8,21 +8,22 @@
 	"badgerbay/internal/wire"
 )
 
-// provisionReserve is the room in a round's record that starts leave to a provision.
+// provisionReserve is the space, in bytes, that starts leave free in a round record for a
+// provision.
 const provisionReserve = 2 * roundlog.MaxProvisionJSONSize
 
-// recordBuilder fills the round's record, and keeps it and the records of the jobs within
-// what the state service stores.
+// recordBuilder builds the round record. It keeps this record and the records of the jobs
+// within the sizes that the state service can store.
 type recordBuilder struct {
 	record *roundlog.Record
 	size   int
-	full   bool // no start fits any more
+	full   bool // no further start fits
 
 	valueBytes     int
 	maxJobValues   int
 	maxRoundValues int
 	specJSONSize   func(*jobs.Job) int
-	spareBytes     map[*jobs.Job]jobs.SpareBytes // of the jobs' records
+	spareBytes     map[*jobs.Job]jobs.SpareBytes // free space in the jobs' records
 }
 
 func newRecordBuilder(s *Snapshot, record *roundlog.Record) *recordBuilder {
@@ -38,7 +39,7 @@
 	}
 }
 
-// jobSpareBytes is what the job's record still holds beside what this plan has started.
+// jobSpareBytes returns the free space in the job's record after the starts of this plan.
 func (b *recordBuilder) jobSpareBytes(job *jobs.Job) jobs.SpareBytes {
 	spare, ok := b.spareBytes[job]
 	if !ok {
@@ -56,15 +57,17 @@
 	return start
 }
 
-// fits tells whether the record has room for one more start. If not, it is full.
+// fits reports whether the record has space for one more start. If not, it marks the record as
+// full.
 func (b *recordBuilder) fits(start *roundlog.Start) bool {
 	b.full = b.full || b.size+start.MaxJSONSize()+provisionReserve > b.valueBytes
 	return !b.full
 }
 
-// fitsGang tells whether the record has room for all starts of a gang, in one value where
-// they fit into one, else in as many as a transaction holds. If not, it is full: a new
-// round takes them. They always fit into a record that has no other starts.
+// fitsGang reports whether the record has space for all starts of a gang: in one value if they
+// fit into one, otherwise in as many values as a transaction may contain. If not, it marks the
+// record as full, and a new round starts the gang. The starts always fit into a record without
+// other starts.
 func (b *recordBuilder) fitsGang(id ident.JobID, starts []roundlog.Start) bool {
 	size := wire.PackedLen(len(id)) + provisionReserve
 	for i := range starts {
@@ -80,13 +83,13 @@
 	return !b.full
 }
 
-// maxGangRecordSize is how large the record of a round may be that starts a gang: as large
-// as all values that one transaction holds, where all nodes know chunks.
+// maxGangRecordSize returns the maximum size, in bytes, of the record of a round that starts a
+// gang: the size of all values that one transaction may contain, if all nodes support chunks.
 func (b *recordBuilder) maxGangRecordSize() int {
 	return b.valueBytes + chunk.Capacity(b.valueBytes, b.maxRoundValues-1)
 }
 
-// add adds a start of n tasks.
+// add adds a start of n tasks of the job to the record.
 func (b *recordBuilder) add(job *jobs.Job, start roundlog.Start, n int) {
 	b.size += start.MaxJSONSize()
 	b.record.Starts = append(b.record.Starts, start)
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// latenessUnitSeconds: being late by so many seconds counts as much as the price.
+	// latenessUnitSeconds is the delay beyond the start objective that adds as much to the cost
+	// of an offer as its price.
 	latenessUnitSeconds = 30
-	// zoneSpreadCost is the part of its cost that an offer gains with each machine that is
-	// in its zone already.
+	// zoneSpreadCost is the relative increase of the cost of an offer for each machine that is
+	// already in its zone.
 	zoneSpreadCost = 0.001
 )
 
-// shortage is a number of a job's tasks that need machines provisioned.
+// shortage is a number of tasks of a job that need machines to be provisioned.
 type shortage struct {
 	job   *jobs.Job
 	tasks int
 }
 
-// scaleOut decides which machines to provision for work that finds no room.
+// scaleOut decides which machines to provision for work that finds no free capacity.
 type scaleOut struct {
 	mayProvision bool
 	roundNo      ident.RoundNo
@@ -36,12 +37,12 @@
 	costs        *costPolicy
 
 	unplacedTasks int
-	// demand counts the tasks of a class that found no room, those that wait for pending
-	// machines included: many small jobs that arrive one by one share large machines, as
-	// one large job would.
+	// demand counts the tasks of each class that found no free capacity, including those that
+	// wait for pending machines. It is counted by class so that many small jobs that arrive one
+	// by one share large machines, as one large job would.
 	demand          map[ident.Class]int
 	awaitingMachine map[*jobs.Job]int        // tasks that wait for pending machines
-	requiredZone    map[*jobs.Job]ident.Zone // where machines for a gang must be
+	requiredZone    map[*jobs.Job]ident.Zone // zone in which machines for a gang are provisioned
 	provisions      []roundlog.Provision
 	provisionedFor  ident.JobID
 }
@@ -62,14 +63,14 @@
 	}
 }
 
-// recordUnplaced counts n tasks of the job that found no room.
+// recordUnplaced adds n tasks of the job that found no free capacity.
 func (s *scaleOut) recordUnplaced(job *jobs.Job, n int) {
 	s.unplacedTasks += n
 	s.demand[job.Spec.Class] += n
 }
 
-// provision decides on at most one provision: of the best offer for the first job that is
-// short of machines, as many as that job and those behind it fill.
+// provision decides on at most one provision: the best offer for the first job with a shortage
+// for which there is an offer, with as many machines as that job and the jobs after it fill.
 func (s *scaleOut) provision(shortages []shortage) {
 	if !s.mayProvision {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// raiseDemand sees to it that the demand of each class is no less than its shortages.
+// raiseDemand raises the demand of each class to at least the sum of its shortages.
 func (s *scaleOut) raiseDemand(shortages []shortage) {
 	byClass := map[ident.Class]int{}
 	for _, shortage := range shortages {
@@ -100,8 +101,8 @@
 	}
 }
 
-// taskLimit bounds the tasks of the job that may wait for machines of a kind: jobs that need
-// only one start get no more of machines that are expensive for them.
+// taskLimit returns how many more tasks of the job may wait for machines of a kind. Of machines
+// that are expensive for it, a job that needs only one start may wait for one at most.
 func (s *scaleOut) taskLimit(job *jobs.Job, t *fleet.MachineType, spot bool) int {
 	if s.urgency.needsOnlyOneStart(job) && !s.offers.isCheap(job, t, spot) {
 		return 1 - min(1, s.awaitingMachine[job])
@@ -109,8 +110,8 @@
 	return math.MaxInt32
 }
 
-// machinesNeeded is how many machines of the offer the shortages fill: the first, and those
-// behind it for which the offer is the best too.
+// machinesNeeded returns how many machines of the offer the shortages fill: the first shortage,
+// and those after it for which the offer is also the best.
 func (s *scaleOut) machinesNeeded(shortages []shortage, offer cloud.Offer, t *fleet.MachineType) int {
 	free := jobs.Resources{}
 	count := 0
@@ -136,8 +137,8 @@
 	return count
 }
 
-// bestOffer returns the offer that runs the job's tasks at the least cost; its type is nil if
-// there is none.
+// bestOffer returns the offer that runs the job's tasks at the lowest cost, with its machine
+// type, which is nil if there is no offer.
 func (s *scaleOut) bestOffer(job *jobs.Job) (cloud.Offer, *fleet.MachineType) {
 	var best cloud.Offer
 	var bestType *fleet.MachineType
@@ -157,8 +158,8 @@
 	return best, bestType
 }
 
-// offerCost is what a task of the job costs on a machine of the offer, boot and fetch
-// included; offers with which the job starts or ends late cost more.
+// offerCost returns the cost of a task of the job on a machine of the offer, including the time
+// to boot and to fetch the image. The cost is higher if the job would start or end late.
 func (s *scaleOut) offerCost(job *jobs.Job, offer cloud.Offer, t *fleet.MachineType) float64 {
 	tasks := t.Capacity.MaxCopies(job.Spec.TaskResources())
 	if tasks == 0 {
@@ -169,16 +170,17 @@
 		run = defaultRunSeconds
 	}
 	wait := newMachineStartSeconds(job, t)
-	// A machine that the job fills only in part is paid for in whole.
+	// A machine that the demand fills only in part is paid for in full.
 	filled := min(tasks, max(1, s.demand[job.Spec.Class]))
 	cost := machinePrice(t, offer.Spot) / float64(filled) * (run + wait) / run
 	if within := s.urgency.startWithinSeconds(job.Spec.Class); within > 0 && wait > within {
-		// It will be late wherever it goes: the sooner the better.
+		// The job would start late on this offer; the cost grows with the delay, so that faster
+		// offers are preferred.
 		cost *= 1 + (wait-within)/latenessUnitSeconds
 	}
 	if left, hasDeadline := s.urgency.secondsToDeadline(job); hasDeadline && run+wait > left {
 		cost *= 2 + (run+wait-left)/run
 	}
-	// A second zone spreads the risk; the fewest machines first.
+	// Prefer the zone with the fewest machines, to spread the risk over several zones.
 	return cost * (1 + zoneSpreadCost*float64(s.machines.byZone[offer.Zone]))
 }
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -8,14 +8,14 @@
 	"badgerbay/internal/jobs"
 )
 
-// machineSelector ranks the machines that have room for a task of a job.
+// machineSelector ranks the machines that have free capacity for a task of a job.
 type machineSelector struct {
 	now        clock.Instant
 	preferSpot bool
 	machines   *machinePool
 	costs      *costPolicy
 
-	unplaceable map[placementShape]bool // what fits no machine
+	unplaceable map[placementShape]bool // shapes that fit on no machine
 	examined    int                     // see Plan.Examined
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// rankedMachine is a machine with what ranks it.
+// rankedMachine is a machine with the properties that determine its rank.
 type rankedMachine struct {
 	*candidateMachine
 	hasImage    bool
@@ -37,9 +37,9 @@
 	replicas    int
 }
 
-// rank returns the machines for the job, best first: those that hold the image, then spot
-// machines if they are preferred, then the most free room; of those that hold the image
-// the fullest.
+// rank returns the machines for the job, best first: machines that hold the image, then spot
+// machines if they are preferred, then the machines with the most free capacity. Among the
+// machines that hold the image, the fullest come first.
 func (s *machineSelector) rank(job *jobs.Job) []*candidateMachine {
 	need, shape := job.Spec.TaskResources(), shapeOf(&job.Spec)
 	if s.unplaceable[shape] {
@@ -66,8 +66,8 @@
 		}
 		ranked = append(ranked, candidate)
 	}
-	// Within a plan free room only shrinks: what fits nowhere now need not be tried again
-	// for the next job of the same shape.
+	// Within a plan, free capacity only shrinks: a shape that fits on no machine now need not
+	// be tried again for the next job of the same shape.
 	s.unplaceable[shape] = !fits
 	slices.SortStableFunc(ranked, s.compare)
 	machines := make([]*candidateMachine, len(ranked))
@@ -85,18 +85,19 @@
 		return compareTrueFirst(x.spot)
 	case !x.hasImage:
 		return cmp.Compare(y.free.CPUs, x.free.CPUs)
-	// Among those that hold the image, the fullest: so that others run empty and can be
-	// deprovisioned.
+	// Among the machines that hold the image, prefer the fullest, so that the others become
+	// empty and can be deprovisioned.
 	case x.runsService != y.runsService:
 		return compareTrueFirst(x.runsService)
-	// Replicas go where fewest are: a machine that fails takes few of them.
+	// Spread replicas over machines, so that the failure of a machine affects few of them.
 	case x.replicas != y.replicas:
 		return cmp.Compare(x.replicas, y.replicas)
 	}
 	return cmp.Compare(x.free.CPUs, y.free.CPUs)
 }
 
-// compareTrueFirst orders what is so before what isn't, given which of two that differ is so.
+// compareTrueFirst orders true before false for two values that differ, given the first of
+// them.
 func compareTrueFirst(first bool) int {
 	if first {
 		return -1
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -13,19 +13,20 @@
 	"badgerbay/internal/policy"
 )
 
-// Snapshot is what a round is planned from. Planning changes nothing in it.
+// Snapshot is the input from which a round is planned. Planning does not modify it.
 type Snapshot struct {
 	Now     clock.Instant
-	WallMs  int64 // time of day, in milliseconds since 1970, as in jobs.Job.AcceptedAtMs
+	WallMs  int64 // wall-clock time in milliseconds since 1970, as in jobs.Job.AcceptedAtMs
 	RoundNo ident.RoundNo
 	Epoch   ident.Epoch
 	Policy  *policy.Policy
 
-	// QueuedJobs have tasks to place, PlacedJobs have placements; both in any order.
+	// QueuedJobs have tasks to place and PlacedJobs have placements; the order of either is
+	// irrelevant.
 	QueuedJobs []*jobs.Job
 	PlacedJobs []*jobs.Job
-	// ReplacementAttempts names the attempt of gangs that wait for tasks which were lost
-	// before they began; these may be replaced.
+	// ReplacementAttempts holds the attempts of the gangs that wait because tasks were lost
+	// before they began. The lost tasks may be replaced in that attempt.
 	ReplacementAttempts map[ident.JobID]ident.Attempt
 
 	Fleet           *fleet.Fleet
@@ -34,42 +35,42 @@
 	Zones           []ident.Zone
 	MayDrain        bool // machines may be drained in this round
 	MayProvision    bool // machines may be provisioned in this round
-	// OfferUnavailable tells whether the cloud has none of an offer for now.
+	// OfferUnavailable reports whether the cloud currently has no machines of an offer.
 	OfferUnavailable func(cloud.Offer) bool
 
 	Teams map[ident.Team]config.Team
-	// TeamActive tells whether the team has had work a moment ago.
+	// TeamActive reports whether the team has had work recently.
 	TeamActive func(ident.Team) bool
-	// Reserved is what of a team's limit is kept for reservations of other nodes, beside
-	// what is placed; ReservedTasks is how many tasks of a job they cover, or nil if there
-	// are none. See package quota.
+	// Reserved is the part of each team's limit that is kept for reservations of other nodes,
+	// in addition to the placements. ReservedTasks returns how many tasks of a job they cover;
+	// it is nil if there are no reservations. See package quota.
 	Reserved      map[ident.Team]jobs.Resources
 	ReservedTasks func(*jobs.Job) int
 
 	Objectives   map[ident.Class]Objectives
-	SpareSpecs   []*jobs.Spec // classes to keep room free for
-	TypicalSpecs []*jobs.Spec // what the classes look like, as last seen
+	SpareSpecs   []*jobs.Spec // classes that capacity is kept free for
+	TypicalSpecs []*jobs.Spec // typical specs of the classes, as last observed
 
-	ValueBytes     int                 // that a value of the state service holds, in JSON
-	MaxJobValues   int                 // values that a job's record may take
-	MaxRoundValues int                 // values that a round's record may take
-	SpecJSONSize   func(*jobs.Job) int // of the job's spec, in bytes
+	ValueBytes     int                 // maximum JSON size of a value in the state service
+	MaxJobValues   int                 // maximum number of values of a job's record
+	MaxRoundValues int                 // maximum number of values of a round record
+	SpecJSONSize   func(*jobs.Job) int // size of the job's spec, in bytes
 }
 
-// PendingMachine is a machine that has been provisioned, or is being provisioned, and is not
-// up.
+// PendingMachine is a machine that has been provisioned, or is being provisioned, and is not up
+// yet.
 type PendingMachine struct {
 	Offer cloud.Offer
 }
 
 // Objectives are the service-level objectives of a class of jobs.
 type Objectives struct {
-	StartWithin  time.Duration   // to start within; 0: none
-	FinishWithin []time.Duration // to be done within, the shortest first
+	StartWithin  time.Duration   // maximum time until the start; 0: none
+	FinishWithin []time.Duration // maximum times until completion, shortest first
 }
 
-// With returns the objectives with one more, of a kind that settings know: "wait" or
-// "finished". Others are left out.
+// With returns a copy of the objectives with one added. The kind is "wait" or "finished", as in
+// the settings; other kinds, and times that are not positive, are ignored.
 func (o Objectives) With(kind string, within time.Duration) Objectives {
 	switch {
 	case within <= 0:
@@ -82,5 +83,5 @@
 	return o
 }
 
-// IsEmpty tells whether there are no objectives.
+// IsEmpty reports whether there are no objectives.
 func (o Objectives) IsEmpty() bool { return o.StartWithin == 0 && len(o.FinishWithin) == 0 }
--- a/internal/scheduler/spare_capacity.go
+++ b/internal/scheduler/spare_capacity.go
@@ -5,11 +5,12 @@
 	"badgerbay/internal/jobs"
 )
 
-// checkpointTimeDivisor: work that writes a checkpoint when it is evicted yields in time if
-// that takes no more than one part in so many of the time in which a class must start.
+// checkpointTimeDivisor limits the checkpoint time of work that counts as evictable in time:
+// work that writes a checkpoint on eviction may take 1/checkpointTimeDivisor of the time within
+// which the class must start.
 const checkpointTimeDivisor = 4
 
-// spareCapacity keeps room free for classes that must start faster than a machine comes up.
+// spareCapacity keeps capacity free for classes that must start faster than a machine comes up.
 type spareCapacity struct {
 	specs    []*jobs.Spec // see Snapshot.SpareSpecs
 	tasks    int          // see policy.Policy.SpareTasks
@@ -31,7 +32,8 @@
 	}
 }
 
-// measure finds once how much is missing of the room, and which machines hold it.
+// measure determines, once per plan, how much spare capacity is missing, and retains the
+// machines that provide it.
 func (s *spareCapacity) measure() {
 	if s.measured {
 		return
@@ -45,8 +47,8 @@
 	}
 }
 
-// missingTasks is for how many tasks of a class room is missing; it retains the machines that
-// have some.
+// missingTasks returns the number of tasks of a class for which spare capacity is missing, and
+// retains the machines that provide some.
 func (s *spareCapacity) missingTasks(spec *jobs.Spec) int {
 	missing := s.tasks
 	for _, m := range s.machines.up {
@@ -69,8 +71,8 @@
 	return missing
 }
 
-// evictable is what work of lower priority holds on the machine, which a task of the class
-// could have at once.
+// evictable returns the capacity that work of lower priority uses on the machine, and that a
+// task of the class could use without delay.
 func (s *spareCapacity) evictable(spec *jobs.Spec, m *candidateMachine) jobs.Resources {
 	var sum jobs.Resources
 	if m.machine.Load().TasksBelow(spec.Priority) == 0 {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// urgentSlackSeconds: work that can wait no longer than this beyond what a machine
-	// takes to come up is helped at any price.
+	// urgentSlackSeconds is the slack, beyond the time that a machine takes to come up, below
+	// which work gets machines at any price.
 	urgentSlackSeconds = 20
-	// ampleSlackSeconds: work with more slack than this does not use machines that only
-	// it would keep.
+	// ampleSlackSeconds is the slack above which work does not use machines that would be kept
+	// for this work alone.
 	ampleSlackSeconds = 90
 	// defaultSlackSeconds is the slack of work without objectives.
 	defaultSlackSeconds = 150
-	// stallThresholdSeconds: tasks of a job of which nothing has started for so long may
-	// go wherever they fit.
+	// stallThresholdSeconds is the time without a start after which the tasks of a job may be
+	// placed on any machine on which they fit.
 	stallThresholdSeconds = 60
-	// agingThresholdSeconds: what has waited so long and has not started goes before
-	// others, so that nothing starves behind what goes first.
+	// agingThresholdSeconds is the waiting time after which work that has not started is placed
+	// before other work, so that it does not starve behind work that precedes it in the queue.
 	agingThresholdSeconds = 140
-	// agingDeadlineSeconds: what has waited so long goes before others with all its tasks
-	// that never ran, whatever share of the machines that takes.
+	// agingDeadlineSeconds is the waiting time after which all tasks of a job that never ran
+	// are placed before other work, whatever share of the machines that takes.
 	agingDeadlineSeconds = 180
-	// defaultRunSeconds is taken for the run time of tasks that name none.
+	// defaultRunSeconds is the assumed run time of tasks without an estimate.
 	defaultRunSeconds = 300
-	// optimisticRunRatio is the part of its estimate that work may take if all goes well.
+	// optimisticRunRatio is the ratio of the run time to its estimate in the best case.
 	optimisticRunRatio = 0.6
-	// expectedRunRatio is how much longer than its estimate work is expected to run.
+	// expectedRunRatio is the expected ratio of the run time to its estimate.
 	expectedRunRatio = 1.3
 )
 
-// urgency tells how long jobs have waited and how long they still can.
+// urgency determines how long jobs have waited and how long they can still wait.
 type urgency struct {
 	now        clock.Instant
 	wallMs     int64
@@ -57,13 +57,14 @@
 	return job.Spec.DeadlineSeconds - u.waitedSeconds(job), true
 }
 
-// startWithinSeconds is the time in which jobs of the class should start; 0: none is set.
+// startWithinSeconds returns the time within which jobs of the class should start; 0 if none is
+// set.
 func (u *urgency) startWithinSeconds(class ident.Class) float64 {
 	return u.objectives[class].StartWithin.Seconds()
 }
 
-// slackSeconds is how long the job can still wait for its tasks to start and meet its
-// objectives.
+// slackSeconds returns how long the tasks of the job can still wait to start without missing
+// the objectives of the job.
 func (u *urgency) slackSeconds(job *jobs.Job) float64 {
 	if job.Spec.Service || job.Spec.Priority >= jobs.PriorityHigh {
 		return 0
@@ -82,7 +83,7 @@
 	switch {
 	case !math.IsInf(left, 1):
 	case job.HasStarted():
-		// Nobody waits for the rest of it.
+		// No objective depends on the remaining tasks of a job that has started.
 		return defaultSlackSeconds
 	default:
 		left = defaultSlackSeconds - waited
@@ -90,8 +91,8 @@
 	return max(0, left)
 }
 
-// reachableFinish is the shortest objective for the job's completion that it can still
-// meet if all goes well, or else the longest.
+// reachableFinish returns the shortest completion objective that the job can still meet in the
+// best case, or the longest one if it can meet none. It reports false if its class has none.
 func (u *urgency) reachableFinish(job *jobs.Job) (time.Duration, bool) {
 	targets := u.objectives[job.Spec.Class].FinishWithin
 	if len(targets) == 0 {
@@ -105,30 +106,33 @@
 	return targets[len(targets)-1], true
 }
 
-// hasNoObjective tells whether the job has no deadline, and its class no objective.
+// hasNoObjective reports whether the job is no service and has no deadline, and its class has
+// no objectives.
 func (u *urgency) hasNoObjective(job *jobs.Job) bool {
 	return !job.Spec.Service && job.Spec.DeadlineSeconds <= 0 && u.objectives[job.Spec.Class].IsEmpty()
 }
 
-// needsOnlyOneStart tells whether nothing is expected of the job but that it starts some
-// time: one task on an expensive machine does for that. Old jobs of the lowest priority
-// had hundreds of expensive machines provisioned for all their tasks.
+// needsOnlyOneStart reports whether the job has no objective and has not started: it only has
+// to start some time, for which one task on an expensive machine is enough. Without this rule,
+// hundreds of expensive machines were provisioned for all tasks of old jobs of the lowest
+// priority.
 func (u *urgency) needsOnlyOneStart(job *jobs.Job) bool {
 	return job.Spec.Priority < jobs.PriorityHigh && u.hasNoObjective(job) && !job.HasStarted()
 }
 
-// isAged tells whether the job has waited so long that it may be starving.
+// isAged reports whether the job has waited so long that it may be starving.
 func (u *urgency) isAged(job *jobs.Job) bool {
 	return job.Spec.Priority < jobs.PriorityHigh && !job.Spec.Gang && !job.Spec.Service &&
 		u.waitedSeconds(job) >= agingThresholdSeconds
 }
 
-// isStalled tells whether no task of the job has been placed for long, though some wait.
+// isStalled reports whether no task of the job has been placed for stallThresholdSeconds,
+// although some are queued.
 func (u *urgency) isStalled(job *jobs.Job) bool {
 	return u.now.Sub(max(job.QueuedSince, job.LastPlacedAt)).Seconds() >= stallThresholdSeconds
 }
 
-// expectedRunSeconds is how long a task of the job is expected to run.
+// expectedRunSeconds returns the expected run time of a task of the job.
 func expectedRunSeconds(job *jobs.Job) float64 {
 	if job.Spec.EstimatedRunSeconds <= 0 {
 		return defaultRunSeconds
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// zoneTracker keeps zone affinity and zone spread: it counts the tasks that the plan puts
-// into each zone.
+// zoneTracker enforces zone affinity and zone spread. It counts the tasks that the plan places
+// in each zone.
 type zoneTracker struct {
 	planned map[*jobs.Job]map[ident.Zone]int
 }
@@ -17,7 +17,7 @@
 	return &zoneTracker{planned: map[*jobs.Job]map[ident.Zone]int{}}
 }
 
-// add counts n tasks of the job as being in the zone.
+// add counts n tasks of the job as placed in the zone.
 func (z *zoneTracker) add(job *jobs.Job, zone ident.Zone, n int) {
 	if z.planned[job] == nil {
 		z.planned[job] = map[ident.Zone]int{}
@@ -25,10 +25,10 @@
 	z.planned[job][zone] += n
 }
 
-// room is how many more tasks of the job may be in the zone, given where its other tasks
-// are or are about to be.
+// room returns how many more tasks of the job may be placed in the zone, given the zones of its
+// other tasks, placed or planned.
 func (z *zoneTracker) room(job *jobs.Job, zone ident.Zone) int {
-	// A machine whose zone is not known yet may be in any.
+	// A machine whose zone is not known yet may be in any zone.
 	if job.PlacementsByZone[""] > 0 && (job.Spec.ZoneAffinity || job.Spec.ZoneSpread) {
 		return 0
 	}
