--- a/docs/outernames_test.go
+++ b/docs/outernames_test.go
@@ -29,7 +29,7 @@
 
 var (
 	tagValue  = regexp.MustCompile(`\b\w+:"([^",]*)`)
-	wholeWord = regexp.MustCompile(`(?:--)?[\w.]*\w`)
+	wholeWord = regexp.MustCompile(`(?:--)?[\w./]*\w`)
 )
 
 // outerNames returns what the program's sources hold that may leave the process: string literals, struct tags, names of
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -63,13 +63,13 @@
 	}
 	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
 		hear()
-		if tm.transferLeadershipIfUnreached(g.now) {
+		if tm.transferLeadershipIfUnreachable(g.now) {
 			t.Fatalf("handed over after %v", g.now.Sub(tm.acquiredAt))
 		}
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
 	begun := g.now
-	for !tm.transferLeadershipIfUnreached(g.now) && g.now.Sub(begun) < time.Minute {
+	for !tm.transferLeadershipIfUnreachable(g.now) && g.now.Sub(begun) < time.Minute {
 		hear()
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -59,7 +59,7 @@
 	c.term.delegations.ConfirmIdle(in.Node, in.SentAt, now, in.Status.IdleFor)
 	c.term.schema.nodeReported(now, in.Node, in.SchemaVersion)
 	if in.EnforcesQuotas {
-		c.term.quotas.nodeEnforces(now, in.Node)
+		c.term.quotas.recordEnforcer(now, in.Node)
 	}
 }
 
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -137,7 +137,7 @@
 		if !j.Dirty() || j.FoldInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.startsTasksOf(j.ID) {
 			continue
 		}
-		if j.NeedsUrgentFold() || blocking[j.ID] || table.isAwaited(j.ID) {
+		if j.NeedsUrgentFold() || blocking[j.ID] || table.hasPendingCancels(j.ID) {
 			urgent = append(urgent, j)
 		} else if now.Sub(j.DirtySince) >= w.policy.MaxFoldDelay {
 			late = append(late, j)
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -10,7 +10,7 @@
 func (t *term) updateGauges(now clock.Instant) {
 	m := t.metrics
 	updateJobGauges(m, t.jobs, now)
-	m.UncertainProvisions.Set(float64(t.provisioner.uncertain()))
+	m.UncertainProvisions.Set(float64(t.provisioner.unknownOutcomeCount()))
 	m.Machines.Set(float64(t.fleet.Len()))
 	m.FreeRoundSlots.Set(float64(t.rounds.freeSlots()))
 	m.Tombstones.Set(float64(t.fleet.TombstoneCount()))
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -50,9 +50,9 @@
 func (HeartbeatReceived) input() {}
 func (HeartbeatReply) effect()   {}
 
-// heartbeatDeferral bounds how long a heartbeat is held until the records are read, since the worker blocks on the
+// maxHeartbeatDeferral bounds how long a heartbeat is held until the records are read, since the worker blocks on the
 // reply.
-const heartbeatDeferral = 1500 * time.Millisecond
+const maxHeartbeatDeferral = 1500 * time.Millisecond
 
 // deferredHeartbeats holds the heartbeats that arrive before the records are read. Without the records the leader does
 // not know which tasks must stop. A reply without the stop commands would renew the lease of tasks whose cancellation
@@ -70,11 +70,11 @@
 
 // add holds a heartbeat until the records are read or its deadline passes.
 func (d *deferredHeartbeats) add(now clock.Instant, in HeartbeatReceived) {
-	d.waiting = append(d.waiting, deferredHeartbeat{in, now.Add(heartbeatDeferral)})
+	d.waiting = append(d.waiting, deferredHeartbeat{in, now.Add(maxHeartbeatDeferral)})
 }
 
-// take removes and returns all held heartbeats.
-func (d *deferredHeartbeats) take() []deferredHeartbeat {
+// takeAll removes and returns all held heartbeats.
+func (d *deferredHeartbeats) takeAll() []deferredHeartbeat {
 	waiting := d.waiting
 	d.waiting = nil
 	return waiting
@@ -105,7 +105,7 @@
 
 // handleDeferred handles the heartbeats that were held until the records were read.
 func (t *term) handleDeferred(now clock.Instant) {
-	for _, h := range t.deferred.take() {
+	for _, h := range t.deferred.takeAll() {
 		if t.core.term != t {
 			// An earlier heartbeat of this batch carried a newer fencing token, which ended this term.
 			t.refuseHeartbeat(h.received)
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -61,7 +61,7 @@
 // jobChanged reads the record of a job that was stored or changed after the leader loaded the records.
 func (t *term) jobChanged(in JobChanged) {
 	if t.recovery.isLoaded() {
-		t.jobs.changed(in.Job, in.ModRevision)
+		t.jobs.readIfOutdated(in.Job, in.ModRevision)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	j.Cancel(now)
 	t.stopCancelledTasks(now, j)
-	t.jobs.awaitCancellation(now, j.ID, responder)
+	t.jobs.addPendingCancel(now, j.ID, responder)
 	t.rounds.requestPlan()
 }
 
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -68,8 +68,8 @@
 	return specs
 }
 
-// changed reads a job's record, unless the revision is already known or this leader is writing the record.
-func (t *jobTable) changed(id ident.JobID, revision ident.Revision) {
+// readIfOutdated reads a job's record, unless the revision is already known or this leader is writing the record.
+func (t *jobTable) readIfOutdated(id ident.JobID, revision ident.Revision) {
 	j := t.byID[id]
 	known := j != nil && (revision <= j.Stored.ModRevision || j.FoldInFlight)
 	if !known {
@@ -88,13 +88,13 @@
 
 func (t *jobTable) readCompleted(id ident.JobID) { delete(t.readsInFlight, id) }
 
-// awaitCancellation makes a cancel request wait for the checkpoint of its job.
-func (t *jobTable) awaitCancellation(now clock.Instant, id ident.JobID, responder Responder[JobReply]) {
+// addPendingCancel makes a cancel request wait for the checkpoint of its job.
+func (t *jobTable) addPendingCancel(now clock.Instant, id ident.JobID, responder Responder[JobReply]) {
 	t.pendingCancels[id] = append(t.pendingCancels[id], pendingCancel{responder, now.Add(cancelStoreTimeout)})
 }
 
-// isAwaited reports whether a cancel request waits for the checkpoint of a job.
-func (t *jobTable) isAwaited(id ident.JobID) bool { return len(t.pendingCancels[id]) > 0 }
+// hasPendingCancels reports whether a cancel request waits for the checkpoint of a job.
+func (t *jobTable) hasPendingCancels(id ident.JobID) bool { return len(t.pendingCancels[id]) > 0 }
 
 // answerCancellations answers all pending cancel requests for a job.
 func (t *jobTable) answerCancellations(id ident.JobID, outcome api.QueryOutcome, validUntil clock.Instant) {
--- a/internal/controller/leaderparts_test.go
+++ b/internal/controller/leaderparts_test.go
@@ -32,14 +32,14 @@
 	env, _ := newTestEnvironment(t)
 	table := newJobTable(env)
 	for range 2 {
-		table.changed("wk-000001", 0)
+		table.readIfOutdated("wk-000001", 0)
 	}
 	want := []Effect{ReadJobRecord{Job: "wk-000001"}}
 	if diff := cmp.Diff(want, env.takeEffects()); diff != "" {
 		t.Errorf("two changes of a job (-want +got):\n%s", diff)
 	}
 	table.readCompleted("wk-000001")
-	table.changed("wk-000001", 0)
+	table.readIfOutdated("wk-000001", 0)
 	if diff := cmp.Diff(want, env.takeEffects()); diff != "" {
 		t.Errorf("a change after the read (-want +got):\n%s", diff)
 	}
@@ -50,10 +50,10 @@
 	table := newJobTable(env)
 	var outcomes []api.QueryOutcome
 	responder := ResponderFunc[JobReply](func(r JobReply) { outcomes = append(outcomes, r.Outcome) })
-	table.awaitCancellation(now, "wk-000001", responder)
-	table.awaitCancellation(now.Add(time.Second), "wk-000002", responder)
+	table.addPendingCancel(now, "wk-000001", responder)
+	table.addPendingCancel(now.Add(time.Second), "wk-000002", responder)
 	table.answerOverdueCancellations(now.Add(cancelStoreTimeout - 1))
-	if table.answerOverdueCancellations(now.Add(cancelStoreTimeout)); table.isAwaited("wk-000001") || !table.isAwaited("wk-000002") {
+	if table.answerOverdueCancellations(now.Add(cancelStoreTimeout)); table.hasPendingCancels("wk-000001") || !table.hasPendingCancels("wk-000002") {
 		t.Error("not just the overdue cancellation was answered")
 	}
 	table.abandonCancellations()
@@ -71,14 +71,14 @@
 	for i, id := range []ident.MachineID{"m1", "m2"} {
 		deferred.add(now.Add(time.Duration(i)*time.Second), HeartbeatReceived{Heartbeat: &fleet.Heartbeat{Machine: id}})
 	}
-	deferred.refuseOverdue(now.Add(heartbeatDeferral))
+	deferred.refuseOverdue(now.Add(maxHeartbeatDeferral))
 	if diff := cmp.Diff([]Effect{HeartbeatReply{Outcome: HeartbeatUnavailable}}, env.takeEffects()); diff != "" {
 		t.Errorf("replies (-want +got):\n%s", diff)
 	}
-	if left := deferred.take(); len(left) != 1 || left[0].received.Heartbeat.Machine != "m2" {
+	if left := deferred.takeAll(); len(left) != 1 || left[0].received.Heartbeat.Machine != "m2" {
 		t.Errorf("%+v wait on", left)
 	}
-	if again := deferred.take(); again != nil {
+	if again := deferred.takeAll(); again != nil {
 		t.Errorf("%+v are taken twice", again)
 	}
 }
@@ -87,11 +87,11 @@
 	env, now := newTestEnvironment(t)
 	p := newProvisioner(env, now)
 	burst := int(cloudCallBurst(env.settings.Params.Cloud))
-	p.release("m1")
+	p.deprovision("m1")
 	for i := range 2 * burst {
 		p.request(now, roundlog.Provision{Name: roundlog.ProvisionName(1, 1, i), Count: 1}, false)
 	}
-	p.call(now)
+	p.sendDueCalls(now)
 	effects := env.takeEffects()
 	if len(effects) != burst {
 		t.Errorf("%d calls at once, want %d", len(effects), burst)
@@ -102,7 +102,7 @@
 	if p.mayRequest(now) {
 		t.Error("a round may request machines although no call is left and many requests are pending")
 	}
-	p.call(now)
+	p.sendDueCalls(now)
 	if more := env.takeEffects(); len(more) != 0 {
 		t.Errorf("%d calls beyond the rate", len(more))
 	}
--- a/internal/controller/leadtransfer.go
+++ b/internal/controller/leadtransfer.go
@@ -6,9 +6,9 @@
 	"badgerbay/internal/leadtransfer"
 )
 
-// transferLeadershipIfUnreached resigns in favour of another node if the workers reach that node and not this one. It
+// transferLeadershipIfUnreachable resigns in favour of another node if the workers reach that node and not this one. It
 // then stays out of the election for a cooldown so that it is not re-elected at once. It reports whether it resigned.
-func (t *term) transferLeadershipIfUnreached(now clock.Instant) bool {
+func (t *term) transferLeadershipIfUnreachable(now clock.Instant) bool {
 	if t.rounds.isWriting() || t.checkpoints.isWriting() || t.core.election.AdvancingEpoch() {
 		return false
 	}
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -129,7 +129,7 @@
 	}
 	if len(record.Deprovisions) > 0 {
 		t.log.Info("deprovision requested", "machines", record.Deprovisions, "round", record.RoundNo, "epoch", t.epoch)
-		t.provisioner.release(record.Deprovisions...)
+		t.provisioner.deprovision(record.Deprovisions...)
 	}
 }
 
@@ -252,6 +252,6 @@
 	}
 	for _, id := range r.Deprovisions {
 		t.fleet.Ensure(now, id).Deprovisioning = true
-		t.provisioner.release(id)
+		t.provisioner.deprovision(id)
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -105,8 +105,8 @@
 	p.tracker.AddProvision(now, r.Name, r.Offer, r.Count, repeated)
 }
 
-// release adds machines to deprovision.
-func (p *provisioner) release(machines ...ident.MachineID) { p.tracker.AddDeprovision(machines...) }
+// deprovision adds machines to deprovision.
+func (p *provisioner) deprovision(machines ...ident.MachineID) { p.tracker.AddDeprovision(machines...) }
 
 // isBlocked reports whether the cloud refused an offer so recently that it is not requested again yet.
 func (p *provisioner) isBlocked(now clock.Instant, offer cloud.Offer) bool {
@@ -122,12 +122,12 @@
 // hasListed reports whether the machine list has been read in this term.
 func (p *provisioner) hasListed() bool { return p.listed }
 
-// uncertain returns the number of provision requests whose outcome is unknown.
-func (p *provisioner) uncertain() int { return p.tracker.UnknownOutcomeCount() }
+// unknownOutcomeCount returns the number of provision requests whose outcome is unknown.
+func (p *provisioner) unknownOutcomeCount() int { return p.tracker.UnknownOutcomeCount() }
 
-// call sends the calls that are due: deprovision requests first, because they stop costs, then provision requests, then
+// sendDueCalls sends the calls that are due: deprovision requests first, because they stop costs, then provision requests, then
 // reads of the machine list and the machine types.
-func (p *provisioner) call(now clock.Instant) {
+func (p *provisioner) sendDueCalls(now clock.Instant) {
 	if p.calls.Available(now) < 1 {
 		return
 	}
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -92,8 +92,8 @@
 // isWriting reports whether a change of allocations is being written.
 func (q *quotaManager) isWriting() bool { return q.allocator.ChangeInFlight() }
 
-// nodeEnforces records a node's announcement that it would enforce allocations as leader.
-func (q *quotaManager) nodeEnforces(now clock.Instant, node string) { q.enforcers[node] = now }
+// recordEnforcer records a node's announcement that it would enforce allocations as leader.
+func (q *quotaManager) recordEnforcer(now clock.Instant, node string) { q.enforcers[node] = now }
 
 // receive queues a holder's request, which step or completed answers.
 func (q *quotaManager) receive(now clock.Instant, in QuotaRequest) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// completed answers the holders whose changes are stored.
-func (q *quotaManager) completed(now clock.Instant, in TransactionCompleted, table *jobTable) {
+// completeChange answers the holders whose changes are stored.
+func (q *quotaManager) completeChange(now clock.Instant, in TransactionCompleted, table *jobTable) {
 	q.reply(q.allocator.CompleteChange(now, in.Outcome == election.OutcomeOK, in.Revision, q.jobUsage(now, table)))
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -115,7 +115,7 @@
 	if !t.core.election.LeaseValid(now) {
 		return
 	}
-	if t.transferLeadershipIfUnreached(now) {
+	if t.transferLeadershipIfUnreachable(now) {
 		return
 	}
 	t.requestHeartbeats(now)
@@ -131,7 +131,7 @@
 		t.checkpoints.foldIfDue(now, t.epoch, t.schema, t.jobs, t.rounds)
 	}
 	t.scheduleIfDue(now)
-	t.provisioner.call(now)
+	t.provisioner.sendDueCalls(now)
 	t.pushCommands(now)
 }
 
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -73,7 +73,7 @@
 	case StagingTransaction:
 		t.checkpoints.stagingCompleted(now, in)
 	case QuotaTransaction:
-		t.quotas.completed(now, in, t.jobs)
+		t.quotas.completeChange(now, in, t.jobs)
 		t.rounds.requestPlan()
 	}
 }
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -33,7 +33,7 @@
 // addUsage adds n tasks of the job on the machine to the usage of its team and to the tasks in
 // the zone.
 func (a *assignments) addUsage(job *jobs.Job, m *candidateMachine, n int) {
-	a.quotas.use(job, n)
-	a.quotas.useReservation(job, n)
+	a.quotas.addUsage(job, n)
+	a.quotas.consumeReservation(job, n)
 	a.zones.add(job, m.zone, n)
 }
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -161,7 +161,7 @@
 	for _, m := range c.machines.up {
 		free, stays := c.free[m]
 		if stays && free.Fits(need) && m.accepts(job, c.urgency.now) && m.machine.HasImage(job.Spec.Image) &&
-			(m.zone == sourceZone || c.zones.room(job, m.zone) > 0) {
+			(m.zone == sourceZone || c.zones.allowedTasks(job, m.zone) > 0) {
 			c.free[m] = free.Sub(need)
 			c.reservations = append(c.reservations, reservation{m, need})
 			return true
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -69,12 +69,12 @@
 		return 0
 	}
 	n := gang.Queue.Len()
-	p.quotas.noteReservationBlocked(gang, n)
+	p.quotas.recordReservationBlocked(gang, n)
 	if allowed := p.quotas.tasksWithinQuota(gang); allowed < n {
 		// The gang reserves no machine, but it reserves the rest of its team's limit.
 		// Otherwise, individually placed tasks of the team use up the limit bit by bit as it
 		// becomes available.
-		p.quotas.use(gang, allowed)
+		p.quotas.addUsage(gang, allowed)
 		return 0
 	}
 	if found := p.fit(gang, p.selector.rank(gang)); found != nil {
@@ -170,7 +170,7 @@
 		if zone != anyZone && m.zone != zone {
 			continue
 		}
-		n := min(len(tasks), m.free.MaxCopies(gang.Spec.TaskResources()), p.zones.room(gang, m.zone)-used[m.zone])
+		n := min(len(tasks), m.free.MaxCopies(gang.Spec.TaskResources()), p.zones.allowedTasks(gang, m.zone)-used[m.zone])
 		n = gang.FittingTasks(spare, m.machine.ID, n)
 		if n <= 0 {
 			continue
@@ -262,7 +262,7 @@
 func (p *gangPlacer) freeTasks(gang *jobs.Job, zone ident.Zone) int {
 	byZone := map[ident.Zone]int{}
 	p.eachMachine(gang, zone, func(m *candidateMachine) {
-		byZone[m.zone] = min(p.zones.room(gang, m.zone), byZone[m.zone]+m.free.MaxCopies(gang.Spec.TaskResources()))
+		byZone[m.zone] = min(p.zones.allowedTasks(gang, m.zone), byZone[m.zone]+m.free.MaxCopies(gang.Spec.TaskResources()))
 	})
 	sum := 0
 	for _, n := range byZone {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -74,13 +74,13 @@
 func (p *taskPlacer) eligibleTasks(entry queueEntry) int {
 	job := entry.job
 	n := job.Queue.Len() - p.claimed[job].Len()
-	p.quotas.noteReservationBlocked(job, n)
+	p.quotas.recordReservationBlocked(job, n)
 	n = min(n, p.quotas.tasksWithinQuota(job))
 	if entry.guaranteed {
 		n = min(n, p.quotas.tasksWithinGuarantee(job))
 	}
 	if entry.aged {
-		n = min(n, p.aging.take(job))
+		n = min(n, p.aging.reserve(job))
 	}
 	return n
 }
@@ -124,7 +124,7 @@
 		if len(tasks) == 0 || p.record.full {
 			break
 		}
-		n := min(len(tasks), m.free.MaxCopies(job.Spec.TaskResources()), p.zones.room(job, m.zone))
+		n := min(len(tasks), m.free.MaxCopies(job.Spec.TaskResources()), p.zones.allowedTasks(job, m.zone))
 		if p.costs.allowsOneTask(job, m) {
 			n = min(n, 1-min(1, p.assignments.started[job]))
 		}
@@ -163,7 +163,7 @@
 	var usable []*candidateMachine
 	for _, m := range p.machines.up {
 		if m.accepts(job, p.urgency.now) && p.costs.mayUse(job, m) &&
-			m.machineType.Capacity.Fits(need) && p.zones.room(job, m.zone) > 0 {
+			m.machineType.Capacity.Fits(need) && p.zones.allowedTasks(job, m.zone) > 0 {
 			usable = append(usable, m)
 		}
 	}
@@ -196,7 +196,7 @@
 		if !m.free.Fits(need) || !m.isAllowedBy(&job.Spec) || !p.mayWaitForPending(job, m) {
 			continue
 		}
-		k := min(n, m.free.MaxCopies(need), p.zones.room(job, m.zone))
+		k := min(n, m.free.MaxCopies(need), p.zones.allowedTasks(job, m.zone))
 		k = min(k, p.scaleOut.taskLimit(job, m.machineType, m.spot))
 		p.scaleOut.awaitingMachine[job] += k
 		p.assignments.allocate(job, m, k)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -113,7 +113,7 @@
 		// Decisions made since the cost was computed may have changed it.
 		site, ok := p.siteAt(job, cheapest.machine)
 		switch {
-		case !ok || p.zones.room(job, site.machine.zone) == 0:
+		case !ok || p.zones.allowedTasks(job, site.machine.zone) == 0:
 			heap.Pop(sites)
 		case site.cost > cheapest.cost:
 			*cheapest = site
@@ -140,7 +140,7 @@
 		}
 		// Skip expensive machines that the job may not use. Otherwise, every plan reserves free
 		// capacity there for a job that never uses it, and withholds it from jobs that could.
-		if !m.accepts(job, p.urgency.now) || !p.costs.mayUse(job, m) || p.zones.room(job, m.zone) == 0 {
+		if !m.accepts(job, p.urgency.now) || !p.costs.mayUse(job, m) || p.zones.allowedTasks(job, m.zone) == 0 {
 			continue
 		}
 		if site, ok := p.siteAt(job, m); ok {
@@ -232,7 +232,7 @@
 	if victim.Team == job.Spec.Team || victim.Priority > job.Spec.Priority || !p.quotas.withinGuarantee(job) {
 		return false
 	}
-	return p.quotas.staysWithinGuarantee(placement, evictionSize(placement))
+	return p.quotas.keepsFullGuarantee(placement, evictionSize(placement))
 }
 
 // evictionSize returns how many tasks end if the placement is evicted: a gang is evicted as a
@@ -360,7 +360,7 @@
 	}
 	if !placement.Stopping {
 		p.evictions = append(p.evictions, Eviction{Placement: placement, Preemptor: job.ID})
-		p.quotas.markEvicted(placement)
+		p.quotas.addEvictedUsage(placement)
 	}
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -69,7 +69,7 @@
 // agingBudget limits the resources of the tasks that aged jobs may start before other jobs.
 type agingBudget struct {
 	urgency *urgency
-	left    jobs.Resources
+	remaining    jobs.Resources
 }
 
 // newAgingBudget allows aged jobs their share of the capacity of the machines, less the
@@ -77,20 +77,20 @@
 func newAgingBudget(machines *machinePool, placed []*jobs.Job, u *urgency) *agingBudget {
 	b := &agingBudget{urgency: u}
 	for _, m := range machines.up {
-		b.left = b.left.Add(m.machineType.Capacity.Scale(agedCapacityShare))
+		b.remaining = b.remaining.Add(m.machineType.Capacity.Scale(agedCapacityShare))
 	}
 	for _, job := range placed {
 		if u.isAged(job) {
-			b.left = b.left.Sub(job.Spec.TaskResources().Multiply(len(job.Placements)))
+			b.remaining = b.remaining.Sub(job.Spec.TaskResources().Multiply(len(job.Placements)))
 		}
 	}
 	return b
 }
 
-// take returns how many tasks an aged job may start before other jobs, and deducts them from
+// reserve returns how many tasks an aged job may start before other jobs, and deducts them from
 // the budget. A job without placements may start one task regardless of the budget.
-func (b *agingBudget) take(job *jobs.Job) int {
-	n := b.left.MaxCopies(job.Spec.TaskResources())
+func (b *agingBudget) reserve(job *jobs.Job) int {
+	n := b.remaining.MaxCopies(job.Spec.TaskResources())
 	if b.urgency.waitedSeconds(job) >= agingDeadlineSeconds {
 		n = math.MaxInt32
 	}
@@ -98,6 +98,6 @@
 		n = max(n, 1)
 	}
 	n = len(job.UnstartedTasks(min(max(0, n), job.Queue.Len())))
-	b.left = b.left.Sub(job.Spec.TaskResources().Multiply(n))
+	b.remaining = b.remaining.Sub(job.Spec.TaskResources().Multiply(n))
 	return n
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -56,7 +56,7 @@
 // machines holds, at least one if they run none, and all once they have waited too long.
 func TestAgingBudgetIsSpent(t *testing.T) {
 	snapshot := &Snapshot{WallMs: queueNowMs}
-	budget := &agingBudget{urgency: newUrgency(snapshot), left: jobs.Resources{CPUs: 3, MemoryGB: 100}}
+	budget := &agingBudget{urgency: newUrgency(snapshot), remaining: jobs.Resources{CPUs: 3, MemoryGB: 100}}
 	for _, c := range []struct {
 		waitedSeconds int64
 		want          int
@@ -66,7 +66,7 @@
 		{agingDeadlineSeconds, 8},
 	} {
 		job := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 8, 1), c.waitedSeconds)
-		if got := budget.take(job); got != c.want {
+		if got := budget.reserve(job); got != c.want {
 			t.Errorf("after %d s: %d tasks, want %d", c.waitedSeconds, got, c.want)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -47,24 +47,24 @@
 		q.hasGuarantees = q.hasGuarantees || team.CPUGuarantee > 0
 	}
 	for _, job := range s.PlacedJobs {
-		q.use(job, len(job.Placements))
+		q.addUsage(job, len(job.Placements))
 		for _, placement := range job.Placements {
 			if placement.Stopping {
-				q.markEvicted(placement)
+				q.addEvictedUsage(placement)
 			}
 		}
 	}
 	return q
 }
 
-// use adds n tasks of the job to the usage of its team.
-func (q *quotaTracker) use(job *jobs.Job, n int) {
+// addUsage adds n tasks of the job to the usage of its team.
+func (q *quotaTracker) addUsage(job *jobs.Job, n int) {
 	team := job.Spec.Team
 	q.usage[team] = q.usage[team].Add(job.Spec.TaskResources().Multiply(n))
 }
 
-// markEvicted records that a placement is requested to stop.
-func (q *quotaTracker) markEvicted(placement *jobs.Placement) {
+// addEvictedUsage records that a placement is requested to stop.
+func (q *quotaTracker) addEvictedUsage(placement *jobs.Placement) {
 	spec := &placement.Job.Spec
 	q.evictedUsage[spec.Team] = q.evictedUsage[spec.Team].Add(spec.TaskResources())
 }
@@ -94,9 +94,9 @@
 		(after.GPUs == 0 || after.GPUs <= team.GPUGuarantee+amountEpsilon)
 }
 
-// staysWithinGuarantee reports whether the team of a placement still uses at least its CPU
+// keepsFullGuarantee reports whether the team of a placement still uses at least its CPU
 // guarantee after n tasks like this one have ended.
-func (q *quotaTracker) staysWithinGuarantee(placement *jobs.Placement, n int) bool {
+func (q *quotaTracker) keepsFullGuarantee(placement *jobs.Placement, n int) bool {
 	spec := &placement.Job.Spec
 	left := q.usageAfterEvictions(spec.Team).Sub(spec.TaskResources().Multiply(n))
 	return left.CPUs >= q.teams[spec.Team].CPUGuarantee-amountEpsilon
@@ -165,9 +165,9 @@
 	return n
 }
 
-// useReservation deducts n tasks of the job from the reserved resources, as far as reservations
+// consumeReservation deducts n tasks of the job from the reserved resources, as far as reservations
 // cover them, because they now count as usage.
-func (q *quotaTracker) useReservation(job *jobs.Job, n int) {
+func (q *quotaTracker) consumeReservation(job *jobs.Job, n int) {
 	reserved, ok := q.reserved[job.Spec.Team]
 	if !ok {
 		return
@@ -177,9 +177,9 @@
 	q.reserved[job.Spec.Team] = reserved.Sub(job.Spec.TaskResources().Multiply(n)).Max(jobs.Resources{})
 }
 
-// noteReservationBlocked records, once for each job, the resources of those of its n tasks that
+// recordReservationBlocked records, once for each job, the resources of those of its n tasks that
 // fit the team's limit but are blocked by reservations.
-func (q *quotaTracker) noteReservationBlocked(job *jobs.Job, n int) {
+func (q *quotaTracker) recordReservationBlocked(job *jobs.Job, n int) {
 	team := job.Spec.Team
 	if _, ok := q.reserved[team]; !ok || q.reservationChecked[job] {
 		return
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -30,12 +30,12 @@
 	if n := quotas.tasksWithinQuota(covered); n != 10 {
 		t.Errorf("%d tasks of the covered job, want 10", n)
 	}
-	quotas.noteReservationBlocked(other, 9)
+	quotas.recordReservationBlocked(other, 9)
 	if blocked := quotas.reservationBlocked["red"].CPUs; blocked != 5 {
 		t.Errorf("%v CPUs are blocked by reservations, want 5", blocked)
 	}
-	quotas.use(covered, 6)
-	quotas.useReservation(covered, 6)
+	quotas.addUsage(covered, 6)
+	quotas.consumeReservation(covered, 6)
 	if n := quotas.tasksWithinQuota(other); n != 4 {
 		t.Errorf("%d tasks once the reserved ones are placed, want 4", n)
 	}
@@ -50,15 +50,15 @@
 		"red":  {CPUGuarantee: 4},
 		"blue": {CPUGuarantee: 4, CPULimit: 12},
 	}})
-	quotas.use(victim, 2)
+	quotas.addUsage(victim, 2)
 	if !quotas.mayReclaim(preemptor) {
 		t.Error("nothing can be reclaimed from a team beyond its guarantee")
 	}
 	placement := &jobs.Placement{Job: victim}
-	if !quotas.staysWithinGuarantee(placement, 1) || quotas.staysWithinGuarantee(placement, 2) {
+	if !quotas.keepsFullGuarantee(placement, 1) || quotas.keepsFullGuarantee(placement, 2) {
 		t.Error("want one task to be more than the guarantee, and two not")
 	}
-	quotas.markEvicted(placement)
+	quotas.addEvictedUsage(placement)
 	if quotas.mayReclaim(preemptor) {
 		t.Error("more can be reclaimed than the team holds beyond its guarantee")
 	}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -122,7 +122,7 @@
 				continue
 			}
 		}
-		n := min(shortage.tasks, s.zones.room(job, offer.Zone), s.taskLimit(job, t, offer.Spot))
+		n := min(shortage.tasks, s.zones.allowedTasks(job, offer.Zone), s.taskLimit(job, t, offer.Spot))
 		for ; n > 0; n-- {
 			if !free.Fits(job.Spec.TaskResources()) {
 				if count == cloud.MaxProvisionCount {
@@ -147,7 +147,7 @@
 		if zone := s.requiredZone[job]; zone != "" && zone != offer.Zone {
 			return
 		}
-		if s.zones.room(job, offer.Zone) == 0 || s.offers.unavailable(offer) ||
+		if s.zones.allowedTasks(job, offer.Zone) == 0 || s.offers.unavailable(offer) ||
 			!s.costs.worthProvisioning(job, t, offer.Spot) {
 			return
 		}
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -25,9 +25,9 @@
 	z.planned[job][zone] += n
 }
 
-// room returns how many more tasks of the job may be placed in the zone, given the zones of its
+// allowedTasks returns how many more tasks of the job may be placed in the zone, given the zones of its
 // other tasks, placed or planned.
-func (z *zoneTracker) room(job *jobs.Job, zone ident.Zone) int {
+func (z *zoneTracker) allowedTasks(job *jobs.Job, zone ident.Zone) int {
 	// A machine whose zone is not known yet may be in any zone.
 	if job.PlacementsByZone[""] > 0 && (job.Spec.ZoneAffinity || job.Spec.ZoneSpread) {
 		return 0
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -17,22 +17,22 @@
 
 	zones := newZoneTracker()
 	bound := waitingJob("wk-000001", affinity, 0)
-	if zones.room(bound, "a") != math.MaxInt32 || zones.room(bound, "b") != math.MaxInt32 {
+	if zones.allowedTasks(bound, "a") != math.MaxInt32 || zones.allowedTasks(bound, "b") != math.MaxInt32 {
 		t.Error("a job without tasks is bound to a zone")
 	}
 	zones.add(bound, "a", 1)
-	if zones.room(bound, "a") != math.MaxInt32 || zones.room(bound, "b") != 0 {
+	if zones.allowedTasks(bound, "a") != math.MaxInt32 || zones.allowedTasks(bound, "b") != 0 {
 		t.Error("a job with a task in zone a may go to another")
 	}
 
 	wide := waitingJob("wk-000002", spread, 0)
 	wide.PlacementsByZone["a"] = 2
 	zones.add(wide, "a", 1)
-	if a, b := zones.room(wide, "a"), zones.room(wide, "b"); a != 2 || b != 5 {
+	if a, b := zones.allowedTasks(wide, "a"), zones.allowedTasks(wide, "b"); a != 2 || b != 5 {
 		t.Errorf("room for %d and %d tasks of nine, of which three are in zone a, want 2 and 5", a, b)
 	}
 	wide.PlacementsByZone[""] = 1
-	if n := zones.room(wide, "b"); n != 0 {
+	if n := zones.allowedTasks(wide, "b"); n != 0 {
 		t.Errorf("room for %d tasks while the zone of one is not known", n)
 	}
 }
