--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -68,8 +68,8 @@
 
 // agingBudget limits the resources of the tasks that aged jobs may start before other jobs.
 type agingBudget struct {
-	urgency *urgency
-	remaining    jobs.Resources
+	urgency   *urgency
+	remaining jobs.Resources
 }
 
 // newAgingBudget allows aged jobs their share of the capacity of the machines, less the
