--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -20,14 +20,13 @@
 	"badgerbay/internal/roundlog"
 )
 
-// stoppedClock always shows the same time.
+// stoppedClock is a clock that always returns the same time.
 type stoppedClock clock.Instant
 
 func (c stoppedClock) Now() clock.Instant { return clock.Instant(c) }
 func (stoppedClock) Wall() time.Time      { return time.UnixMilli(1_700_000_000_000) }
 
-// newLeadingCore returns a core that leads with epoch 77 and has read everything, and
-// the time at which it does.
+// newLeadingCore returns a core that is leader in epoch 77 and has read all records, and the current time of its clock.
 func newLeadingCore(t *testing.T) (*Core, clock.Instant) {
 	t.Helper()
 	set := simulationSettings()
@@ -47,9 +46,10 @@
 	return c, now
 }
 
-// TestNewLeaderWaitsForWorkers: a leader does not count the workers that miss it
-// before they have had a heartbeat interval to come. In a partition of two zones it
-// took those of its own side for missing, and handed back at once.
+// TestNewLeaderWaitsForWorkers checks that a new leader counts unreachable workers only after all workers have had a
+// heartbeat interval to reach it, and then transfers leadership after leadtransfer.Delay. It guards against a failure
+// during a partition between two zones, in which the new leader counted the workers of its own zone as unreachable and
+// transferred leadership back at once.
 func TestNewLeaderWaitsForWorkers(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 12)
@@ -64,7 +64,7 @@
 	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
 		hear()
 		if tm.transferLeadershipIfUnreached(g.now) {
-			t.Fatalf("handed over after %v", g.now.Sub(tm.acquiredAt))
+			t.Fatalf("leadership transferred %v after the term began", g.now.Sub(tm.acquiredAt))
 		}
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
@@ -74,22 +74,22 @@
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
 	if d := g.now.Sub(begun); d < leadtransfer.Delay-time.Second || d > leadtransfer.Delay+time.Second {
-		t.Errorf("handed over %v after that, want about %v", d, leadtransfer.Delay)
+		t.Errorf("leadership transferred %v after the workers had time to connect, want about %v", d, leadtransfer.Delay)
 	}
 }
 
-// TestRepliesOfAnEarlierTerm: a node that leads again must not take the answer
-// to a write of its last term for that of the round under way.
+// TestRepliesOfAnEarlierTerm checks that a node that is leader again ignores the result of a transaction that it sent
+// in an earlier term. It guards against such a result being attributed to the round in flight or ending the new term.
 func TestRepliesOfAnEarlierTerm(t *testing.T) {
 	t.Parallel()
 	c, now := newLeadingCore(t)
 	c.term.rounds.inFlight = &roundInFlight{record: &roundlog.Record{RoundNo: 1}}
 	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: election.OutcomeOK, Revision: 60})
 	if !c.term.rounds.isWriting() {
-		t.Error("the round under way was taken for stored")
+		t.Error("the result of a transaction of an earlier term completed the round in flight")
 	}
 	c.Step(now, TransactionCompleted{Kind: RoundTransaction, Epoch: 50, Outcome: election.OutcomeGone})
 	if c.term == nil {
-		t.Error("deposed by the answer to a write of an earlier term")
+		t.Error("the result of a transaction of an earlier term ended the current term")
 	}
 }
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -21,15 +21,15 @@
 	"badgerbay/internal/policy"
 )
 
-// coreFixture is a leader's core with many machines, each of which runs replicas,
-// and as many arrays under way.
+// coreFixture is the core of a leader with many machines. Once fillMachines has been called, the machines run service
+// replicas and the tasks of array jobs.
 type coreFixture struct {
 	core         *Core
 	now          clock.Instant
 	version      ident.Revision
 	machines     []*fleet.Heartbeat
 	nextMachine  int
-	deadMachines map[int]bool // machines that neither report nor answer
+	deadMachines map[int]bool // machines that send no heartbeats and answer no commands; keyed by index
 }
 
 func (g *coreFixture) Now() clock.Instant { return g.now }
@@ -66,7 +66,7 @@
 	return g
 }
 
-// becomeLeader makes the core the leader, with nothing stored.
+// becomeLeader makes the core the leader of a cluster without stored records.
 func (g *coreFixture) becomeLeader() {
 	g.step(ElectionInput{election.LeaderKeysRead{OK: true}})
 	g.step(ElectionInput{election.LeaseGranted{OK: true, LeaseID: 1, SentAt: g.now}})
@@ -74,8 +74,8 @@
 	g.step(RecordsRead{Epoch: 10, OK: true})
 }
 
-// step hands an input to the core and plays the state service and the workers:
-// what is written is stored, what is launched runs.
+// step passes an input to the core and simulates the state service and the workers: every transaction commits, and
+// every task that is started runs.
 func (g *coreFixture) step(in Input) {
 	queue := []Input{in}
 	for len(queue) > 0 {
@@ -137,8 +137,8 @@
 	g.step(JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: g.version}})
 }
 
-// fillMachines submits what keeps the machines about half busy, and plays until most
-// of it has started.
+// fillMachines submits jobs that use about half of the machines' capacity and advances time until most of their tasks
+// have started.
 func (g *coreFixture) fillMachines(machines int) {
 	service, array := serviceSpec, arraySpec
 	service.Team, service.CPUs, service.Tasks = "blue", 1, 4
@@ -156,9 +156,9 @@
 	}
 }
 
-// advance lets time go by: ticks, and the heartbeats of the machines whose turn it is.
+// advance advances time by d in ticks and delivers the heartbeats that are due.
 func (g *coreFixture) advance(d time.Duration) {
-	const ticks, interval = 20, 5 // each machine reports every fifth time
+	const ticks, interval = 20, 5 // each machine sends a heartbeat in every fifth call
 	for k := range ticks {
 		g.now = g.now.Add(d / ticks)
 		g.step(Tick{})
@@ -171,7 +171,7 @@
 
 func encodeRecord(r *jobs.Record) ([]byte, error) { return msgpack.Marshal(r) }
 
-// BenchmarkHeartbeat shows what one heartbeat costs a leader with many machines.
+// BenchmarkHeartbeat measures how a leader handles one heartbeat, by number of machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -187,8 +187,8 @@
 	}
 }
 
-// BenchmarkSecond shows what a second costs: heartbeats, ticks and rounds, with
-// arrays arriving.
+// BenchmarkSecond measures one simulated second of a leader, by number of machines: heartbeats, ticks and scheduling
+// rounds, while array jobs are submitted.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/leaderactions_test.go
+++ b/internal/controller/leaderactions_test.go
@@ -8,7 +8,8 @@
 	"badgerbay/internal/fake"
 )
 
-// leaderActionOf tells what an effect of a node does that only an entitled leader may do.
+// leaderActionOf returns the action of an effect that only a leader with a valid lease may take. The second result
+// reports whether the effect is such an action.
 func leaderActionOf(now clock.Instant, e Effect) (fake.LeaderAction, bool) {
 	switch e := e.(type) {
 	case HeartbeatReply:
@@ -25,7 +26,8 @@
 	return fake.LeaderAction{}, false
 }
 
-// recordLeaderActions records what a node does as leader.
+// recordLeaderActions adds the actions that a node takes as leader to the leader history. It fails the test if two
+// nodes acted as leader at the same time.
 func (s *simulation) recordLeaderActions(n *simulatedNode, effects []Effect) {
 	epoch := n.core.election.Epoch()
 	for _, e := range effects {
@@ -33,14 +35,15 @@
 		if !ok || epoch == 0 {
 			continue
 		}
-		act.At, act.Process, act.Epoch = s.now, fmt.Sprintf("%s, life %d", n.name, n.incarnation), epoch
+		act.At, act.Process, act.Epoch = s.now, fmt.Sprintf("%s, incarnation %d", n.name, n.incarnation), epoch
 		if err := s.leaderHistory.Record(act); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 }
 
-// entitledNodes lists the nodes that may act as leader now; there must never be two.
+// entitledNodes returns the names of the nodes whose leader lease is valid by their own clocks. There must never be
+// more than one.
 func (s *simulation) entitledNodes() []string {
 	var names []string
 	for _, n := range s.nodes {
--- a/internal/controller/leaderparts_test.go
+++ b/internal/controller/leaderparts_test.go
@@ -13,7 +13,7 @@
 	"badgerbay/internal/roundlog"
 )
 
-// newTestEnvironment returns the environment of a leader, and its time.
+// newTestEnvironment returns the environment of a leader and the current time of its clock.
 func newTestEnvironment(t *testing.T) (*environment, clock.Instant) {
 	t.Helper()
 	core, now := newLeadingCore(t)
@@ -21,13 +21,15 @@
 	return core.environment, now
 }
 
-// takeEffects returns what was emitted since it was last called.
+// takeEffects returns the effects that were emitted since the previous call.
 func (e *environment) takeEffects() []Effect {
 	effects := e.effects
 	e.effects = nil
 	return effects
 }
 
+// TestJobTableReadsARecordOnceAtATime checks that a job that changes again while its record is being read causes no
+// second read, and that a change after the read does.
 func TestJobTableReadsARecordOnceAtATime(t *testing.T) {
 	env, _ := newTestEnvironment(t)
 	table := newJobTable(env)
@@ -36,15 +38,17 @@
 	}
 	want := []Effect{ReadJobRecord{Job: "wk-000001"}}
 	if diff := cmp.Diff(want, env.takeEffects()); diff != "" {
-		t.Errorf("two changes of a job (-want +got):\n%s", diff)
+		t.Errorf("effects of two changes of a job before its record was read (-want +got):\n%s", diff)
 	}
 	table.readCompleted("wk-000001")
 	table.changed("wk-000001", 0)
 	if diff := cmp.Diff(want, env.takeEffects()); diff != "" {
-		t.Errorf("a change after the read (-want +got):\n%s", diff)
+		t.Errorf("effects of a change after the read (-want +got):\n%s", diff)
 	}
 }
 
+// TestJobTableAnswersOverdueCancellations checks that a cancellation that is not stored within cancelStoreTimeout is
+// answered with LeaderBusy, and that the remaining ones are answered with NoLeader when the leader abandons them.
 func TestJobTableAnswersOverdueCancellations(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	table := newJobTable(env)
@@ -54,7 +58,7 @@
 	table.awaitCancellation(now.Add(time.Second), "wk-000002", responder)
 	table.answerOverdueCancellations(now.Add(cancelStoreTimeout - 1))
 	if table.answerOverdueCancellations(now.Add(cancelStoreTimeout)); table.isAwaited("wk-000001") || !table.isAwaited("wk-000002") {
-		t.Error("not just the overdue cancellation was answered")
+		t.Error("answered cancellations differ from the overdue one (wk-000001)")
 	}
 	table.abandonCancellations()
 	for _, e := range env.takeEffects() {
@@ -65,6 +69,8 @@
 	}
 }
 
+// TestDeferredHeartbeatsAreRefusedWhenOverdue checks that a heartbeat that was deferred for heartbeatDeferral is
+// refused, and that the others stay deferred until they are taken, once.
 func TestDeferredHeartbeatsAreRefusedWhenOverdue(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	deferred := &deferredHeartbeats{environment: env}
@@ -76,13 +82,15 @@
 		t.Errorf("replies (-want +got):\n%s", diff)
 	}
 	if left := deferred.take(); len(left) != 1 || left[0].received.Heartbeat.Machine != "m2" {
-		t.Errorf("%+v wait on", left)
+		t.Errorf("deferred heartbeats after the refusal: %+v, want the one of m2", left)
 	}
 	if again := deferred.take(); again != nil {
-		t.Errorf("%+v are taken twice", again)
+		t.Errorf("deferred heartbeats were returned twice: %+v", again)
 	}
 }
 
+// TestProvisionerKeepsToTheCallRate checks that the provisioner sends no more calls to the cloud than its rate limit
+// allows, that deprovision requests come first, and that rounds may not request machines while the limit is exhausted.
 func TestProvisionerKeepsToTheCallRate(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	p := newProvisioner(env, now)
@@ -97,17 +105,19 @@
 		t.Errorf("%d calls at once, want %d", len(effects), burst)
 	}
 	if _, ok := effects[0].(DeprovisionMachines); !ok {
-		t.Errorf("%T comes first, although a deprovision request is due", effects[0])
+		t.Errorf("the first call is a %T, want DeprovisionMachines", effects[0])
 	}
 	if p.mayRequest(now) {
 		t.Error("a round may request machines although no call is left and many requests are pending")
 	}
 	p.call(now)
 	if more := env.takeEffects(); len(more) != 0 {
-		t.Errorf("%d calls beyond the rate", len(more))
+		t.Errorf("%d calls beyond the rate limit", len(more))
 	}
 }
 
+// TestEpochIsNotAdvancedWithoutNeed checks that the epoch is not advanced, however long it has lasted, while no
+// recorded exit waits for removal and no stop command is stuck.
 func TestEpochIsNotAdvancedWithoutNeed(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	advance := newEpochAdvance(env, now)
@@ -115,19 +125,21 @@
 	machines := fleet.New(fleetTiming(env), 77, now, table.get)
 	for _, after := range []time.Duration{0, minEpochDuration, env.policy.EpochAdvanceInterval, time.Hour} {
 		if advance.beginIfDue(now.Add(after), 77, table, machines) {
-			t.Errorf("advanced after %v although no exit waits and no stop is stuck", after)
+			t.Errorf("epoch advanced after %v although no exit waits for removal and no stop command is stuck", after)
 		}
 	}
 }
 
+// TestSchemaAgreementLimitsChunks checks that jobs and rounds are limited to one value each until the nodes have agreed
+// on a schema version, and that reduced limits allow several values for a job but still one for a round.
 func TestSchemaAgreementLimitsChunks(t *testing.T) {
 	env, _ := newTestEnvironment(t)
 	schema := newSchemaAgreement(env)
 	if jobValues, roundValues := schema.maxJobValues(), schema.maxRoundValues(); jobValues != 1 || roundValues != 1 {
-		t.Errorf("a job takes %d values and a round %d before the nodes have agreed, want 1 each", jobValues, roundValues)
+		t.Errorf("limits before the nodes have agreed: %d values a job and %d a round, want 1 each", jobValues, roundValues)
 	}
 	schema.limitsReduced(77)
 	if jobValues, roundValues := schema.maxJobValues(), schema.maxRoundValues(); jobValues <= 1 || roundValues != 1 {
-		t.Errorf("a job takes %d values and a round %d once limits are reduced, want several and 1", jobValues, roundValues)
+		t.Errorf("limits after the reduction: %d values a job and %d a round, want several and 1", jobValues, roundValues)
 	}
 }
--- a/internal/controller/parts_test.go
+++ b/internal/controller/parts_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// partFiles are the files that may touch the fields of each part of the leader.
+// partFiles lists, for each component of the leader, the files that may access its fields.
 var partFiles = map[string][]string{
 	"jobTable":           {"jobtable.go"},
 	"schedulingLoop":     {"scheduling.go"},
@@ -25,7 +25,8 @@
 	"recoveryProgress":   {"recovery.go"},
 }
 
-// noImports stands in for the packages that the controller imports: only the types of its own are looked at.
+// noImports is an importer that returns empty packages: the check needs only the types that the controller declares
+// itself.
 type noImports struct{}
 
 func (noImports) Import(path string) (*types.Package, error) {
@@ -34,7 +35,8 @@
 	return p, nil
 }
 
-// TestPartsKeepTheirFields: the fields of a part are touched in its own files only. Others call its methods.
+// TestPartsKeepTheirFields checks that the fields of each component are accessed only in the files of that component,
+// so that all other code uses its methods.
 func TestPartsKeepTheirFields(t *testing.T) {
 	files := token.NewFileSet()
 	var syntax []*ast.File
@@ -53,7 +55,7 @@
 		syntax = append(syntax, file)
 	}
 	info := &types.Info{Selections: map[*ast.SelectorExpr]*types.Selection{}}
-	config := types.Config{Importer: noImports{}, Error: func(error) {}} // what is imported is missing
+	config := types.Config{Importer: noImports{}, Error: func(error) {}} // errors are expected, since the imported packages are empty
 	pkg, _ := config.Check("controller", files, syntax, info)
 
 	owners := fieldOwners(t, pkg)
@@ -66,28 +68,29 @@
 		seen[part] = true
 		position := files.Position(selector.Pos())
 		if !slices.Contains(partFiles[part], position.Filename) {
-			t.Errorf("%s: field %s of %s is touched outside its part", position, selection.Obj().Name(), part)
+			t.Errorf("%s: field %s of %s is accessed outside the files of its component", position, selection.Obj().Name(), part)
 		}
 	}
 	for part := range partFiles {
 		if !seen[part] {
-			t.Errorf("no field of %s is touched: the check is blind", part)
+			t.Errorf("no access to a field of %s was found: the check does not work", part)
 		}
 	}
 }
 
-// fieldOwners maps the fields of all parts to their parts; what is embedded is shared.
+// fieldOwners returns the component that each field belongs to. Embedded fields are left out, since components share
+// them.
 func fieldOwners(t *testing.T, pkg *types.Package) map[types.Object]string {
 	t.Helper()
 	owners := map[types.Object]string{}
 	for part := range partFiles {
 		object := pkg.Scope().Lookup(part)
 		if object == nil {
-			t.Fatalf("no type %s", part)
+			t.Fatalf("type %s is not declared", part)
 		}
 		structure, ok := object.Type().Underlying().(*types.Struct)
 		if !ok {
-			t.Fatalf("%s is no struct", part)
+			t.Fatalf("type %s is not a struct", part)
 		}
 		for i := range structure.NumFields() {
 			if field := structure.Field(i); !field.Embedded() {
--- a/internal/controller/purity_test.go
+++ b/internal/controller/purity_test.go
@@ -9,20 +9,22 @@
 	"testing"
 )
 
-// purePackages decide by their inputs alone. Each of them may be stepped in simulated time.
+// purePackages lists the packages whose decisions depend on their inputs alone, so that each of them can run in
+// simulated time.
 var purePackages = []string{
 	"chunk", "clock", "config", "controller", "election", "featuregate", "fleet", "ident", "indexset", "jobs", "leadtransfer",
 	"leasedelegation", "policy", "quota", "recovery", "roundlog", "scheduler", "schemaversion", "standby",
 }
 
-// forbiddenImport tells whether a package leads out of the process, or makes a decision depend on when it is cancelled.
+// forbiddenImport reports whether a package gives access to the network or makes decisions depend on the time of a
+// cancellation.
 func forbiddenImport(path string) bool {
 	return path == "context" || path == "net" || path == "net/http" || strings.HasPrefix(path, "net/http/") ||
 		strings.HasPrefix(path, "google.golang.org/grpc")
 }
 
-// TestPurePackagesImportNoNetwork: what decides neither speaks HTTP or gRPC nor waits for a context. Status codes belong to
-// the edge, in package node.
+// TestPurePackagesImportNoNetwork checks that the pure packages use neither HTTP nor gRPC nor contexts. Status codes
+// belong to package node, which handles the requests.
 func TestPurePackagesImportNoNetwork(t *testing.T) {
 	for _, name := range purePackages {
 		files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -16,15 +16,15 @@
 	var exec func() *fleet.Heartbeat
 	exec = func() *fleet.Heartbeat {
 		if until := s.hungUntil[e.Machine]; s.now.Before(until) {
-			// Held by the machine, and executed when it goes on.
+			// The machine queues the command and executes it when it resumes.
 			s.schedule(until.Sub(s.now)+time.Millisecond, func() { exec() })
 			return nil
 		}
 		if s.now.Before(s.unreachableUntil[e.Machine]) {
-			return nil // it never arrives
+			return nil // the command is lost
 		}
 		if h := s.cloud.Machines[e.Machine]; h != nil && s.partitioned(n.zone, h.Offer.Zone) {
-			// Held by the network, and delivered when the partition ends.
+			// The network holds the command back and delivers it when the partition ends.
 			s.heldMessages = append(s.heldMessages, func() { exec() })
 			return nil
 		}
@@ -86,11 +86,11 @@
 	})
 }
 
-// machineListPageSize is how many machines the cloud lists in one answer: few, so that scenarios
-// read lists of several pages.
+// machineListPageSize is the number of machines in a page of the cloud's list. It is small, so that the lists in
+// scenarios have several pages.
 const machineListPageSize = 40
 
-// failCloudCall is what comes of a call that does not reach the cloud.
+// failCloudCall replies to a call that did not reach the cloud.
 func (s *simulation) failCloudCall(n *simulatedNode, life int, e Effect) {
 	switch e := e.(type) {
 	case ProvisionMachines:
@@ -104,39 +104,40 @@
 	}
 }
 
-// reclaimMachine makes a machine vanish without notice.
+// reclaimMachine removes a machine without notice, as if the cloud had reclaimed it.
 func (s *simulation) reclaimMachine(id ident.MachineID) {
 	s.running.removeFrom(id)
 	s.cloud.Reclaim(id)
 }
 
-// advanceEnvironment lets time pass outside the nodes, and checks the rules.
+// advanceEnvironment advances the state service, the cloud and the workers to the current time, and checks the
+// invariants that hold at all times.
 func (s *simulation) advanceEnvironment() {
 	s.checkStoreLimits()
 	s.store.Expire(s.now)
 	if names := s.entitledNodes(); len(names) > 1 && s.heartbeatUnderstatement == 0 {
-		s.t.Fatalf("entitled at the same time: %v", names)
+		s.t.Fatalf("nodes with a valid leader lease at the same time: %v", names)
 	}
 	s.startMachines()
 	s.advanceWorkers()
 	s.checkCancelledJobsStopped()
 }
 
-// checkStoreLimits checks that nothing was written beyond the limits of the state
-// service, but for a time in which nobody can know them.
+// checkStoreLimits checks that no write exceeded the limits of the state service. Violations are only counted until
+// limitGraceUntil, since no node can know the limits before then.
 func (s *simulation) checkStoreLimits() {
 	if s.store.LimitViolation == "" {
 		return
 	}
 	if !s.now.Before(s.limitGraceUntil) {
-		s.t.Fatalf("beyond the limits of the state service: %s", s.store.LimitViolation)
+		s.t.Fatalf("write beyond the limits of the state service: %s", s.store.LimitViolation)
 	}
-	// The limits came before anybody could know that all are upgraded.
+	// The limits took effect before any node could know that all nodes are upgraded.
 	s.store.LimitViolation = ""
 	s.limitViolations++
 }
 
-// startMachines starts the workers of the machines that come up.
+// startMachines starts the workers of the machines that have finished booting.
 func (s *simulation) startMachines() {
 	lease := s.settings.Params.Workers.LeaseTTL()
 	for _, w := range s.cloud.StartDue(s.now, func(h *fake.Machine) *fake.Worker {
@@ -151,7 +152,8 @@
 	}
 }
 
-// jobSpec tells a worker what a job is, if it was submitted.
+// jobSpec returns the spec and the run time of a job for a worker. The last result reports whether the job was
+// submitted.
 func (s *simulation) jobSpec(id ident.JobID) (*jobs.Spec, time.Duration, bool) {
 	j := s.jobs[id]
 	if j == nil || !j.submitted {
@@ -170,7 +172,8 @@
 	gangPeerTimeout  = 8 * time.Second
 )
 
-// advanceWorkers lets time pass on the machines that are up.
+// advanceWorkers advances the workers of all machines that have neither failed nor are still booting. A hung machine
+// only loses its lease when that expires.
 func (s *simulation) advanceWorkers() {
 	var up []*fake.Worker
 	for _, h := range s.cloud.Sorted() {
@@ -188,29 +191,28 @@
 	fake.AdvanceGangs(s.now, up, gangStartTimeout, gangPeerTimeout, hangs)
 }
 
-// checkCancelledJobsStopped checks that nothing of a cancelled job runs once its time
-// is over.
+// checkCancelledJobsStopped checks that no task of a cancelled job runs once the cancel timeout has passed.
 func (s *simulation) checkCancelledJobsStopped() {
 	for id, j := range s.jobs {
 		if j.cancelledAt == 0 || s.now.Sub(j.cancelledAt) < s.settings.Params.Workers.CancelTimeout() {
 			continue
 		}
 		for task, placed := range s.running.ofJob(id) {
-			s.t.Fatalf("ran_cancelled: %v on %s", task, placed.machine)
+			s.t.Fatalf("task %v of a cancelled job still runs on %s after the cancel timeout", task, placed.machine)
 		}
 	}
 }
 
-// Times of a worker between heartbeats.
+// Timing of a worker's heartbeats.
 const (
 	heartbeatReplyTimeout = 4 * time.Second
-	nextNodePause         = time.Second            // before it tries the next node
-	redirectPause         = 200 * time.Millisecond // before it goes to the leader that it was told of
-	newEpochPause         = 500 * time.Millisecond // after an answer with a higher fencing token
+	nextNodePause         = time.Second            // pause before a worker tries the next node
+	redirectPause         = 200 * time.Millisecond // pause before a worker contacts the leader named in a redirect
+	newEpochPause         = 500 * time.Millisecond // pause after a reply with a higher fencing token
 )
 
-// heartbeatLoop sends a worker's heartbeats to a node, and goes on to another when
-// it is refused.
+// heartbeatLoop sends a worker's heartbeat to a node and schedules the next one: to the same node if the heartbeat was
+// accepted, else to another.
 func (s *simulation) heartbeatLoop(w *fake.Worker, node int) {
 	h := s.cloud.Machines[w.ID]
 	if h == nil || h.Worker != w || h.Failed {
@@ -232,7 +234,7 @@
 	x.send()
 }
 
-// heartbeatExchange is one heartbeat of a worker, and what becomes of it.
+// heartbeatExchange is one heartbeat of a worker and the handling of its reply.
 type heartbeatExchange struct {
 	sim       *simulation
 	worker    *fake.Worker
@@ -240,12 +242,12 @@
 	heartbeat *fleet.Heartbeat
 	session   ident.Session
 	sent      clock.Instant
-	pause     time.Duration // until the next heartbeat, once this is answered
+	pause     time.Duration // until the next heartbeat, once this one has been accepted
 	over      bool          // the next heartbeat is scheduled
 }
 
-// send sends the heartbeat to its node. If it is not answered in time, the worker tries
-// the next.
+// send sends the heartbeat to its node. If no reply arrives within heartbeatReplyTimeout, the worker tries the next
+// node.
 func (x *heartbeatExchange) send() {
 	s, n := x.sim, x.node
 	if s.partitioned(n.zone, x.worker.Zone) {
@@ -262,15 +264,14 @@
 	})
 }
 
-// deliverCopy delivers a copy of the heartbeat that was held on its way; nobody waits
-// for its answer.
+// deliverCopy delivers a delayed copy of the heartbeat to its node. The reply is discarded.
 func (x *heartbeatExchange) deliverCopy() {
 	if x.node.alive {
 		x.sim.step(x.node, HeartbeatReceived{Heartbeat: x.heartbeat, Responder: ResponderFunc[HeartbeatReply](func(HeartbeatReply) {})})
 	}
 }
 
-// reply sends the node's answer back to the worker, or the heartbeat on to the leader.
+// reply sends the node's reply to the worker, unless the node relays the heartbeat to the leader instead.
 func (x *heartbeatExchange) reply(answer HeartbeatReply) {
 	if x.relay(answer) {
 		return
@@ -278,7 +279,8 @@
 	x.sim.schedule(x.sim.latency(), func() { x.deliverReply(answer) })
 }
 
-// deliverReply lets the worker act on an answer, if it reaches it in time.
+// deliverReply passes a reply to the worker and schedules its next heartbeat. A reply that does not reach the worker,
+// or that arrives after the next heartbeat was scheduled, is discarded.
 func (x *heartbeatExchange) deliverReply(answer HeartbeatReply) {
 	s, w := x.sim, x.worker
 	if s.unreachableByWorkers[x.node.index] || s.partitioned(x.node.zone, w.Zone) || x.over ||
@@ -304,8 +306,7 @@
 	x.continueAt((x.node.index+1)%len(x.sim.nodes), nextNodePause)
 }
 
-// continueAt has the worker send its next heartbeat to a node, unless it was told to
-// before.
+// continueAt schedules the worker's next heartbeat, to the given node, unless one has been scheduled already.
 func (x *heartbeatExchange) continueAt(node int, pause time.Duration) {
 	if x.over {
 		return
@@ -314,11 +315,12 @@
 	x.sim.schedule(pause, func() { x.sim.heartbeatLoop(x.worker, node) })
 }
 
-// nodeIndex is the index of a node by its name.
+// nodeIndex returns the index of the node with a name.
 func nodeIndex(name string) int { return int(name[1] - '0') }
 
-// relay hands the heartbeat over the peer network to a leader that the workers can't
-// reach, as a node does with a worker that has come back from there in vain.
+// relay forwards the heartbeat over the peer network to a leader that the workers can't reach, as a node does for a
+// worker that returns after a redirect because it did not reach the leader. It reports whether it has taken over the
+// heartbeat.
 func (x *heartbeatExchange) relay(answer HeartbeatReply) bool {
 	s, n := x.sim, x.node
 	if answer.Outcome != HeartbeatRedirected || answer.Final || answer.Leader == "" || answer.Leader == n.name {
@@ -336,8 +338,8 @@
 	return true
 }
 
-// relayReply takes the leader's answer to a relayed heartbeat: of a refusal the worker
-// hears only that the node can't answer.
+// relayReply sends the leader's reply to a relayed heartbeat to the worker. A refusal of any kind is replaced by
+// HeartbeatUnavailable.
 func (x *heartbeatExchange) relayReply(answer HeartbeatReply) {
 	if answer.Outcome != HeartbeatAccepted {
 		answer = HeartbeatReply{Outcome: HeartbeatUnavailable}
@@ -345,8 +347,8 @@
 	x.reply(answer)
 }
 
-// scaleCloud gives the cloud about so many machines in the zones; nodes stand in the
-// first two.
+// scaleCloud sets the zones and gives the cloud a capacity of about the given number of machines in them, then restarts
+// the nodes with these settings. The nodes themselves are in the first two zones.
 func (s *simulation) scaleCloud(zones []ident.Zone, machines int) {
 	s.settings.Params.Zones = zones
 	clear(s.cloud.Capacity)
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -9,49 +9,50 @@
 	"badgerbay/internal/ident"
 )
 
-// faults are what goes wrong in a scenario, as it is set now.
+// faults holds the faults that are injected into a scenario at present.
 type faults struct {
-	faultsActive bool // repeated faults go on
-
-	// Of messages.
-	lossProbability          float64       // that an answer is lost
-	duplicateProbability     float64       // that a direct command is executed once more, much later
-	lateHeartbeatProbability float64       // that a heartbeat comes once more, late
-	maxHeartbeatDelay        time.Duration // how late at most
-	maxExtraLatency          time.Duration // how much longer messages take, at most
-	heldMessages             []func()      // what waits for the partition to end
-
-	// Of the network. Nodes are named by their index.
-	unreachableByWorkers map[int]bool // nodes that the workers can't reach
+	faultsActive bool // repeatWhileFaulty continues to inject faults
+
+	// Messages.
+	lossProbability          float64       // of losing a message or the reply to a request
+	duplicateProbability     float64       // of executing a command a second time, up to 60 s later
+	lateHeartbeatProbability float64       // of delivering a second, late copy of a heartbeat
+	maxHeartbeatDelay        time.Duration // upper bound on the additional delay of such copies
+	maxExtraLatency          time.Duration // upper bound on the additional latency of messages
+	heldMessages             []func()      // deliveries that a partition holds back until it ends
+
+	// Network. Nodes are given by their index.
+	unreachableByWorkers map[int]bool // nodes that workers can't reach
 	peersPartitioned     bool         // nodes refuse each other's connections
-	isolated             map[int]bool // nodes without state service and peers
-	partitionedZone      ident.Zone   // cut off from everything outside it
-
-	// Of nodes.
-	pausedUntil                map[int]clock.Instant // paused while their clocks run on
-	effectsUntilCrash          int                   // the leader crashes before this many of its next effects
-	electionRequestsUntilCrash int                   // likewise, any node before a request of its election; it is back at once
-	onPreviousVersion          map[int]bool          // nodes that don't say their version
-	heartbeatUnderstatement    time.Duration         // what leaders' heartbeats seem to claim less than they do
-
-	// Of machines.
-	hungUntil        map[ident.MachineID]clock.Instant // that do nothing
-	unreachableUntil map[ident.MachineID]clock.Instant // that nothing reaches, though their heartbeats arrive
-	silentUntil      map[ident.MachineID]clock.Instant // whose heartbeats reach nobody, though commands reach them
-
-	// Of the state service.
-	refusedByStore        map[int]bool  // nodes that it refuses; their peers are reachable
-	lateCommitProbability float64       // that a transaction is carried out late, without an answer
-	maxStoreLatency       time.Duration // how long it takes at most
-	loadDelay             time.Duration // how long a new leader needs to read the records
-	limitGraceUntil       clock.Instant // until when its limits may be met
-
-	// Of users.
-	cancelAtEndProbability float64 // that a job is cancelled as its last task ends
-}
-
-// defaultHeartbeatDelay is how late late heartbeats come at most, if the scenario does
-// not say.
+	isolated             map[int]bool // nodes that reach neither the state service nor their peers
+	partitionedZone      ident.Zone   // partitioned from everything outside it; "": no partition
+
+	// Nodes.
+	pausedUntil       map[int]clock.Instant // nodes that are paused while their clocks advance
+	effectsUntilCrash int                   // the leader crashes in place of its nth next side effect; 0: never
+	// electionRequestsUntilCrash: a node crashes after the nth next election request of any node and restarts within
+	// 305 ms; 0: never.
+	electionRequestsUntilCrash int
+	onPreviousVersion          map[int]bool  // nodes that run the previous version, which announces no schema version
+	heartbeatUnderstatement    time.Duration // by how much the TTL read from leaders' heartbeats is too short
+
+	// Machines.
+	hungUntil        map[ident.MachineID]clock.Instant // machines that do nothing
+	unreachableUntil map[ident.MachineID]clock.Instant // machines that receive nothing, though their heartbeats arrive
+	silentUntil      map[ident.MachineID]clock.Instant // machines whose heartbeats are lost, though they receive commands
+
+	// State service.
+	refusedByStore        map[int]bool  // nodes that it refuses, but that reach their peers
+	lateCommitProbability float64       // of committing a transaction late and without a reply
+	maxStoreLatency       time.Duration // upper bound on the additional latency of a request, added to a third of them
+	loadDelay             time.Duration // additional time that a new leader needs to read the records
+	limitGraceUntil       clock.Instant // until then, writes may exceed its limits
+
+	// Users.
+	cancelAtEndProbability float64 // of cancelling a job when its last running task ends
+}
+
+// defaultHeartbeatDelay is the value of maxHeartbeatDelay in scenarios that don't set it.
 const defaultHeartbeatDelay = 40 * time.Second
 
 func noFaults() faults {
@@ -67,23 +68,23 @@
 	}
 }
 
-// partitioned tells whether nothing passes between two places; "" is the region,
-// where the state service and the cloud are.
+// partitioned reports whether a partition separates two zones. The zone "" stands for the region, which holds the state
+// service and the cloud.
 func (s *simulation) partitioned(a, b ident.Zone) bool {
 	return s.partitionedZone != "" && (a == s.partitionedZone) != (b == s.partitionedZone)
 }
 
-// withoutStore tells whether a node does not reach the state service.
+// withoutStore reports whether a node can't reach the state service.
 func (s *simulation) withoutStore(n *simulatedNode) bool {
 	return s.isolated[n.index] || s.refusedByStore[n.index] || s.partitioned(n.zone, "")
 }
 
-// reachesPeer tells whether one node reaches another over the peer network.
+// reachesPeer reports whether one node reaches another over the peer network.
 func (s *simulation) reachesPeer(a, b *simulatedNode) bool {
 	return a.alive && b.alive && !s.peersPartitioned && !s.isolated[a.index] && !s.isolated[b.index] && !s.partitioned(a.zone, b.zone)
 }
 
-// healPartition ends the partition of a zone; what it held arrives.
+// healPartition ends the partition of a zone and delivers the messages that it held back.
 func (s *simulation) healPartition() {
 	s.partitionedZone = ""
 	held := s.heldMessages
@@ -93,7 +94,7 @@
 	}
 }
 
-// injectRandomFault draws one fault, which may come on top of others.
+// injectRandomFault injects a randomly chosen fault, which may overlap with others.
 func (s *simulation) injectRandomFault() {
 	n := s.nodes[s.rng.IntN(3)]
 	if l := s.leader(); l != nil && s.rng.IntN(2) == 0 {
@@ -128,7 +129,7 @@
 	}
 }
 
-// forThirdOfMachines draws a third of the machines.
+// forThirdOfMachines calls the function for each machine with a probability of one third.
 func (s *simulation) forThirdOfMachines(how func(ident.MachineID)) {
 	for _, h := range s.cloud.Sorted() {
 		if s.rng.IntN(3) == 0 {
@@ -137,7 +138,7 @@
 	}
 }
 
-// upMachines lists the machines that are up.
+// upMachines returns the machines whose workers have started.
 func (s *simulation) upMachines() []ident.MachineID {
 	var out []ident.MachineID
 	for _, h := range s.cloud.Sorted() {
@@ -148,17 +149,17 @@
 	return out
 }
 
-// randomMachines picks about a part of the machines that are up.
+// randomMachines returns a random selection of the machines that are up, about the given fraction of them.
 func (s *simulation) randomMachines(part float64) []ident.MachineID {
 	return slices.DeleteFunc(s.upMachines(), func(ident.MachineID) bool { return s.rng.Float64() > part })
 }
 
-// randomDuration is a length between two.
+// randomDuration returns a random duration in [least, most).
 func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int64N(int64(most-least)))
 }
 
-// repeatWhileFaulty calls do and again while faults are active.
+// repeatWhileFaulty calls do repeatedly, at random intervals in [least, most), until faults are no longer active.
 func (s *simulation) repeatWhileFaulty(least, most time.Duration, do func()) {
 	s.schedule(s.randomDuration(least, most), func() {
 		if s.faultsActive {
@@ -168,7 +169,7 @@
 	})
 }
 
-// cancelRunningJobs cancels n jobs that run, at once.
+// cancelRunningJobs cancels up to n jobs with running tasks, other than services, within 200 ms.
 func (s *simulation) cancelRunningJobs(n int) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		if j := s.jobs[id]; n > 0 && !j.spec.Service && !j.isOver() && s.hasRunningTasks(id) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// crashLeader ends the leader, which comes back within the time.
+// crashLeader crashes the leader, which restarts after between 20 ms and back.
 func (s *simulation) crashLeader(back time.Duration) {
 	if l := s.leader(); l != nil {
 		s.crash(l, s.randomDuration(20*time.Millisecond, back))
@@ -191,7 +192,7 @@
 	s.schedule(d, func() { s.store.Down = false })
 }
 
-// refuseLeader has the state service refuse the leader alone.
+// refuseLeader makes the state service refuse the requests of the leader, and of no other node, for d.
 func (s *simulation) refuseLeader(d time.Duration) {
 	if l := s.leader(); l != nil {
 		s.refusedByStore[l.index] = true
@@ -199,8 +200,7 @@
 	}
 }
 
-// isolateLeader takes state service and peers from the leader, but not its workers
-// and users.
+// isolateLeader cuts the leader off from the state service and its peers for d. Workers and users still reach it.
 func (s *simulation) isolateLeader(d time.Duration) {
 	if l := s.leader(); l != nil {
 		s.isolated[l.index] = true
@@ -208,12 +208,15 @@
 	}
 }
 
+// makeUnreachable makes a fraction of the machines unreachable, each for a random duration. Their heartbeats still
+// arrive.
 func (s *simulation) makeUnreachable(part float64, least, most time.Duration) {
 	for _, id := range s.randomMachines(part) {
 		s.unreachableUntil[id] = s.now.Add(s.randomDuration(least, most))
 	}
 }
 
+// hangMachines makes a fraction of the machines hang, each for a random duration.
 func (s *simulation) hangMachines(part float64, least, most time.Duration) {
 	for _, id := range s.randomMachines(part) {
 		s.hungUntil[id] = s.now.Add(s.randomDuration(least, most))
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -61,12 +61,13 @@
 	tick()
 }
 
-// replicaState is the state of a node's replica, as the node itself sees it.
+// replicaState returns the state of a node's replica by the node's own clock.
 func (n *simulatedNode) replicaState(now clock.Instant) standby.State {
 	return n.follower.Status(n.steadyTime(now)).State
 }
 
-// tickFollower lets time pass for a node's replica.
+// tickFollower advances the follower that keeps a node's replica, lists the machines of the cloud when that is due, and
+// reports changes of the replica's readiness to the election.
 func (s *simulation) tickFollower(n *simulatedNode) {
 	if n.follower == nil || s.now.Before(s.pausedUntil[n.index]) {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// pollPeers lets the nodes ask each other for grants, and find out what they are
-// cut off from.
+// pollPeers makes each node request a lease delegation from its peers, and passes it whether it is isolated and whether
+// it reaches all of them.
 func (s *simulation) pollPeers() {
 	for _, n := range s.nodes {
 		if !n.alive {
@@ -121,8 +122,8 @@
 	})
 }
 
-// announcedSchemaVersion is what n hears that p can; where either still has the version before,
-// nothing.
+// announcedSchemaVersion returns the schema version that p announces to n, or 0 if either node still runs the previous
+// version.
 func (s *simulation) announcedSchemaVersion(n, p *simulatedNode) schemaversion.Version {
 	if s.onPreviousVersion[n.index] || s.onPreviousVersion[p.index] {
 		return 0
@@ -142,7 +143,7 @@
 
 func (s *simulation) step(n *simulatedNode, in Input) {
 	if until := s.pausedUntil[n.index]; s.now.Before(until) {
-		// It queues, and finds a process that woke with its clocks run on.
+		// The input waits until the process resumes. Its clocks have advanced meanwhile.
 		life := n.incarnation
 		s.schedule(until.Sub(s.now), func() {
 			if n.alive && n.incarnation == life {
@@ -157,7 +158,7 @@
 		s.traceEffect(n, e)
 		if _, ok := e.(ElectionEffect); ok && s.electionRequestsUntilCrash > 0 {
 			if s.electionRequestsUntilCrash--; s.electionRequestsUntilCrash == 0 {
-				s.carryOut(n, e) // it left, and the answer finds another process
+				s.carryOut(n, e) // the request was sent before the crash, so its reply does not reach this process
 				s.crash(n, time.Duration(5+s.rng.IntN(300))*time.Millisecond)
 				return
 			}
@@ -173,7 +174,7 @@
 	n.epoch = n.core.election.Epoch()
 }
 
-// reply posts the answer to an effect, unless the process has ended.
+// reply passes the result of an effect to the node, unless the process that caused the effect has ended.
 func (s *simulation) reply(n *simulatedNode, life int, in Input) {
 	s.schedule(s.latency(), func() {
 		if n.alive && n.incarnation == life {
@@ -218,8 +219,8 @@
 	}
 }
 
-// loadRecords reads what a node takes over with: its replica, if it has one, which
-// must hold just what the state service does.
+// loadRecords returns the records with which a node starts its term: its replica, if it has a complete one, else the
+// records in the state service. The replica must be equal to these.
 func (s *simulation) loadRecords(n *simulatedNode, epoch ident.Epoch) (recovery.StoredRecords, error) {
 	jobRecords, _, err := s.store.List(jobs.KeyPrefix)
 	rounds, _, err2 := s.store.List(roundlog.KeyPrefix)
@@ -237,15 +238,15 @@
 	s.warmFailovers++
 	warm.SchemaAgreement = agreed
 	if reflect.DeepEqual(read, warm) {
-		return warm, nil // cmp.Diff is slow, and only shows what differs
+		return warm, nil // cmp.Diff is slow and needed only to show the difference
 	}
 	if diff := cmp.Diff(read, warm, cmpopts.EquateEmpty()); diff != "" {
-		s.t.Fatalf("the replica of %s is not what is stored: %s", n.name, diff)
+		s.t.Fatalf("the replica of %s differs from the stored records (-stored +replica):\n%s", n.name, diff)
 	}
 	return warm, nil
 }
 
-// stepFollower lets a node that does not lead follow the records.
+// stepFollower passes an input to the follower that keeps a node's replica, and executes its requests.
 func (s *simulation) stepFollower(n *simulatedNode, in standby.Input) {
 	life := n.incarnation
 	for _, e := range n.follower.Step(n.steadyTime(s.now), in) {
@@ -271,7 +272,7 @@
 	}
 }
 
-// requestError is the error of a request that gets no answer.
+// requestError returns the error of a request to the state service that gets no reply, or nil if it gets one.
 func (s *simulation) requestError(n *simulatedNode) error {
 	if s.withoutStore(n) || s.isLost() {
 		return kvstore.ErrOutcomeUnknown
@@ -279,8 +280,8 @@
 	return nil
 }
 
-// deliver tells whether the answer to a request comes; if not, the request is
-// executed at once, later, or never.
+// deliver executes a request and reports whether its reply arrives. If the reply is lost, the request is executed at
+// once, within 20 s, or never.
 func (s *simulation) deliver(do func()) bool {
 	if !s.isLost() {
 		do()
@@ -295,7 +296,7 @@
 	return false
 }
 
-// storeLatency is how long a request to the state service takes, there or back.
+// storeLatency returns the latency of a request to the state service, in one direction.
 func (s *simulation) storeLatency() time.Duration {
 	d := s.latency()
 	if s.maxStoreLatency > 0 && s.rng.IntN(3) == 0 {
@@ -348,7 +349,7 @@
 	}
 }
 
-// failElectionRequest is what comes of a request that does not reach the state service.
+// failElectionRequest replies to an election request that did not reach the state service.
 func (s *simulation) failElectionRequest(n *simulatedNode, life int, e election.Effect, sent clock.Instant) {
 	switch e := e.(type) {
 	case election.ReadLeaderKeys:
@@ -366,6 +367,8 @@
 	}
 }
 
+// readBackEpoch determines the outcome of a rewrite of the leader key by reading the key: the rewrite was applied, it
+// was not, or another node has become leader. It retries while the state service can't be reached.
 func (s *simulation) readBackEpoch(n *simulatedNode, life int, e election.RewriteLeaderKey) {
 	h, stamp, err := s.readLeaderKey()
 	switch {
@@ -390,6 +393,8 @@
 	return h, ident.Epoch(item.ModRevision), err
 }
 
+// tryCommit commits a transaction. With the fault probabilities, the transaction commits late or its reply is lost; the
+// result is then kvstore.ErrOutcomeUnknown.
 func (s *simulation) tryCommit(t kvstore.Txn) (ident.Revision, error) {
 	var v ident.Revision
 	var err error
@@ -403,8 +408,8 @@
 	return v, err
 }
 
-// commit does what Node.commit does: an unanswered transaction is sent again,
-// and a conflict after that is settled by reading back.
+// commit commits a transaction in the way of Node.commit: a transaction without a reply is retried, and if the retry
+// conflicts, a read determines whether the earlier attempt was applied.
 func (s *simulation) commit(n *simulatedNode, life int, c CommitTransaction, unsure bool) {
 	if !n.alive || n.incarnation != life {
 		return
@@ -458,7 +463,7 @@
 	return nil
 }
 
-// hasSideEffect tells whether an effect changes something outside the process.
+// hasSideEffect reports whether an effect changes state outside the process.
 func hasSideEffect(e Effect) bool {
 	switch e := e.(type) {
 	case CommitTransaction, SendCommands, ProvisionMachines, DeprovisionMachines:
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -12,7 +12,7 @@
 	"badgerbay/internal/quota"
 )
 
-// admitAtHolder lets a node that does not lead admit a job that was stored through it.
+// admitAtHolder submits a stored job to the quota holder of a random node, if that node runs and is not the leader.
 func (s *simulation) admitAtHolder(id ident.JobID, spec *jobs.Spec) {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	need, err := quota.DemandOf(spec)
@@ -24,7 +24,7 @@
 	}
 }
 
-// stepHolder gives a node's holder an input, and carries out what it asks for.
+// stepHolder passes an input to a node's quota holder and executes the resulting effects.
 func (s *simulation) stepHolder(n *simulatedNode, in quota.HolderInput) {
 	if n.holder == nil || s.now.Before(s.pausedUntil[n.index]) {
 		return
@@ -67,7 +67,8 @@
 	return quota.RegistrationDone{ModRevision: stamp}
 }
 
-// storeReserved does what holderActor.store does.
+// storeReserved stores a holder's reservations in the way of holderActor.store: a transaction without a reply is
+// retried, and if the retry conflicts, a read determines whether the earlier attempt was applied.
 func (s *simulation) storeReserved(n *simulatedNode, life int, e quota.StoreReservations, unsure bool, answer func(quota.HolderInput)) {
 	if !n.alive || n.incarnation != life {
 		return
@@ -92,7 +93,8 @@
 	}
 }
 
-// sendQuotaRequest brings an ask to the leader that the node knows, over the peer network.
+// sendQuotaRequest sends a quota request over the peer network to the node that the sender considers leader. If no
+// reply arrives within 2 s, the holder gets an empty response.
 func (s *simulation) sendQuotaRequest(n *simulatedNode, e quota.SendRequest, answer func(quota.HolderInput)) {
 	answered := false
 	once := func(in quota.HolderInput) {
@@ -114,7 +116,7 @@
 	}
 }
 
-// applyTransaction carries out a transaction, and checks what is stored then.
+// applyTransaction commits a transaction and, if it wrote quota records, checks their invariants.
 func (s *simulation) applyTransaction(t kvstore.Txn) (ident.Revision, error) {
 	v, err := s.store.Commit(t)
 	if s.trace != nil {
@@ -125,15 +127,15 @@
 			continue
 		}
 		if wrong := s.checkStoredQuotas(); wrong != nil {
-			s.t.Fatalf("quota: %v", wrong)
+			s.t.Fatalf("stored quotas violate an invariant: %v", wrong)
 		}
 		break
 	}
 	return v, err
 }
 
-// checkStoredQuotas checks what is stored: no team's allotments exceed its limit, and no
-// holder has reserved more than it was allotted.
+// checkStoredQuotas checks the invariants of the stored quota records: no team's allocations exceed its limit, and no
+// holder has reserved more than it was allocated.
 func (s *simulation) checkStoredQuotas() error {
 	items, _, err := s.store.List(quota.KeyPrefix)
 	if err != nil {
@@ -142,12 +144,12 @@
 	return quota.CheckInvariants(items, s.settings.Params.TeamsByName())
 }
 
-// checkUsageWithinLimits checks that what runs of each team is within its limit, however it was
-// admitted.
+// checkUsageWithinLimits checks that the running tasks of each team are within its CPU limit, whether the leader or a
+// quota holder admitted them.
 func (s *simulation) checkUsageWithinLimits() error {
 	for _, team := range s.settings.Params.Teams {
 		if used := s.running.cpus[team.Name]; team.CPULimit > 0 && used > team.CPULimit+1e-6 {
-			return fmt.Errorf("%s uses %v of %v", team.Name, used, team.CPULimit)
+			return fmt.Errorf("team %s uses %v CPUs, its limit is %v", team.Name, used, team.CPULimit)
 		}
 	}
 	return nil
--- a/internal/controller/simulation_tasks_test.go
+++ b/internal/controller/simulation_tasks_test.go
@@ -8,7 +8,7 @@
 	"badgerbay/internal/jobs"
 )
 
-// placedTask is where a task runs, and what it counts for.
+// placedTask is the placement of a task and its share of the team's usage.
 type placedTask struct {
 	machine ident.MachineID
 	zone    ident.Zone
@@ -16,8 +16,8 @@
 	cpus    float64
 }
 
-// taskTable holds the tasks that are on machines, by job and with sums by team, so
-// that the rules can be checked at each start without a look at all tasks.
+// taskTable holds the tasks that are on machines, by job, and the total CPUs by team, so that the invariants can be
+// checked at each start without iterating over all tasks.
 type taskTable struct {
 	byJob map[ident.JobID]map[ident.TaskID]placedTask
 	cpus  map[ident.Team]float64
@@ -28,7 +28,7 @@
 	return &taskTable{byJob: map[ident.JobID]map[ident.TaskID]placedTask{}, cpus: map[ident.Team]float64{}}
 }
 
-// put notes that a task of the spec is on a machine, in place of any other.
+// put records that a task is on a machine and replaces its previous placement, if any.
 func (t *taskTable) put(id ident.TaskID, spec *jobs.Spec, machine ident.MachineID, zone ident.Zone) {
 	t.remove(id)
 	if t.byJob[id.Job] == nil {
@@ -49,7 +49,7 @@
 	t.count--
 }
 
-// removeFrom takes out the tasks on a machine.
+// removeFrom removes all tasks on a machine.
 func (t *taskTable) removeFrom(machine ident.MachineID) {
 	for id, placed := range t.all() {
 		if placed.machine == machine {
@@ -58,16 +58,16 @@
 	}
 }
 
-// machineOf is the machine that a task is on, or "".
+// machineOf returns the machine that a task is on, or "".
 func (t *taskTable) machineOf(id ident.TaskID) ident.MachineID { return t.byJob[id.Job][id].machine }
 
-// len counts the tasks on machines.
+// len returns the number of tasks on machines.
 func (t *taskTable) len() int { return t.count }
 
-// ofJob holds the tasks of a job. It must not be changed.
+// ofJob returns the tasks of a job. The caller must not change the map.
 func (t *taskTable) ofJob(id ident.JobID) map[ident.TaskID]placedTask { return t.byJob[id] }
 
-// all goes through the tasks in no order. They may be removed meanwhile.
+// all iterates over the tasks in no particular order. Tasks may be removed during the iteration.
 func (t *taskTable) all() iter.Seq2[ident.TaskID, placedTask] {
 	return func(yield func(ident.TaskID, placedTask) bool) {
 		for _, tasks := range t.byJob {
@@ -80,5 +80,5 @@
 	}
 }
 
-// usedCPUs is what the teams' tasks take of the machines.
+// usedCPUs returns the CPUs that each team's tasks use.
 func (t *taskTable) usedCPUs() map[ident.Team]float64 { return maps.Clone(t.cpus) }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -21,9 +21,9 @@
 	"badgerbay/internal/standby"
 )
 
-// simulation plays nodes against the stand-ins in simulated time: messages take time,
-// get lost, come twice or late; nodes crash and start again. It checks the
-// rules at every change on a machine.
+// simulation runs nodes against fakes of the state service, the cloud and the workers in simulated time. Messages have
+// latency and may be lost, duplicated or delayed, and nodes may crash and restart. It checks the invariants whenever a
+// task starts or ends on a machine.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -39,15 +39,15 @@
 	running  *taskTable
 	faults
 	taskStarts int
-	gangExits  map[ident.JobID]gangExitCounts // of gangs' tasks
-	// limitViolations is how often the limits of the state service were met in the
-	// time in which they may be.
+	gangExits  map[ident.JobID]gangExitCounts
+	// limitViolations counts the writes beyond the limits of the state service that were found before
+	// limitGraceUntil, when they are permitted.
 	limitViolations int
 
 	trace                        *wireTrace         // nil: the scenario is not traced
-	leaderHistory                fake.LeaderHistory // of those who act as leader
-	admissions                   int                // of jobs, by holders
-	warmFailovers, coldFailovers int                // with a replica, and where it was of no use
+	leaderHistory                fake.LeaderHistory // the actions that nodes take as leader
+	admissions                   int                // jobs admitted by quota holders
+	warmFailovers, coldFailovers int                // failovers of nodes with a replica: replica used, and replica unusable
 }
 
 type simulatedNode struct {
@@ -58,25 +58,25 @@
 	incarnation int
 	alive       bool
 	epoch       ident.Epoch
-	clockRate   float64 // of its steady clock
+	clockRate   float64 // rate of its steady clock relative to true time
 
-	holder        *quota.Holder     // nil: it admits nothing
-	follower      *standby.Follower // nil: it has no replica
-	replicaReady  bool              // its replica was complete when last looked at
-	knownMachines MachineSnapshot   // that it has listed
+	holder        *quota.Holder     // nil: the node admits no jobs
+	follower      *standby.Follower // nil: the node has no replica
+	replicaReady  bool              // the replica was complete at the last check
+	knownMachines MachineSnapshot   // machines in the last list that it read as follower
 }
 
 type simulatedJob struct {
 	spec           jobs.Spec
 	runTime        time.Duration
 	submitted      bool
-	runTimeStep    time.Duration // how much longer each task runs than the one before
-	startableSince clock.Instant // since when it waits though it could start; 0: it does not
-	startsSeen     int           // of its tasks, when last looked at
-	starts         int
-	cancelledAt    clock.Instant // when its user was told
+	runTimeStep    time.Duration // added to runTime once for each lower task index
+	startableSince clock.Instant // start of the time in which it waits though a task could start; 0: none
+	startsSeen     int           // value of starts at the last check
+	starts         int           // task starts
+	cancelledAt    clock.Instant // when its user was first told that it is cancelled; 0: not yet
 	reportedState  api.JobState
-	lastAnswerAt   clock.Instant // when its user was last answered
+	lastAnswerAt   clock.Instant // when its user last received its status
 	acceptedAt     clock.Instant
 	startedAt      clock.Instant // 0: no task has started
 }
@@ -109,10 +109,11 @@
 	return c.node.steadyTime(c.sim.now)
 }
 
-// simulationStart is when the scenarios of the simulation begin, for clocks that run too fast.
+// simulationStart is the time at which scenarios begin. The steady clocks of all nodes are equal at this time and drift
+// apart from there.
 const simulationStart = clock.Instant(time.Hour)
 
-// steadyTime is what the node's steady clock shows at a time.
+// steadyTime returns the reading of the node's steady clock at a true time.
 func (n *simulatedNode) steadyTime(now clock.Instant) clock.Instant {
 	return simulationStart.Add(time.Duration(float64(now.Sub(simulationStart)) * n.clockRate))
 }
@@ -129,9 +130,8 @@
 		Cloud:        config.Cloud{RPS: 5, ListLagSeconds: 1}}}
 }
 
-// allWithWarmStandby makes scenarios that name no policy of their own be played with the warm
-// standby.
-var allWithWarmStandby = flag.Bool("warmstandby", false, "play all scenarios with the warm standby")
+// allWithWarmStandby enables the warm standby in all scenarios that don't set a policy of their own.
+var allWithWarmStandby = flag.Bool("warmstandby", false, "run all scenarios that set no policy of their own with the warm standby")
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	script := ""
@@ -141,10 +141,10 @@
 	return newSimulationWithPolicy(t, seed, script)
 }
 
-// warmStandbyPolicy enables the warm standby as the operators' page says.
+// warmStandbyPolicy is the policy script that enables the warm standby, as documented for operators.
 const warmStandbyPolicy = "warm_standby = {}"
 
-// newSimulationWithPolicy returns a simulation whose nodes have the policy of a script.
+// newSimulationWithPolicy returns a simulation whose nodes use the policy of a script.
 func newSimulationWithPolicy(t *testing.T, seed uint64, script string) *simulation {
 	pol, err := policy.Parse("sim.star", script)
 	if err != nil {
@@ -166,7 +166,7 @@
 	s.cloud.BootTime = func() time.Duration { return time.Duration(2+s.rng.IntN(10)) * time.Second }
 	s.store.MaxValueBytes, s.store.MaxTxnOps = s.settings.Params.StateService.MaxValueBytes(), s.settings.Params.StateService.MaxTxnOps
 	for i := range 3 {
-		const fastest = 0.0005 // by which steady clocks may be too fast
+		const fastest = 0.0005 // maximum relative error of a steady clock
 		rate := 1 + fastest*float64(i)/2
 		s.nodes = append(s.nodes, &simulatedNode{index: i, name: fmt.Sprintf("n%d", i), zone: s.settings.Params.Zones[i%2], clockRate: rate})
 	}
@@ -198,7 +198,7 @@
 
 func (s *simulation) isLost() bool { return s.rng.Float64() < s.lossProbability }
 
-// runFor plays until d has passed.
+// runFor processes events until d has passed.
 func (s *simulation) runFor(d time.Duration) {
 	end := s.now.Add(d)
 	for s.queue.Len() > 0 && s.queue[0].at <= end {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -15,7 +15,8 @@
 	"badgerbay/internal/kvstore"
 )
 
-// taskSeen checks the rules as a task comes to be on a machine.
+// taskSeen records that a task has started on a machine, or has left it if on is false. At each start it checks the
+// invariants: a task runs once, not after the cancel timeout, only where its spec allows, and within its team's limit.
 func (s *simulation) taskSeen(_ clock.Instant, w *fake.Worker, id ident.TaskID, on bool) {
 	if !on {
 		if s.running.machineOf(id) == w.ID {
@@ -30,13 +31,13 @@
 	j := s.jobs[id.Job]
 	j.starts++
 	if m := s.running.machineOf(id); m != "" && m != w.ID {
-		s.t.Fatalf("ran_twice: %v on %s and %s", id, m, w.ID)
+		s.t.Fatalf("task %v runs on %s and %s at the same time", id, m, w.ID)
 	}
 	if j.cancelledAt != 0 && s.now.Sub(j.cancelledAt) > s.settings.Params.Workers.CancelTimeout() {
-		s.t.Fatalf("ran_cancelled: %v starts", id)
+		s.t.Fatalf("task %v of a cancelled job starts after the cancel timeout", id)
 	}
 	if !j.spec.AllowsMachine(w.Type.Name, w.Zone, w.Spot) {
-		s.t.Fatalf("wrong_place: %v on %s", id, w.ID)
+		s.t.Fatalf("task %v is on machine %s, which its spec does not allow", id, w.ID)
 	}
 	if j.startedAt == 0 {
 		j.startedAt = s.now
@@ -47,23 +48,24 @@
 		if placed.zone == w.Zone {
 			here++
 		} else if j.spec.ZoneAffinity {
-			s.t.Fatalf("wrong_place: %v is not with the others", id)
+			s.t.Fatalf("task %v of a job with zone affinity is not in the zone of the others", id)
 		}
 	}
 	if j.spec.ZoneSpread && here > j.spec.MaxTasksPerZone() {
-		s.t.Fatalf("wrong_place: %d of %v in %s", here, id.Job, w.Zone)
+		s.t.Fatalf("zone spread violated: %d tasks of %v in zone %s", here, id.Job, w.Zone)
 	}
 	for _, team := range s.settings.Params.Teams {
 		if used := s.running.cpus[team.Name]; team.CPULimit > 0 && used > team.CPULimit {
-			s.t.Fatalf("quota: %s uses %v", team.Name, used)
+			s.t.Fatalf("team %s uses %v CPUs, more than its limit", team.Name, used)
 		}
 	}
 }
 
-// gangExitCounts are how a gang's tasks have left their machines.
+// gangExitCounts counts the tasks of a gang that have left their machines, by reason: they were stopped and had stored
+// a checkpoint, they lost their peers, or the gang did not become complete.
 type gangExitCounts struct{ saved, peersLost, incomplete int }
 
-// countGangExit counts how a gang's task has left its machine.
+// countGangExit counts a gang's task that has left its machine, by reason.
 func (s *simulation) countGangExit(id ident.TaskID, task *fake.Task) {
 	n := s.gangExits[id.Job]
 	switch {
@@ -79,11 +81,11 @@
 
 func (s *simulation) hasRunningTasks(id ident.JobID) bool { return len(s.running.ofJob(id)) > 0 }
 
-// maxStartDelay is how long a job may wait, once all faults are over, while a
-// machine that fits has room and its team is under its limit.
+// maxStartDelay is how long a job may wait, once all faults are over, while a suitable machine has enough free
+// resources and its team is below its limit.
 const maxStartDelay = 90 * time.Second
 
-// watchStartDelays checks each second that no job waits for too long.
+// watchStartDelays checks each second that no job waits longer than maxStartDelay although it could start.
 func (s *simulation) watchStartDelays() {
 	var past []map[ident.Team]float64
 	s.scheduleEvery(time.Second, func() {
@@ -110,12 +112,13 @@
 	})
 }
 
-// usageWindowSeconds, in seconds: a team whose tasks come and go at its limit is a little
-// below it at most moments, as ends are reported and images fetched.
+// usageWindowSeconds is how long a team must have been below its limit for its jobs to count as startable. A team that
+// is at its limit and whose tasks end and start is slightly below it most of the time, while ends are being reported
+// and images fetched.
 const usageWindowSeconds = 8
 
-// couldStart tells whether a machine that fits has room for one more task of
-// the job, and its team is under its limit.
+// couldStart reports whether a suitable machine has room for one more task of the job and, in all recent samples of the
+// usage, the team's limit allowed one more.
 func (s *simulation) couldStart(t *term, j *jobs.Job, past []map[ident.Team]float64) bool {
 	most := t.teams[j.Spec.Team].CPULimit
 	for _, used := range past {
@@ -142,7 +145,7 @@
 	return false
 }
 
-// submit stores a job as any node does, and tells the nodes.
+// submit stores a job in the way that a node does, and then notifies and polls the nodes until the job is over.
 func (s *simulation) submit(n int, spec jobs.Spec, run time.Duration) ident.JobID {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", n))
 	j := &simulatedJob{spec: spec, runTime: run}
@@ -179,8 +182,9 @@
 	s.queryOrCancel(n, id, j, false)
 }
 
-// queryOrCancel puts a user's question to a node, which answers as intake does: where no
-// leader can be asked, by the record if that decides.
+// queryOrCancel sends a user's status query or cancellation to a node, which answers in the way of the API: if no
+// leader is available or the leader does not know the job, it answers from the job's record. A cancellation is answered
+// from the record only if that is final.
 func (s *simulation) queryOrCancel(n *simulatedNode, id ident.JobID, j *simulatedJob, cancelJob bool) {
 	life := n.incarnation
 	s.step(n, JobRequest{Job: id, Cancel: cancelJob, Responder: ResponderFunc[JobReply](func(a JobReply) {
@@ -205,13 +209,14 @@
 	})})
 }
 
-// checkStatus checks what a user is told against what was said before.
+// checkStatus checks a status that a user receives: a job that was reported as over keeps its state, and a job that is
+// done has run all of its tasks.
 func (s *simulation) checkStatus(id ident.JobID, j *simulatedJob, st api.Status) {
 	if j.isOver() && st.State != j.reportedState {
-		s.t.Fatalf("went_back: %s was %s and is %s", id, j.reportedState, st.State)
+		s.t.Fatalf("status of %s changed from the final state %s to %s", id, j.reportedState, st.State)
 	}
 	if st.State == api.Done && st.DoneTasks != j.spec.Tasks {
-		s.t.Fatalf("not_done: %s has %d of %d", id, st.DoneTasks, j.spec.Tasks)
+		s.t.Fatalf("%s is reported as done with %d of %d tasks", id, st.DoneTasks, j.spec.Tasks)
 	}
 	j.lastAnswerAt = s.now
 	if st.State == api.Cancelled && j.cancelledAt == 0 {
@@ -220,7 +225,7 @@
 	j.reportedState = st.State
 }
 
-// cancelJob asks until it is told.
+// cancelJob sends the cancellation to all nodes every 2 s until the user receives a final state of the job.
 func (s *simulation) cancelJob(id ident.JobID) {
 	j := s.jobs[id]
 	if j.isOver() {
@@ -254,7 +259,8 @@
 	}
 }
 
-// healAndFinish lets all faults end and checks that every job comes to its end.
+// healAndFinish ends all faults, cancels the services and checks that every job is answered, starts without undue delay
+// and is over in the end.
 func (s *simulation) healAndFinish() {
 	s.lateHeartbeatProbability = 0
 	s.lossProbability, s.duplicateProbability, s.store.Down, s.cloud.Down = 0, 0, false, false
@@ -277,13 +283,14 @@
 		}
 	}
 	if s.taskStarts == 0 {
-		s.t.Error("nothing_ran")
+		s.t.Error("no task has started")
 	}
 	s.checkServedShares()
-	s.t.Logf("%d starts, %d machines left, %d changes written, epoch %d", s.taskStarts, len(s.cloud.Machines), s.store.OperationCount, s.currentEpoch())
+	s.t.Logf("%d task starts, %d machines left, %d operations written, epoch %d", s.taskStarts, len(s.cloud.Machines), s.store.OperationCount, s.currentEpoch())
 }
 
-// checkAllJobsAnswered lets 75 s pass and checks that every accepted job was answered in them.
+// checkAllJobsAnswered advances time by 75 s and checks that the user of every accepted job that is not over received
+// its status in that time.
 func (s *simulation) checkAllJobsAnswered() {
 	begun := s.now
 	s.runFor(75 * time.Second)
@@ -293,12 +300,12 @@
 			continue
 		}
 		if j.lastAnswerAt < begun {
-			s.t.Errorf("forgotten: no question about %s was answered for 75 s", id)
+			s.t.Errorf("no status query for %s was answered for 75 s", id)
 		}
 	}
 }
 
-// checkServedShares checks that at least half of each class and of each team has begun.
+// checkServedShares checks that at least half of the jobs of each class and of each team have started.
 func (s *simulation) checkServedShares() {
 	began, all := map[string]int{}, map[string]int{}
 	for _, j := range s.jobs {
@@ -311,12 +318,13 @@
 	}
 	for group, n := range all {
 		if 2*began[group] < n {
-			s.t.Errorf("%d of %d of %s were served", began[group], n, group)
+			s.t.Errorf("%d of %d jobs of %s have started, want at least half", began[group], n, group)
 		}
 	}
 }
 
-// submitRandomJobs submits replicas, large arrays and many small ones over a minute.
+// submitRandomJobs submits a service and a small array each second and a large array every 4 s, for 60 s plus the given
+// number of seconds, and cancels some of the services and small arrays.
 func (s *simulation) submitRandomJobs(more int) {
 	replicas, large, small := serviceSpec, arraySpec, oneZoneSpec
 	replicas.Tasks, large.Tasks, large.CPUs = 4, 400, 4
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -25,22 +25,22 @@
 	"badgerbay/internal/peer"
 )
 
-// traceDirVariable names the directory to which the wire trace of each scenario is
-// written, compressed, beside its sum. It is in the environment since several
-// packages play scenarios, and others know no flag for it.
+// traceDirVariable is the environment variable with the directory to which the wire trace of each scenario is written,
+// compressed, together with its hash. It is no flag, since several packages run scenarios and the test binaries of
+// other packages would reject an unknown flag.
 const traceDirVariable = "BADGERBAY_TRACE_DIR"
 
-// wireTrace records what the nodes of a scenario send, in the forms that it has outside
-// the process, so that two scenarios can be compared whatever the code calls things.
+// wireTrace records what the nodes of a scenario send, in its encoded form, so that traces of two versions of the code
+// can be compared even if identifiers were renamed.
 type wireTrace struct {
 	sum  hash.Hash
-	out  io.Writer // the text of the trace; nil: only its sum is wanted
+	out  io.Writer // receives the text of the trace; nil: only the hash is computed
 	line bytes.Buffer
 }
 
 func newWireTrace(out io.Writer) *wireTrace { return &wireTrace{sum: sha256.New(), out: out} }
 
-// Sum is the hash of the trace so far.
+// Sum returns the hash of the trace so far.
 func (w *wireTrace) Sum() string { return hex.EncodeToString(w.sum.Sum(nil)) }
 
 func (w *wireTrace) printf(format string, args ...any) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// traceToFile has the scenario traced to a file named after its test, if the environment
-// asks for it, with what is stored when the test ends.
+// traceToFile starts a trace of the scenario to a file named after its test, if the environment variable is set. When
+// the test ends, the stored records are appended to the trace.
 func (s *simulation) traceToFile() {
 	dir := os.Getenv(traceDirVariable)
 	if dir == "" {
@@ -63,7 +63,7 @@
 	name := strings.NewReplacer("/", "__", " ", "_", ",", "").Replace(s.t.Name())
 	var file *os.File
 	var err error
-	for n := 0; file == nil; n++ { // a test may play several scenarios, one after the other
+	for n := 0; file == nil; n++ { // a test may run several scenarios in sequence
 		path := filepath.Join(dir, fmt.Sprintf("%s.%d.trace.gz", name, n))
 		file, err = os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		if err != nil && !os.IsExist(err) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// traceRecords records everything that is stored.
+// traceRecords adds all stored records to the trace.
 func (s *simulation) traceRecords() {
 	s.store.Down = false
 	items, revision, err := s.store.List("")
@@ -97,7 +97,7 @@
 	}
 }
 
-// traceEffect records an effect of a node.
+// traceEffect adds an effect of a node to the trace.
 func (s *simulation) traceEffect(n *simulatedNode, e Effect) {
 	if s.trace == nil {
 		return
@@ -105,10 +105,10 @@
 	s.trace.printf("%d %s/%d %s", s.now, n.name, n.incarnation, wireForm(e))
 }
 
-// workerStatus is the HTTP status by which a worker learns the outcome of its heartbeat.
+// workerStatus is the HTTP status with which a worker receives the outcome of its heartbeat.
 var workerStatus = map[HeartbeatOutcome]int{HeartbeatAccepted: 200, HeartbeatRedirected: 421, HeartbeatUnavailable: 503}
 
-// wireForm is what an effect sends, in the form that it has outside the process.
+// wireForm returns what an effect sends, in its encoded form.
 func wireForm(e Effect) string {
 	switch e := e.(type) {
 	case HeartbeatReply:
@@ -170,7 +170,7 @@
 	return "unknown"
 }
 
-// wireTxn is a transaction as the state service gets it.
+// wireTxn returns a transaction as the state service receives it.
 func wireTxn(t kvstore.Txn) string {
 	var out strings.Builder
 	for _, g := range t.Conditions {
@@ -182,7 +182,7 @@
 	return out.String()
 }
 
-// encoded is the canonical form of a body that was just encoded.
+// encoded returns the canonical form of an encoded body, or the text of the encoding error.
 func encoded(body []byte, err error) string {
 	if err != nil {
 		return err.Error()
@@ -190,7 +190,7 @@
 	return canonical(body)
 }
 
-// canonical is MessagePack as text, with the keys of maps in order.
+// canonical returns MessagePack data as text with the keys of maps in order, or in hexadecimal if it can't be decoded.
 func canonical(body []byte) string {
 	var v any
 	if err := msgpack.Unmarshal(body, &v); err != nil {
@@ -227,9 +227,8 @@
 	}
 }
 
-// TestScenariosRepeatBySeed: a scenario that is played again with its seed is the same to the
-// last message, so that a fault found on one can be looked into, and decisions of two
-// versions compared.
+// TestScenariosRepeatBySeed checks that a scenario that runs again with the same seed sends exactly the same messages,
+// so that a failure can be reproduced from its seed and the decisions of two versions can be compared.
 func TestScenariosRepeatBySeed(t *testing.T) {
 	t.Parallel()
 	var sums []string
@@ -250,6 +249,6 @@
 		sums = append(sums, s.trace.Sum())
 	}
 	if sums[0] != sums[1] {
-		t.Errorf("the same day has the traces %s and %s", sums[0], sums[1])
+		t.Errorf("two runs with the same seed have the trace hashes %s and %s", sums[0], sums[1])
 	}
 }
