--- a/internal/controller/parts_test.go
+++ b/internal/controller/componentfields_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// partFiles lists, for each component of the leader, the files that may access its fields.
-var partFiles = map[string][]string{
+// componentFiles lists, for each component of the leader, the files that may access its fields.
+var componentFiles = map[string][]string{
 	"jobTable":           {"jobtable.go"},
 	"schedulingLoop":     {"scheduling.go"},
 	"checkpointWriter":   {"fold.go", "staging.go"},
@@ -25,11 +25,11 @@
 	"recoveryProgress":   {"recovery.go"},
 }
 
-// noImports is an importer that returns empty packages: the check needs only the types that the controller declares
+// emptyImporter is an importer that returns empty packages: the check needs only the types that the controller declares
 // itself.
-type noImports struct{}
+type emptyImporter struct{}
 
-func (noImports) Import(path string) (*types.Package, error) {
+func (emptyImporter) Import(path string) (*types.Package, error) {
 	p := types.NewPackage(path, filepath.Base(path))
 	p.MarkComplete()
 	return p, nil
@@ -55,25 +55,25 @@
 		syntax = append(syntax, file)
 	}
 	info := &types.Info{Selections: map[*ast.SelectorExpr]*types.Selection{}}
-	config := types.Config{Importer: noImports{}, Error: func(error) {}} // errors are expected, since the imported packages are empty
+	config := types.Config{Importer: emptyImporter{}, Error: func(error) {}} // errors are expected, since the imported packages are empty
 	pkg, _ := config.Check("controller", files, syntax, info)
 
 	owners := fieldOwners(t, pkg)
 	seen := map[string]bool{}
 	for selector, selection := range info.Selections {
-		part := owners[selection.Obj()]
-		if part == "" {
+		component := owners[selection.Obj()]
+		if component == "" {
 			continue
 		}
-		seen[part] = true
+		seen[component] = true
 		position := files.Position(selector.Pos())
-		if !slices.Contains(partFiles[part], position.Filename) {
-			t.Errorf("%s: field %s of %s is accessed outside the files of its component", position, selection.Obj().Name(), part)
+		if !slices.Contains(componentFiles[component], position.Filename) {
+			t.Errorf("%s: field %s of %s is accessed outside the files of its component", position, selection.Obj().Name(), component)
 		}
 	}
-	for part := range partFiles {
-		if !seen[part] {
-			t.Errorf("no access to a field of %s was found: the check does not work", part)
+	for component := range componentFiles {
+		if !seen[component] {
+			t.Errorf("no access to a field of %s was found: the check does not work", component)
 		}
 	}
 }
@@ -83,18 +83,18 @@
 func fieldOwners(t *testing.T, pkg *types.Package) map[types.Object]string {
 	t.Helper()
 	owners := map[types.Object]string{}
-	for part := range partFiles {
-		object := pkg.Scope().Lookup(part)
+	for component := range componentFiles {
+		object := pkg.Scope().Lookup(component)
 		if object == nil {
-			t.Fatalf("type %s is not declared", part)
+			t.Fatalf("type %s is not declared", component)
 		}
-		structure, ok := object.Type().Underlying().(*types.Struct)
+		structType, ok := object.Type().Underlying().(*types.Struct)
 		if !ok {
-			t.Fatalf("type %s is not a struct", part)
+			t.Fatalf("type %s is not a struct", component)
 		}
-		for i := range structure.NumFields() {
-			if field := structure.Field(i); !field.Embedded() {
-				owners[field] = part
+		for i := range structType.NumFields() {
+			if field := structType.Field(i); !field.Embedded() {
+				owners[field] = component
 			}
 		}
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -20,11 +20,11 @@
 	"badgerbay/internal/roundlog"
 )
 
-// stoppedClock is a clock that always returns the same time.
-type stoppedClock clock.Instant
+// fixedClock is a clock that always returns the same time.
+type fixedClock clock.Instant
 
-func (c stoppedClock) Now() clock.Instant { return clock.Instant(c) }
-func (stoppedClock) Wall() time.Time      { return time.UnixMilli(1_700_000_000_000) }
+func (c fixedClock) Now() clock.Instant { return clock.Instant(c) }
+func (fixedClock) Wall() time.Time      { return time.UnixMilli(1_700_000_000_000) }
 
 // newLeadingCore returns a core that is leader in epoch 77 and has read all records, and the current time of its clock.
 func newLeadingCore(t *testing.T) (*Core, clock.Instant) {
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	now := clock.Instant(time.Hour)
-	c := NewCore(set, pol, stoppedClock(now), kvstore.NewBudget(2, 80, 25), rand.New(rand.NewPCG(1, 2)),
+	c := NewCore(set, pol, fixedClock(now), kvstore.NewBudget(2, 80, 25), rand.New(rand.NewPCG(1, 2)),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.New())
 	c.machineTypes = []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}
 	c.Step(now, ElectionInput{election.LeaderKeysRead{OK: true}})
@@ -56,24 +56,24 @@
 	tm := g.core.term
 	interval := g.core.settings.Params.Workers.HeartbeatInterval()
 	tm.acquiredAt, g.core.stallEnded = g.now, 0
-	hear := func() {
+	sendHeartbeats := func() {
 		for _, m := range tm.fleet.Machines() {
 			tm.monitor.recordHeartbeat(g.now, HeartbeatReceived{Heartbeat: &fleet.Heartbeat{Machine: m.ID}, RelayedBy: "n1"})
 		}
 	}
 	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
-		hear()
+		sendHeartbeats()
 		if tm.transferLeadershipIfUnreached(g.now) {
 			t.Fatalf("leadership transferred %v after the term began", g.now.Sub(tm.acquiredAt))
 		}
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
-	begun := g.now
-	for !tm.transferLeadershipIfUnreached(g.now) && g.now.Sub(begun) < time.Minute {
-		hear()
+	connectedAt := g.now
+	for !tm.transferLeadershipIfUnreached(g.now) && g.now.Sub(connectedAt) < time.Minute {
+		sendHeartbeats()
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
-	if d := g.now.Sub(begun); d < leadtransfer.Delay-time.Second || d > leadtransfer.Delay+time.Second {
+	if d := g.now.Sub(connectedAt); d < leadtransfer.Delay-time.Second || d > leadtransfer.Delay+time.Second {
 		t.Errorf("leadership transferred %v after the workers had time to connect, want about %v", d, leadtransfer.Delay)
 	}
 }
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -26,9 +26,9 @@
 type coreFixture struct {
 	core         *Core
 	now          clock.Instant
-	version      ident.Revision
+	revision     ident.Revision
 	machines     []*fleet.Heartbeat
-	nextMachine  int
+	advanceCount int
 	deadMachines map[int]bool // machines that send no heartbeats and answer no commands; keyed by index
 }
 
@@ -43,7 +43,7 @@
 	set := simulationSettings()
 	set.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	set.Params.Workers.HeartbeatSeconds = 5
-	g := &coreFixture{now: clock.Instant(time.Hour), version: 10}
+	g := &coreFixture{now: clock.Instant(time.Hour), revision: 10}
 	g.core = NewCore(set, pol, g, kvstore.NewBudget(3, 150, 20), rand.New(rand.NewPCG(1, 2)),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.New())
 	g.core.machineTypes = []*fleet.MachineType{
@@ -82,8 +82,8 @@
 		for _, e := range g.core.Step(g.now, queue[0]) {
 			switch e := e.(type) {
 			case CommitTransaction:
-				g.version++
-				queue = append(queue, TransactionCompleted{Kind: e.Kind, Epoch: e.Epoch, Revision: g.version})
+				g.revision++
+				queue = append(queue, TransactionCompleted{Kind: e.Kind, Epoch: e.Epoch, Revision: g.revision})
 			case SendCommands:
 				queue = append(queue, g.executeCommand(e))
 			case ReadQuotaRecords:
@@ -129,12 +129,12 @@
 
 func (g *coreFixture) submit(i int, spec jobs.Spec) {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", i))
-	g.version++
+	g.revision++
 	data, err := encodeRecord(jobs.NewRecord(spec, g.Wall().UnixMilli()))
 	if err != nil {
 		panic(err)
 	}
-	g.step(JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: g.version}})
+	g.step(JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: g.revision}})
 }
 
 // fillMachines submits jobs that use about half of the machines' capacity and advances time until most of their tasks
@@ -162,11 +162,11 @@
 	for k := range ticks {
 		g.now = g.now.Add(d / ticks)
 		g.step(Tick{})
-		for i := (g.nextMachine%interval)*ticks + k; i < len(g.machines); i += interval * ticks {
+		for i := (g.advanceCount%interval)*ticks + k; i < len(g.machines); i += interval * ticks {
 			g.sendHeartbeat(i)
 		}
 	}
-	g.nextMachine++
+	g.advanceCount++
 }
 
 func encodeRecord(r *jobs.Record) ([]byte, error) { return msgpack.Marshal(r) }
--- a/internal/controller/purity_test.go
+++ b/internal/controller/purity_test.go
@@ -16,9 +16,9 @@
 	"leasedelegation", "policy", "quota", "recovery", "roundlog", "scheduler", "schemaversion", "standby",
 }
 
-// forbiddenImport reports whether a package gives access to the network or makes decisions depend on the time of a
+// isForbiddenImport reports whether a package gives access to the network or makes decisions depend on the time of a
 // cancellation.
-func forbiddenImport(path string) bool {
+func isForbiddenImport(path string) bool {
 	return path == "context" || path == "net" || path == "net/http" || strings.HasPrefix(path, "net/http/") ||
 		strings.HasPrefix(path, "google.golang.org/grpc")
 }
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if forbiddenImport(path) {
+		if isForbiddenImport(path) {
 			t.Errorf("%s imports %s", file, path)
 		}
 	}
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -12,7 +12,7 @@
 	"badgerbay/internal/jobs"
 )
 
-func (s *simulation) sendCommand(n *simulatedNode, life int, e SendCommands) {
+func (s *simulation) sendCommand(n *simulatedNode, incarnation int, e SendCommands) {
 	var exec func() *fleet.Heartbeat
 	exec = func() *fleet.Heartbeat {
 		if until := s.hungUntil[e.Machine]; s.now.Before(until) {
@@ -36,21 +36,21 @@
 	}
 	s.schedule(s.latency(), func() {
 		var r *fleet.Heartbeat
-		if !s.deliver(func() { r = exec() }) || r == nil {
+		if !s.executeWithLoss(func() { r = exec() }) || r == nil {
 			r = nil
-			s.schedule(3*time.Second, func() { s.reply(n, life, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}) })
+			s.schedule(3*time.Second, func() { s.reply(n, incarnation, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}) })
 			return
 		}
-		s.reply(n, life, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch, Heartbeat: r})
+		s.reply(n, incarnation, CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch, Heartbeat: r})
 		if s.rng.Float64() < s.duplicateProbability {
 			s.schedule(time.Duration(1+s.rng.IntN(60))*time.Second, func() { exec() })
 		}
 	})
 }
 
-func (s *simulation) callCloud(n *simulatedNode, life int, e Effect) {
+func (s *simulation) callCloud(n *simulatedNode, incarnation int, e Effect) {
 	if s.partitioned(n.zone, "") {
-		s.schedule(5*time.Second, func() { s.failCloudCall(n, life, e) })
+		s.schedule(5*time.Second, func() { s.failCloudCall(n, incarnation, e) })
 		return
 	}
 	s.schedule(50*time.Millisecond, func() {
@@ -59,29 +59,29 @@
 			done := ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: n.steadyTime(s.now), Result: cloud.ProvisionOutcomeUnknown}
 			var ids []ident.MachineID
 			var err error
-			if s.deliver(func() { ids, err = s.cloud.Provision(s.now, e.Name, e.Offer, e.Count) }) {
+			if s.executeWithLoss(func() { ids, err = s.cloud.Provision(s.now, e.Name, e.Offer, e.Count) }) {
 				done.Machines = ids
 				done.Result = map[bool]cloud.ProvisionResult{true: cloud.ProvisionGranted, false: cloud.ProvisionNoCapacity}[err == nil]
 				if errors.Is(err, cloud.ErrUnavailable) {
 					done.Result = cloud.ProvisionDeferred
 				}
 			}
-			s.reply(n, life, done)
+			s.reply(n, incarnation, done)
 		case DeprovisionMachines:
 			var err error
-			ok := s.deliver(func() {
+			ok := s.executeWithLoss(func() {
 				if err = s.cloud.Deprovision(e.Machines); err == nil {
 					for _, id := range e.Machines {
 						s.running.removeFrom(id)
 					}
 				}
 			})
-			s.reply(n, life, DeprovisionCompleted{Machines: e.Machines, OK: ok && err == nil})
+			s.reply(n, incarnation, DeprovisionCompleted{Machines: e.Machines, OK: ok && err == nil})
 		case ListMachines:
 			list, more, err := s.cloud.Page(s.now, e.After, machineListPageSize)
-			s.reply(n, life, MachinesListed{cloud.Page{OK: err == nil, Machines: list, More: more}})
+			s.reply(n, incarnation, MachinesListed{cloud.Page{OK: err == nil, Machines: list, More: more}})
 		case ReadMachineTypes:
-			s.reply(n, life, MachineTypesRead{Types: s.cloud.Types})
+			s.reply(n, incarnation, MachineTypesRead{Types: s.cloud.Types})
 		}
 	})
 }
@@ -91,16 +91,16 @@
 const machineListPageSize = 40
 
 // failCloudCall replies to a call that did not reach the cloud.
-func (s *simulation) failCloudCall(n *simulatedNode, life int, e Effect) {
+func (s *simulation) failCloudCall(n *simulatedNode, incarnation int, e Effect) {
 	switch e := e.(type) {
 	case ProvisionMachines:
-		s.reply(n, life, ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: n.steadyTime(s.now), Result: cloud.ProvisionOutcomeUnknown})
+		s.reply(n, incarnation, ProvisionCompleted{Name: e.Name, Offer: e.Offer, SentAt: n.steadyTime(s.now), Result: cloud.ProvisionOutcomeUnknown})
 	case DeprovisionMachines:
-		s.reply(n, life, DeprovisionCompleted{Machines: e.Machines})
+		s.reply(n, incarnation, DeprovisionCompleted{Machines: e.Machines})
 	case ListMachines:
-		s.reply(n, life, MachinesListed{})
+		s.reply(n, incarnation, MachinesListed{})
 	case ReadMachineTypes:
-		s.reply(n, life, MachineTypesRead{})
+		s.reply(n, incarnation, MachineTypesRead{})
 	}
 }
 
@@ -144,7 +144,7 @@
 		return fake.NewWorker(h.ID, s.cloud.Type(h.Offer.Type), h.Offer.Zone, h.Offer.Spot, lease, s.now)
 	}) {
 		w.FetchTime = time.Second
-		w.OnTask = s.taskSeen
+		w.OnTask = s.handleTaskChange
 		w.OnExit = s.countGangExit
 		w.Spec = s.jobSpec
 		w.RunTime = s.taskRunTime
@@ -187,8 +187,8 @@
 		}
 		up = append(up, h.Worker)
 	}
-	hangs := func(id ident.MachineID) bool { return s.now.Before(s.hungUntil[id]) }
-	fake.AdvanceGangs(s.now, up, gangStartTimeout, gangPeerTimeout, hangs)
+	isHung := func(id ident.MachineID) bool { return s.now.Before(s.hungUntil[id]) }
+	fake.AdvanceGangs(s.now, up, gangStartTimeout, gangPeerTimeout, isHung)
 }
 
 // checkCancelledJobsStopped checks that no task of a cancelled job runs once the cancel timeout has passed.
@@ -206,9 +206,9 @@
 // Timing of a worker's heartbeats.
 const (
 	heartbeatReplyTimeout = 4 * time.Second
-	nextNodePause         = time.Second            // pause before a worker tries the next node
-	redirectPause         = 200 * time.Millisecond // pause before a worker contacts the leader named in a redirect
-	newEpochPause         = 500 * time.Millisecond // pause after a reply with a higher fencing token
+	nextNodeDelay         = time.Second            // pause before a worker tries the next node
+	redirectDelay         = 200 * time.Millisecond // pause before a worker contacts the leader named in a redirect
+	newEpochDelay         = 500 * time.Millisecond // pause after a reply with a higher fencing token
 )
 
 // heartbeatLoop sends a worker's heartbeat to a node and schedules the next one: to the same node if the heartbeat was
@@ -224,8 +224,8 @@
 	}
 	w.Advance(s.now)
 	interval := s.settings.Params.Workers.HeartbeatInterval()
-	x := &heartbeatExchange{sim: s, worker: w, node: s.nodes[node], heartbeat: w.Heartbeat(), session: w.Session, sent: s.now,
-		pause: interval*3/4 + time.Duration(s.rng.Int64N(int64(interval/2)))}
+	x := &heartbeatExchange{sim: s, worker: w, node: s.nodes[node], heartbeat: w.Heartbeat(), session: w.Session, sentAt: s.now,
+		nextDelay: interval*3/4 + time.Duration(s.rng.Int64N(int64(interval/2)))}
 	if s.rng.Float64() < s.lateHeartbeatProbability {
 		delay := time.Second + time.Duration(s.rng.Int64N(int64(s.maxHeartbeatDelay)))
 		s.schedule(delay, x.deliverCopy)
@@ -236,14 +236,14 @@
 
 // heartbeatExchange is one heartbeat of a worker and the handling of its reply.
 type heartbeatExchange struct {
-	sim       *simulation
-	worker    *fake.Worker
-	node      *simulatedNode
-	heartbeat *fleet.Heartbeat
-	session   ident.Session
-	sent      clock.Instant
-	pause     time.Duration // until the next heartbeat, once this one has been accepted
-	over      bool          // the next heartbeat is scheduled
+	sim           *simulation
+	worker        *fake.Worker
+	node          *simulatedNode
+	heartbeat     *fleet.Heartbeat
+	session       ident.Session
+	sentAt        clock.Instant
+	nextDelay     time.Duration // until the next heartbeat, once this one has been accepted
+	nextScheduled bool          // the next heartbeat is scheduled
 }
 
 // send sends the heartbeat to its node. If no reply arrives within heartbeatReplyTimeout, the worker tries the next
@@ -283,7 +283,7 @@
 // or that arrives after the next heartbeat was scheduled, is discarded.
 func (x *heartbeatExchange) deliverReply(answer HeartbeatReply) {
 	s, w := x.sim, x.worker
-	if s.unreachableByWorkers[x.node.index] || s.partitioned(x.node.zone, w.Zone) || x.over ||
+	if s.unreachableByWorkers[x.node.index] || s.partitioned(x.node.zone, w.Zone) || x.nextScheduled ||
 		s.now.Before(s.hungUntil[w.ID]) || s.now.Before(s.unreachableUntil[w.ID]) {
 		return
 	}
@@ -291,27 +291,27 @@
 	case answer.Outcome == HeartbeatAccepted:
 		w.Advance(s.now)
 		before := w.FencingToken
-		if w.HandleHeartbeatReply(s.now, x.sent, x.session, answer.Epoch, answer.Commands) && w.FencingToken > before {
-			x.pause = newEpochPause
+		if w.HandleHeartbeatReply(s.now, x.sentAt, x.session, answer.Epoch, answer.Commands) && w.FencingToken > before {
+			x.nextDelay = newEpochDelay
 		}
-		x.continueAt(x.node.index, x.pause)
+		x.continueAt(x.node.index, x.nextDelay)
 	case answer.Outcome == HeartbeatRedirected && answer.Leader != "" && answer.Leader != x.node.name:
-		x.continueAt(nodeIndex(answer.Leader), redirectPause)
+		x.continueAt(nodeIndex(answer.Leader), redirectDelay)
 	default:
 		x.tryNextNode()
 	}
 }
 
 func (x *heartbeatExchange) tryNextNode() {
-	x.continueAt((x.node.index+1)%len(x.sim.nodes), nextNodePause)
+	x.continueAt((x.node.index+1)%len(x.sim.nodes), nextNodeDelay)
 }
 
 // continueAt schedules the worker's next heartbeat, to the given node, unless one has been scheduled already.
 func (x *heartbeatExchange) continueAt(node int, pause time.Duration) {
-	if x.over {
+	if x.nextScheduled {
 		return
 	}
-	x.over = true
+	x.nextScheduled = true
 	x.sim.schedule(pause, func() { x.sim.heartbeatLoop(x.worker, node) })
 }
 
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -74,8 +74,8 @@
 	return s.partitionedZone != "" && (a == s.partitionedZone) != (b == s.partitionedZone)
 }
 
-// withoutStore reports whether a node can't reach the state service.
-func (s *simulation) withoutStore(n *simulatedNode) bool {
+// storeUnreachable reports whether a node can't reach the state service.
+func (s *simulation) storeUnreachable(n *simulatedNode) bool {
 	return s.isolated[n.index] || s.refusedByStore[n.index] || s.partitioned(n.zone, "")
 }
 
@@ -130,10 +130,10 @@
 }
 
 // forThirdOfMachines calls the function for each machine with a probability of one third.
-func (s *simulation) forThirdOfMachines(how func(ident.MachineID)) {
+func (s *simulation) forThirdOfMachines(apply func(ident.MachineID)) {
 	for _, h := range s.cloud.Sorted() {
 		if s.rng.IntN(3) == 0 {
-			how(h.ID)
+			apply(h.ID)
 		}
 	}
 }
@@ -150,21 +150,21 @@
 }
 
 // randomMachines returns a random selection of the machines that are up, about the given fraction of them.
-func (s *simulation) randomMachines(part float64) []ident.MachineID {
-	return slices.DeleteFunc(s.upMachines(), func(ident.MachineID) bool { return s.rng.Float64() > part })
+func (s *simulation) randomMachines(fraction float64) []ident.MachineID {
+	return slices.DeleteFunc(s.upMachines(), func(ident.MachineID) bool { return s.rng.Float64() > fraction })
 }
 
-// randomDuration returns a random duration in [least, most).
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Int64N(int64(most-least)))
+// randomDuration returns a random duration in [shortest, longest).
+func (s *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)))
 }
 
-// repeatWhileFaulty calls do repeatedly, at random intervals in [least, most), until faults are no longer active.
-func (s *simulation) repeatWhileFaulty(least, most time.Duration, do func()) {
-	s.schedule(s.randomDuration(least, most), func() {
+// repeatWhileFaulty calls do repeatedly, at random intervals in [shortest, longest), until faults are no longer active.
+func (s *simulation) repeatWhileFaulty(shortest, longest time.Duration, do func()) {
+	s.schedule(s.randomDuration(shortest, longest), func() {
 		if s.faultsActive {
 			do()
-			s.repeatWhileFaulty(least, most, do)
+			s.repeatWhileFaulty(shortest, longest, do)
 		}
 	})
 }
@@ -179,10 +179,10 @@
 	}
 }
 
-// crashLeader crashes the leader, which restarts after between 20 ms and back.
-func (s *simulation) crashLeader(back time.Duration) {
+// crashLeader crashes the leader, which restarts after between 20 ms and maxRestartDelay.
+func (s *simulation) crashLeader(maxRestartDelay time.Duration) {
 	if l := s.leader(); l != nil {
-		s.crash(l, s.randomDuration(20*time.Millisecond, back))
+		s.crash(l, s.randomDuration(20*time.Millisecond, maxRestartDelay))
 	}
 }
 
@@ -210,15 +210,15 @@
 
 // makeUnreachable makes a fraction of the machines unreachable, each for a random duration. Their heartbeats still
 // arrive.
-func (s *simulation) makeUnreachable(part float64, least, most time.Duration) {
-	for _, id := range s.randomMachines(part) {
-		s.unreachableUntil[id] = s.now.Add(s.randomDuration(least, most))
+func (s *simulation) makeUnreachable(fraction float64, shortest, longest time.Duration) {
+	for _, id := range s.randomMachines(fraction) {
+		s.unreachableUntil[id] = s.now.Add(s.randomDuration(shortest, longest))
 	}
 }
 
 // hangMachines makes a fraction of the machines hang, each for a random duration.
-func (s *simulation) hangMachines(part float64, least, most time.Duration) {
-	for _, id := range s.randomMachines(part) {
-		s.hungUntil[id] = s.now.Add(s.randomDuration(least, most))
+func (s *simulation) hangMachines(fraction float64, shortest, longest time.Duration) {
+	for _, id := range s.randomMachines(fraction) {
+		s.hungUntil[id] = s.now.Add(s.randomDuration(shortest, longest))
 	}
 }
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -38,7 +38,7 @@
 	}
 	n.incarnation++
 	n.alive, n.replicaReady = true, false
-	life := n.incarnation
+	incarnation := n.incarnation
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n.core = NewCore(&set, s.policy, simulatedClock{s, n}, kvstore.NewBudget(3, 80, 25),
 		rand.New(rand.NewPCG(s.rng.Uint64(), s.rng.Uint64())), log, metrics.New())
@@ -51,7 +51,7 @@
 	}
 	var tick func()
 	tick = func() {
-		if n.alive && n.incarnation == life {
+		if n.alive && n.incarnation == incarnation {
 			s.step(n, Tick{})
 			s.tickFollower(n)
 			s.stepHolder(n, quota.Tick{})
@@ -92,31 +92,31 @@
 		if !n.alive {
 			continue
 		}
-		from, reached, stateful := leasedelegation.Connected, 0, false
+		isolation, reached, storeReachable := leasedelegation.Connected, 0, false
 		for _, p := range s.nodes {
 			if p != n && s.reachesPeer(n, p) && !s.isLost() {
 				reached++
-				stateful = stateful || !s.withoutStore(p) && !s.store.Down
+				storeReachable = storeReachable || !s.storeUnreachable(p) && !s.store.Down
 				s.pollPeer(n, p)
 			}
 		}
-		if s.withoutStore(n) || s.store.Down {
-			from = leasedelegation.NodeIsolated
-			if reached == 2 && !stateful {
-				from = leasedelegation.StateServiceOutage
+		if s.storeUnreachable(n) || s.store.Down {
+			isolation = leasedelegation.NodeIsolated
+			if reached == 2 && !storeReachable {
+				isolation = leasedelegation.StateServiceOutage
 			}
 		}
-		s.step(n, IsolationChanged{Isolation: from})
+		s.step(n, IsolationChanged{Isolation: isolation})
 		s.step(n, PeerReachabilityChanged{Unreachable: reached < len(s.nodes)-1})
 	}
 }
 
 func (s *simulation) pollPeer(n, p *simulatedNode) {
-	life, sent := n.incarnation, n.steadyTime(s.now)
+	incarnation, sent := n.incarnation, n.steadyTime(s.now)
 	s.schedule(s.latency(), func() {
 		if p.alive {
 			s.step(p, DelegationRequest{Node: n.name, Responder: ResponderFunc[DelegationReply](func(r DelegationReply) {
-				s.reply(n, life, PeerStatusReceived{Node: p.name, SentAt: sent, Status: r.Status, SchemaVersion: s.announcedSchemaVersion(n, p), EnforcesQuotas: s.announcedSchemaVersion(n, p) != 0})
+				s.reply(n, incarnation, PeerStatusReceived{Node: p.name, SentAt: sent, Status: r.Status, SchemaVersion: s.announcedSchemaVersion(n, p), EnforcesQuotas: s.announcedSchemaVersion(n, p) != 0})
 			})})
 		}
 	})
@@ -131,10 +131,10 @@
 	return schemaversion.Latest
 }
 
-func (s *simulation) crash(n *simulatedNode, back time.Duration) {
+func (s *simulation) crash(n *simulatedNode, restartDelay time.Duration) {
 	n.alive = false
 	n.incarnation++
-	s.schedule(back, func() {
+	s.schedule(restartDelay, func() {
 		if !n.alive {
 			s.startNode(n)
 		}
@@ -144,9 +144,9 @@
 func (s *simulation) step(n *simulatedNode, in Input) {
 	if until := s.pausedUntil[n.index]; s.now.Before(until) {
 		// The input waits until the process resumes. Its clocks have advanced meanwhile.
-		life := n.incarnation
+		incarnation := n.incarnation
 		s.schedule(until.Sub(s.now), func() {
-			if n.alive && n.incarnation == life {
+			if n.alive && n.incarnation == incarnation {
 				s.step(n, in)
 			}
 		})
@@ -158,7 +158,7 @@
 		s.traceEffect(n, e)
 		if _, ok := e.(ElectionEffect); ok && s.electionRequestsUntilCrash > 0 {
 			if s.electionRequestsUntilCrash--; s.electionRequestsUntilCrash == 0 {
-				s.carryOut(n, e) // the request was sent before the crash, so its reply does not reach this process
+				s.executeEffect(n, e) // the request was sent before the crash, so its reply does not reach this process
 				s.crash(n, time.Duration(5+s.rng.IntN(300))*time.Millisecond)
 				return
 			}
@@ -169,36 +169,36 @@
 				return
 			}
 		}
-		s.carryOut(n, e)
+		s.executeEffect(n, e)
 	}
 	n.epoch = n.core.election.Epoch()
 }
 
 // reply passes the result of an effect to the node, unless the process that caused the effect has ended.
-func (s *simulation) reply(n *simulatedNode, life int, in Input) {
+func (s *simulation) reply(n *simulatedNode, incarnation int, in Input) {
 	s.schedule(s.latency(), func() {
-		if n.alive && n.incarnation == life {
+		if n.alive && n.incarnation == incarnation {
 			s.step(n, in)
 		}
 	})
 }
 
-func (s *simulation) carryOut(n *simulatedNode, e Effect) {
-	life := n.incarnation
+func (s *simulation) executeEffect(n *simulatedNode, e Effect) {
+	incarnation := n.incarnation
 	switch e := e.(type) {
 	case Reply:
 		e.Deliver()
 	case ReadQuotaRecords:
 		s.schedule(s.storeLatency(), func() {
 			items, _, err := s.store.List(quota.KeyPrefix)
-			s.reply(n, life, QuotaRecordsRead{Epoch: e.Epoch, OK: err == nil && !s.withoutStore(n) && !s.isLost(), Items: items})
+			s.reply(n, incarnation, QuotaRecordsRead{Epoch: e.Epoch, OK: err == nil && !s.storeUnreachable(n) && !s.isLost(), Items: items})
 		})
 	case ElectionEffect:
-		s.schedule(s.storeLatency(), func() { s.executeElectionEffect(n, life, e.Effect) })
+		s.schedule(s.storeLatency(), func() { s.executeElectionEffect(n, incarnation, e.Effect) })
 	case ReadRecords:
 		s.schedule(s.loadDelay+s.storeLatency(), func() {
 			stored, err := s.loadRecords(n, e.Epoch)
-			s.reply(n, life, RecordsRead{Epoch: e.Epoch, OK: err == nil && !s.withoutStore(n), Stored: stored, KnownMachines: n.knownMachines})
+			s.reply(n, incarnation, RecordsRead{Epoch: e.Epoch, OK: err == nil && !s.storeUnreachable(n), Stored: stored, KnownMachines: n.knownMachines})
 		})
 	case ReadJobRecord:
 		s.schedule(s.storeLatency(), func() {
@@ -208,14 +208,14 @@
 				part, _ := s.store.Get(jobs.ChunkKey(e.Job, k))
 				values[k] = part.Value
 			}
-			s.reply(n, life, JobRecordRead{Job: e.Job, OK: err == nil && !s.withoutStore(n), Item: item, Chunks: values})
+			s.reply(n, incarnation, JobRecordRead{Job: e.Job, OK: err == nil && !s.storeUnreachable(n), Item: item, Chunks: values})
 		})
 	case CommitTransaction:
-		s.schedule(s.storeLatency(), func() { s.commit(n, life, e, false) })
+		s.schedule(s.storeLatency(), func() { s.commit(n, incarnation, e, false) })
 	case SendCommands:
-		s.sendCommand(n, life, e)
+		s.sendCommand(n, incarnation, e)
 	default:
-		s.callCloud(n, life, e)
+		s.callCloud(n, incarnation, e)
 	}
 }
 
@@ -224,34 +224,34 @@
 func (s *simulation) loadRecords(n *simulatedNode, epoch ident.Epoch) (recovery.StoredRecords, error) {
 	jobRecords, _, err := s.store.List(jobs.KeyPrefix)
 	rounds, _, err2 := s.store.List(roundlog.KeyPrefix)
-	rest, _, _ := s.store.List(chunk.KeyPrefix)
-	agreed, _ := s.store.Get(schemaversion.Key)
-	read := recovery.StoredRecords{Jobs: jobRecords, Rounds: rounds, Chunks: rest, SchemaAgreement: agreed}
-	if n.follower == nil || err != nil || s.withoutStore(n) {
-		return read, errors.Join(err, err2)
+	chunks, _, _ := s.store.List(chunk.KeyPrefix)
+	agreement, _ := s.store.Get(schemaversion.Key)
+	stored := recovery.StoredRecords{Jobs: jobRecords, Rounds: rounds, Chunks: chunks, SchemaAgreement: agreement}
+	if n.follower == nil || err != nil || s.storeUnreachable(n) {
+		return stored, errors.Join(err, err2)
 	}
-	warm, _, err := standby.CatchUp(n.follower.Replica(), epoch, s.store.Watch)
+	replica, _, err := standby.CatchUp(n.follower.Replica(), epoch, s.store.Watch)
 	if err != nil {
 		s.coldFailovers++
-		return read, nil
+		return stored, nil
 	}
 	s.warmFailovers++
-	warm.SchemaAgreement = agreed
-	if reflect.DeepEqual(read, warm) {
-		return warm, nil // cmp.Diff is slow and needed only to show the difference
+	replica.SchemaAgreement = agreement
+	if reflect.DeepEqual(stored, replica) {
+		return replica, nil // cmp.Diff is slow and needed only to show the difference
 	}
-	if diff := cmp.Diff(read, warm, cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(stored, replica, cmpopts.EquateEmpty()); diff != "" {
 		s.t.Fatalf("the replica of %s differs from the stored records (-stored +replica):\n%s", n.name, diff)
 	}
-	return warm, nil
+	return replica, nil
 }
 
 // stepFollower passes an input to the follower that keeps a node's replica, and executes its requests.
 func (s *simulation) stepFollower(n *simulatedNode, in standby.Input) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	for _, e := range n.follower.Step(n.steadyTime(s.now), in) {
 		s.schedule(s.storeLatency(), func() {
-			if !n.alive || n.incarnation != life {
+			if !n.alive || n.incarnation != incarnation {
 				return
 			}
 			switch e := e.(type) {
@@ -274,15 +274,15 @@
 
 // requestError returns the error of a request to the state service that gets no reply, or nil if it gets one.
 func (s *simulation) requestError(n *simulatedNode) error {
-	if s.withoutStore(n) || s.isLost() {
+	if s.storeUnreachable(n) || s.isLost() {
 		return kvstore.ErrOutcomeUnknown
 	}
 	return nil
 }
 
-// deliver executes a request and reports whether its reply arrives. If the reply is lost, the request is executed at
-// once, within 20 s, or never.
-func (s *simulation) deliver(do func()) bool {
+// executeWithLoss executes a request and reports whether its reply arrives. If the reply is lost, the request is
+// executed at once, within 20 s, or never.
+func (s *simulation) executeWithLoss(do func()) bool {
 	if !s.isLost() {
 		do()
 		return true
@@ -305,10 +305,10 @@
 	return d
 }
 
-func (s *simulation) executeElectionEffect(n *simulatedNode, life int, e election.Effect) {
+func (s *simulation) executeElectionEffect(n *simulatedNode, incarnation int, e election.Effect) {
 	sent := n.steadyTime(s.now)
-	if s.withoutStore(n) {
-		s.schedule(1500*time.Millisecond, func() { s.failElectionRequest(n, life, e, sent) })
+	if s.storeUnreachable(n) {
+		s.schedule(1500*time.Millisecond, func() { s.failElectionRequest(n, incarnation, e, sent) })
 		return
 	}
 	switch e := e.(type) {
@@ -317,29 +317,29 @@
 		in, unread := election.DecodeLeaderKeys(items)
 		in.OK = err == nil && unread == nil
 		in.Heartbeat.TTLMs -= s.heartbeatUnderstatement.Milliseconds()
-		s.reply(n, life, ElectionInput{in})
+		s.reply(n, incarnation, ElectionInput{in})
 	case election.GrantLease:
-		tenure, err := s.store.Grant(s.now, e.TTL)
-		s.reply(n, life, ElectionInput{election.LeaseGranted{OK: err == nil, LeaseID: tenure, SentAt: sent}})
+		leaseID, err := s.store.Grant(s.now, e.TTL)
+		s.reply(n, incarnation, ElectionInput{election.LeaseGranted{OK: err == nil, LeaseID: leaseID, SentAt: sent}})
 	case election.RenewLease:
 		var err error
-		if !s.deliver(func() { err = s.store.Extend(s.now, e.LeaseID) }) {
+		if !s.executeWithLoss(func() { err = s.store.Extend(s.now, e.LeaseID) }) {
 			err = kvstore.ErrOutcomeUnknown
 		}
-		s.reply(n, life, ElectionInput{election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeOf(err), SentAt: sent}})
+		s.reply(n, incarnation, ElectionInput{election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeOf(err), SentAt: sent}})
 	case election.AcquireLeaderKey:
 		v, err := s.tryCommit(e.Txn())
-		s.reply(n, life, ElectionInput{election.LeaderKeyAcquired{Outcome: election.OutcomeOf(err), Epoch: ident.Epoch(v)}})
+		s.reply(n, incarnation, ElectionInput{election.LeaderKeyAcquired{Outcome: election.OutcomeOf(err), Epoch: ident.Epoch(v)}})
 	case election.RewriteLeaderKey:
 		v, err := s.tryCommit(e.Txn())
 		if err == nil {
-			s.reply(n, life, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: ident.Epoch(v)}})
+			s.reply(n, incarnation, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: ident.Epoch(v)}})
 			return
 		}
-		s.schedule(150*time.Millisecond, func() { s.readBackEpoch(n, life, e) })
+		s.schedule(150*time.Millisecond, func() { s.readBackEpoch(n, incarnation, e) })
 	case election.WriteHeartbeat:
 		_, err := s.tryCommit(e.Txn())
-		s.reply(n, life, ElectionInput{election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.HeartbeatOutcomeOf(err), SentAt: sent}})
+		s.reply(n, incarnation, ElectionInput{election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.HeartbeatOutcomeOf(err), SentAt: sent}})
 	case election.TransferLeadership:
 		if _, err := s.tryCommit(e.Txn()); err != nil {
 			s.store.Revoke(e.LeaseID)
@@ -350,37 +350,37 @@
 }
 
 // failElectionRequest replies to an election request that did not reach the state service.
-func (s *simulation) failElectionRequest(n *simulatedNode, life int, e election.Effect, sent clock.Instant) {
+func (s *simulation) failElectionRequest(n *simulatedNode, incarnation int, e election.Effect, sent clock.Instant) {
 	switch e := e.(type) {
 	case election.ReadLeaderKeys:
-		s.reply(n, life, ElectionInput{election.LeaderKeysRead{}})
+		s.reply(n, incarnation, ElectionInput{election.LeaderKeysRead{}})
 	case election.GrantLease:
-		s.reply(n, life, ElectionInput{election.LeaseGranted{SentAt: sent}})
+		s.reply(n, incarnation, ElectionInput{election.LeaseGranted{SentAt: sent}})
 	case election.RenewLease:
-		s.reply(n, life, ElectionInput{election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeUnknown, SentAt: sent}})
+		s.reply(n, incarnation, ElectionInput{election.LeaseRenewed{LeaseID: e.LeaseID, Outcome: election.OutcomeUnknown, SentAt: sent}})
 	case election.AcquireLeaderKey:
-		s.reply(n, life, ElectionInput{election.LeaderKeyAcquired{Outcome: election.OutcomeUnknown}})
+		s.reply(n, incarnation, ElectionInput{election.LeaderKeyAcquired{Outcome: election.OutcomeUnknown}})
 	case election.WriteHeartbeat:
-		s.reply(n, life, ElectionInput{election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.OutcomeUnknown, SentAt: sent}})
+		s.reply(n, incarnation, ElectionInput{election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.OutcomeUnknown, SentAt: sent}})
 	case election.RewriteLeaderKey:
-		s.readBackEpoch(n, life, e)
+		s.readBackEpoch(n, incarnation, e)
 	}
 }
 
 // readBackEpoch determines the outcome of a rewrite of the leader key by reading the key: the rewrite was applied, it
 // was not, or another node has become leader. It retries while the state service can't be reached.
-func (s *simulation) readBackEpoch(n *simulatedNode, life int, e election.RewriteLeaderKey) {
-	h, stamp, err := s.readLeaderKey()
+func (s *simulation) readBackEpoch(n *simulatedNode, incarnation int, e election.RewriteLeaderKey) {
+	leader, epoch, err := s.readLeaderKey()
 	switch {
-	case !n.alive || n.incarnation != life || n.core.election.Epoch() != e.PrevEpoch:
-	case err != nil || s.withoutStore(n):
-		s.schedule(150*time.Millisecond, func() { s.readBackEpoch(n, life, e) })
-	case h != e.Leader:
-		s.reply(n, life, ElectionInput{election.LeadershipLost{}})
-	case stamp > e.PrevEpoch:
-		s.reply(n, life, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: stamp}})
+	case !n.alive || n.incarnation != incarnation || n.core.election.Epoch() != e.PrevEpoch:
+	case err != nil || s.storeUnreachable(n):
+		s.schedule(150*time.Millisecond, func() { s.readBackEpoch(n, incarnation, e) })
+	case leader != e.Leader:
+		s.reply(n, incarnation, ElectionInput{election.LeadershipLost{}})
+	case epoch > e.PrevEpoch:
+		s.reply(n, incarnation, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: epoch}})
 	default:
-		s.reply(n, life, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeRefused}})
+		s.reply(n, incarnation, ElectionInput{election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeRefused}})
 	}
 }
 
@@ -402,7 +402,7 @@
 		s.schedule(2*time.Second+time.Duration(s.rng.Int64N(int64(10*time.Second))), func() { s.applyTransaction(t) })
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	if !s.deliver(func() { v, err = s.applyTransaction(t) }) {
+	if !s.executeWithLoss(func() { v, err = s.applyTransaction(t) }) {
 		return 0, kvstore.ErrOutcomeUnknown
 	}
 	return v, err
@@ -410,13 +410,15 @@
 
 // commit commits a transaction in the way of Node.commit: a transaction without a reply is retried, and if the retry
 // conflicts, a read determines whether the earlier attempt was applied.
-func (s *simulation) commit(n *simulatedNode, life int, c CommitTransaction, unsure bool) {
-	if !n.alive || n.incarnation != life {
+func (s *simulation) commit(n *simulatedNode, incarnation int, c CommitTransaction, outcomeUnknown bool) {
+	if !n.alive || n.incarnation != incarnation {
 		return
 	}
-	again := func(unsure bool) { s.schedule(150*time.Millisecond, func() { s.commit(n, life, c, unsure) }) }
-	if s.withoutStore(n) {
-		again(true)
+	retry := func(outcomeUnknown bool) {
+		s.schedule(150*time.Millisecond, func() { s.commit(n, incarnation, c, outcomeUnknown) })
+	}
+	if s.storeUnreachable(n) {
+		retry(true)
 		return
 	}
 	v, err := s.tryCommit(c.Txn)
@@ -432,21 +434,21 @@
 				done.Outcome = election.OutcomeGone
 			}
 		}
-		if done.Outcome != election.OutcomeGone && unsure {
+		if done.Outcome != election.OutcomeGone && outcomeUnknown {
 			item, readErr := s.store.Get(c.Txn.OutcomeKey())
 			if readErr != nil {
-				again(true)
+				retry(true)
 				return
 			}
 			if c.Txn.WasApplied(item) {
 				done.Outcome, done.Revision, done.FailedConditions = election.OutcomeOK, item.ModRevision, nil
 			}
 		}
-	case errors.Is(err, kvstore.ErrOutcomeUnknown) || err != nil && unsure:
-		again(true)
+	case errors.Is(err, kvstore.ErrOutcomeUnknown) || err != nil && outcomeUnknown:
+		retry(true)
 		return
 	}
-	s.reply(n, life, done)
+	s.reply(n, incarnation, done)
 }
 
 func (s *simulation) currentEpoch() ident.Epoch {
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -15,12 +15,12 @@
 // admitAtHolder submits a stored job to the quota holder of a random node, if that node runs and is not the leader.
 func (s *simulation) admitAtHolder(id ident.JobID, spec *jobs.Spec) {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	need, err := quota.DemandOf(spec)
+	demand, err := quota.DemandOf(spec)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	if n.alive && n.core.election.Epoch() == 0 {
-		s.stepHolder(n, quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: need, Gang: spec.Gang})
+		s.stepHolder(n, quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: demand, Gang: spec.Gang})
 	}
 }
 
@@ -29,10 +29,10 @@
 	if n.holder == nil || s.now.Before(s.pausedUntil[n.index]) {
 		return
 	}
-	life, holder := n.incarnation, n.holder
+	incarnation, holder := n.incarnation, n.holder
 	answer := func(in quota.HolderInput) {
 		s.schedule(s.latency(), func() {
-			if n.alive && n.incarnation == life && n.holder == holder {
+			if n.alive && n.incarnation == incarnation && n.holder == holder {
 				s.stepHolder(n, in)
 			}
 		})
@@ -46,7 +46,7 @@
 			case quota.Register:
 				answer(s.registerHolder(n, e))
 			case quota.StoreReservations:
-				s.storeReserved(n, life, e, false, answer)
+				s.storeReservations(n, incarnation, e, false, answer)
 			case quota.SendRequest:
 				s.sendQuotaRequest(n, e, answer)
 			}
@@ -57,39 +57,39 @@
 func (s *simulation) registerHolder(n *simulatedNode, e quota.Register) quota.RegistrationDone {
 	key := quota.HolderKey(e.Node)
 	item, err := s.store.Get(key)
-	if err != nil || s.withoutStore(n) {
+	if err != nil || s.storeUnreachable(n) {
 		return quota.RegistrationDone{}
 	}
-	stamp, err := s.tryCommit(e.Txn(item.ModRevision))
+	revision, err := s.tryCommit(e.Txn(item.ModRevision))
 	if err != nil {
 		return quota.RegistrationDone{}
 	}
-	return quota.RegistrationDone{ModRevision: stamp}
+	return quota.RegistrationDone{ModRevision: revision}
 }
 
-// storeReserved stores a holder's reservations in the way of holderActor.store: a transaction without a reply is
+// storeReservations stores a holder's reservations in the way of holderActor.store: a transaction without a reply is
 // retried, and if the retry conflicts, a read determines whether the earlier attempt was applied.
-func (s *simulation) storeReserved(n *simulatedNode, life int, e quota.StoreReservations, unsure bool, answer func(quota.HolderInput)) {
-	if !n.alive || n.incarnation != life {
+func (s *simulation) storeReservations(n *simulatedNode, incarnation int, e quota.StoreReservations, outcomeUnknown bool, answer func(quota.HolderInput)) {
+	if !n.alive || n.incarnation != incarnation {
 		return
 	}
-	if s.withoutStore(n) {
-		s.schedule(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
+	if s.storeUnreachable(n) {
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
 		return
 	}
-	stamp, err := s.tryCommit(e.Txn())
+	revision, err := s.tryCommit(e.Txn())
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: stamp})
+		answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: revision})
 	case errors.As(err, &conflict):
-		if item, err := s.store.Get(e.Key); unsure && err == nil && item.ModRevision > e.Conditions[1].ModRevision {
+		if item, err := s.store.Get(e.Key); outcomeUnknown && err == nil && item.ModRevision > e.Conditions[1].ModRevision {
 			answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: item.ModRevision})
 			return
 		}
 		answer(quota.StoreDone{Outcome: e.OutcomeOf(conflict)})
 	default:
-		s.schedule(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
 	}
 }
 
@@ -126,8 +126,8 @@
 		if err != nil || !strings.HasPrefix(w.SetKey+w.DeleteKey, quota.KeyPrefix) {
 			continue
 		}
-		if wrong := s.checkStoredQuotas(); wrong != nil {
-			s.t.Fatalf("stored quotas violate an invariant: %v", wrong)
+		if violation := s.checkStoredQuotas(); violation != nil {
+			s.t.Fatalf("stored quotas violate an invariant: %v", violation)
 		}
 		break
 	}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -67,18 +67,18 @@
 }
 
 type simulatedJob struct {
-	spec           jobs.Spec
-	runTime        time.Duration
-	submitted      bool
-	runTimeStep    time.Duration // added to runTime once for each lower task index
-	startableSince clock.Instant // start of the time in which it waits though a task could start; 0: none
-	startsSeen     int           // value of starts at the last check
-	starts         int           // task starts
-	cancelledAt    clock.Instant // when its user was first told that it is cancelled; 0: not yet
-	reportedState  api.JobState
-	lastAnswerAt   clock.Instant // when its user last received its status
-	acceptedAt     clock.Instant
-	startedAt      clock.Instant // 0: no task has started
+	spec              jobs.Spec
+	runTime           time.Duration
+	submitted         bool
+	runTimeStep       time.Duration // added to runTime once for each lower task index
+	startableSince    clock.Instant // start of the time in which it waits though a task could start; 0: none
+	startsAtLastCheck int           // value of starts at the last check
+	starts            int           // task starts
+	cancelledAt       clock.Instant // when its user was first told that it is cancelled; 0: not yet
+	reportedState     api.JobState
+	lastAnswerAt      clock.Instant // when its user last received its status
+	acceptedAt        clock.Instant
+	startedAt         clock.Instant // 0: no task has started
 }
 
 type event struct {
@@ -166,8 +166,8 @@
 	s.cloud.BootTime = func() time.Duration { return time.Duration(2+s.rng.IntN(10)) * time.Second }
 	s.store.MaxValueBytes, s.store.MaxTxnOps = s.settings.Params.StateService.MaxValueBytes(), s.settings.Params.StateService.MaxTxnOps
 	for i := range 3 {
-		const fastest = 0.0005 // maximum relative error of a steady clock
-		rate := 1 + fastest*float64(i)/2
+		const maxClockRateError = 0.0005 // maximum relative error of a steady clock
+		rate := 1 + maxClockRateError*float64(i)/2
 		s.nodes = append(s.nodes, &simulatedNode{index: i, name: fmt.Sprintf("n%d", i), zone: s.settings.Params.Zones[i%2], clockRate: rate})
 	}
 	s.traceToFile()
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -15,9 +15,10 @@
 	"badgerbay/internal/kvstore"
 )
 
-// taskSeen records that a task has started on a machine, or has left it if on is false. At each start it checks the
-// invariants: a task runs once, not after the cancel timeout, only where its spec allows, and within its team's limit.
-func (s *simulation) taskSeen(_ clock.Instant, w *fake.Worker, id ident.TaskID, on bool) {
+// handleTaskChange records that a task has started on a machine, or has left it if on is false. At each start it checks
+// the invariants: a task runs once, not after the cancel timeout, only where its spec allows, and within its team's
+// limit.
+func (s *simulation) handleTaskChange(_ clock.Instant, w *fake.Worker, id ident.TaskID, on bool) {
 	if !on {
 		if s.running.machineOf(id) == w.ID {
 			s.running.remove(id)
@@ -43,16 +44,16 @@
 		j.startedAt = s.now
 	}
 	s.running.put(id, &j.spec, w.ID, w.Zone)
-	here := 0
+	inZone := 0
 	for _, placed := range s.running.ofJob(id.Job) {
 		if placed.zone == w.Zone {
-			here++
+			inZone++
 		} else if j.spec.ZoneAffinity {
 			s.t.Fatalf("task %v of a job with zone affinity is not in the zone of the others", id)
 		}
 	}
-	if j.spec.ZoneSpread && here > j.spec.MaxTasksPerZone() {
-		s.t.Fatalf("zone spread violated: %d tasks of %v in zone %s", here, id.Job, w.Zone)
+	if j.spec.ZoneSpread && inZone > j.spec.MaxTasksPerZone() {
+		s.t.Fatalf("zone spread violated: %d tasks of %v in zone %s", inZone, id.Job, w.Zone)
 	}
 	for _, team := range s.settings.Params.Teams {
 		if used := s.running.cpus[team.Name]; team.CPULimit > 0 && used > team.CPULimit {
@@ -87,18 +88,18 @@
 
 // watchStartDelays checks each second that no job waits longer than maxStartDelay although it could start.
 func (s *simulation) watchStartDelays() {
-	var past []map[ident.Team]float64
+	var recentUsage []map[ident.Team]float64
 	s.scheduleEvery(time.Second, func() {
-		past = append(past, s.running.usedCPUs())
-		past = past[max(0, len(past)-usageWindowSeconds):]
+		recentUsage = append(recentUsage, s.running.usedCPUs())
+		recentUsage = recentUsage[max(0, len(recentUsage)-usageWindowSeconds):]
 		l := s.leader()
 		if l == nil || l.core.term == nil || !l.core.term.recovery.loaded {
 			return
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 			j, known := s.jobs[id], l.core.term.jobs.get(id)
-			if known == nil || known.Phase.Final() || len(known.Queue) == 0 || j.starts != j.startsSeen || !s.couldStart(l.core.term, known, past) {
-				j.startableSince, j.startsSeen = 0, j.starts
+			if known == nil || known.Phase.Final() || len(known.Queue) == 0 || j.starts != j.startsAtLastCheck || !s.couldStart(l.core.term, known, recentUsage) {
+				j.startableSince, j.startsAtLastCheck = 0, j.starts
 				continue
 			}
 			if j.startableSince == 0 {
@@ -119,16 +120,16 @@
 
 // couldStart reports whether a suitable machine has room for one more task of the job and, in all recent samples of the
 // usage, the team's limit allowed one more.
-func (s *simulation) couldStart(t *term, j *jobs.Job, past []map[ident.Team]float64) bool {
-	most := t.teams[j.Spec.Team].CPULimit
-	for _, used := range past {
-		if most > 0 && used[j.Spec.Team]+j.Spec.CPUs > most {
+func (s *simulation) couldStart(t *term, j *jobs.Job, recentUsage []map[ident.Team]float64) bool {
+	limit := t.teams[j.Spec.Team].CPULimit
+	for _, used := range recentUsage {
+		if limit > 0 && used[j.Spec.Team]+j.Spec.CPUs > limit {
 			return false
 		}
 	}
-	here := map[ident.Zone]int{}
+	inZone := map[ident.Zone]int{}
 	for _, placed := range s.running.ofJob(j.ID) {
-		here[placed.zone]++
+		inZone[placed.zone]++
 	}
 	for _, h := range s.cloud.Sorted() {
 		m := t.fleet.Machine(h.ID)
@@ -136,8 +137,8 @@
 			continue
 		}
 		zone := h.Offer.Zone
-		if !j.Spec.AllowsMachine(h.Offer.Type, zone, h.Offer.Spot) || j.Spec.ZoneSpread && here[zone] >= j.Spec.MaxTasksPerZone() ||
-			j.Spec.ZoneAffinity && len(here) > 0 && here[zone] == 0 || !h.Worker.FreeResources().Fits(j.Spec.TaskResources()) {
+		if !j.Spec.AllowsMachine(h.Offer.Type, zone, h.Offer.Spot) || j.Spec.ZoneSpread && inZone[zone] >= j.Spec.MaxTasksPerZone() ||
+			j.Spec.ZoneAffinity && len(inZone) > 0 && inZone[zone] == 0 || !h.Worker.FreeResources().Fits(j.Spec.TaskResources()) {
 			continue
 		}
 		return true
@@ -186,7 +187,7 @@
 // leader is available or the leader does not know the job, it answers from the job's record. A cancellation is answered
 // from the record only if that is final.
 func (s *simulation) queryOrCancel(n *simulatedNode, id ident.JobID, j *simulatedJob, cancelJob bool) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	s.step(n, JobRequest{Job: id, Cancel: cancelJob, Responder: ResponderFunc[JobReply](func(a JobReply) {
 		switch {
 		case a.Outcome == api.JobFound && n.steadyTime(s.now).Before(a.ValidUntil):
@@ -194,7 +195,7 @@
 		case a.Outcome == api.NoLeader || a.Outcome == api.JobNotFound:
 			s.schedule(s.storeLatency(), func() {
 				item, err := s.store.Get(jobs.Key(id))
-				if !n.alive || n.incarnation != life || s.withoutStore(n) || err != nil || item.ModRevision == 0 {
+				if !n.alive || n.incarnation != incarnation || s.storeUnreachable(n) || err != nil || item.ModRevision == 0 {
 					return
 				}
 				r, err := jobs.Decode(item.Value)
@@ -285,50 +286,50 @@
 	if s.taskStarts == 0 {
 		s.t.Error("no task has started")
 	}
-	s.checkServedShares()
+	s.checkStartedShares()
 	s.t.Logf("%d task starts, %d machines left, %d operations written, epoch %d", s.taskStarts, len(s.cloud.Machines), s.store.OperationCount, s.currentEpoch())
 }
 
 // checkAllJobsAnswered advances time by 75 s and checks that the user of every accepted job that is not over received
 // its status in that time.
 func (s *simulation) checkAllJobsAnswered() {
-	begun := s.now
+	start := s.now
 	s.runFor(75 * time.Second)
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		if j.isOver() || !j.submitted {
 			continue
 		}
-		if j.lastAnswerAt < begun {
+		if j.lastAnswerAt < start {
 			s.t.Errorf("no status query for %s was answered for 75 s", id)
 		}
 	}
 }
 
-// checkServedShares checks that at least half of the jobs of each class and of each team have started.
-func (s *simulation) checkServedShares() {
-	began, all := map[string]int{}, map[string]int{}
+// checkStartedShares checks that at least half of the jobs of each class and of each team have started.
+func (s *simulation) checkStartedShares() {
+	started, total := map[string]int{}, map[string]int{}
 	for _, j := range s.jobs {
 		for _, group := range []string{"class " + string(j.spec.Class), "team " + string(j.spec.Team)} {
-			all[group]++
+			total[group]++
 			if j.startedAt != 0 {
-				began[group]++
+				started[group]++
 			}
 		}
 	}
-	for group, n := range all {
-		if 2*began[group] < n {
-			s.t.Errorf("%d of %d jobs of %s have started, want at least half", began[group], n, group)
+	for group, n := range total {
+		if 2*started[group] < n {
+			s.t.Errorf("%d of %d jobs of %s have started, want at least half", started[group], n, group)
 		}
 	}
 }
 
 // submitRandomJobs submits a service and a small array each second and a large array every 4 s, for 60 s plus the given
 // number of seconds, and cancels some of the services and small arrays.
-func (s *simulation) submitRandomJobs(more int) {
+func (s *simulation) submitRandomJobs(extraSeconds int) {
 	replicas, large, small := serviceSpec, arraySpec, oneZoneSpec
 	replicas.Tasks, large.Tasks, large.CPUs = 4, 400, 4
-	for i := range 60 + more {
+	for i := range 60 + extraSeconds {
 		s.schedule(time.Duration(i)*time.Second, func() {
 			s.submit(10*i, replicas, 0)
 			s.submit(10*i+1, small, 8*time.Second)
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -143,12 +143,12 @@
 	case StopNode:
 		return "stop"
 	case ElectionEffect:
-		return "lead " + wireFormOfLead(e.Effect)
+		return "lead " + electionWireForm(e.Effect)
 	}
 	return "unknown"
 }
 
-func wireFormOfLead(e election.Effect) string {
+func electionWireForm(e election.Effect) string {
 	switch e := e.(type) {
 	case election.ReadLeaderKeys:
 		return "read"
