--- a/internal/controller/componentfields_test.go
+++ b/internal/controller/componentfields_test.go
@@ -55,7 +55,8 @@
 		syntax = append(syntax, file)
 	}
 	info := &types.Info{Selections: map[*ast.SelectorExpr]*types.Selection{}}
-	config := types.Config{Importer: emptyImporter{}, Error: func(error) {}} // errors are expected, since the imported packages are empty
+	// Type errors are expected and ignored, since the imported packages are empty.
+	config := types.Config{Importer: emptyImporter{}, Error: func(error) {}}
 	pkg, _ := config.Check("controller", files, syntax, info)
 
 	owners := fieldOwners(t, pkg)
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -171,7 +171,7 @@
 
 func encodeRecord(r *jobs.Record) ([]byte, error) { return msgpack.Marshal(r) }
 
-// BenchmarkHeartbeat measures how a leader handles one heartbeat, by number of machines.
+// BenchmarkHeartbeat measures the cost of one heartbeat for a leader, by number of machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -187,8 +187,8 @@
 	}
 }
 
-// BenchmarkSecond measures one simulated second of a leader, by number of machines: heartbeats, ticks and scheduling
-// rounds, while array jobs are submitted.
+// BenchmarkSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats, ticks and
+// scheduling rounds, while array jobs are submitted.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -39,7 +39,7 @@
 	// Machines.
 	hungUntil        map[ident.MachineID]clock.Instant // machines that do nothing
 	unreachableUntil map[ident.MachineID]clock.Instant // machines that receive nothing, though their heartbeats arrive
-	silentUntil      map[ident.MachineID]clock.Instant // machines whose heartbeats are lost, though they receive commands
+	silentUntil      map[ident.MachineID]clock.Instant // machines whose heartbeats are lost; they receive commands
 
 	// State service.
 	refusedByStore        map[int]bool  // nodes that it refuses, but that reach their peers
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -23,7 +23,7 @@
 
 // simulation runs nodes against fakes of the state service, the cloud and the workers in simulated time. Messages have
 // latency and may be lost, duplicated or delayed, and nodes may crash and restart. It checks the invariants whenever a
-// task starts or ends on a machine.
+// task starts on a machine, and every 100 ms.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -47,7 +47,7 @@
 	trace                        *wireTrace         // nil: the scenario is not traced
 	leaderHistory                fake.LeaderHistory // the actions that nodes take as leader
 	admissions                   int                // jobs admitted by quota holders
-	warmFailovers, coldFailovers int                // failovers of nodes with a replica: replica used, and replica unusable
+	warmFailovers, coldFailovers int                // failovers with a replica: used, and unusable
 }
 
 type simulatedNode struct {
@@ -166,7 +166,7 @@
 	s.cloud.BootTime = func() time.Duration { return time.Duration(2+s.rng.IntN(10)) * time.Second }
 	s.store.MaxValueBytes, s.store.MaxTxnOps = s.settings.Params.StateService.MaxValueBytes(), s.settings.Params.StateService.MaxTxnOps
 	for i := range 3 {
-		const maxClockRateError = 0.0005 // maximum relative error of a steady clock
+		const maxClockRateError = 0.0005 // steady clocks run at most this fraction too fast
 		rate := 1 + maxClockRateError*float64(i)/2
 		s.nodes = append(s.nodes, &simulatedNode{index: i, name: fmt.Sprintf("n%d", i), zone: s.settings.Params.Zones[i%2], clockRate: rate})
 	}
