--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -21,15 +21,15 @@
 	"badgerbay/internal/policy"
 )
 
-// coreFixture is a leader's core with many machines, each of which runs replicas,
-// and as many arrays under way.
+// coreFixture is the core of a leader with many machines. Once fillMachines has been called, the machines run service
+// replicas and the tasks of array jobs.
 type coreFixture struct {
 	core         *Core
 	now          clock.Instant
-	version      ident.Revision
+	revision     ident.Revision
 	machines     []*fleet.Heartbeat
-	nextMachine  int
-	deadMachines map[int]bool // machines that neither report nor answer
+	advanceCount int
+	deadMachines map[int]bool // machines that send no heartbeats and answer no commands; keyed by index
 }
 
 func (g *coreFixture) Now() clock.Instant { return g.now }
@@ -43,7 +43,7 @@
 	set := simulationSettings()
 	set.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	set.Params.Workers.HeartbeatSeconds = 5
-	g := &coreFixture{now: clock.Instant(time.Hour), version: 10}
+	g := &coreFixture{now: clock.Instant(time.Hour), revision: 10}
 	g.core = NewCore(set, pol, g, kvstore.NewBudget(3, 150, 20), rand.New(rand.NewPCG(1, 2)),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.New())
 	g.core.machineTypes = []*fleet.MachineType{
@@ -66,7 +66,7 @@
 	return g
 }
 
-// becomeLeader makes the core the leader, with nothing stored.
+// becomeLeader makes the core the leader of a cluster without stored records.
 func (g *coreFixture) becomeLeader() {
 	g.step(ElectionInput{election.LeaderKeysRead{OK: true}})
 	g.step(ElectionInput{election.LeaseGranted{OK: true, LeaseID: 1, SentAt: g.now}})
@@ -74,16 +74,16 @@
 	g.step(RecordsRead{Epoch: 10, OK: true})
 }
 
-// step hands an input to the core and plays the state service and the workers:
-// what is written is stored, what is launched runs.
+// step passes an input to the core and simulates the state service and the workers: every transaction commits, and
+// every task that is started runs.
 func (g *coreFixture) step(in Input) {
 	queue := []Input{in}
 	for len(queue) > 0 {
 		for _, e := range g.core.Step(g.now, queue[0]) {
 			switch e := e.(type) {
 			case CommitTransaction:
-				g.version++
-				queue = append(queue, TransactionCompleted{Kind: e.Kind, Epoch: e.Epoch, Revision: g.version})
+				g.revision++
+				queue = append(queue, TransactionCompleted{Kind: e.Kind, Epoch: e.Epoch, Revision: g.revision})
 			case SendCommands:
 				queue = append(queue, g.executeCommand(e))
 			case ReadQuotaRecords:
@@ -129,16 +129,16 @@
 
 func (g *coreFixture) submit(i int, spec jobs.Spec) {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", i))
-	g.version++
+	g.revision++
 	data, err := encodeRecord(jobs.NewRecord(spec, g.Wall().UnixMilli()))
 	if err != nil {
 		panic(err)
 	}
-	g.step(JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: g.version}})
+	g.step(JobRecordRead{Job: id, OK: true, Item: kvstore.KeyValue{Key: jobs.Key(id), Value: data, ModRevision: g.revision}})
 }
 
-// fillMachines submits what keeps the machines about half busy, and plays until most
-// of it has started.
+// fillMachines submits jobs that use about half of the machines' capacity and advances time until most of their tasks
+// have started.
 func (g *coreFixture) fillMachines(machines int) {
 	service, array := serviceSpec, arraySpec
 	service.Team, service.CPUs, service.Tasks = "blue", 1, 4
@@ -156,22 +156,22 @@
 	}
 }
 
-// advance lets time go by: ticks, and the heartbeats of the machines whose turn it is.
+// advance advances time by d in ticks and delivers the heartbeats that are due.
 func (g *coreFixture) advance(d time.Duration) {
-	const ticks, interval = 20, 5 // each machine reports every fifth time
+	const ticks, interval = 20, 5 // each machine sends a heartbeat in every fifth call
 	for k := range ticks {
 		g.now = g.now.Add(d / ticks)
 		g.step(Tick{})
-		for i := (g.nextMachine%interval)*ticks + k; i < len(g.machines); i += interval * ticks {
+		for i := (g.advanceCount%interval)*ticks + k; i < len(g.machines); i += interval * ticks {
 			g.sendHeartbeat(i)
 		}
 	}
-	g.nextMachine++
+	g.advanceCount++
 }
 
 func encodeRecord(r *jobs.Record) ([]byte, error) { return msgpack.Marshal(r) }
 
-// BenchmarkHeartbeat shows what one heartbeat costs a leader with many machines.
+// BenchmarkHeartbeat measures the cost of one heartbeat for a leader, by number of machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -187,8 +187,8 @@
 	}
 }
 
-// BenchmarkSecond shows what a second costs: heartbeats, ticks and rounds, with
-// arrays arriving.
+// BenchmarkSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats, ticks and
+// scheduling rounds, while array jobs are submitted.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -12,27 +12,27 @@
 	"badgerbay/internal/quota"
 )
 
-// admitAtHolder lets a node that does not lead admit a job that was stored through it.
+// admitAtHolder submits a stored job to the quota holder of a random node, if that node runs and is not the leader.
 func (s *simulation) admitAtHolder(id ident.JobID, spec *jobs.Spec) {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	need, err := quota.DemandOf(spec)
+	demand, err := quota.DemandOf(spec)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	if n.alive && n.core.election.Epoch() == 0 {
-		s.stepHolder(n, quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: need, Gang: spec.Gang})
+		s.stepHolder(n, quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: demand, Gang: spec.Gang})
 	}
 }
 
-// stepHolder gives a node's holder an input, and carries out what it asks for.
+// stepHolder passes an input to a node's quota holder and executes the resulting effects.
 func (s *simulation) stepHolder(n *simulatedNode, in quota.HolderInput) {
 	if n.holder == nil || s.now.Before(s.pausedUntil[n.index]) {
 		return
 	}
-	life, holder := n.incarnation, n.holder
+	incarnation, holder := n.incarnation, n.holder
 	answer := func(in quota.HolderInput) {
 		s.schedule(s.latency(), func() {
-			if n.alive && n.incarnation == life && n.holder == holder {
+			if n.alive && n.incarnation == incarnation && n.holder == holder {
 				s.stepHolder(n, in)
 			}
 		})
@@ -46,7 +46,7 @@
 			case quota.Register:
 				answer(s.registerHolder(n, e))
 			case quota.StoreReservations:
-				s.storeReserved(n, life, e, false, answer)
+				s.storeReservations(n, incarnation, e, false, answer)
 			case quota.SendRequest:
 				s.sendQuotaRequest(n, e, answer)
 			}
@@ -57,42 +57,44 @@
 func (s *simulation) registerHolder(n *simulatedNode, e quota.Register) quota.RegistrationDone {
 	key := quota.HolderKey(e.Node)
 	item, err := s.store.Get(key)
-	if err != nil || s.withoutStore(n) {
+	if err != nil || s.storeUnreachable(n) {
 		return quota.RegistrationDone{}
 	}
-	stamp, err := s.tryCommit(e.Txn(item.ModRevision))
+	revision, err := s.tryCommit(e.Txn(item.ModRevision))
 	if err != nil {
 		return quota.RegistrationDone{}
 	}
-	return quota.RegistrationDone{ModRevision: stamp}
+	return quota.RegistrationDone{ModRevision: revision}
 }
 
-// storeReserved does what holderActor.store does.
-func (s *simulation) storeReserved(n *simulatedNode, life int, e quota.StoreReservations, unsure bool, answer func(quota.HolderInput)) {
-	if !n.alive || n.incarnation != life {
+// storeReservations stores a holder's reservations in the way of holderActor.store: a transaction without a reply is
+// retried, and if the retry conflicts, a read determines whether the earlier attempt was applied.
+func (s *simulation) storeReservations(n *simulatedNode, incarnation int, e quota.StoreReservations, outcomeUnknown bool, answer func(quota.HolderInput)) {
+	if !n.alive || n.incarnation != incarnation {
 		return
 	}
-	if s.withoutStore(n) {
-		s.schedule(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
+	if s.storeUnreachable(n) {
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
 		return
 	}
-	stamp, err := s.tryCommit(e.Txn())
+	revision, err := s.tryCommit(e.Txn())
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: stamp})
+		answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: revision})
 	case errors.As(err, &conflict):
-		if item, err := s.store.Get(e.Key); unsure && err == nil && item.ModRevision > e.Conditions[1].ModRevision {
+		if item, err := s.store.Get(e.Key); outcomeUnknown && err == nil && item.ModRevision > e.Conditions[1].ModRevision {
 			answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: item.ModRevision})
 			return
 		}
 		answer(quota.StoreDone{Outcome: e.OutcomeOf(conflict)})
 	default:
-		s.schedule(150*time.Millisecond, func() { s.storeReserved(n, life, e, true, answer) })
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
 	}
 }
 
-// sendQuotaRequest brings an ask to the leader that the node knows, over the peer network.
+// sendQuotaRequest sends a quota request over the peer network to the node that the sender considers leader. If no
+// reply arrives within 2 s, the holder gets an empty response.
 func (s *simulation) sendQuotaRequest(n *simulatedNode, e quota.SendRequest, answer func(quota.HolderInput)) {
 	answered := false
 	once := func(in quota.HolderInput) {
@@ -114,7 +116,7 @@
 	}
 }
 
-// applyTransaction carries out a transaction, and checks what is stored then.
+// applyTransaction commits a transaction and, if it wrote quota records, checks their invariants.
 func (s *simulation) applyTransaction(t kvstore.Txn) (ident.Revision, error) {
 	v, err := s.store.Commit(t)
 	if s.trace != nil {
@@ -124,16 +126,16 @@
 		if err != nil || !strings.HasPrefix(w.SetKey+w.DeleteKey, quota.KeyPrefix) {
 			continue
 		}
-		if wrong := s.checkStoredQuotas(); wrong != nil {
-			s.t.Fatalf("quota: %v", wrong)
+		if violation := s.checkStoredQuotas(); violation != nil {
+			s.t.Fatalf("stored quotas violate an invariant: %v", violation)
 		}
 		break
 	}
 	return v, err
 }
 
-// checkStoredQuotas checks what is stored: no team's allotments exceed its limit, and no
-// holder has reserved more than it was allotted.
+// checkStoredQuotas checks the invariants of the stored quota records: no team's allocations exceed its limit, and no
+// holder has reserved more than it was allocated.
 func (s *simulation) checkStoredQuotas() error {
 	items, _, err := s.store.List(quota.KeyPrefix)
 	if err != nil {
@@ -142,12 +144,12 @@
 	return quota.CheckInvariants(items, s.settings.Params.TeamsByName())
 }
 
-// checkUsageWithinLimits checks that what runs of each team is within its limit, however it was
-// admitted.
+// checkUsageWithinLimits checks that the running tasks of each team are within its CPU limit, whether the leader or a
+// quota holder admitted them.
 func (s *simulation) checkUsageWithinLimits() error {
 	for _, team := range s.settings.Params.Teams {
 		if used := s.running.cpus[team.Name]; team.CPULimit > 0 && used > team.CPULimit+1e-6 {
-			return fmt.Errorf("%s uses %v of %v", team.Name, used, team.CPULimit)
+			return fmt.Errorf("team %s uses %v CPUs, its limit is %v", team.Name, used, team.CPULimit)
 		}
 	}
 	return nil
