--- a/internal/controller/cancellationgap_test.go
+++ b/internal/controller/cancellationgap_test.go
@@ -13,10 +13,10 @@
 	"badgerbay/internal/leasedelegation"
 )
 
-var cancellationGapStep = flag.Duration("gapstep", 1500*time.Millisecond, "time between the outage delays of TestCancellationsAroundOutage")
+var outageDelayStep = flag.Duration("gapstep", 1500*time.Millisecond, "time between the outage delays of TestCancellationsAroundOutage")
 
-// cancellationGap is one combination of a refused leader, cancellations and an outage.
-type cancellationGap struct {
+// outageCase is one combination of a refused leader, cancellations and an outage.
+type outageCase struct {
 	name        string
 	refusal     time.Duration // how long the state service refuses the leader alone
 	outageDelay time.Duration // from the refusal to the outage
@@ -24,14 +24,14 @@
 	inject func(*simulation, *simulatedNode)
 }
 
-// cancellationGaps are what may come on top of a gap.
-var cancellationGaps = []cancellationGap{
+// outageCases are what may come on top of a gap.
+var outageCases = []outageCase{
 	{name: "plain"},
 	{name: "mesh refused", inject: func(s *simulation, _ *simulatedNode) { s.peersPartitioned = true }},
-	{name: "workers reach the old leader only", inject: onlyReachable},
+	{name: "workers reach the old leader only", inject: limitWorkersToNode},
 	{name: "and the mesh is refused", inject: func(s *simulation, old *simulatedNode) {
 		s.peersPartitioned = true
-		onlyReachable(s, old)
+		limitWorkersToNode(s, old)
 	}},
 	{name: "old leader restarted", inject: func(s *simulation, old *simulatedNode) {
 		s.schedule(5*time.Second, func() { s.crash(old, 300*time.Millisecond) })
@@ -42,7 +42,7 @@
 	{name: "slow state service", inject: func(s *simulation, _ *simulatedNode) { s.maxStoreLatency = 5 * time.Second }},
 }
 
-func onlyReachable(s *simulation, old *simulatedNode) {
+func limitWorkersToNode(s *simulation, old *simulatedNode) {
 	for _, n := range s.nodes {
 		s.unreachableByWorkers[n.index] = n != old
 	}
@@ -50,7 +50,7 @@
 
 // runScenario plays the gap. Jobs are cancelled all along, and the outage outlasts the
 // time that a cancelled job has. The rules are checked at every change.
-func (g cancellationGap) runScenario(t *testing.T, seed uint64, w config.Workers) {
+func (g outageCase) runScenario(t *testing.T, seed uint64, w config.Workers) {
 	s := newSimulationWithWorkers(t, seed, w)
 	small := arraySpec
 	small.Tasks = 2
@@ -95,9 +95,9 @@
 // must be gone in time all the same; see docs/design.md for the bound.
 func TestCancellationsAroundOutage(t *testing.T) {
 	t.Parallel()
-	for _, kind := range cancellationGaps {
+	for _, kind := range outageCases {
 		for _, refused := range []time.Duration{4 * time.Second, 14 * time.Second} {
-			for outage := time.Duration(0); outage <= 14*time.Second; outage += *cancellationGapStep {
+			for outage := time.Duration(0); outage <= 14*time.Second; outage += *outageDelayStep {
 				g := kind
 				g.refusal, g.outageDelay = refused, outage
 				t.Run(fmt.Sprintf("%s/%v/%v", g.name, refused, outage), func(t *testing.T) {
@@ -113,8 +113,8 @@
 // grant, lasts for nearly three of them.
 func TestCancellationsAroundOutageWithShortLeases(t *testing.T) {
 	t.Parallel()
-	for _, kind := range cancellationGaps {
-		for outage := time.Duration(0); outage <= 12*time.Second; outage += 2 * *cancellationGapStep {
+	for _, kind := range outageCases {
+		for outage := time.Duration(0); outage <= 12*time.Second; outage += 2 * *outageDelayStep {
 			g := kind
 			g.refusal, g.outageDelay = 6*time.Second, outage
 			t.Run(fmt.Sprintf("%s/%v", g.name, outage), func(t *testing.T) {
--- a/internal/controller/faultcombinations_test.go
+++ b/internal/controller/faultcombinations_test.go
@@ -12,8 +12,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// machineRunning is a machine that tasks of the job run on.
-func (s *simulation) machineRunning(id ident.JobID) ident.MachineID {
+// machineOfJob is a machine that tasks of the job run on.
+func (s *simulation) machineOfJob(id ident.JobID) ident.MachineID {
 	var on []ident.MachineID
 	for _, placed := range s.running.ofJob(id) {
 		on = append(on, placed.machine)
@@ -33,7 +33,7 @@
 	s := newSimulation(t, 3)
 	id := s.submit(1, arraySpec, 10*time.Minute)
 	s.runFor(25 * time.Second)
-	s.unreachableUntil[s.machineRunning(id)] = s.now.Add(4 * time.Second)
+	s.unreachableUntil[s.machineOfJob(id)] = s.now.Add(4 * time.Second)
 	s.cancelJob(id)
 	s.runFor(500 * time.Millisecond)
 	if s.jobs[id].cancelledAt == 0 {
