--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -13,7 +13,7 @@
 
 var failoverSeeds = flag.Int("takeoverseeds", 2, "seeds of each cause in TestFailoverTimes")
 
-// failoverCause is a way in which a leader stops.
+// failoverCause is a fault that stops the leader.
 type failoverCause struct {
 	name string
 	stop func(*simulation, *simulatedNode)
@@ -21,12 +21,12 @@
 
 var failoverCauses = []failoverCause{
 	{"crash", func(s *simulation, n *simulatedNode) { s.crash(n, 30*time.Second) }},
-	{"freeze", func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(12 * time.Second) }},
-	{"cut off from the state service and its peers", func(s *simulation, n *simulatedNode) {
+	{"pause", func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(12 * time.Second) }},
+	{"isolated from the state service and its peers", func(s *simulation, n *simulatedNode) {
 		s.isolated[n.index] = true
 		s.schedule(20*time.Second, func() { delete(s.isolated, n.index) })
 	}},
-	{"cut off from everything", func(s *simulation, n *simulatedNode) {
+	{"isolated from the state service, its peers and the workers", func(s *simulation, n *simulatedNode) {
 		s.isolated[n.index], s.unreachableByWorkers[n.index] = true, true
 		s.schedule(20*time.Second, func() {
 			delete(s.isolated, n.index)
@@ -35,110 +35,113 @@
 	}},
 }
 
-// failoverTimes are how long the parts of a failover took, one after the other.
+// failoverTimes holds the durations of the consecutive phases of a failover.
 type failoverTimes struct{ elected, recordsRead, reconciled, firstRound time.Duration }
 
-func (x failoverTimes) total() time.Duration {
-	return x.elected + x.recordsRead + x.reconciled + x.firstRound
+func (t failoverTimes) total() time.Duration {
+	return t.elected + t.recordsRead + t.reconciled + t.firstRound
 }
 
-// String shows the parts.
-func (x failoverTimes) String() string {
-	return fmt.Sprintf("%.2f s = %.2f until elected + %.2f until read + %.2f until enough is heard + %.2f until it decides",
-		x.total().Seconds(), x.elected.Seconds(), x.recordsRead.Seconds(), x.reconciled.Seconds(), x.firstRound.Seconds())
+// String returns the total and the duration of each phase, in seconds.
+func (t failoverTimes) String() string {
+	return fmt.Sprintf("%.2f s = %.2f until elected + %.2f until the records are read + %.2f until scheduling opens + "+
+		"%.2f until the first round",
+		t.total().Seconds(), t.elected.Seconds(), t.recordsRead.Seconds(), t.reconciled.Seconds(), t.firstRound.Seconds())
 }
 
-// submitContinuously submits a job of one short task several times a second, so that
-// there is something to decide at any moment.
+// submitContinuously submits a job with one short task several times a second for a duration of d, so that there is
+// something to schedule at any moment.
 func (s *simulation) submitContinuously(d time.Duration) {
-	const pause = 300 * time.Millisecond
+	const interval = 300 * time.Millisecond
 	small := arraySpec
 	small.Tasks, small.CPUs, small.MemoryGB = 1, 0.25, 0.25
-	for i := range int(d / pause) {
-		s.schedule(time.Duration(i)*pause, func() { s.submit(1000+i, small, 2*time.Second) })
+	for i := range int(d / interval) {
+		s.schedule(time.Duration(i)*interval, func() { s.submit(1000+i, small, 2*time.Second) })
 	}
 }
 
-// measureFailover stops the leader and measures from its last act to the first round
-// that its successor records.
-func measureFailover(t *testing.T, seed uint64, script string, report float64, kind failoverCause) (failoverTimes, *simulation) {
-	s := newSimulationWithPolicy(t, seed, script)
-	s.settings.Params.Workers.HeartbeatSeconds = report
+// measureFailover stops the leader and measures the time from its last action to the first round that its successor
+// records.
+func measureFailover(t *testing.T, seed uint64, policyScript string, heartbeatSeconds float64, cause failoverCause) (
+	failoverTimes, *simulation) {
+	s := newSimulationWithPolicy(t, seed, policyScript)
+	s.settings.Params.Workers.HeartbeatSeconds = heartbeatSeconds
 	for _, n := range s.nodes {
-		s.crash(n, time.Millisecond) // so that they start with these settings
+		s.crash(n, time.Millisecond) // restart the nodes so that they use these settings
 	}
 	s.submit(1, serviceSpec, 0)
 	s.submitContinuously(70 * time.Second)
 	s.runFor(35*time.Second + time.Duration(s.rng.IntN(4000))*time.Millisecond)
-	old := s.leader()
-	if old == nil {
-		t.Fatal("nobody leads")
+	oldLeader := s.leader()
+	if oldLeader == nil {
+		t.Fatal("no node leads")
 	}
-	begun := s.leaderHistory.LastActionAt()
-	kind.stop(s, old)
-	x := s.awaitFailover(begun, old)
-	if x.total() == 0 {
-		t.Fatalf("seed %d: nobody took over", seed)
+	lastAction := s.leaderHistory.LastActionAt()
+	cause.stop(s, oldLeader)
+	times := s.awaitFailover(lastAction, oldLeader)
+	if times.total() == 0 {
+		t.Fatalf("seed %d: no successor recorded a round within 30 s", seed)
 	}
 	s.runFor(30 * time.Second)
-	return x, s
+	return times, s
 }
 
-// awaitFailover runs until another node than old has recorded a round.
-func (s *simulation) awaitFailover(begun clock.Instant, old *simulatedNode) failoverTimes {
-	var x failoverTimes
-	var heir *term
+// awaitFailover runs the simulation until a node other than oldLeader has recorded a round, for at most 30 s. It
+// returns zero times if none has by then.
+func (s *simulation) awaitFailover(lastAction clock.Instant, oldLeader *simulatedNode) failoverTimes {
+	var times failoverTimes
+	var successor *term
 	epoch := s.leaderHistory.Epoch()
 	for range 3000 {
 		s.runFor(10 * time.Millisecond)
 		n := s.leader()
-		if n == nil || n == old || n.core.term == nil {
+		if n == nil || n == oldLeader || n.core.term == nil {
 			continue
 		}
-		if n.core.term != heir {
-			heir, x = n.core.term, failoverTimes{elected: s.now.Sub(begun)}
+		if n.core.term != successor {
+			successor, times = n.core.term, failoverTimes{elected: s.now.Sub(lastAction)}
 		}
-		if x.recordsRead == 0 && heir.recovery.loaded {
-			x.recordsRead = s.now.Sub(begun) - x.elected
+		if times.recordsRead == 0 && successor.recovery.loaded {
+			times.recordsRead = s.now.Sub(lastAction) - times.elected
 		}
-		if x.recordsRead != 0 && x.reconciled == 0 && heir.recovery.schedulingOpen {
-			x.reconciled = s.now.Sub(begun) - x.elected - x.recordsRead
+		if times.recordsRead != 0 && times.reconciled == 0 && successor.recovery.schedulingOpen {
+			times.reconciled = s.now.Sub(lastAction) - times.elected - times.recordsRead
 		}
-		if at, ok := s.leaderHistory.FirstRoundAfter(epoch); ok && x.reconciled != 0 {
-			x.firstRound = max(0, at.Sub(begun)-x.elected-x.recordsRead-x.reconciled)
-			return x
+		if at, ok := s.leaderHistory.FirstRoundAfter(epoch); ok && times.reconciled != 0 {
+			times.firstRound = max(0, at.Sub(lastAction)-times.elected-times.recordsRead-times.reconciled)
+			return times
 		}
 	}
 	return failoverTimes{}
 }
 
-// TestFailoverTimes: with the warm standby a successor decides within five seconds of
-// the leader's last act, however that stops. The same without it is measured for
-// comparison.
+// TestFailoverTimes checks that with the warm standby a successor records its first round within five seconds of the
+// leader's last action, whichever fault stops the leader. The times without the warm standby are measured for
+// comparison only.
 func TestFailoverTimes(t *testing.T) {
 	t.Parallel()
-	const most = 5 * time.Second
-	for _, report := range []float64{1, 3, 5} {
-		for _, kind := range failoverCauses {
-			t.Run(fmt.Sprintf("%s, reports every %v s", kind.name, report), func(t *testing.T) {
+	const maxFailoverTime = 5 * time.Second
+	for _, heartbeatSeconds := range []float64{1, 3, 5} {
+		for _, cause := range failoverCauses {
+			t.Run(fmt.Sprintf("%s, heartbeats every %v s", cause.name, heartbeatSeconds), func(t *testing.T) {
 				t.Parallel()
 				var warm, cold []failoverTimes
 				for seed := range uint64(*failoverSeeds) {
-					x, s := measureFailover(t, seed, warmStandbyPolicy, report, kind)
-					if x.total() > most {
-						t.Errorf("seed %d: %v", seed, x)
+					times, s := measureFailover(t, seed, warmStandbyPolicy, heartbeatSeconds, cause)
+					if times.total() > maxFailoverTime {
+						t.Errorf("seed %d: %v", seed, times)
 					}
 					if s.warmFailovers == 0 {
-						t.Errorf("seed %d: the replica was not used", seed)
+						t.Errorf("seed %d: the successor did not use its replica", seed)
 					}
-					warm = append(warm, x)
+					warm = append(warm, times)
 					if seed%2 == 0 {
-						x, _ = measureFailover(t, seed, "", report, kind)
-						cold = append(cold, x)
+						times, _ = measureFailover(t, seed, "", heartbeatSeconds, cause)
+						cold = append(cold, times)
 					}
 				}
-				t.Logf("with: median %v, longest %v", median(warm), longest(warm))
-				t.Logf("without: median %v, longest %v", median(cold), longest(cold))
+				t.Logf("with the warm standby: median %v, longest %v", median(warm), longest(warm))
+				t.Logf("without the warm standby: median %v, longest %v", median(cold), longest(cold))
 			})
 		}
 	}
@@ -152,8 +155,8 @@
 
 func longest(all []failoverTimes) failoverTimes { return slices.MaxFunc(all, byTotal) }
 
-// TestLeaderSurvivesStoreOutage: after an outage the leader that was there goes on,
-// since nobody can tell that it was silent while nobody could write.
+// TestLeaderSurvivesStoreOutage checks that the same leader continues in the same epoch after an outage of the state
+// service: while no node can write, no node can tell that the leader sends no heartbeats.
 func TestLeaderSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
@@ -163,19 +166,20 @@
 		s.store.Down = true
 		s.runFor(3*time.Second + time.Duration(s.rng.IntN(10_000))*time.Millisecond)
 		if names := s.entitledNodes(); len(names) > 0 {
-			t.Fatalf("entitled in an outage: %v", names)
+			t.Fatalf("nodes entitled to lead during an outage: %v", names)
 		}
 		s.store.Down = false
 		s.runFor(2 * time.Second)
 		if s.leader() != before || s.currentEpoch() != epoch {
-			t.Errorf("seed %d: epoch %d by %v, was %d by %v", seed, s.currentEpoch(), s.leader(), epoch, before)
+			t.Errorf("seed %d: epoch %d led by %v after the outage, was %d led by %v",
+				seed, s.currentEpoch(), s.leader(), epoch, before)
 		}
 		s.healAndFinish()
 	})
 }
 
-// TestSlowStoreKeepsTheLeader: answers that take up to a second, often, do not end the
-// entitlement of a leader with heartbeats.
+// TestSlowStoreKeepsTheLeader checks that frequent response times of up to a second from the state service do not end
+// the entitlement of a leader with heartbeats.
 func TestSlowStoreKeepsTheLeader(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 4, warmStandbyPolicy)
@@ -185,7 +189,7 @@
 	for range 600 {
 		s.runFor(100 * time.Millisecond)
 		if s.leader() == nil {
-			t.Fatalf("nobody is entitled at %v", s.now)
+			t.Fatalf("no node is entitled to lead at %v", s.now)
 		}
 	}
 	if l := s.leader(); l.core.term.acquiredAt > clock.Instant(time.Hour).Add(10*time.Second) {
@@ -195,52 +199,52 @@
 	s.healAndFinish()
 }
 
-// TestReplicaBehindCompaction: a standby that was away for longer than the state
-// service keeps changes reads the records anew, and takes over all the same.
+// TestReplicaBehindCompaction checks that a standby that was disconnected for longer than the state service retains
+// changes reloads all records, and takes over nevertheless.
 func TestReplicaBehindCompaction(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 9, warmStandbyPolicy)
 	s.store.RetainedChanges = 40
 	s.submitMixedLoad()
-	l := s.leader()
+	leader := s.leader()
 	for _, n := range s.nodes {
-		if n != l {
+		if n != leader {
 			s.refusedByStore[n.index] = true
 		}
 	}
 	s.submitContinuously(30 * time.Second)
 	s.runFor(30 * time.Second)
 	for _, n := range s.nodes {
-		if n != l && n.replicaState(s.now) == standby.StateReady {
-			t.Errorf("%s says that it is ready and has read nothing for 30 s", n.name)
+		if n != leader && n.replicaState(s.now) == standby.StateReady {
+			t.Errorf("%s reports a ready replica although it has read nothing for 30 s", n.name)
 		}
 	}
 	s.refusedByStore = map[int]bool{}
 	s.runFor(4 * time.Second)
-	rereads := 0
+	reloads := 0
 	for _, n := range s.nodes {
-		rereads += n.follower.Status(s.now).Reloads
+		reloads += n.follower.Status(s.now).Reloads
 	}
-	if rereads == 0 {
-		t.Error("no replica was read anew")
+	if reloads == 0 {
+		t.Error("no standby reloaded its replica")
 	}
-	s.crash(l, 20*time.Second)
+	s.crash(leader, 20*time.Second)
 	s.runFor(20 * time.Second)
 	if s.warmFailovers == 0 {
-		t.Error("the replica was not used")
+		t.Error("the successor did not use its replica")
 	}
 	s.healAndFinish()
 }
 
-// TestUpgradeToLeaderHeartbeats: nodes without heartbeats lead by their lease alone, beside
-// nodes that have them, in any order of upgrades and crashes.
+// TestUpgradeToLeaderHeartbeats checks clusters in which nodes without leader heartbeats, which lead by their lease
+// alone, run beside nodes with heartbeats, in any order of upgrades and crashes.
 func TestUpgradeToLeaderHeartbeats(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		s := newSimulationWithPolicy(t, seed, "")
-		warm := newSimulationWithPolicy(t, seed, warmStandbyPolicy).policy
+		warmStandby := newSimulationWithPolicy(t, seed, warmStandbyPolicy).policy
 		s.submitMixedLoad()
-		s.policy = warm
+		s.policy = warmStandby
 		for _, i := range s.rng.Perm(3) {
 			s.crash(s.nodes[i], time.Second)
 			s.runFor(time.Duration(3+s.rng.IntN(8)) * time.Second)
@@ -254,8 +258,8 @@
 	})
 }
 
-// TestEntitlementCheckFindsTwoLeaders: were leaders to act for longer than their
-// heartbeats claim, the check of every scenario would find two that are entitled.
+// TestEntitlementCheckFindsTwoLeaders checks that the entitlement check of every scenario detects two entitled nodes
+// if leaders act for longer than their heartbeats claim.
 func TestEntitlementCheckFindsTwoLeaders(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 3, warmStandbyPolicy)
@@ -269,66 +273,66 @@
 			return
 		}
 	}
-	t.Error("not found")
+	t.Error("two entitled nodes were not detected")
 }
 
 var warmStandbySeeds = flag.Int("standbydays", 4, "seeds of TestWarmStandbyUnderFaults")
 
-// injectFailoverFault draws a fault of the kinds that meet a failover: the leader stops,
-// and about when its standbys act, one of them dies or is paused, the nodes refuse
-// each other, or the state service is slow, away, or refuses one.
+// injectFailoverFault injects random faults that coincide with a failover: the leader stops, and about when its
+// standbys act, one node crashes or is paused, the nodes refuse each other's connections, or the state service is
+// slow, unavailable, or refuses one node.
 func (s *simulation) injectFailoverFault() {
-	takeover := s.policy.Features.WarmStandby.HeartbeatTTL
-	length := s.randomDuration(takeover/2, 4*takeover)
+	heartbeatTTL := s.policy.Features.WarmStandby.HeartbeatTTL
+	duration := s.randomDuration(heartbeatTTL/2, 4*heartbeatTTL)
 	if l := s.leader(); l != nil {
 		switch s.rng.IntN(5) {
 		case 0:
-			s.crash(l, s.randomDuration(20*time.Millisecond, 2*takeover))
+			s.crash(l, s.randomDuration(20*time.Millisecond, 2*heartbeatTTL))
 		case 1, 2:
-			// Wakes before the failover, in the middle of it, or after it.
-			s.pausedUntil[l.index] = s.now.Add(s.randomDuration(takeover-time.Second, takeover+2*time.Second))
+			// Resumes before, during or after the failover.
+			s.pausedUntil[l.index] = s.now.Add(s.randomDuration(heartbeatTTL-time.Second, heartbeatTTL+2*time.Second))
 		case 3:
 			s.refusedByStore[l.index] = true
-			s.schedule(length, func() { delete(s.refusedByStore, l.index) })
+			s.schedule(duration, func() { delete(s.refusedByStore, l.index) })
 		case 4:
-			s.unreachableByWorkers[l.index] = true // it hands over
+			s.unreachableByWorkers[l.index] = true // so that it transfers the leadership
 			s.schedule(12*time.Second, func() { delete(s.unreachableByWorkers, l.index) })
 		}
 	}
 	n := s.nodes[s.rng.IntN(3)]
-	s.schedule(s.randomDuration(takeover-time.Second, takeover+2*time.Second), func() {
+	s.schedule(s.randomDuration(heartbeatTTL-time.Second, heartbeatTTL+2*time.Second), func() {
 		switch s.rng.IntN(7) {
 		case 0:
-			s.crash(n, s.randomDuration(20*time.Millisecond, takeover))
+			s.crash(n, s.randomDuration(20*time.Millisecond, heartbeatTTL))
 		case 1:
-			s.pausedUntil[n.index] = s.now.Add(length)
+			s.pausedUntil[n.index] = s.now.Add(duration)
 		case 2:
 			s.peersPartitioned = true
-			s.schedule(length, func() { s.peersPartitioned = false })
+			s.schedule(duration, func() { s.peersPartitioned = false })
 		case 3:
 			s.maxStoreLatency = s.randomDuration(200*time.Millisecond, 2*time.Second)
-			s.schedule(length, func() { s.maxStoreLatency = 0 })
+			s.schedule(duration, func() { s.maxStoreLatency = 0 })
 		case 4:
-			s.storeOutage(length)
+			s.storeOutage(duration)
 		case 5:
 			s.refusedByStore[n.index] = true
-			s.schedule(length, func() { delete(s.refusedByStore, n.index) })
+			s.schedule(duration, func() { delete(s.refusedByStore, n.index) })
 		case 6:
-			s.electionRequestsUntilCrash = 1 + s.rng.IntN(4) // some node dies in its election
+			s.electionRequestsUntilCrash = 1 + s.rng.IntN(4) // a node crashes during its election
 		}
 	})
 }
 
-// newLossySimulation returns a simulation in which messages are lost, late and doubled, and faults
-// go on.
-func newLossySimulation(t *testing.T, seed uint64, script string) *simulation {
-	s := newSimulationWithPolicy(t, seed, script)
+// newLossySimulation returns a simulation in which messages are lost, delayed and duplicated, and repeated faults are
+// active.
+func newLossySimulation(t *testing.T, seed uint64, policyScript string) *simulation {
+	s := newSimulationWithPolicy(t, seed, policyScript)
 	s.lossProbability, s.duplicateProbability, s.lateHeartbeatProbability, s.lateCommitProbability = 0.01, 0.05, 0.05, 0.03
 	s.faultsActive = true
 	return s
 }
 
-// runLossyScenario submits and cancels jobs amid the faults, and lets these end.
+// runLossyScenario submits and cancels jobs while faults occur, then ends the faults and finishes the scenario.
 func (s *simulation) runLossyScenario() {
 	s.submitContinuously(120 * time.Second)
 	s.submitMixedLoad()
@@ -339,8 +343,8 @@
 	s.healAndFinish()
 }
 
-// TestWarmStandbyUnderFaults plays scenarios in which failovers meet a second fault, again and
-// again, with lost and late messages, cancellations and machines that vanish.
+// TestWarmStandbyUnderFaults checks scenarios in which failovers repeatedly coincide with a second fault, with lost
+// and late messages, cancellations and reclaimed machines.
 func TestWarmStandbyUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, *warmStandbySeeds, func(t *testing.T, seed uint64) {
@@ -352,9 +356,9 @@
 			}
 		})
 		s.runLossyScenario()
-		t.Logf("%d takeovers with a replica, %d without", s.warmFailovers, s.coldFailovers)
+		t.Logf("%d failovers with a replica, %d without", s.warmFailovers, s.coldFailovers)
 		if s.warmFailovers < 3 {
-			t.Error("the day has hardly any takeovers")
+			t.Errorf("%d failovers with a replica, want at least 3", s.warmFailovers)
 		}
 	})
 }
--- a/internal/controller/faultcombinations_test.go
+++ b/internal/controller/faultcombinations_test.go
@@ -12,22 +12,23 @@
 	"badgerbay/internal/jobs"
 )
 
-// machineOfJob is a machine that tasks of the job run on.
+// machineOfJob returns the machine with the lowest ID that runs a task of the job, and fails the test if
+// there is none.
 func (s *simulation) machineOfJob(id ident.JobID) ident.MachineID {
-	var on []ident.MachineID
+	var machines []ident.MachineID
 	for _, placed := range s.running.ofJob(id) {
-		on = append(on, placed.machine)
+		machines = append(machines, placed.machine)
 	}
-	if len(on) == 0 {
-		s.t.Fatalf("nothing of %s runs", id)
+	if len(machines) == 0 {
+		s.t.Fatalf("no task of %s is running", id)
 	}
-	return slices.Min(on)
+	return slices.Min(machines)
 }
 
-// TestLeadersBeforeLoadingRenewNoCancelledTasks: leaders that change before they have read the
-// records must not renew the leases of cancelled tasks again and again. They
-// answered heartbeats with a 200 and no commands: a machine that heard nothing as a job was
-// cancelled ran its tasks for as long as leaders came and went.
+// TestLeadersBeforeLoadingRenewNoCancelledTasks checks that leaders that are replaced before they have loaded the
+// records do not keep renewing the leases of cancelled tasks. They used to answer heartbeats with status 200 and no
+// commands: a machine that was unreachable when a job was cancelled ran its tasks for as long as the leader kept
+// changing.
 func TestLeadersBeforeLoadingRenewNoCancelledTasks(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 3)
@@ -53,28 +54,28 @@
 
 const sec = time.Second
 
-// faultCombinations are the combinations of two faults that break schedulers like this one.
+// faultCombinations lists combinations of two faults that break schedulers of this kind.
 var faultCombinations = []struct {
 	name  string
 	begin func(*simulation)
 }{
-	{"limit, takeover, machines that can't be asked, cancellations", func(s *simulation) {
+	{"team limit, failover, unreachable machines, cancellations", func(s *simulation) {
 		s.repeatWhileFaulty(15*sec, 30*sec, func() {
 			s.makeUnreachable(0.4, 5*sec, 40*sec)
 			s.schedule(s.randomDuration(0, 6*sec), func() { s.crashLeader(6 * sec) })
 			s.schedule(s.randomDuration(0, 12*sec), func() { s.cancelRunningJobs(3) })
 		})
 	}},
-	{"cancellations and questions at the end of the last task", func(s *simulation) {
+	{"cancellations and status queries as the last task ends", func(s *simulation) {
 		s.cancelAtEndProbability = 0.8
 		s.repeatWhileFaulty(20*sec, 40*sec, func() { s.crashLeader(2 * sec) })
 	}},
-	{"done against cancelled, writes unanswered, leaders that change", func(s *simulation) {
+	{"completion races with cancellation, unanswered writes, leader changes", func(s *simulation) {
 		s.cancelAtEndProbability, s.lateCommitProbability, s.lossProbability = 0.8, 0.2, 0.03
 		s.repeatWhileFaulty(8*sec, 20*sec, func() { s.crashLeader(2 * sec) })
 		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.refuseLeader(s.randomDuration(2*sec, 9*sec)) })
 	}},
-	{"controllers hand over and back, all end, one returns at once", func(s *simulation) {
+	{"leadership transfers, all controllers crash, one restarts at once", func(s *simulation) {
 		s.repeatWhileFaulty(12*sec, 20*sec, func() {
 			if l := s.leader(); l != nil {
 				s.unreachableByWorkers[l.index] = true
@@ -89,7 +90,7 @@
 			})
 		})
 	}},
-	{"mute machines", func(s *simulation) {
+	{"machines whose heartbeats are lost", func(s *simulation) {
 		s.repeatWhileFaulty(10*sec, 25*sec, func() {
 			for _, id := range s.randomMachines(0.4) {
 				s.silentUntil[id] = s.now.Add(s.randomDuration(5*sec, 50*sec))
@@ -98,7 +99,7 @@
 		})
 		s.repeatWhileFaulty(30*sec, 50*sec, func() { s.crashLeader(4 * sec) })
 	}},
-	{"old reports of earlier sessions and attempts", func(s *simulation) {
+	{"late heartbeats of earlier sessions and attempts", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.4, 90*sec
 		s.repeatWhileFaulty(8*sec, 16*sec, func() {
 			for _, id := range s.randomMachines(0.2) {
@@ -109,11 +110,11 @@
 		})
 		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.crashLeader(sec); s.cancelRunningJobs(1) })
 	}},
-	{"transactions without an answer, carried out late", func(s *simulation) {
+	{"unanswered transactions that are applied late", func(s *simulation) {
 		s.lateCommitProbability = 0.25
 		s.repeatWhileFaulty(15*sec, 30*sec, func() { s.crashLeader(3 * sec); s.cancelRunningJobs(1) })
 	}},
-	{"all controllers away for longer than a lease", func(s *simulation) {
+	{"all controllers down for longer than a lease", func(s *simulation) {
 		s.repeatWhileFaulty(50*sec, 60*sec, func() {
 			s.cancelRunningJobs(2)
 			for _, n := range s.nodes {
@@ -121,7 +122,7 @@
 			}
 		})
 	}},
-	{"jobs bound to a zone lose machines", func(s *simulation) {
+	{"jobs restricted to a zone lose machines", func(s *simulation) {
 		s.repeatWhileFaulty(10*sec, 20*sec, func() {
 			for _, id := range s.randomMachines(0.3) {
 				if s.cloud.Machines[id].Offer.Zone == "a" {
@@ -131,18 +132,18 @@
 		})
 		s.repeatWhileFaulty(25*sec, 40*sec, func() { s.crashLeader(4 * sec) })
 	}},
-	{"commands held up for seconds", func(s *simulation) {
+	{"commands delayed for seconds", func(s *simulation) {
 		s.duplicateProbability = 0.3
 		s.repeatWhileFaulty(4*sec, 9*sec, func() { s.hangMachines(0.3, sec, 9*sec); s.cancelRunningJobs(1) })
 		s.repeatWhileFaulty(20*sec, 35*sec, func() { s.crashLeader(4 * sec) })
 	}},
-	{"leader without state service and peers, cancellations through the new one", func(s *simulation) {
+	{"leader isolated from state service and peers, cancellations through its successor", func(s *simulation) {
 		s.repeatWhileFaulty(25*sec, 35*sec, func() {
 			s.isolateLeader(s.randomDuration(8*sec, 30*sec))
 			s.schedule(s.randomDuration(6*sec, 10*sec), func() { s.cancelRunningJobs(3) })
 		})
 	}},
-	{"leader ends while machines can't be reached or hear nothing", func(s *simulation) {
+	{"leader crashes while machines are unreachable or hang", func(s *simulation) {
 		s.repeatWhileFaulty(20*sec, 30*sec, func() {
 			s.makeUnreachable(0.5, 10*sec, 35*sec)
 			s.hangMachines(0.2, 5*sec, 35*sec)
@@ -150,14 +151,14 @@
 			s.schedule(s.randomDuration(0, 10*sec), func() { s.cancelRunningJobs(2) })
 		})
 	}},
-	{"zone with a controller cut off", func(s *simulation) {
+	{"partitioned zone with a controller", func(s *simulation) {
 		s.repeatWhileFaulty(45*sec, 60*sec, func() {
 			s.partitionedZone = s.settings.Params.Zones[s.rng.IntN(2)]
 			s.schedule(s.randomDuration(28*sec, 42*sec), s.healPartition)
 			s.schedule(s.randomDuration(0, 20*sec), func() { s.cancelRunningJobs(2) })
 		})
 	}},
-	{"slow state service, refused leader, outage", func(s *simulation) {
+	{"slow state service, leader refused by it, outage", func(s *simulation) {
 		s.maxStoreLatency = 2 * sec
 		s.repeatWhileFaulty(70*sec, 80*sec, func() {
 			s.refuseLeader(14 * sec)
@@ -167,7 +168,7 @@
 			}
 		})
 	}},
-	{"reports held back until a new leader has acted", func(s *simulation) {
+	{"heartbeats delayed until a new leader has acted", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.5, 25*sec
 		s.repeatWhileFaulty(12*sec, 18*sec, func() { s.crashLeader(3 * sec); s.makeUnreachable(0.2, 3*sec, 30*sec); s.cancelRunningJobs(1) })
 	}},
@@ -175,7 +176,7 @@
 		s.repeatWhileFaulty(9*sec, 13*sec, func() { s.crashLeader(300 * time.Millisecond) })
 		s.repeatWhileFaulty(40*sec, 50*sec, func() { s.storeOutage(s.randomDuration(5*sec, 25*sec)); s.cancelRunningJobs(2) })
 	}},
-	{"jobs whose tasks end far apart, across leaders", func(s *simulation) {
+	{"tasks of a job end far apart, under several leaders", func(s *simulation) {
 		for _, j := range s.jobs {
 			if !j.spec.Service {
 				j.runTimeStep = 14 * sec
@@ -184,7 +185,7 @@
 		s.lossProbability = 0.03
 		s.repeatWhileFaulty(10*sec, 18*sec, func() { s.crashLeader(6 * sec) })
 	}},
-	{"more work than room, urgent and not, slow links", func(s *simulation) {
+	{"more work than capacity, mixed priorities, slow links", func(s *simulation) {
 		s.maxExtraLatency = 700 * time.Millisecond
 		urgent := arraySpec
 		urgent.Priority, urgent.Class = jobs.PriorityHigh, "urgent"
@@ -196,7 +197,7 @@
 	}},
 }
 
-// workerTimings are the workers' times with which each fault combination is played.
+// workerTimings lists the workers' timing settings with which each fault combination is run.
 var workerTimings = []struct {
 	name    string
 	workers config.Workers
@@ -205,40 +206,39 @@
 	{"short leases/", shortLeases},
 }
 
-// TestFaultCombinations brings each combination of two faults about on random scenarios, and
-// checks every rule, that nothing is forgotten, and that nothing waits once the
-// faults are over.
+// TestFaultCombinations runs each fault combination in random scenarios and checks every invariant, that every
+// accepted job is still answered, and that no job waits once the faults are over.
 func TestFaultCombinations(t *testing.T) {
 	t.Parallel()
-	for i, m := range faultCombinations {
-		for _, times := range workerTimings {
+	for i, combination := range faultCombinations {
+		for _, timing := range workerTimings {
 			for seed := range uint64(*faultCombinationSeeds) {
-				t.Run(fmt.Sprintf("%s%s/%d", times.name, m.name, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s%s/%d", timing.name, combination.name, seed), func(t *testing.T) {
 					t.Parallel()
-					s := newSimulationWithWorkers(t, 5000+100*uint64(i)+seed, times.workers)
+					s := newSimulationWithWorkers(t, 5000+100*uint64(i)+seed, timing.workers)
 					if seed%2 == 1 {
 						s.settings.Params.Teams = []config.Team{{Name: "red", CPULimit: 40}, {Name: "blue", CPULimit: 24}}
 						for _, n := range s.nodes {
 							s.crash(n, time.Millisecond)
 						}
 					}
-					s.runFaultCombination(m.begin)
+					s.runFaultCombination(combination.begin)
 				})
 			}
 		}
 	}
 }
 
-// runFaultCombination submits jobs of each kind, lets the faults come, and ends the scenario.
+// runFaultCombination submits jobs of each kind, runs the faults for a while, and finishes the scenario without them.
 func (s *simulation) runFaultCombination(begin func(*simulation)) {
 	s.submitMixedLoad()
-	bound := arraySpec
-	bound.Zone, bound.Class = "a", "bound"
-	pair := oneZoneSpec
-	pair.Tasks, pair.Team, pair.Class = 2, "red", "pair"
+	zoneBound := arraySpec
+	zoneBound.Zone, zoneBound.Class = "a", "bound"
+	pairSpec := oneZoneSpec
+	pairSpec.Tasks, pairSpec.Team, pairSpec.Class = 2, "red", "pair"
 	for k := range 4 {
-		s.submit(100+3*k, bound, 20*sec)
-		s.submit(101+3*k, pair, 25*sec)
+		s.submit(100+3*k, zoneBound, 20*sec)
+		s.submit(101+3*k, pairSpec, 25*sec)
 		s.submit(102+3*k, arraySpec, 60*sec)
 	}
 	s.runFor(5 * sec)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -14,6 +14,7 @@
 	"badgerbay/internal/jobs"
 )
 
+// TestNoFaults checks that a mixed load runs to its end if no fault occurs.
 func TestNoFaults(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 1)
@@ -21,8 +22,8 @@
 	s.healAndFinish()
 }
 
-// TestHundredThousandTaskJob plays a job of 100,000 tasks that end in any order: its records
-// stay within the limits of the state service, and it gets done bit by bit.
+// TestHundredThousandTaskJob checks that a job of 100,000 tasks that end in any order keeps its records within the
+// limits of the state service and makes steady progress.
 func TestHundredThousandTaskJob(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 5)
@@ -31,26 +32,26 @@
 	id := s.submit(1, huge, 3*time.Second)
 	s.submit(2, arraySpec, 12*time.Second)
 	s.runFor(60 * time.Second)
-	l := s.leader()
-	if l == nil {
-		t.Fatal("nobody leads")
+	leader := s.leader()
+	if leader == nil {
+		t.Fatal("no node leads")
 	}
-	j := l.core.term.jobs.get(id)
+	j := leader.core.term.jobs.get(id)
 	if j.Done.Len() < 200 {
-		t.Errorf("%d tasks done in a minute", j.Done.Len())
+		t.Errorf("%d tasks done in a minute, want at least 200", j.Done.Len())
 	}
-	s.crash(l, time.Second)
+	s.crash(leader, time.Second)
 	s.runFor(20 * time.Second)
 	s.cancelJob(id)
 	s.runFor(60 * time.Second)
 	if s.jobs[id].reportedState != api.Cancelled {
-		t.Errorf("still %q", s.jobs[id].reportedState)
+		t.Errorf("the cancelled job is still %q", s.jobs[id].reportedState)
 	}
 }
 
-// TestLeaderCrashBeforeEachEffect crashes the leader before each of its effects in
-// turn: records, starts, provision requests, folds, acknowledged exits, cancellations. Its successor
-// must go on, with nothing run twice and nothing lost.
+// TestLeaderCrashBeforeEachEffect crashes the leader before each of its effects in turn (records, starts, provision
+// requests, rounds folded into job records, acknowledged exits, cancellations) and checks that its successor
+// continues: no task runs twice and nothing is lost.
 func TestLeaderCrashBeforeEachEffect(t *testing.T) {
 	t.Parallel()
 	for k := 1; k <= 60; k++ {
@@ -67,13 +68,13 @@
 			s.runFor(60 * time.Second)
 			s.healAndFinish()
 			if s.effectsUntilCrash > 0 {
-				t.Logf("the day had %d effects less", s.effectsUntilCrash)
+				t.Logf("the scenario ended %d effects before the crash", s.effectsUntilCrash)
 			}
 		})
 	}
 }
 
-// forEachSeed plays a scenario with each of n seeds, side by side.
+// forEachSeed runs a scenario with each of n seeds, in parallel.
 func forEachSeed(t *testing.T, n int, scenario func(*testing.T, uint64)) {
 	for seed := range uint64(n) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestMessageLossAndCrashes plays scenarios with lost and repeated messages, crashes of nodes,
-// outages and machines that vanish, each with another seed.
+// TestMessageLossAndCrashes checks scenarios with lost and duplicated messages, node crashes, outages and reclaimed
+// machines, each with its own seed.
 func TestMessageLossAndCrashes(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
@@ -130,11 +131,10 @@
 	})
 }
 
-// TestUnreachableMachines plays scenarios in which the heartbeats of machines arrive, but no
-// answer and no command reaches them, for longer than a lease, again and again;
-// with copies of heartbeats that come up to several leases late, nodes that lose
-// the state service and each other but not their workers, and processes that
-// are back within a fraction of a second.
+// TestUnreachableMachines checks scenarios in which the heartbeats of machines arrive, but no answer and no command
+// reaches them, repeatedly and for longer than a lease. In addition, copies of heartbeats arrive up to several leases
+// late, nodes lose the state service and each other but not their workers, and crashed processes restart within a
+// fraction of a second.
 func TestUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
@@ -163,7 +163,7 @@
 			}
 		})
 		s.scheduleEvery(21*time.Second, func() {
-			// A machine is back at once, with nothing of what ran on it.
+			// A worker restarts at once, without the tasks that ran on it.
 			ids := slices.Sorted(maps.Keys(s.cloud.Machines))
 			if len(ids) == 0 || s.lossProbability == 0 {
 				return
@@ -174,8 +174,7 @@
 			}
 		})
 		s.schedule(80*time.Second, func() {
-			// A zone is cut: its nodes and the others lose sight of each
-			// other's workers.
+			// A partition between a zone and the rest: its nodes and the others can't reach each other's workers.
 			s.unreachableByWorkers[2] = true
 			s.schedule(20*time.Second, func() { delete(s.unreachableByWorkers, 2) })
 		})
@@ -187,9 +186,9 @@
 	})
 }
 
-// TestPausedNodes plays scenarios in which nodes, preferably the leader, stand
-// still for a fraction of a second to more than a lease while their clocks run
-// on, with crashes, outages, late copies and lost messages in between.
+// TestPausedNodes checks scenarios in which nodes, preferably the leader, are paused for a fraction of a second to
+// more than a lease while their clocks advance, together with crashes, outages, late copies of heartbeats and lost
+// messages.
 func TestPausedNodes(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
@@ -217,10 +216,10 @@
 	})
 }
 
-// TestZonePartitions plays scenarios in which a zone is cut off from everything, state
-// service and cloud included, for less and more than a lease, with one node or
-// two in it, the leader among them or not; with crashes, freezes, cancellations
-// and isolated nodes in the partition. What was held arrives after it.
+// TestZonePartitions checks scenarios in which a zone is partitioned from everything, including the state service and
+// the cloud, for less and for more than a lease. The zone has one node or two, with or without the leader. Crashes,
+// pauses, cancellations and isolated nodes coincide with the partition, and messages that it held are delivered after
+// it.
 func TestZonePartitions(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
@@ -266,9 +265,9 @@
 	})
 }
 
-// TestPartitionedZoneKeepsItsReplicas: workers that are cut off together with a node
-// live through a partition that outlasts their leases, and nothing of theirs is
-// started elsewhere; without the lease grants all in the zone were killed.
+// TestPartitionedZoneKeepsItsReplicas checks that workers that are partitioned together with a node keep their tasks
+// through a partition that outlasts their leases, and that none of these tasks is started elsewhere. Without the
+// lease grants all tasks in the zone were killed.
 func TestPartitionedZoneKeepsItsReplicas(t *testing.T) {
 	t.Parallel()
 	partitionZone(t, 21)
@@ -276,10 +275,10 @@
 
 var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "seeds of TestPartitionedZoneWhereverItsWorkersReport, two scenarios each")
 
-// TestPartitionedZoneWhereverItsWorkersReport is the same whichever nodes the workers report
-// to as the partition begins. A worker waits four seconds for each node out of reach, and
-// a second before the next: sent on without a name by the node inside, it came back
-// only when the grant had ended, and its tasks were lost.
+// TestPartitionedZoneWhereverItsWorkersReport repeats the check with different nodes that the workers report to when
+// the partition begins. A worker waits four seconds for each unreachable node, and another second before it tries the
+// next. When the node inside the zone redirected a worker without naming a node, the worker came back only after the
+// grant had expired, and its tasks were lost.
 func TestPartitionedZoneWhereverItsWorkersReport(t *testing.T) {
 	t.Parallel()
 	for seed := range *zonePartitionSeeds {
@@ -287,8 +286,8 @@
 	}
 }
 
-// partitionZone cuts off a zone with a node in it: in one scenario the leader's, in another
-// the other.
+// partitionZone partitions a zone that has a node in it: the leader's zone in one subtest, the other zone in the
+// other.
 func partitionZone(t *testing.T, seed uint64) {
 	for _, inside := range []bool{true, false} {
 		t.Run(fmt.Sprintf("%d/leader inside %v", seed, inside), func(t *testing.T) {
@@ -297,25 +296,26 @@
 			s.submit(1, serviceSpec, 0)
 			s.submit(2, serviceSpec, 0)
 			s.runFor(30 * time.Second)
-			before := s.taskStarts
-			l := s.leader()
-			if s.partitionedZone = s.nodes[1].zone; inside == (l.zone != s.partitionedZone) {
+			startsBefore := s.taskStarts
+			leader := s.leader()
+			if s.partitionedZone = s.nodes[1].zone; inside == (leader.zone != s.partitionedZone) {
 				s.partitionedZone = s.nodes[0].zone
 			}
 			s.runFor(42 * time.Second)
 			s.healPartition()
 			s.runFor(20 * time.Second)
-			if s.taskStarts != before || s.running.len() != 2*serviceSpec.Tasks {
-				t.Errorf("%d replicas started anew, %d run of %d", s.taskStarts-before, s.running.len(), 2*serviceSpec.Tasks)
+			if s.taskStarts != startsBefore || s.running.len() != 2*serviceSpec.Tasks {
+				t.Errorf("%d replicas were restarted; %d are running, want %d",
+					s.taskStarts-startsBefore, s.running.len(), 2*serviceSpec.Tasks)
 			}
 			s.healAndFinish()
 		})
 	}
 }
 
-// TestRestartBeforeEachElectionRequest ends a process before each of its requests
-// to the state service in turn, while it stands for election or leads, and
-// starts it again at once: late answers to the one must not serve the other.
+// TestRestartBeforeEachElectionRequest crashes a process before each of its requests to the state service in turn,
+// while it is a candidate or leads, and restarts it at once. It checks that the new process does not use late answers
+// to requests of the old one.
 func TestRestartBeforeEachElectionRequest(t *testing.T) {
 	t.Parallel()
 	for k := 1; k <= 40; k++ {
@@ -327,20 +327,20 @@
 			s.submit(2, serviceSpec, 0)
 			s.scheduleEvery(8*time.Second, func() {
 				if l := s.leader(); l != nil && s.lossProbability > 0 {
-					s.crash(l, 6*time.Second) // so that the others elect
+					s.crash(l, 6*time.Second) // so that the other nodes hold an election
 				}
 			})
 			s.runFor(60 * time.Second)
 			if s.electionRequestsUntilCrash > 0 {
-				t.Fatalf("no step %d", k)
+				t.Fatalf("the scenario has no election request %d", k)
 			}
 			s.healAndFinish()
 		})
 	}
 }
 
-// TestHundredsOfMachines plays a scenario at some hundred machines, with arrays that fill
-// them, crashes in a row, an outage and machines that vanish.
+// TestHundredsOfMachines checks a scenario with some hundred machines: arrays that fill them, consecutive leader
+// crashes, an outage and reclaimed machines.
 func TestHundredsOfMachines(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
@@ -379,7 +379,7 @@
 		})
 		s.runFor(100 * time.Second)
 		if peak < 40 {
-			t.Errorf("the day had only %d machines", peak)
+			t.Errorf("the scenario had at most %d machines, want at least 40", peak)
 		}
 		s.healAndFinish()
 	})
@@ -387,11 +387,10 @@
 
 var largeFleetSeeds = flag.Int("fleetseeds", 1, "seeds of TestLargeFleetFaults")
 
-// TestLargeFleetFaults draws scenarios of up to 1,900 machines: zones with and without a
-// node, replicas, large arrays beside many small ones, and faults of each kind
-// on top of each other: partitioned zones, nodes that are paused, crash one or all and
-// are back at once, isolated nodes, an outage, a third of the machines lost or
-// hung, late copies and repeats. All rules are checked at each change.
+// TestLargeFleetFaults checks random scenarios of up to 1,900 machines: zones with and without a node, replicas, and
+// large arrays beside many small ones, with overlapping faults of each kind. These are partitioned zones, paused
+// nodes, crashes of one node or all with an immediate restart, isolated nodes, an outage, a third of the machines
+// reclaimed or hung, and late and duplicated messages. All invariants are checked at each change.
 func TestLargeFleetFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, *largeFleetSeeds, func(t *testing.T, seed uint64) {
@@ -411,15 +410,15 @@
 		s.runFor(150 * time.Second)
 		t.Logf("%d machines at most, in %d zones", peak, len(s.settings.Params.Zones))
 		if peak < 500 {
-			t.Errorf("the day had only %d machines", peak)
+			t.Errorf("the scenario had at most %d machines, want at least 500", peak)
 		}
 		s.healAndFinish()
 	})
 }
 
-// TestLargestLowPriorityJobStarts: the largest job of the lowest class begins within four
-// minutes, and keeps running for long enough to count, however many small ones
-// of a higher priority come all the time and take all there is.
+// TestLargestLowPriorityJobStarts checks that the largest job of the lowest class starts within four minutes and
+// keeps running for long enough to finish tasks, although a steady stream of small jobs of a higher priority takes
+// all capacity.
 func TestLargestLowPriorityJobStarts(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 6)
@@ -433,21 +432,21 @@
 	small, large := arraySpec, arraySpec
 	small.Tasks, small.CPUs = 20, 2
 	large.Priority, large.Class, large.Tasks, large.CPUs = jobs.PriorityBestEffort, "low", 150, 4
-	n := 1
+	jobNumber := 1
 	s.scheduleEvery(2*time.Second, func() {
-		if n < 120 {
-			n++
-			s.submit(n, small, 20*time.Second)
+		if jobNumber < 120 {
+			jobNumber++
+			s.submit(jobNumber, small, 20*time.Second)
 		}
 	})
-	s.runFor(20 * time.Second) // the small ones hold everything
+	s.runFor(20 * time.Second) // until the small jobs use all capacity
 	id := s.submit(1, large, 60*time.Second)
 	s.runFor(4 * time.Minute)
 	j := s.jobs[id]
 	if j.startedAt == 0 {
-		t.Fatal("the largest job has not begun in four minutes")
+		t.Fatal("the largest job has not started within four minutes")
 	}
-	if p := s.leader().core.term.jobs.get(id); s.now.Sub(j.startedAt) > 70*time.Second && len(p.Done) == 0 {
-		t.Errorf("it began %v ago, and nothing of it is done", s.now.Sub(j.startedAt))
+	if job := s.leader().core.term.jobs.get(id); s.now.Sub(j.startedAt) > 70*time.Second && len(job.Done) == 0 {
+		t.Errorf("the largest job started %v ago, and none of its tasks is done", s.now.Sub(j.startedAt))
 	}
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -17,16 +17,16 @@
 var gangSpec = jobs.Spec{Class: "gang", Team: "red", Gang: true, Priority: jobs.PriorityStandard, Tasks: 4, CPUs: 2, MemoryGB: 4,
 	Image: "img3", ImageGB: 1, EstimatedRunSeconds: 10, ZoneAffinity: true, CheckpointIntervalSeconds: 5, CheckpointSeconds: 2}
 
-// gangFaults are what may befall gangs at any step of start, run and end.
+// gangFaults lists the faults that may occur at any step of a gang's start, run and end.
 var gangFaults = []struct {
 	name  string
 	begin func(*simulation)
 }{
-	{"quiet", func(*simulation) {}},
-	{"leaders end", func(s *simulation) {
+	{"no faults", func(*simulation) {}},
+	{"leaders crash", func(s *simulation) {
 		s.repeatWhileFaulty(5*sec, 12*sec, func() { s.crashLeader(3 * sec) })
 	}},
-	{"machines vanish", func(s *simulation) {
+	{"machines are reclaimed", func(s *simulation) {
 		s.repeatWhileFaulty(6*sec, 12*sec, func() {
 			for _, id := range s.randomMachines(0.15) {
 				s.reclaimMachine(id)
@@ -36,7 +36,7 @@
 	{"machines hang", func(s *simulation) {
 		s.repeatWhileFaulty(5*sec, 12*sec, func() { s.hangMachines(0.2, 2*sec, 30*sec) })
 	}},
-	{"machines are deaf or mute, commands come late", func(s *simulation) {
+	{"machines are unreachable or silent, commands are duplicated late", func(s *simulation) {
 		s.duplicateProbability, s.lossProbability = 0.2, 0.03
 		s.repeatWhileFaulty(8*sec, 15*sec, func() {
 			s.makeUnreachable(0.15, 3*sec, 30*sec)
@@ -45,7 +45,7 @@
 			}
 		})
 	}},
-	{"cuts, outages, cancellations", func(s *simulation) {
+	{"partitions, outages, cancellations, leader crashes", func(s *simulation) {
 		s.repeatWhileFaulty(40*sec, 60*sec, func() {
 			s.partitionedZone = s.settings.Params.Zones[s.rng.IntN(2)]
 			s.schedule(s.randomDuration(10*sec, 40*sec), s.healPartition)
@@ -55,25 +55,25 @@
 	}},
 }
 
-// TestGangsUnderFaults plays scenarios with gangs beside arrays and services, with each fault:
-// every rule holds, each gang comes to its end, and none keeps another from it.
+// TestGangsUnderFaults checks scenarios with gangs beside arrays and services, with each fault: every invariant
+// holds, each gang ends, and no gang keeps another from ending.
 func TestGangsUnderFaults(t *testing.T) {
 	t.Parallel()
-	for i, trouble := range gangFaults {
+	for i, fault := range gangFaults {
 		for seed := range uint64(*gangSeeds) {
-			t.Run(fmt.Sprintf("%s/%d", trouble.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", fault.name, seed), func(t *testing.T) {
 				t.Parallel()
 				s := newSimulation(t, 11000+100*uint64(i)+seed)
 				s.submitMixedLoad()
 				s.faultsActive = true
-				trouble.begin(s)
+				fault.begin(s)
 				for k := range 14 {
-					g := gangSpec
-					g.Tasks, g.ZoneAffinity = 2+k%5, k%4 != 3
+					spec := gangSpec
+					spec.Tasks, spec.ZoneAffinity = 2+k%5, k%4 != 3
 					if k%3 == 0 {
-						g.Priority = jobs.PriorityHigh
+						spec.Priority = jobs.PriorityHigh
 					}
-					s.submit(500+k, g, time.Duration(8+2*k)*time.Second)
+					s.submit(500+k, spec, time.Duration(8+2*k)*time.Second)
 					s.runFor(4 * sec)
 				}
 				s.runFor(70 * sec)
@@ -84,74 +84,74 @@
 	}
 }
 
-// TestBrokenGangStopsAtOnce: as soon as a task of a gang is surely gone the rest
-// is told to end: it would wait for as long as a gang may wait, and hold its
-// machines. The gang is placed anew, whole and in another attempt.
+// TestBrokenGangStopsAtOnce checks that the other tasks of a gang are stopped as soon as one of its tasks is
+// certainly gone. Otherwise they would wait for as long as a gang may wait, and hold their machines. The gang is then
+// placed again as a whole, in another attempt.
 func TestBrokenGangStopsAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 8)
-	g := gangSpec
-	g.ZoneAffinity, g.ZoneSpread, g.CPUs = false, true, 4 // on several machines
-	id := s.submit(1, g, 60*time.Second)
+	spec := gangSpec
+	spec.ZoneAffinity, spec.ZoneSpread, spec.CPUs = false, true, 4 // on several machines
+	id := s.submit(1, spec, 60*time.Second)
 	s.runFor(25 * sec)
-	tm := s.leader().core.term
-	j := tm.jobs.get(id)
-	if j.RunningTasks() != g.Tasks {
-		t.Fatalf("%d of %d tasks run", j.RunningTasks(), g.Tasks)
+	term := s.leader().core.term
+	job := term.jobs.get(id)
+	if job.RunningTasks() != spec.Tasks {
+		t.Fatalf("%d of %d tasks are running", job.RunningTasks(), spec.Tasks)
 	}
-	before := j.Placements[0].Attempt
-	lost := j.Placements[0].Machine
+	oldAttempt := job.Placements[0].Attempt
+	lost := job.Placements[0].Machine
 	s.reclaimMachine(lost)
-	tm.tasksEnded(s.now, tm.fleet.Remove(s.now, lost))
-	rest := len(j.Placements)
-	if rest == 0 || rest == g.Tasks {
-		t.Fatalf("%d tasks are left", rest)
+	term.tasksEnded(s.now, term.fleet.Remove(s.now, lost))
+	rest := len(job.Placements)
+	if rest == 0 || rest == spec.Tasks {
+		t.Fatalf("%d of the tasks are still placed after the loss of one machine", rest)
 	}
 	s.runFor(300 * time.Millisecond)
-	for _, p := range j.Placements {
+	for _, p := range job.Placements {
 		if !p.Stopping {
-			t.Errorf("task %d was not told to end", p.Task)
+			t.Errorf("task %d was not stopped", p.Task)
 		}
 	}
 	s.runFor(30 * sec)
-	for i, p := range j.Placements {
-		if p.Attempt == before || p.Attempt != j.Placements[0].Attempt {
-			t.Errorf("task %d runs in attempt %d, the gang was in %d", i, p.Attempt, before)
+	for i, p := range job.Placements {
+		if p.Attempt == oldAttempt || p.Attempt != job.Placements[0].Attempt {
+			t.Errorf("task %d is in attempt %d; want a common attempt other than %d", i, p.Attempt, oldAttempt)
 		}
 	}
-	if j.RunningTasks() != g.Tasks {
-		t.Errorf("%d of %d tasks run again", j.RunningTasks(), g.Tasks)
+	if job.RunningTasks() != spec.Tasks {
+		t.Errorf("%d of %d tasks are running again", job.RunningTasks(), spec.Tasks)
 	}
 	s.healAndFinish()
 }
 
-// TestGangIsStoppedWhole: a notice on one machine has all tasks of a gang told to
-// stop, with leave to save, in the same step.
+// TestGangIsStoppedWhole checks that an interruption notice for one machine stops all tasks of a gang in the same
+// step, with a grace period to write a checkpoint.
 func TestGangIsStoppedWhole(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 12)
-	g := gangSpec
-	g.ZoneAffinity, g.ZoneSpread, g.CPUs = false, true, 4
-	id := s.submit(1, g, 60*time.Second)
+	spec := gangSpec
+	spec.ZoneAffinity, spec.ZoneSpread, spec.CPUs = false, true, 4
+	id := s.submit(1, spec, 60*time.Second)
 	s.runFor(30 * sec)
-	tm := s.leader().core.term
-	j := tm.jobs.get(id)
-	if j.RunningTasks() != g.Tasks {
-		t.Fatalf("%d of %d tasks run", j.RunningTasks(), g.Tasks)
+	term := s.leader().core.term
+	job := term.jobs.get(id)
+	if job.RunningTasks() != spec.Tasks {
+		t.Fatalf("%d of %d tasks are running", job.RunningTasks(), spec.Tasks)
 	}
-	m := tm.fleet.Machine(j.Placements[0].Machine)
-	m.InterruptionAt = s.now.Add(10 * sec)
-	tm.stopForInterruption(s.now, m)
+	machine := term.fleet.Machine(job.Placements[0].Machine)
+	machine.InterruptionAt = s.now.Add(10 * sec)
+	term.stopForInterruption(s.now, machine)
 	for i := range ident.TaskIndex(4) {
-		if p := j.Placements[i]; !p.Stopping || p.GracePeriod != 2*sec {
-			t.Errorf("task %d: told %v with leave %v", i, p.Stopping, p.GracePeriod)
+		if p := job.Placements[i]; !p.Stopping || p.GracePeriod != 2*sec {
+			t.Errorf("task %d: stopping is %v, with a grace period of %v", i, p.Stopping, p.GracePeriod)
 		}
 	}
 	s.healAndFinish()
 }
 
-// TestGangIsPreempted: lower gangs are stopped whole for a higher one, and all their
-// tasks are told soon enough to save together, over slow links too.
+// TestGangIsPreempted checks that a gang of a lower priority is stopped as a whole for one of a higher priority, and
+// that all its tasks receive the stop command early enough to write their checkpoint together, over slow links too.
 func TestGangIsPreempted(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{0, 2 * sec} {
@@ -160,7 +160,7 @@
 		clear(s.cloud.Capacity)
 		s.cloud.Capacity[cloud.Offer{Type: "large", Zone: "a"}] = 2
 		low := gangSpec
-		low.Priority, low.Tasks, low.CPUs = jobs.PriorityBestEffort, 4, 4 // both machines hold it together
+		low.Priority, low.Tasks, low.CPUs = jobs.PriorityBestEffort, 4, 4 // two such gangs fill both machines
 		low.Team = "red"
 		wide := low
 		wide.Tasks = 4
@@ -172,7 +172,7 @@
 		id := s.submit(3, high, 20*time.Second)
 		s.runFor(45 * sec)
 		if s.jobs[id].startedAt == 0 {
-			t.Errorf("delay %v: the higher gang has not begun", delay)
+			t.Errorf("delay %v: the gang of the higher priority has not started", delay)
 		}
 		stopped := 0
 		for _, low := range []ident.JobID{first, second} {
@@ -181,11 +181,11 @@
 				stopped++
 			}
 			if n.saved%tasksPerPreemptedGang != 0 || n.peersLost > 0 || n.incomplete > 0 {
-				t.Errorf("delay %v: %s was stopped with %+v", delay, low, n)
+				t.Errorf("delay %v: %s was not stopped as a whole with checkpoints: %+v", delay, low, n)
 			}
 		}
 		if stopped != 1 {
-			t.Errorf("delay %v: %d gangs were stopped, one is enough", delay, stopped)
+			t.Errorf("delay %v: %d gangs were stopped, want 1", delay, stopped)
 		}
 		s.cancelJob(first)
 		s.cancelJob(second)
@@ -194,26 +194,26 @@
 	}
 }
 
-// tasksPerPreemptedGang is how many tasks each of the gangs that make way has.
+// tasksPerPreemptedGang is the number of tasks in each of the gangs of lower priority in TestGangIsPreempted.
 const tasksPerPreemptedGang = 4
 
-// TestLostGangTaskIsReplacedInTime: a task that a gang loses before it has begun is
-// started again under its attempt, and the gang begins without being placed anew.
-// After a failover, or with too little time left, the gang ends and is placed anew.
+// TestLostGangTaskIsReplacedInTime checks that a task that a gang loses before the gang has begun is started again in
+// the same attempt, and that the gang then begins without being placed again. After a failover, or with too little
+// time left, the gang ends and is placed again.
 func TestLostGangTaskIsReplacedInTime(t *testing.T) {
 	t.Parallel()
-	for name, meanwhile := range map[string]func(*simulation){
-		"in time":       func(*simulation) {},
-		"lost twice":    func(*simulation) {},
-		"takeover":      func(s *simulation) { s.runFor(600 * time.Millisecond); s.crashLeader(sec) },
-		"late":          func(*simulation) {},
-		"version first": func(*simulation) {},
+	for name, beforeLoss := range map[string]func(*simulation){
+		"in time":          func(*simulation) {},
+		"lost twice":       func(*simulation) {},
+		"failover":         func(s *simulation) { s.runFor(600 * time.Millisecond); s.crashLeader(sec) },
+		"late":             func(*simulation) {},
+		"previous version": func(*simulation) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSimulation(t, 8)
 			switch name {
-			case "version first":
+			case "previous version":
 				s.onPreviousVersion = map[int]bool{0: true, 1: true, 2: true}
 			case "late":
 				s.settings.Params.Workers.GangWaitSeconds = 1
@@ -221,23 +221,23 @@
 					s.crash(n, time.Millisecond)
 				}
 			}
-			// What ran before leaves machines that are up.
-			before := arraySpec
-			before.Tasks, before.CPUs, before.ZoneSpread, before.Spot = 6, 6, true, false
-			s.submit(9, before, 3*time.Second)
+			// An earlier job leaves machines that are up.
+			earlier := arraySpec
+			earlier.Tasks, earlier.CPUs, earlier.ZoneSpread, earlier.Spot = 6, 6, true, false
+			s.submit(9, earlier, 3*time.Second)
 			for range 600 {
 				if s.runFor(50 * time.Millisecond); s.jobs["wk-000009"].reportedState == api.Done {
 					break
 				}
 			}
-			g := gangSpec
-			g.ZoneSpread, g.ZoneAffinity, g.CPUs = true, false, 4
-			g.ImageGB = 0
-			id := s.submit(1, g, 30*time.Second)
+			spec := gangSpec
+			spec.ZoneSpread, spec.ZoneAffinity, spec.CPUs = true, false, 4
+			spec.ImageGB = 0
+			id := s.submit(1, spec, 30*time.Second)
 			placed := func() *jobs.Job {
 				for range 400 {
 					s.runFor(50 * time.Millisecond)
-					if l := s.leader(); l != nil && l.core.term.jobs.get(id) != nil && len(l.core.term.jobs.get(id).Placements) == g.Tasks {
+					if l := s.leader(); l != nil && l.core.term.jobs.get(id) != nil && len(l.core.term.jobs.get(id).Placements) == spec.Tasks {
 						return l.core.term.jobs.get(id)
 					}
 				}
@@ -245,9 +245,9 @@
 				return nil
 			}
 			placed()
-			meanwhile(s)
+			beforeLoss(s)
 			j := placed()
-			tm := s.leader()
+			leader := s.leader()
 			attempt := j.Placements[0].Attempt
 			lose := func() {
 				p := j.Placements[0]
@@ -255,7 +255,7 @@
 					t.Fatalf("%s: task 0 is not placed", name)
 				}
 				s.reclaimMachine(p.Machine)
-				tm.core.term.tasksEnded(s.now, tm.core.term.fleet.Remove(s.now, p.Machine))
+				leader.core.term.tasksEnded(s.now, leader.core.term.fleet.Remove(s.now, p.Machine))
 			}
 			lose()
 			replaced := func() bool {
@@ -269,18 +269,18 @@
 			}
 			want := name == "in time" || name == "lost twice"
 			if got := replaced(); got != want {
-				t.Errorf("%s: replaced under the attempt %v, want %v", name, got, want)
+				t.Errorf("%s: task replaced in the same attempt: %v, want %v", name, got, want)
 			}
 			if name == "lost twice" {
 				lose()
 				if !replaced() {
-					t.Errorf("%s: not replaced a second time", name)
+					t.Errorf("%s: the task was not replaced a second time", name)
 				}
 			}
 			s.runFor(60 * sec)
 			s.healAndFinish()
 			if n := s.gangExits[id]; want && n.incomplete > 0 {
-				t.Errorf("%s: the gang gave up: %+v", name, n)
+				t.Errorf("%s: the gang ended incomplete: %+v", name, n)
 			}
 		})
 	}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -17,10 +17,10 @@
 	"badgerbay/internal/peer"
 )
 
-// largeFleetMachines is how many machines the service must be able to run.
+// largeFleetMachines is the number of machines that the service must be able to manage.
 const largeFleetMachines = 4000
 
-// lostSessions counts the workers that have lost a lease.
+// lostSessions returns the number of workers that have lost a lease, and with it their first session.
 func (s *simulation) lostSessions() int {
 	n := 0
 	for _, h := range s.cloud.Machines {
@@ -31,10 +31,9 @@
 	return n
 }
 
-// TestFourThousandMachines starts a service that rents some 4,000 machines, takes
-// it over with all of them reconnecting after every node has crashed, and lets a
-// third of them die together. Nobody may lose a lease by it. In the end all jobs are
-// cancelled at once, and their tasks are gone in time.
+// TestFourThousandMachines checks a fleet of about 4,000 machines: the service rents them, all of them reconnect
+// after every node has crashed, and then a third of them are reclaimed together. No other machine may lose its lease.
+// At the end all jobs are cancelled at once, and their tasks must end in time.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 4000)
@@ -63,15 +62,15 @@
 	}
 	s.runFor(25 * time.Second)
 	if l := s.leader(); l == nil || !l.core.term.recovery.schedulingOpen {
-		t.Fatal("nobody leads and places 22 s after all nodes were back")
+		t.Fatal("no node leads with scheduling open 22 s after all nodes restarted")
 	}
 	if lost := s.lostSessions(); lost > 0 {
-		t.Errorf("%d machines lost their leases as all nodes crashed", lost)
+		t.Errorf("%d machines lost their leases when all nodes crashed", lost)
 	}
 	s.forThirdOfMachines(s.reclaimMachine)
 	s.runFor(20 * time.Second)
 	if lost := s.lostSessions(); lost > 0 {
-		t.Errorf("%d machines lost their leases as a third of them died", lost)
+		t.Errorf("%d machines lost their leases when a third of the fleet was reclaimed", lost)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		s.cancelJob(id)
@@ -79,14 +78,13 @@
 	s.runFor(s.settings.Params.Workers.CancelTimeout())
 	for id, j := range s.jobs {
 		if !j.isOver() || s.hasRunningTasks(id) {
-			t.Errorf("%s is %q, tasks of it on machines: %v", id, j.reportedState, s.hasRunningTasks(id))
+			t.Errorf("%s is %q; tasks still running: %v", id, j.reportedState, s.hasRunningTasks(id))
 		}
 	}
 }
 
-// TestListOfFourThousandMachines: the list comes in pages within the cloud's call
-// rate, and is whole before anything is taken for gone. A rate of one call a second
-// leaves room for it too.
+// TestListOfFourThousandMachines checks that the machine list is read in pages within the cloud's call rate, and is
+// complete before any machine is considered gone. Even a rate of one call per second is sufficient.
 func TestListOfFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{1, 2, 5} {
@@ -106,59 +104,60 @@
 			s.runFor(40 * time.Second)
 			l := s.leader()
 			if l == nil || !l.core.term.provisioner.hasListed() {
-				t.Fatal("the list was not read within 40 s")
+				t.Fatal("the machine list was not complete within 40 s")
 			}
 			if n := l.core.term.fleet.Len(); n != 400 {
-				t.Errorf("%d of 400 machines are known, listed %d a page", n, machineListPageSize)
+				t.Errorf("%d of 400 machines are known, with %d machines per page", n, machineListPageSize)
 			}
 		})
 	}
 }
 
-// TestDelegationExcludingFourThousandMachines: a grant names every machine that must end
-// something, in one message; where it could not, none would be given.
+// TestDelegationExcludingFourThousandMachines checks that a single message can hold a grant that excludes every
+// machine with a task that must end. If the machine IDs did not fit, nothing would be granted.
 func TestDelegationExcludingFourThousandMachines(t *testing.T) {
 	t.Parallel()
-	g := newCoreFixture(t, largeFleetMachines)
-	job := jobs.NewJob("wk-000001", jobs.NewRecord(arraySpec, 0), 1, g.now)
+	fixture := newCoreFixture(t, largeFleetMachines)
+	job := jobs.NewJob("wk-000001", jobs.NewRecord(arraySpec, 0), 1, fixture.now)
 	job.Phase = jobs.PhaseCancelled
-	g.core.term.jobs.byID[job.ID] = job
-	for i := range g.machines {
-		p := &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: g.machines[i].Machine, Session: 1, Attempt: 1}
-		g.core.term.fleet.Place(g.now, p)
+	fixture.core.term.jobs.byID[job.ID] = job
+	for i := range fixture.machines {
+		p := &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: fixture.machines[i].Machine, Session: 1, Attempt: 1}
+		fixture.core.term.fleet.Place(fixture.now, p)
 	}
-	status := g.core.term.delegationGrant(10)
+	status := fixture.core.term.delegationGrant(10)
 	if status.GrantDuration == 0 || len(status.ExcludedMachines) != largeFleetMachines {
-		t.Errorf("a grant of %v without %d machines", status.GrantDuration, len(status.ExcludedMachines))
+		t.Errorf("the grant lasts %v and excludes %d machines, want more than 0 s and %d machines",
+			status.GrantDuration, len(status.ExcludedMachines), largeFleetMachines)
 	}
-	keeper := leasedelegation.NewDelegate("a", g.core.settings.Params.Workers, g.now)
+	delegate := leasedelegation.NewDelegate("a", fixture.core.settings.Params.Workers, fixture.now)
 	grant, err := peer.PackDelegationStatus(status).Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	keeper.AcceptStatus(g.now, grant)
-	late := g.now.Add(10 * time.Second)
-	for _, m := range []*fleet.Heartbeat{g.machines[0], g.machines[largeFleetMachines-2]} {
-		if v := keeper.Decide(late, leasedelegation.NodeIsolated, m); v == leasedelegation.RenewLease {
-			t.Errorf("%s is kept, with a task that must end", m.Machine)
+	delegate.AcceptStatus(fixture.now, grant)
+	later := fixture.now.Add(10 * time.Second)
+	for _, heartbeat := range []*fleet.Heartbeat{fixture.machines[0], fixture.machines[largeFleetMachines-2]} {
+		if v := delegate.Decide(later, leasedelegation.NodeIsolated, heartbeat); v == leasedelegation.RenewLease {
+			t.Errorf("the lease of %s was renewed although it has a task that must end", heartbeat.Machine)
 		}
 	}
 }
 
-// BenchmarkFailover shows what reading the records of a large cluster costs, and what
-// all machines reporting for the first time after it does.
+// BenchmarkFailover measures the cost of reading the records of a large cluster and of the first heartbeats of all
+// its machines afterwards.
 func BenchmarkFailover(b *testing.B) {
 	for _, n := range []int{100, 1500, largeFleetMachines} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := newCoreFixture(b, n)
-			g.fillMachines(n)
+			fixture := newCoreFixture(b, n)
+			fixture.fillMachines(n)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				g.step(ElectionInput{election.LeadershipLost{}})
-				g.becomeLeader()
-				for i := range g.machines {
-					g.sendHeartbeat(i)
+				fixture.step(ElectionInput{election.LeadershipLost{}})
+				fixture.becomeLeader()
+				for i := range fixture.machines {
+					fixture.sendHeartbeat(i)
 				}
 			}
 		})
