--- a/internal/controller/cancellationoutage_test.go
+++ b/internal/controller/cancellationoutage_test.go
@@ -179,10 +179,10 @@
 	}
 }
 
-// TestOwnDelegationEndsInTime checks that the grant that a leader issues to itself counts from the last moment at
+// TestOwnDelegationStartsAtLeaseDeadline checks that the grant that a leader issues to itself counts from the last moment at
 // which it was entitled to lead, so that a cancellation that its successor confirms comes after that moment. A leader
 // that resigns is not entitled for the rest of its lease, so its grant counts from the resignation.
-func TestOwnDelegationEndsInTime(t *testing.T) {
+func TestOwnDelegationStartsAtLeaseDeadline(t *testing.T) {
 	t.Parallel()
 	grantDuration := leasedelegation.GrantDuration(simulationSettings().Params.Workers)
 	for _, resigns := range []bool{false, true} {
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestNodeOutsideTheZone checks that a node redirects its zone's workers to one node outside the zone such that the
+// TestNodeOutsideZone checks that a node redirects its zone's workers to one node outside the zone such that the
 // next node in name order, which the worker tries after it, is in the zone again.
-func TestNodeOutsideTheZone(t *testing.T) {
+func TestNodeOutsideZone(t *testing.T) {
 	t.Parallel()
 	settings := &config.Settings{NodeName: "n2", Zone: "a", Peers: []config.Peer{
 		{NodeName: "n0", Zone: "b"}, {NodeName: "n1", Zone: "a"}, {NodeName: "n3", Zone: "b"}}}
--- a/internal/controller/componentfields_test.go
+++ b/internal/controller/componentfields_test.go
@@ -35,9 +35,9 @@
 	return p, nil
 }
 
-// TestPartsKeepTheirFields checks that the fields of each component are accessed only in the files of that component,
+// TestComponentFieldsAreAccessedOnlyInTheirFiles checks that the fields of each component are accessed only in the files of that component,
 // so that all other code uses its methods.
-func TestPartsKeepTheirFields(t *testing.T) {
+func TestComponentFieldsAreAccessedOnlyInTheirFiles(t *testing.T) {
 	files := token.NewFileSet()
 	var syntax []*ast.File
 	names, err := filepath.Glob("*.go")
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -46,11 +46,11 @@
 	return c, now
 }
 
-// TestNewLeaderWaitsForWorkers checks that a new leader counts unreachable workers only after all workers have had a
+// TestNewLeaderGivesWorkersTimeToConnectBeforeTransfer checks that a new leader counts unreachable workers only after all workers have had a
 // heartbeat interval to reach it, and then transfers leadership after leadtransfer.Delay. It guards against a failure
 // during a partition between two zones, in which the new leader counted the workers of its own zone as unreachable and
 // transferred leadership back at once.
-func TestNewLeaderWaitsForWorkers(t *testing.T) {
+func TestNewLeaderGivesWorkersTimeToConnectBeforeTransfer(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 12)
 	tm := g.core.term
@@ -63,13 +63,13 @@
 	}
 	for g.now.Sub(tm.acquiredAt) < interval+interval/4 {
 		sendHeartbeats()
-		if tm.transferLeadershipIfUnreached(g.now) {
+		if tm.transferLeadershipIfUnreachable(g.now) {
 			t.Fatalf("leadership transferred %v after the term began", g.now.Sub(tm.acquiredAt))
 		}
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
 	connectedAt := g.now
-	for !tm.transferLeadershipIfUnreached(g.now) && g.now.Sub(connectedAt) < time.Minute {
+	for !tm.transferLeadershipIfUnreachable(g.now) && g.now.Sub(connectedAt) < time.Minute {
 		sendHeartbeats()
 		g.now = g.now.Add(200 * time.Millisecond)
 	}
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestRepliesOfAnEarlierTerm checks that a node that is leader again ignores the result of a transaction that it sent
+// TestTransactionResultsOfEarlierTermsAreIgnored checks that a node that is leader again ignores the result of a transaction that it sent
 // in an earlier term. It guards against such a result being attributed to the round in flight or ending the new term.
-func TestRepliesOfAnEarlierTerm(t *testing.T) {
+func TestTransactionResultsOfEarlierTermsAreIgnored(t *testing.T) {
 	t.Parallel()
 	c, now := newLeadingCore(t)
 	c.term.rounds.inFlight = &roundInFlight{record: &roundlog.Record{RoundNo: 1}}
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -24,12 +24,12 @@
 // coreFixture is the core of a leader with many machines. Once fillMachines has been called, the machines run service
 // replicas and the tasks of array jobs.
 type coreFixture struct {
-	core         *Core
-	now          clock.Instant
-	revision     ident.Revision
-	machines     []*fleet.Heartbeat
-	advanceCount int
-	deadMachines map[int]bool // machines that send no heartbeats and answer no commands; keyed by index
+	core                 *Core
+	now                  clock.Instant
+	revision             ident.Revision
+	machines             []*fleet.Heartbeat
+	advanceCount         int
+	unresponsiveMachines map[int]bool // machines that send no heartbeats and answer no commands; keyed by index
 }
 
 func (g *coreFixture) Now() clock.Instant { return g.now }
@@ -101,7 +101,7 @@
 func (g *coreFixture) executeCommand(e SendCommands) CommandsAcknowledged {
 	var i int
 	fmt.Sscanf(string(e.Machine), "host-%d", &i)
-	if g.deadMachines[i] {
+	if g.unresponsiveMachines[i] {
 		return CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch}
 	}
 	r := g.machines[i]
@@ -118,7 +118,7 @@
 }
 
 func (g *coreFixture) sendHeartbeat(i int) {
-	if g.deadMachines[i] {
+	if g.unresponsiveMachines[i] {
 		return
 	}
 	r := *g.machines[i]
@@ -187,9 +187,9 @@
 	}
 }
 
-// BenchmarkSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats, ticks and
+// BenchmarkSimulatedSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats, ticks and
 // scheduling rounds, while array jobs are submitted.
-func BenchmarkSecond(b *testing.B) {
+func BenchmarkSimulatedSecond(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g := newCoreFixture(b, n)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -178,9 +178,9 @@
 	})
 }
 
-// TestSlowStoreKeepsTheLeader checks that frequent response times of up to a second from the state service do not end
+// TestLeaderSurvivesSlowStore checks that frequent response times of up to a second from the state service do not end
 // the entitlement of a leader with heartbeats.
-func TestSlowStoreKeepsTheLeader(t *testing.T) {
+func TestLeaderSurvivesSlowStore(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 4, warmStandbyPolicy)
 	s.submitMixedLoad()
@@ -199,9 +199,9 @@
 	s.healAndFinish()
 }
 
-// TestReplicaBehindCompaction checks that a standby that was disconnected for longer than the state service retains
+// TestStandbyReloadsAfterCompaction checks that a standby that was disconnected for longer than the state service retains
 // changes reloads all records, and takes over nevertheless.
-func TestReplicaBehindCompaction(t *testing.T) {
+func TestStandbyReloadsAfterCompaction(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 9, warmStandbyPolicy)
 	s.store.RetainedChanges = 40
@@ -263,7 +263,7 @@
 func TestEntitlementCheckFindsTwoLeaders(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 3, warmStandbyPolicy)
-	s.heartbeatUnderstatement = 1500 * time.Millisecond
+	s.heartbeatTTLShortfall = 1500 * time.Millisecond
 	s.submitMixedLoad()
 	l := s.leader()
 	s.refusedByStore[l.index] = true
@@ -313,7 +313,7 @@
 			s.maxStoreLatency = s.randomDuration(200*time.Millisecond, 2*time.Second)
 			s.schedule(duration, func() { s.maxStoreLatency = 0 })
 		case 4:
-			s.storeOutage(duration)
+			s.beginStoreOutage(duration)
 		case 5:
 			s.refusedByStore[n.index] = true
 			s.schedule(duration, func() { delete(s.refusedByStore, n.index) })
@@ -349,8 +349,8 @@
 	t.Parallel()
 	forEachSeed(t, *warmStandbySeeds, func(t *testing.T, seed uint64) {
 		s := newLossySimulation(t, 700+seed, warmStandbyPolicy)
-		s.repeatWhileFaulty(8*time.Second, 16*time.Second, s.injectFailoverFault)
-		s.repeatWhileFaulty(20*time.Second, 40*time.Second, func() {
+		s.repeatWhileFaultsActive(8*time.Second, 16*time.Second, s.injectFailoverFault)
+		s.repeatWhileFaultsActive(20*time.Second, 40*time.Second, func() {
 			if up := s.upMachines(); len(up) > 0 {
 				s.reclaimMachine(up[s.rng.IntN(len(up))])
 			}
--- a/internal/controller/faultcombinations_test.go
+++ b/internal/controller/faultcombinations_test.go
@@ -25,11 +25,11 @@
 	return slices.Min(machines)
 }
 
-// TestLeadersBeforeLoadingRenewNoCancelledTasks checks that leaders that are replaced before they have loaded the
+// TestUnloadedLeadersDoNotRenewCancelledTasks checks that leaders that are replaced before they have loaded the
 // records do not keep renewing the leases of cancelled tasks. They used to answer heartbeats with status 200 and no
 // commands: a machine that was unreachable when a job was cancelled ran its tasks for as long as the leader kept
 // changing.
-func TestLeadersBeforeLoadingRenewNoCancelledTasks(t *testing.T) {
+func TestUnloadedLeadersDoNotRenewCancelledTasks(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 3)
 	id := s.submit(1, arraySpec, 10*time.Minute)
@@ -40,7 +40,7 @@
 	if s.jobs[id].cancelledAt == 0 {
 		t.Fatal("the cancellation was not confirmed")
 	}
-	s.loadDelay = 20 * time.Second
+	s.recordsReadDelay = 20 * time.Second
 	for range 16 {
 		if l := s.leader(); l != nil {
 			s.crash(l, 200*time.Millisecond)
@@ -60,7 +60,7 @@
 	begin func(*simulation)
 }{
 	{"team limit, failover, unreachable machines, cancellations", func(s *simulation) {
-		s.repeatWhileFaulty(15*sec, 30*sec, func() {
+		s.repeatWhileFaultsActive(15*sec, 30*sec, func() {
 			s.makeUnreachable(0.4, 5*sec, 40*sec)
 			s.schedule(s.randomDuration(0, 6*sec), func() { s.crashLeader(6 * sec) })
 			s.schedule(s.randomDuration(0, 12*sec), func() { s.cancelRunningJobs(3) })
@@ -68,15 +68,15 @@
 	}},
 	{"cancellations and status queries as the last task ends", func(s *simulation) {
 		s.cancelAtEndProbability = 0.8
-		s.repeatWhileFaulty(20*sec, 40*sec, func() { s.crashLeader(2 * sec) })
+		s.repeatWhileFaultsActive(20*sec, 40*sec, func() { s.crashLeader(2 * sec) })
 	}},
 	{"completion races with cancellation, unanswered writes, leader changes", func(s *simulation) {
 		s.cancelAtEndProbability, s.lateCommitProbability, s.lossProbability = 0.8, 0.2, 0.03
-		s.repeatWhileFaulty(8*sec, 20*sec, func() { s.crashLeader(2 * sec) })
-		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.refuseLeader(s.randomDuration(2*sec, 9*sec)) })
+		s.repeatWhileFaultsActive(8*sec, 20*sec, func() { s.crashLeader(2 * sec) })
+		s.repeatWhileFaultsActive(20*sec, 30*sec, func() { s.refuseLeader(s.randomDuration(2*sec, 9*sec)) })
 	}},
 	{"leadership transfers, all controllers crash, one restarts at once", func(s *simulation) {
-		s.repeatWhileFaulty(12*sec, 20*sec, func() {
+		s.repeatWhileFaultsActive(12*sec, 20*sec, func() {
 			if l := s.leader(); l != nil {
 				s.unreachableByWorkers[l.index] = true
 				s.schedule(s.randomDuration(8*sec, 14*sec), func() { delete(s.unreachableByWorkers, l.index) })
@@ -91,31 +91,31 @@
 		})
 	}},
 	{"machines whose heartbeats are lost", func(s *simulation) {
-		s.repeatWhileFaulty(10*sec, 25*sec, func() {
+		s.repeatWhileFaultsActive(10*sec, 25*sec, func() {
 			for _, id := range s.randomMachines(0.4) {
-				s.silentUntil[id] = s.now.Add(s.randomDuration(5*sec, 50*sec))
+				s.heartbeatsLostUntil[id] = s.now.Add(s.randomDuration(5*sec, 50*sec))
 			}
 			s.cancelRunningJobs(1)
 		})
-		s.repeatWhileFaulty(30*sec, 50*sec, func() { s.crashLeader(4 * sec) })
+		s.repeatWhileFaultsActive(30*sec, 50*sec, func() { s.crashLeader(4 * sec) })
 	}},
 	{"late heartbeats of earlier sessions and attempts", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.4, 90*sec
-		s.repeatWhileFaulty(8*sec, 16*sec, func() {
+		s.repeatWhileFaultsActive(8*sec, 16*sec, func() {
 			for _, id := range s.randomMachines(0.2) {
 				w := s.cloud.Machines[id].Worker
 				w.KillAll(s.now)
 				w.Session++
 			}
 		})
-		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.crashLeader(sec); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(20*sec, 30*sec, func() { s.crashLeader(sec); s.cancelRunningJobs(1) })
 	}},
 	{"unanswered transactions that are applied late", func(s *simulation) {
 		s.lateCommitProbability = 0.25
-		s.repeatWhileFaulty(15*sec, 30*sec, func() { s.crashLeader(3 * sec); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(15*sec, 30*sec, func() { s.crashLeader(3 * sec); s.cancelRunningJobs(1) })
 	}},
 	{"all controllers down for longer than a lease", func(s *simulation) {
-		s.repeatWhileFaulty(50*sec, 60*sec, func() {
+		s.repeatWhileFaultsActive(50*sec, 60*sec, func() {
 			s.cancelRunningJobs(2)
 			for _, n := range s.nodes {
 				s.crash(n, s.randomDuration(28*sec, 40*sec))
@@ -123,28 +123,28 @@
 		})
 	}},
 	{"jobs restricted to a zone lose machines", func(s *simulation) {
-		s.repeatWhileFaulty(10*sec, 20*sec, func() {
+		s.repeatWhileFaultsActive(10*sec, 20*sec, func() {
 			for _, id := range s.randomMachines(0.3) {
 				if s.cloud.Machines[id].Offer.Zone == "a" {
 					s.reclaimMachine(id)
 				}
 			}
 		})
-		s.repeatWhileFaulty(25*sec, 40*sec, func() { s.crashLeader(4 * sec) })
+		s.repeatWhileFaultsActive(25*sec, 40*sec, func() { s.crashLeader(4 * sec) })
 	}},
 	{"commands delayed for seconds", func(s *simulation) {
 		s.duplicateProbability = 0.3
-		s.repeatWhileFaulty(4*sec, 9*sec, func() { s.hangMachines(0.3, sec, 9*sec); s.cancelRunningJobs(1) })
-		s.repeatWhileFaulty(20*sec, 35*sec, func() { s.crashLeader(4 * sec) })
+		s.repeatWhileFaultsActive(4*sec, 9*sec, func() { s.hangMachines(0.3, sec, 9*sec); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(20*sec, 35*sec, func() { s.crashLeader(4 * sec) })
 	}},
 	{"leader isolated from state service and peers, cancellations through its successor", func(s *simulation) {
-		s.repeatWhileFaulty(25*sec, 35*sec, func() {
+		s.repeatWhileFaultsActive(25*sec, 35*sec, func() {
 			s.isolateLeader(s.randomDuration(8*sec, 30*sec))
 			s.schedule(s.randomDuration(6*sec, 10*sec), func() { s.cancelRunningJobs(3) })
 		})
 	}},
 	{"leader crashes while machines are unreachable or hang", func(s *simulation) {
-		s.repeatWhileFaulty(20*sec, 30*sec, func() {
+		s.repeatWhileFaultsActive(20*sec, 30*sec, func() {
 			s.makeUnreachable(0.5, 10*sec, 35*sec)
 			s.hangMachines(0.2, 5*sec, 35*sec)
 			s.crashLeader(6 * sec)
@@ -152,7 +152,7 @@
 		})
 	}},
 	{"partitioned zone with a controller", func(s *simulation) {
-		s.repeatWhileFaulty(45*sec, 60*sec, func() {
+		s.repeatWhileFaultsActive(45*sec, 60*sec, func() {
 			s.partitionedZone = s.settings.Params.Zones[s.rng.IntN(2)]
 			s.schedule(s.randomDuration(28*sec, 42*sec), s.healPartition)
 			s.schedule(s.randomDuration(0, 20*sec), func() { s.cancelRunningJobs(2) })
@@ -160,9 +160,9 @@
 	}},
 	{"slow state service, leader refused by it, outage", func(s *simulation) {
 		s.maxStoreLatency = 2 * sec
-		s.repeatWhileFaulty(70*sec, 80*sec, func() {
+		s.repeatWhileFaultsActive(70*sec, 80*sec, func() {
 			s.refuseLeader(14 * sec)
-			s.schedule(s.randomDuration(0, 12*sec), func() { s.storeOutage(55 * sec) })
+			s.schedule(s.randomDuration(0, 12*sec), func() { s.beginStoreOutage(55 * sec) })
 			for range 5 {
 				s.schedule(s.randomDuration(0, 20*sec), func() { s.cancelRunningJobs(1) })
 			}
@@ -170,11 +170,11 @@
 	}},
 	{"heartbeats delayed until a new leader has acted", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.5, 25*sec
-		s.repeatWhileFaulty(12*sec, 18*sec, func() { s.crashLeader(3 * sec); s.makeUnreachable(0.2, 3*sec, 30*sec); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(12*sec, 18*sec, func() { s.crashLeader(3 * sec); s.makeUnreachable(0.2, 3*sec, 30*sec); s.cancelRunningJobs(1) })
 	}},
 	{"ten leaders in two minutes, also in an outage", func(s *simulation) {
-		s.repeatWhileFaulty(9*sec, 13*sec, func() { s.crashLeader(300 * time.Millisecond) })
-		s.repeatWhileFaulty(40*sec, 50*sec, func() { s.storeOutage(s.randomDuration(5*sec, 25*sec)); s.cancelRunningJobs(2) })
+		s.repeatWhileFaultsActive(9*sec, 13*sec, func() { s.crashLeader(300 * time.Millisecond) })
+		s.repeatWhileFaultsActive(40*sec, 50*sec, func() { s.beginStoreOutage(s.randomDuration(5*sec, 25*sec)); s.cancelRunningJobs(2) })
 	}},
 	{"tasks of a job end far apart, under several leaders", func(s *simulation) {
 		for _, j := range s.jobs {
@@ -183,7 +183,7 @@
 			}
 		}
 		s.lossProbability = 0.03
-		s.repeatWhileFaulty(10*sec, 18*sec, func() { s.crashLeader(6 * sec) })
+		s.repeatWhileFaultsActive(10*sec, 18*sec, func() { s.crashLeader(6 * sec) })
 	}},
 	{"more work than capacity, mixed priorities, slow links", func(s *simulation) {
 		s.maxExtraLatency = 700 * time.Millisecond
@@ -193,7 +193,7 @@
 			s.submit(300+2*i, urgent, 15*sec)
 			s.submit(301+2*i, oneZoneSpec, 20*sec)
 		}
-		s.repeatWhileFaulty(20*sec, 40*sec, func() { s.crashLeader(4 * sec); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(20*sec, 40*sec, func() { s.crashLeader(4 * sec); s.cancelRunningJobs(1) })
 	}},
 }
 
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -103,7 +103,7 @@
 				s.crash(n, time.Duration(100+s.rng.IntN(8000))*time.Millisecond)
 			}
 		})
-		s.schedule(40*time.Second, func() { s.storeOutage(20 * time.Second) })
+		s.schedule(40*time.Second, func() { s.beginStoreOutage(20 * time.Second) })
 		s.schedule(75*time.Second, func() {
 			s.cloud.Down = true
 			s.schedule(30*time.Second, func() { s.cloud.Down = false })
@@ -178,7 +178,7 @@
 			s.unreachableByWorkers[2] = true
 			s.schedule(20*time.Second, func() { delete(s.unreachableByWorkers, 2) })
 		})
-		s.schedule(55*time.Second, func() { s.storeOutage(15 * time.Second) })
+		s.schedule(55*time.Second, func() { s.beginStoreOutage(15 * time.Second) })
 		s.submitMixedLoad()
 		s.schedule(5*time.Second, func() { s.cancelJob("wk-000003") })
 		s.runFor(150 * time.Second)
@@ -208,7 +208,7 @@
 				s.crash(n, time.Duration(20+s.rng.IntN(500))*time.Millisecond)
 			}
 		})
-		s.schedule(45*time.Second, func() { s.storeOutage(15 * time.Second) })
+		s.schedule(45*time.Second, func() { s.beginStoreOutage(15 * time.Second) })
 		s.submitMixedLoad()
 		s.schedule(5*time.Second, func() { s.cancelJob("wk-000003") })
 		s.runFor(150 * time.Second)
@@ -275,11 +275,11 @@
 
 var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "seeds of TestPartitionedZoneWhereverItsWorkersReport, two scenarios each")
 
-// TestPartitionedZoneWhereverItsWorkersReport repeats the check with different nodes that the workers report to when
+// TestPartitionedZoneForAnyWorkerAssignment repeats the check with different nodes that the workers report to when
 // the partition begins. A worker waits four seconds for each unreachable node, and another second before it tries the
 // next. When the node inside the zone redirected a worker without naming a node, the worker came back only after the
 // grant had expired, and its tasks were lost.
-func TestPartitionedZoneWhereverItsWorkersReport(t *testing.T) {
+func TestPartitionedZoneForAnyWorkerAssignment(t *testing.T) {
 	t.Parallel()
 	for seed := range *zonePartitionSeeds {
 		partitionZone(t, seed)
@@ -369,7 +369,7 @@
 		}
 		peak := 0
 		s.scheduleEvery(time.Second, func() { peak = max(peak, len(s.cloud.Machines)) })
-		s.schedule(45*time.Second, func() { s.storeOutage(12 * time.Second) })
+		s.schedule(45*time.Second, func() { s.beginStoreOutage(12 * time.Second) })
 		s.schedule(50*time.Second, func() {
 			for i, id := range slices.Sorted(maps.Keys(s.cloud.Machines)) {
 				if h := s.cloud.Machines[id]; i%9 == 0 && h.Worker != nil {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -24,34 +24,34 @@
 }{
 	{"no faults", func(*simulation) {}},
 	{"leaders crash", func(s *simulation) {
-		s.repeatWhileFaulty(5*sec, 12*sec, func() { s.crashLeader(3 * sec) })
+		s.repeatWhileFaultsActive(5*sec, 12*sec, func() { s.crashLeader(3 * sec) })
 	}},
 	{"machines are reclaimed", func(s *simulation) {
-		s.repeatWhileFaulty(6*sec, 12*sec, func() {
+		s.repeatWhileFaultsActive(6*sec, 12*sec, func() {
 			for _, id := range s.randomMachines(0.15) {
 				s.reclaimMachine(id)
 			}
 		})
 	}},
 	{"machines hang", func(s *simulation) {
-		s.repeatWhileFaulty(5*sec, 12*sec, func() { s.hangMachines(0.2, 2*sec, 30*sec) })
+		s.repeatWhileFaultsActive(5*sec, 12*sec, func() { s.hangMachines(0.2, 2*sec, 30*sec) })
 	}},
 	{"machines are unreachable or silent, commands are duplicated late", func(s *simulation) {
 		s.duplicateProbability, s.lossProbability = 0.2, 0.03
-		s.repeatWhileFaulty(8*sec, 15*sec, func() {
+		s.repeatWhileFaultsActive(8*sec, 15*sec, func() {
 			s.makeUnreachable(0.15, 3*sec, 30*sec)
 			for _, id := range s.randomMachines(0.15) {
-				s.silentUntil[id] = s.now.Add(s.randomDuration(3*sec, 35*sec))
+				s.heartbeatsLostUntil[id] = s.now.Add(s.randomDuration(3*sec, 35*sec))
 			}
 		})
 	}},
 	{"partitions, outages, cancellations, leader crashes", func(s *simulation) {
-		s.repeatWhileFaulty(40*sec, 60*sec, func() {
+		s.repeatWhileFaultsActive(40*sec, 60*sec, func() {
 			s.partitionedZone = s.settings.Params.Zones[s.rng.IntN(2)]
 			s.schedule(s.randomDuration(10*sec, 40*sec), s.healPartition)
 		})
-		s.repeatWhileFaulty(25*sec, 40*sec, func() { s.storeOutage(s.randomDuration(3*sec, 12*sec)); s.cancelRunningJobs(1) })
-		s.repeatWhileFaulty(15*sec, 25*sec, func() { s.crashLeader(4 * sec) })
+		s.repeatWhileFaultsActive(25*sec, 40*sec, func() { s.beginStoreOutage(s.randomDuration(3*sec, 12*sec)); s.cancelRunningJobs(1) })
+		s.repeatWhileFaultsActive(15*sec, 25*sec, func() { s.crashLeader(4 * sec) })
 	}},
 }
 
@@ -84,10 +84,10 @@
 	}
 }
 
-// TestBrokenGangStopsAtOnce checks that the other tasks of a gang are stopped as soon as one of its tasks is
+// TestGangStopsWhenTaskIsLost checks that the other tasks of a gang are stopped as soon as one of its tasks is
 // certainly gone. Otherwise they would wait for as long as a gang may wait, and hold their machines. The gang is then
 // placed again as a whole, in another attempt.
-func TestBrokenGangStopsAtOnce(t *testing.T) {
+func TestGangStopsWhenTaskIsLost(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 8)
 	spec := gangSpec
@@ -125,9 +125,9 @@
 	s.healAndFinish()
 }
 
-// TestGangIsStoppedWhole checks that an interruption notice for one machine stops all tasks of a gang in the same
+// TestInterruptionStopsWholeGang checks that an interruption notice for one machine stops all tasks of a gang in the same
 // step, with a grace period to write a checkpoint.
-func TestGangIsStoppedWhole(t *testing.T) {
+func TestInterruptionStopsWholeGang(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 12)
 	spec := gangSpec
@@ -150,9 +150,9 @@
 	s.healAndFinish()
 }
 
-// TestGangIsPreempted checks that a gang of a lower priority is stopped as a whole for one of a higher priority, and
+// TestGangsArePreemptedWhole checks that a gang of a lower priority is stopped as a whole for one of a higher priority, and
 // that all its tasks receive the stop command early enough to write their checkpoint together, over slow links too.
-func TestGangIsPreempted(t *testing.T) {
+func TestGangsArePreemptedWhole(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{0, 2 * sec} {
 		s := newSimulation(t, 21)
@@ -194,7 +194,7 @@
 	}
 }
 
-// tasksPerPreemptedGang is the number of tasks in each of the gangs of lower priority in TestGangIsPreempted.
+// tasksPerPreemptedGang is the number of tasks in each of the gangs of lower priority in TestGangsArePreemptedWhole.
 const tasksPerPreemptedGang = 4
 
 // TestLostGangTaskIsReplacedInTime checks that a task that a gang loses before the gang has begun is started again in
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -67,7 +67,7 @@
 	if lost := s.lostSessions(); lost > 0 {
 		t.Errorf("%d machines lost their leases when all nodes crashed", lost)
 	}
-	s.forThirdOfMachines(s.reclaimMachine)
+	s.forRandomThirdOfMachines(s.reclaimMachine)
 	s.runFor(20 * time.Second)
 	if lost := s.lostSessions(); lost > 0 {
 		t.Errorf("%d machines lost their leases when a third of the fleet was reclaimed", lost)
@@ -77,15 +77,15 @@
 	}
 	s.runFor(s.settings.Params.Workers.CancelTimeout())
 	for id, j := range s.jobs {
-		if !j.isOver() || s.hasRunningTasks(id) {
+		if !j.isFinished() || s.hasRunningTasks(id) {
 			t.Errorf("%s is %q; tasks still running: %v", id, j.reportedState, s.hasRunningTasks(id))
 		}
 	}
 }
 
-// TestListOfFourThousandMachines checks that the machine list is read in pages within the cloud's call rate, and is
+// TestPagedMachineListWithinCallRate checks that the machine list is read in pages within the cloud's call rate, and is
 // complete before any machine is considered gone. Even a rate of one call per second is sufficient.
-func TestListOfFourThousandMachines(t *testing.T) {
+func TestPagedMachineListWithinCallRate(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{1, 2, 5} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestDelegationExcludingFourThousandMachines checks that a single message can hold a grant that excludes every
+// TestDelegationExcludesFourThousandMachines checks that a single message can hold a grant that excludes every
 // machine with a task that must end. If the machine IDs did not fit, nothing would be granted.
-func TestDelegationExcludingFourThousandMachines(t *testing.T) {
+func TestDelegationExcludesFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	fixture := newCoreFixture(t, largeFleetMachines)
 	job := jobs.NewJob("wk-000001", jobs.NewRecord(arraySpec, 0), 1, fixture.now)
--- a/internal/controller/leadercomponents_test.go
+++ b/internal/controller/leadercomponents_test.go
@@ -57,7 +57,7 @@
 	table.addPendingCancel(now, "wk-000001", responder)
 	table.addPendingCancel(now.Add(time.Second), "wk-000002", responder)
 	table.answerOverdueCancellations(now.Add(cancelStoreTimeout - 1))
-	if table.answerOverdueCancellations(now.Add(cancelStoreTimeout)); table.isAwaited("wk-000001") || !table.isAwaited("wk-000002") {
+	if table.answerOverdueCancellations(now.Add(cancelStoreTimeout)); table.hasPendingCancels("wk-000001") || !table.hasPendingCancels("wk-000002") {
 		t.Error("answered cancellations differ from the overdue one (wk-000001)")
 	}
 	table.abandonCancellations()
@@ -81,17 +81,17 @@
 	if diff := cmp.Diff([]Effect{HeartbeatReply{Outcome: HeartbeatUnavailable}}, env.takeEffects()); diff != "" {
 		t.Errorf("replies (-want +got):\n%s", diff)
 	}
-	if left := deferred.take(); len(left) != 1 || left[0].received.Heartbeat.Machine != "m2" {
+	if left := deferred.takeAll(); len(left) != 1 || left[0].received.Heartbeat.Machine != "m2" {
 		t.Errorf("deferred heartbeats after the refusal: %+v, want the one of m2", left)
 	}
-	if again := deferred.take(); again != nil {
+	if again := deferred.takeAll(); again != nil {
 		t.Errorf("deferred heartbeats were returned twice: %+v", again)
 	}
 }
 
-// TestProvisionerKeepsToTheCallRate checks that the provisioner sends no more calls to the cloud than its rate limit
+// TestProvisionerObservesCallRateLimit checks that the provisioner sends no more calls to the cloud than its rate limit
 // allows, that deprovision requests come first, and that rounds may not request machines while the limit is exhausted.
-func TestProvisionerKeepsToTheCallRate(t *testing.T) {
+func TestProvisionerObservesCallRateLimit(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	p := newProvisioner(env, now)
 	burst := int(cloudCallBurst(env.settings.Params.Cloud))
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestEpochIsNotAdvancedWithoutNeed checks that the epoch is not advanced, however long it has lasted, while no
+// TestEpochIsNotAdvancedWithoutTombstonesOrStuckStops checks that the epoch is not advanced, however long it has lasted, while no
 // recorded exit waits for removal and no stop command is stuck.
-func TestEpochIsNotAdvancedWithoutNeed(t *testing.T) {
+func TestEpochIsNotAdvancedWithoutTombstonesOrStuckStops(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	advance := newEpochAdvance(env, now)
 	table := newJobTable(env)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -45,9 +45,9 @@
 			script = "team_quotas = {}"
 		}
 		s := newLossySimulation(t, 900+seed, script)
-		s.repeatWhileFaulty(10*time.Second, 20*time.Second, s.injectRandomFault)
+		s.repeatWhileFaultsActive(10*time.Second, 20*time.Second, s.injectRandomFault)
 		if s.policy.Features.WarmStandby != nil {
-			s.repeatWhileFaulty(10*time.Second, 20*time.Second, s.injectFailoverFault)
+			s.repeatWhileFaultsActive(10*time.Second, 20*time.Second, s.injectFailoverFault)
 		}
 		s.runLossyScenario()
 		s.runFor(30 * time.Second)
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -266,11 +266,11 @@
 			t.Parallel()
 			g := newCoreFixture(t, 100)
 			g.fillMachines(100)
-			g.deadMachines = map[int]bool{}
+			g.unresponsiveMachines = map[int]bool{}
 			var busy []*fleet.Machine
 			for i, r := range g.machines {
-				g.deadMachines[i] = dies(i)
-				if m := g.core.term.fleet.Machine(r.Machine); g.deadMachines[i] && m.Busy() && !m.Deprovisioning {
+				g.unresponsiveMachines[i] = dies(i)
+				if m := g.core.term.fleet.Machine(r.Machine); g.unresponsiveMachines[i] && m.Busy() && !m.Deprovisioning {
 					busy = append(busy, m)
 				}
 			}
@@ -306,16 +306,16 @@
 	t.Parallel()
 	g := newCoreFixture(t, 100)
 	g.fillMachines(100)
-	g.deadMachines = map[int]bool{}
+	g.unresponsiveMachines = map[int]bool{}
 	for i := range g.machines {
-		g.deadMachines[i] = true
+		g.unresponsiveMachines[i] = true
 	}
 	before := len(g.machinesBeingReleased())
 	for range 12 {
 		g.advance(time.Second)
 	}
 	for i := range g.machines {
-		g.deadMachines[i] = i%3 == 0
+		g.unresponsiveMachines[i] = i%3 == 0
 	}
 	for range 8 {
 		g.advance(time.Second)
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -115,7 +115,7 @@
 func (s *simulation) advanceEnvironment() {
 	s.checkStoreLimits()
 	s.store.Expire(s.now)
-	if names := s.entitledNodes(); len(names) > 1 && s.heartbeatUnderstatement == 0 {
+	if names := s.entitledNodes(); len(names) > 1 && s.heartbeatTTLShortfall == 0 {
 		s.t.Fatalf("nodes with a valid leader lease at the same time: %v", names)
 	}
 	s.startMachines()
@@ -254,7 +254,7 @@
 		s.heldMessages = append(s.heldMessages, x.deliverCopy)
 		return
 	}
-	if !n.alive || s.unreachableByWorkers[n.index] || s.now.Before(s.silentUntil[x.worker.ID]) || s.isLost() {
+	if !n.alive || s.unreachableByWorkers[n.index] || s.now.Before(s.heartbeatsLostUntil[x.worker.ID]) || s.isLost() {
 		return
 	}
 	s.schedule(s.latency(), func() {
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -11,7 +11,7 @@
 
 // faults holds the faults that are injected into a scenario at present.
 type faults struct {
-	faultsActive bool // repeatWhileFaulty continues to inject faults
+	faultsActive bool // repeatWhileFaultsActive continues to inject faults
 
 	// Messages.
 	lossProbability          float64       // of losing a message or the reply to a request
@@ -34,18 +34,18 @@
 	// 305 ms; 0: never.
 	electionRequestsUntilCrash int
 	onPreviousVersion          map[int]bool  // nodes that run the previous version, which announces no schema version
-	heartbeatUnderstatement    time.Duration // by how much the TTL read from leaders' heartbeats is too short
+	heartbeatTTLShortfall      time.Duration // by how much the TTL read from leaders' heartbeats is too short
 
 	// Machines.
-	hungUntil        map[ident.MachineID]clock.Instant // machines that do nothing
-	unreachableUntil map[ident.MachineID]clock.Instant // machines that receive nothing, though their heartbeats arrive
-	silentUntil      map[ident.MachineID]clock.Instant // machines whose heartbeats are lost; they receive commands
+	hungUntil           map[ident.MachineID]clock.Instant // machines that do nothing
+	unreachableUntil    map[ident.MachineID]clock.Instant // machines that receive nothing, though their heartbeats arrive
+	heartbeatsLostUntil map[ident.MachineID]clock.Instant // machines whose heartbeats are lost; they receive commands
 
 	// State service.
 	refusedByStore        map[int]bool  // nodes that it refuses, but that reach their peers
 	lateCommitProbability float64       // of committing a transaction late and without a reply
 	maxStoreLatency       time.Duration // upper bound on the additional latency of a request, added to a third of them
-	loadDelay             time.Duration // additional time that a new leader needs to read the records
+	recordsReadDelay      time.Duration // additional time that a new leader needs to read the records
 	limitGraceUntil       clock.Instant // until then, writes may exceed its limits
 
 	// Users.
@@ -63,7 +63,7 @@
 		pausedUntil:          map[int]clock.Instant{},
 		hungUntil:            map[ident.MachineID]clock.Instant{},
 		unreachableUntil:     map[ident.MachineID]clock.Instant{},
-		silentUntil:          map[ident.MachineID]clock.Instant{},
+		heartbeatsLostUntil:  map[ident.MachineID]clock.Instant{},
 		refusedByStore:       map[int]bool{},
 	}
 }
@@ -117,20 +117,20 @@
 		s.isolated[n.index] = true
 		s.schedule(length, func() { delete(s.isolated, n.index) })
 	case 4:
-		s.storeOutage(length)
+		s.beginStoreOutage(length)
 	case 5:
-		s.forThirdOfMachines(func(id ident.MachineID) {
+		s.forRandomThirdOfMachines(func(id ident.MachineID) {
 			if s.cloud.Machines[id].Worker != nil {
 				s.reclaimMachine(id)
 			}
 		})
 	case 6:
-		s.forThirdOfMachines(func(id ident.MachineID) { s.hungUntil[id] = s.now.Add(length) })
+		s.forRandomThirdOfMachines(func(id ident.MachineID) { s.hungUntil[id] = s.now.Add(length) })
 	}
 }
 
-// forThirdOfMachines calls the function for each machine with a probability of one third.
-func (s *simulation) forThirdOfMachines(apply func(ident.MachineID)) {
+// forRandomThirdOfMachines calls the function for each machine with a probability of one third.
+func (s *simulation) forRandomThirdOfMachines(apply func(ident.MachineID)) {
 	for _, h := range s.cloud.Sorted() {
 		if s.rng.IntN(3) == 0 {
 			apply(h.ID)
@@ -159,12 +159,12 @@
 	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)))
 }
 
-// repeatWhileFaulty calls do repeatedly, at random intervals in [shortest, longest), until faults are no longer active.
-func (s *simulation) repeatWhileFaulty(shortest, longest time.Duration, do func()) {
+// repeatWhileFaultsActive calls do repeatedly, at random intervals in [shortest, longest), until faults are no longer active.
+func (s *simulation) repeatWhileFaultsActive(shortest, longest time.Duration, do func()) {
 	s.schedule(s.randomDuration(shortest, longest), func() {
 		if s.faultsActive {
 			do()
-			s.repeatWhileFaulty(shortest, longest, do)
+			s.repeatWhileFaultsActive(shortest, longest, do)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 // cancelRunningJobs cancels up to n jobs with running tasks, other than services, within 200 ms.
 func (s *simulation) cancelRunningJobs(n int) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
-		if j := s.jobs[id]; n > 0 && !j.spec.Service && !j.isOver() && s.hasRunningTasks(id) {
+		if j := s.jobs[id]; n > 0 && !j.spec.Service && !j.isFinished() && s.hasRunningTasks(id) {
 			n--
 			s.schedule(s.randomDuration(0, 200*time.Millisecond), func() { s.cancelJob(id) })
 		}
@@ -186,8 +186,8 @@
 	}
 }
 
-// storeOutage makes the state service unavailable to all nodes for d.
-func (s *simulation) storeOutage(d time.Duration) {
+// beginStoreOutage makes the state service unavailable to all nodes for d.
+func (s *simulation) beginStoreOutage(d time.Duration) {
 	s.store.Down = true
 	s.schedule(d, func() { s.store.Down = false })
 }
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -196,7 +196,7 @@
 	case ElectionEffect:
 		s.schedule(s.storeLatency(), func() { s.executeElectionEffect(n, incarnation, e.Effect) })
 	case ReadRecords:
-		s.schedule(s.loadDelay+s.storeLatency(), func() {
+		s.schedule(s.recordsReadDelay+s.storeLatency(), func() {
 			stored, err := s.loadRecords(n, e.Epoch)
 			s.reply(n, incarnation, RecordsRead{Epoch: e.Epoch, OK: err == nil && !s.storeUnreachable(n), Stored: stored, KnownMachines: n.knownMachines})
 		})
@@ -316,7 +316,7 @@
 		items, _, err := s.store.List(election.LeaderKey)
 		in, unread := election.DecodeLeaderKeys(items)
 		in.OK = err == nil && unread == nil
-		in.Heartbeat.TTLMs -= s.heartbeatUnderstatement.Milliseconds()
+		in.Heartbeat.TTLMs -= s.heartbeatTTLShortfall.Milliseconds()
 		s.reply(n, incarnation, ElectionInput{in})
 	case election.GrantLease:
 		leaseID, err := s.store.Grant(s.now, e.TTL)
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -166,7 +166,7 @@
 	try()
 	s.scheduleEvery(2*time.Second, func() {
 		for _, node := range s.nodes {
-			if node.alive && j.submitted && !j.isOver() && !s.partitioned(node.zone, "") {
+			if node.alive && j.submitted && !j.isFinished() && !s.partitioned(node.zone, "") {
 				s.step(node, JobChanged{Job: id})
 				s.poll(node, id, j)
 			}
@@ -175,7 +175,7 @@
 	return id
 }
 
-func (j *simulatedJob) isOver() bool {
+func (j *simulatedJob) isFinished() bool {
 	return j.reportedState == api.Done || j.reportedState == api.Cancelled
 }
 
@@ -213,7 +213,7 @@
 // checkStatus checks a status that a user receives: a job that was reported as over keeps its state, and a job that is
 // done has run all of its tasks.
 func (s *simulation) checkStatus(id ident.JobID, j *simulatedJob, st api.Status) {
-	if j.isOver() && st.State != j.reportedState {
+	if j.isFinished() && st.State != j.reportedState {
 		s.t.Fatalf("status of %s changed from the final state %s to %s", id, j.reportedState, st.State)
 	}
 	if st.State == api.Done && st.DoneTasks != j.spec.Tasks {
@@ -229,7 +229,7 @@
 // cancelJob sends the cancellation to all nodes every 2 s until the user receives a final state of the job.
 func (s *simulation) cancelJob(id ident.JobID) {
 	j := s.jobs[id]
-	if j.isOver() {
+	if j.isFinished() {
 		return
 	}
 	for _, n := range s.nodes {
@@ -266,8 +266,8 @@
 	s.lateHeartbeatProbability = 0
 	s.lossProbability, s.duplicateProbability, s.store.Down, s.cloud.Down = 0, 0, false, false
 	s.unreachableByWorkers, s.isolated, s.pausedUntil = map[int]bool{}, map[int]bool{}, map[int]clock.Instant{}
-	s.refusedByStore, s.peersPartitioned, s.lateCommitProbability, s.maxStoreLatency, s.loadDelay = map[int]bool{}, false, 0, 0, 0
-	s.silentUntil, s.unreachableUntil = map[ident.MachineID]clock.Instant{}, map[ident.MachineID]clock.Instant{}
+	s.refusedByStore, s.peersPartitioned, s.lateCommitProbability, s.maxStoreLatency, s.recordsReadDelay = map[int]bool{}, false, 0, 0, 0
+	s.heartbeatsLostUntil, s.unreachableUntil = map[ident.MachineID]clock.Instant{}, map[ident.MachineID]clock.Instant{}
 	s.healPartition()
 	s.cancelAtEndProbability, s.maxExtraLatency, s.faultsActive = 0, 0, false
 	s.watchStartDelays()
@@ -279,7 +279,7 @@
 	}
 	s.runFor(200 * time.Second)
 	for id, j := range s.jobs {
-		if !j.isOver() {
+		if !j.isFinished() {
 			s.t.Errorf("%s is still %q", id, j.reportedState)
 		}
 	}
@@ -297,7 +297,7 @@
 	s.runFor(75 * time.Second)
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if j.isOver() || !j.submitted {
+		if j.isFinished() || !j.submitted {
 			continue
 		}
 		if j.lastAnswerAt < start {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestScenariosRepeatBySeed checks that a scenario that runs again with the same seed sends exactly the same messages,
+// TestScenariosAreDeterministicBySeed checks that a scenario that runs again with the same seed sends exactly the same messages,
 // so that a failure can be reproduced from its seed and the decisions of two versions can be compared.
-func TestScenariosRepeatBySeed(t *testing.T) {
+func TestScenariosAreDeterministicBySeed(t *testing.T) {
 	t.Parallel()
 	var sums []string
 	for range 2 {
@@ -237,7 +237,7 @@
 		s.trace = newWireTrace(nil)
 		s.lossProbability, s.duplicateProbability, s.lateHeartbeatProbability = 0.02, 0.05, 0.05
 		s.faultsActive = true
-		s.repeatWhileFaulty(10*sec, 20*sec, s.injectRandomFault)
+		s.repeatWhileFaultsActive(10*sec, 20*sec, s.injectRandomFault)
 		s.submitMixedLoad()
 		for i := range 6 {
 			s.submit(600+i, gangSpec, 12*sec)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -96,10 +96,10 @@
 		"quiet": func(*simulation) {},
 		"crashes": func(s *simulation) {
 			s.faultsActive = true
-			s.repeatWhileFaulty(6*sec, 14*sec, func() { s.crashLeader(4 * sec) })
+			s.repeatWhileFaultsActive(6*sec, 14*sec, func() { s.crashLeader(4 * sec) })
 		},
 		"outage and return of the version before": func(s *simulation) {
-			s.schedule(22*sec, func() { s.storeOutage(9 * sec) })
+			s.schedule(22*sec, func() { s.beginStoreOutage(9 * sec) })
 			s.schedule(25*sec, func() {
 				// It ends before its turn, and comes back as it was.
 				s.crash(s.nodes[2], 200*time.Millisecond)
--- a/internal/controller/zonerestriction_test.go
+++ b/internal/controller/zonerestriction_test.go
@@ -13,7 +13,7 @@
 	begin func(*simulation)
 }{
 	{"machines are lost", func(s *simulation) {
-		s.repeatWhileFaulty(10*sec, 20*sec, func() {
+		s.repeatWhileFaultsActive(10*sec, 20*sec, func() {
 			for _, id := range s.randomMachines(0.5) {
 				s.reclaimMachine(id)
 			}
@@ -23,18 +23,18 @@
 		urgent := arraySpec
 		urgent.Class, urgent.Priority, urgent.CPUs = "urgent", jobs.PriorityProd, 4
 		n := 500
-		s.repeatWhileFaulty(8*sec, 12*sec, func() {
+		s.repeatWhileFaultsActive(8*sec, 12*sec, func() {
 			n++
 			s.submit(n, urgent, 6*sec)
 		})
 	}},
 	{"the leader changes", func(s *simulation) {
-		s.repeatWhileFaulty(8*sec, 16*sec, func() { s.crashLeader(3 * sec) })
-		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.reclaimMachine(s.upMachines()[0]) })
+		s.repeatWhileFaultsActive(8*sec, 16*sec, func() { s.crashLeader(3 * sec) })
+		s.repeatWhileFaultsActive(20*sec, 30*sec, func() { s.reclaimMachine(s.upMachines()[0]) })
 	}},
 	{"old reports arrive", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.4, 60*sec
-		s.repeatWhileFaulty(12*sec, 20*sec, func() {
+		s.repeatWhileFaultsActive(12*sec, 20*sec, func() {
 			s.crashLeader(2 * sec)
 			for _, id := range s.randomMachines(0.3) {
 				w := s.cloud.Machines[id].Worker
@@ -44,13 +44,13 @@
 		})
 	}},
 	{"their zone is cut off", func(s *simulation) {
-		s.repeatWhileFaulty(40*sec, 50*sec, func() {
+		s.repeatWhileFaultsActive(40*sec, 50*sec, func() {
 			s.partitionedZone = "a"
 			s.schedule(25*sec, s.healPartition)
 		})
 	}},
 	{"the other zone is cut off", func(s *simulation) {
-		s.repeatWhileFaulty(40*sec, 50*sec, func() {
+		s.repeatWhileFaultsActive(40*sec, 50*sec, func() {
 			s.partitionedZone = "b"
 			s.schedule(25*sec, s.healPartition)
 		})
