--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -40,24 +40,24 @@
 // what it has released, and up to what it desires, as far as there is any. It tells
 // whether the allocation changes.
 func adjustAllocation(step allocationStep, account *teamAccount, record *TeamRecord, holder HolderID, request TeamRequest) bool {
-	own := record.allocationOf(holder.Node)
-	if own != nil && own.Holder != holder {
+	current := record.allocationOf(holder.Node)
+	if current != nil && current.Holder != holder {
 		return false // of an earlier incarnation, which is revoked first
 	}
-	if own != nil && request.ReleaseSeq < own.ReleaseSeq {
+	if current != nil && request.ReleaseSeq < current.ReleaseSeq {
 		return false // overtaken by a later request
 	}
 	kept := Quantity{}
-	if own != nil {
-		kept = own.Quantity
-		if request.ReleaseSeq > own.ReleaseSeq {
+	if current != nil {
+		kept = current.Quantity
+		if request.ReleaseSeq > current.ReleaseSeq {
 			kept = kept.Min(request.Ceiling)
 		}
 	}
 	total := kept.Add(grantFor(step, account, record, request, kept))
-	if own != nil {
-		changed := own.Quantity != total || own.ReleaseSeq != request.ReleaseSeq
-		own.Quantity, own.ReleaseSeq = total, request.ReleaseSeq
+	if current != nil {
+		changed := current.Quantity != total || current.ReleaseSeq != request.ReleaseSeq
+		current.Quantity, current.ReleaseSeq = total, request.ReleaseSeq
 		return changed
 	}
 	if total.IsZero() || len(record.Allocations) == MaxHolders {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -46,16 +46,16 @@
 	holderRevisions map[string]ident.Revision // of the holder keys, by node
 	reservations    map[string]nodeReservations
 	coverage        coverage
-	lastRequest     map[string]clock.Instant // of each holder, or when it was first seen
+	lastRequestAt   map[string]clock.Instant // of each holder, or when it was first seen
 	pendingRequests map[string]pendingRequest
 
-	loaded       bool
-	readInFlight bool
-	readStarted  clock.Instant // when the read in flight began
-	loadedFrom   clock.Instant // when the read began that was loaded last
-	nextRead     clock.Instant
-	nextChange   clock.Instant
-	inFlight     *pendingChange
+	loaded            bool
+	readInFlight      bool
+	readStarted       clock.Instant // when the read in flight began
+	loadedReadStarted clock.Instant // when the read began that was loaded last
+	nextRead          clock.Instant
+	nextChange        clock.Instant
+	changeInFlight    *pendingChange
 }
 
 // pendingRequest is a holder's request that waits for its response.
@@ -93,7 +93,7 @@
 		holderRevisions: map[string]ident.Revision{},
 		reservations:    map[string]nodeReservations{},
 		coverage:        newCoverage(),
-		lastRequest:     map[string]clock.Instant{},
+		lastRequestAt:   map[string]clock.Instant{},
 		pendingRequests: map[string]pendingRequest{},
 	}
 	for name, team := range teams {
@@ -114,7 +114,7 @@
 func (a *Allocator) Ready() bool { return a.loaded }
 
 // ChangeInFlight tells whether a change is under way.
-func (a *Allocator) ChangeInFlight() bool { return a.inFlight != nil }
+func (a *Allocator) ChangeInFlight() bool { return a.changeInFlight != nil }
 
 // CoveredTasks is how many tasks of a team's job reservations cover.
 func (a *Allocator) CoveredTasks(job ident.JobID, team ident.Team) int {
@@ -146,7 +146,7 @@
 	node := request.Holder.Node
 	a.pendingRequests[node] = pendingRequest{request, responder, now}
 	if a.holderRevisions[node] == request.Holder.ModRevision {
-		a.lastRequest[node] = now
+		a.lastRequestAt[node] = now
 	} else {
 		a.nextRead = min(a.nextRead, now) // it has registered since, or is revoked
 	}
@@ -155,7 +155,7 @@
 // Step decides what to change and whom to answer. It grants nothing unless every node
 // enforces allocations; a change holds maxRecords records of teams at most.
 func (a *Allocator) Step(now clock.Instant, usage JobUsage, allEnforce bool, maxRecords int) (*kvstore.Txn, []Reply) {
-	if !a.loaded || a.inFlight != nil || now.Before(a.nextChange) {
+	if !a.loaded || a.changeInFlight != nil || now.Before(a.nextChange) {
 		return nil, nil
 	}
 	if txn := a.revokeNext(now, maxRecords); txn != nil {
@@ -173,7 +173,7 @@
 	if len(step.change.records) == 0 {
 		return nil, replies
 	}
-	a.inFlight, a.nextChange = step.change, now.Add(minChangeInterval)
+	a.changeInFlight, a.nextChange = step.change, now.Add(minChangeInterval)
 	return a.transaction(step.change), replies
 }
 
@@ -183,7 +183,7 @@
 	pending := a.pendingRequests[node]
 	holder := pending.request.Holder
 	switch revision := a.holderRevisions[node]; {
-	case revision < holder.ModRevision && a.loadedFrom <= pending.receivedAt:
+	case revision < holder.ModRevision && a.loadedReadStarted <= pending.receivedAt:
 		return Reply{}, false // its registration may not have been read yet
 	case revision != holder.ModRevision:
 		revoked := AllocationResponse{Holder: holder, Epoch: a.epoch, Revoked: true}
@@ -232,8 +232,8 @@
 // that it was for. A change that was not stored is made anew once the records were read
 // again.
 func (a *Allocator) CompleteChange(now clock.Instant, stored bool, revision ident.Revision, usage JobUsage) []Reply {
-	change := a.inFlight
-	a.inFlight = nil
+	change := a.changeInFlight
+	a.changeInFlight = nil
 	if change == nil {
 		return nil
 	}
@@ -245,7 +245,7 @@
 	a.nextRead = now
 	var replies []Reply
 	for _, node := range change.requesters {
-		if pending, waits := a.pendingRequests[node]; waits {
+		if pending, waiting := a.pendingRequests[node]; waiting {
 			delete(a.pendingRequests, node)
 			replies = append(replies, a.replyTo(now, pending, usage))
 		}
@@ -261,7 +261,7 @@
 	}
 	for _, node := range change.removedHolders {
 		delete(a.holderRevisions, node)
-		delete(a.lastRequest, node)
+		delete(a.lastRequestAt, node)
 	}
 	a.updateCoverage()
 }
--- a/internal/quota/benchmark_test.go
+++ b/internal/quota/benchmark_test.go
@@ -37,17 +37,17 @@
 	c, rng := newCluster(holders, limits), rand.New(rand.NewPCG(1, 1))
 	for step := range 600 {
 		c.now = c.now.Add(100 * time.Millisecond)
-		for i, m := range c.holders {
+		for i, node := range c.nodes {
 			if step%2 == 0 {
 				submitted++
-				c.stepHolder(m, c.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, step)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(teams))), Tasks: 1 + rng.IntN(4), TaskDemand: Quantity{MilliCPU: 1000}})
+				c.stepHolder(node, c.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%06d", i, step)), Team: ident.Team(fmt.Sprintf("team %d", rng.IntN(teams))), Tasks: 1 + rng.IntN(4), TaskDemand: Quantity{MilliCPU: 1000}})
 			}
-			for _, request := range c.stepHolder(m, c.now, Tick{}) {
+			for _, request := range c.stepHolder(node, c.now, Tick{}) {
 				c.allocator.Receive(c.now, request, nil)
 			}
 		}
 		c.stepLeader(c.now, func(r Reply) {
-			c.stepHolder(c.holders[int(r.Response.Holder.Node[1]-'0')], c.now, ResponseReceived{&r.Response})
+			c.stepHolder(c.nodes[int(r.Response.Holder.Node[1]-'0')], c.now, ResponseReceived{&r.Response})
 		})
 		if step%100 == 0 {
 			c.finishJobs()
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -19,36 +19,36 @@
 // cluster is holders and a leader around one state service. Its lock stands for that of
 // the service; every change is checked as it is made.
 type cluster struct {
-	mu           sync.Mutex
-	store        *fake.KVStore
-	teams        map[ident.Team]config.Team
-	now          clock.Instant
-	finishedJobs map[ident.JobID]bool
-	violation    error
-	holders      []*testHolder
-	allocator    *Allocator
-	responses    map[string]*AllocationResponse // that wait for their holders
-	// leaderWaiting names the holders whose requests a concurrent leader has not
+	mu               sync.Mutex
+	store            *fake.KVStore
+	teams            map[ident.Team]config.Team
+	now              clock.Instant
+	finishedJobs     map[ident.JobID]bool
+	violation        error
+	nodes            []*testNode
+	allocator        *Allocator
+	pendingResponses map[string]*AllocationResponse // that wait for their holders
+	// awaitingReply names the holders whose requests a concurrent leader has not
 	// answered yet.
-	leaderWaiting map[string]bool
+	awaitingReply map[string]bool
 }
 
-type testHolder struct {
-	node   string
+type testNode struct {
+	name   string
 	holder *Holder
 }
 
 func newCluster(holders int, teams map[ident.Team]config.Team) *cluster {
 	c := &cluster{
-		store:         fake.NewKVStore(),
-		teams:         teams,
-		now:           clock.Instant(time.Hour),
-		finishedJobs:  map[ident.JobID]bool{},
-		responses:     map[string]*AllocationResponse{},
-		leaderWaiting: map[string]bool{},
+		store:            fake.NewKVStore(),
+		teams:            teams,
+		now:              clock.Instant(time.Hour),
+		finishedJobs:     map[ident.JobID]bool{},
+		pendingResponses: map[string]*AllocationResponse{},
+		awaitingReply:    map[string]bool{},
 	}
 	for i := range holders {
-		c.holders = append(c.holders, &testHolder{node: fmt.Sprintf("n%d", i)})
+		c.nodes = append(c.nodes, &testNode{name: fmt.Sprintf("n%d", i)})
 		c.restart(i)
 	}
 	c.elect()
@@ -56,7 +56,7 @@
 }
 
 func (c *cluster) restart(i int) {
-	c.holders[i].holder = NewHolder(c.holders[i].node, 8<<10)
+	c.nodes[i].holder = NewHolder(c.nodes[i].name, 8<<10)
 }
 
 // elect lets a new leader begin.
@@ -97,19 +97,19 @@
 
 // stepHolder gives a holder an input and carries out its effects, but for requests, which
 // are returned.
-func (c *cluster) stepHolder(m *testHolder, now clock.Instant, in HolderInput) (requests []AllocationRequest) {
-	for _, e := range m.holder.Step(now, in) {
+func (c *cluster) stepHolder(node *testNode, now clock.Instant, in HolderInput) (requests []AllocationRequest) {
+	for _, e := range node.holder.Step(now, in) {
 		switch e := e.(type) {
 		case Register:
 			revision, _ := c.commit(e.Txn(c.revisionOf(HolderKey(e.Node))))
-			requests = append(requests, c.stepHolder(m, now, RegistrationDone{ModRevision: revision})...)
+			requests = append(requests, c.stepHolder(node, now, RegistrationDone{ModRevision: revision})...)
 		case StoreReservations:
 			revision, err := c.commit(e.Txn())
 			done := StoreDone{ModRevision: revision}
 			if conflict := (*kvstore.ConflictError)(nil); errors.As(err, &conflict) {
 				done.Outcome = e.OutcomeOf(conflict)
 			}
-			requests = append(requests, c.stepHolder(m, now, done)...)
+			requests = append(requests, c.stepHolder(node, now, done)...)
 		case SendRequest:
 			requests = append(requests, e.Request)
 		}
@@ -132,7 +132,7 @@
 }
 
 // stepLeader lets the leader do what is due.
-func (c *cluster) stepLeader(now clock.Instant, answer func(Reply)) {
+func (c *cluster) stepLeader(now clock.Instant, deliver func(Reply)) {
 	if c.allocator.BeginReadIfDue(now) {
 		if err := c.allocator.Load(now, c.allocator.epoch, c.list()); err != nil {
 			panic(err)
@@ -144,14 +144,14 @@
 		replies = append(replies, c.allocator.CompleteChange(now, err == nil, revision, c.usage())...)
 	}
 	for _, r := range replies {
-		answer(r)
+		deliver(r)
 	}
 }
 
 func (c *cluster) admitted() int {
 	sum := 0
-	for _, m := range c.holders {
-		sum += m.holder.admitted
+	for _, node := range c.nodes {
+		sum += node.holder.admitted
 	}
 	return sum
 }
--- a/internal/quota/concurrent_test.go
+++ b/internal/quota/concurrent_test.go
@@ -45,16 +45,16 @@
 }
 
 const (
-	// stepsOfSubmissions are the steps of 20 ms in which jobs come and holders die, and
-	// stepsInAll those after which everything has been given back.
-	stepsOfSubmissions = 20_000
-	stepsInAll         = 30_000
-	concurrentStep     = 20 * time.Millisecond
+	// submissionSteps are the steps of 20 ms in which jobs come and holders die, and
+	// totalSteps those after which everything has been given back.
+	submissionSteps = 20_000
+	totalSteps      = 30_000
+	concurrentStep  = 20 * time.Millisecond
 )
 
-// concurrentHolder is a holder with a goroutine of its own.
-type concurrentHolder struct {
-	*testHolder
+// concurrentNode is a holder with a goroutine of its own.
+type concurrentNode struct {
+	*testNode
 	index     int
 	rng       *rand.Rand
 	waiting   bool
@@ -66,67 +66,67 @@
 // them side by side, and time pass once all have: so a goroutine that the machine
 // starves is not left behind by the others' clock. It returns what each has admitted.
 func (c *cluster) runConcurrently() []int {
-	requests := make(chan AllocationRequest, len(c.holders))
-	members := make([]*concurrentHolder, len(c.holders))
-	ticks := make([]chan clock.Instant, len(c.holders))
+	requests := make(chan AllocationRequest, len(c.nodes))
+	nodes := make([]*concurrentNode, len(c.nodes))
+	ticks := make([]chan clock.Instant, len(c.nodes))
 	var step, running sync.WaitGroup
-	for i, m := range c.holders {
-		members[i] = &concurrentHolder{testHolder: m, index: i, rng: rand.New(rand.NewPCG(uint64(i), 1)), responses: make(chan *AllocationResponse, 1)}
+	for i, node := range c.nodes {
+		nodes[i] = &concurrentNode{testNode: node, index: i, rng: rand.New(rand.NewPCG(uint64(i), 1)), responses: make(chan *AllocationResponse, 1)}
 		ticks[i] = make(chan clock.Instant)
 		running.Go(func() {
 			for now := range ticks[i] {
-				c.runHolder(members[i], now, requests)
+				c.runHolder(nodes[i], now, requests)
 				step.Done()
 			}
 		})
 	}
-	for n := range stepsInAll {
+	for n := range totalSteps {
 		now := c.advance(concurrentStep)
 		step.Add(len(ticks))
 		for _, tick := range ticks {
 			tick <- now
 		}
-		c.runLeader(n, now, requests, members)
+		c.runLeader(n, now, requests, nodes)
 		step.Wait()
 	}
 	for _, tick := range ticks {
 		close(tick)
 	}
 	running.Wait()
-	admitted := make([]int, len(members))
-	for i, m := range members {
-		admitted[i] = m.admitted
+	admitted := make([]int, len(nodes))
+	for i, node := range nodes {
+		admitted[i] = node.admitted
 	}
 	return admitted
 }
 
 // runHolder takes a holder's step: it submits jobs and dies now and then.
-func (c *cluster) runHolder(m *concurrentHolder, now clock.Instant, requests chan<- AllocationRequest) {
-	if m.waiting {
+func (c *cluster) runHolder(node *concurrentNode, now clock.Instant, requests chan<- AllocationRequest) {
+	if node.waiting {
 		select {
-		case a := <-m.responses:
-			m.waiting = false
-			if m.rng.IntN(10) == 0 {
-				a = nil // it is lost
+		case response := <-node.responses:
+			node.waiting = false
+			if node.rng.IntN(10) == 0 {
+				response = nil // it is lost
 			}
-			c.stepHolder(m.testHolder, now, ResponseReceived{a})
+			c.stepHolder(node.testNode, now, ResponseReceived{response})
 		default:
 			return
 		}
 	}
-	submitting := now < clock.Instant(time.Hour).Add(stepsOfSubmissions*concurrentStep)
-	if submitting && m.rng.IntN(50) == 0 {
-		job := JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%08d", m.index, now.Sub(0)/time.Millisecond)), Team: ident.Team(fmt.Sprintf("team %d", m.rng.IntN(6))),
-			Tasks: 1 + m.rng.IntN(8), TaskDemand: Quantity{MilliCPU: 250 * m.rng.Int64N(8), MilliGPU: 250 * m.rng.Int64N(2)}, Gang: m.rng.IntN(5) == 0}
-		before := m.holder.admitted
-		c.stepHolder(m.testHolder, now, job)
-		m.admitted += m.holder.admitted - before
+	submitting := now < clock.Instant(time.Hour).Add(submissionSteps*concurrentStep)
+	if submitting && node.rng.IntN(50) == 0 {
+		job := JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%02d%08d", node.index, now.Sub(0)/time.Millisecond)), Team: ident.Team(fmt.Sprintf("team %d", node.rng.IntN(6))),
+			Tasks: 1 + node.rng.IntN(8), TaskDemand: Quantity{MilliCPU: 250 * node.rng.Int64N(8), MilliGPU: 250 * node.rng.Int64N(2)}, Gang: node.rng.IntN(5) == 0}
+		before := node.holder.admitted
+		c.stepHolder(node.testNode, now, job)
+		node.admitted += node.holder.admitted - before
 	}
-	if submitting && m.rng.IntN(4000) == 0 {
-		c.restart(m.index)
+	if submitting && node.rng.IntN(4000) == 0 {
+		c.restart(node.index)
 	}
-	for _, request := range c.stepHolder(m.testHolder, now, Tick{}) {
-		m.waiting = true
+	for _, request := range c.stepHolder(node.testNode, now, Tick{}) {
+		node.waiting = true
 		requests <- request
 	}
 }
@@ -141,27 +141,27 @@
 
 // runLeader takes the leader's step: it answers holders, is replaced now and then, and
 // lets jobs end.
-func (c *cluster) runLeader(step int, now clock.Instant, requests <-chan AllocationRequest, members []*concurrentHolder) {
+func (c *cluster) runLeader(step int, now clock.Instant, requests <-chan AllocationRequest, nodes []*concurrentNode) {
 	for more := true; more; {
 		select {
 		case request := <-requests:
-			c.leaderWaiting[request.Holder.Node] = true
+			c.awaitingReply[request.Holder.Node] = true
 			c.allocator.Receive(now, request, nil)
 		default:
 			more = false
 		}
 	}
-	answer := func(node string, response *AllocationResponse) {
-		if c.leaderWaiting[node] {
-			delete(c.leaderWaiting, node)
-			members[int(node[1]-'0')].responses <- response
+	deliver := func(name string, response *AllocationResponse) {
+		if c.awaitingReply[name] {
+			delete(c.awaitingReply, name)
+			nodes[int(name[1]-'0')].responses <- response
 		}
 	}
-	c.stepLeader(now, func(r Reply) { answer(r.Response.Holder.Node, &r.Response) })
-	if step%2000 == 1999 && step < stepsOfSubmissions {
+	c.stepLeader(now, func(r Reply) { deliver(r.Response.Holder.Node, &r.Response) })
+	if step%2000 == 1999 && step < submissionSteps {
 		c.elect()
-		for node := range c.leaderWaiting {
-			answer(node, nil)
+		for node := range c.awaitingReply {
+			deliver(node, nil)
 		}
 	}
 	if step%50 == 0 && step > 0 {
--- a/internal/quota/coverage.go
+++ b/internal/quota/coverage.go
@@ -39,8 +39,8 @@
 	c.reservations[job] = r
 }
 
-// limit lowers reservations to the caps, and returns their sums by team.
-func (c *coverage) limit(reservations []Reservation) map[ident.Team]Quantity {
+// applyCaps lowers reservations to the caps, and returns their sums by team.
+func (c *coverage) applyCaps(reservations []Reservation) map[ident.Team]Quantity {
 	totals := map[ident.Team]Quantity{}
 	for i := range reservations {
 		r := &reservations[i]
@@ -59,7 +59,7 @@
 	clear(a.coverage.reservations)
 	for _, node := range slices.Sorted(maps.Keys(a.reservations)) {
 		reserved := a.reservations[node]
-		totals := a.coverage.limit(reserved.jobs)
+		totals := a.coverage.applyCaps(reserved.jobs)
 		if a.holderRevisions[node] != reserved.holderRevision {
 			continue
 		}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-func newReservationRecord(t *testing.T, all []quota.Reservation) *quota.ReservationRecord {
+func newReservationRecord(t *testing.T, reservations []quota.Reservation) *quota.ReservationRecord {
 	t.Helper()
-	r, err := quota.NewReservationRecord(goldenHolder.ModRevision, all)
+	r, err := quota.NewReservationRecord(goldenHolder.ModRevision, reservations)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,8 +83,8 @@
 // decodeReservationRecord returns a decoder that also checks what the reservations unpack to.
 func decodeReservationRecord(want []quota.Reservation) func([]byte) (any, error) {
 	return func(data []byte) (any, error) {
-		r, all, err := quota.DecodeReservationRecord(data)
-		if diff := cmp.Diff(want, all); err == nil && diff != "" {
+		r, reservations, err := quota.DecodeReservationRecord(data)
+		if diff := cmp.Diff(want, reservations); err == nil && diff != "" {
 			return diff, nil
 		}
 		if err == nil && r.TeamTotals == nil {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -24,8 +24,8 @@
 	// maxBytesPerReservation bounds what a reservation takes of a value, in JSON: a
 	// job's and a team's name, three numbers, and base64.
 	maxBytesPerReservation = 72
-	// recordHeadBytes are set aside for the record's head, with its totals.
-	recordHeadBytes = 512
+	// recordHeaderBytes are set aside for the record's head, with its totals.
+	recordHeaderBytes = 512
 )
 
 // Holder is the pure state machine of one holder. It admits jobs within what the leader
@@ -59,7 +59,7 @@
 func NewHolder(node string, maxValueBytes int) *Holder {
 	return &Holder{
 		node:         node,
-		maxJobs:      max(0, (maxValueBytes-recordHeadBytes)/maxBytesPerReservation),
+		maxJobs:      max(0, (maxValueBytes-recordHeaderBytes)/maxBytesPerReservation),
 		teams:        map[ident.Team]*teamState{},
 		reservations: map[ident.JobID]*reservationState{},
 	}
@@ -132,9 +132,9 @@
 	h.modRevision = in.ModRevision
 }
 
-// dropAll gives up everything: the holder key is gone, so nothing that is stored under
+// discardState gives up everything: the holder key is gone, so nothing that is stored under
 // it can follow.
-func (h *Holder) dropAll(now clock.Instant) {
+func (h *Holder) discardState(now clock.Instant) {
 	h.modRevision, h.recordRevision = 0, 0
 	h.dirty, h.storeInFlight = false, false
 	h.reservations = map[ident.JobID]*reservationState{}
--- a/internal/quota/holderrequest.go
+++ b/internal/quota/holderrequest.go
@@ -105,11 +105,11 @@
 		return
 	}
 	if response.Revoked {
-		h.dropAll(now)
+		h.discardState(now)
 		return
 	}
 	for _, allocation := range response.Teams {
-		h.takeAllocation(now, allocation)
+		h.applyAllocation(now, allocation)
 	}
 	if response.Epoch < h.leaderEpoch {
 		return
@@ -118,15 +118,15 @@
 		h.leaderEpoch = response.Epoch
 		h.cancelReductions()
 	}
-	for _, limit := range response.JobCaps {
-		h.capReservation(limit)
+	for _, jobCap := range response.JobCaps {
+		h.capReservation(jobCap)
 	}
 }
 
-// takeAllocation takes in what is stored for this holder of a team's limit, and releases
+// applyAllocation takes in what is stored for this holder of a team's limit, and releases
 // what is recalled of it as far as nothing is reserved of that; the next request says so
 // at once.
-func (h *Holder) takeAllocation(now clock.Instant, in TeamAllocation) {
+func (h *Holder) applyAllocation(now clock.Instant, in TeamAllocation) {
 	team := h.teams[in.Team]
 	if team == nil || in.ReleaseSeq != team.releaseSeq || !in.Allocated.valid() {
 		return // of before a release
--- a/internal/quota/holderreservations.go
+++ b/internal/quota/holderreservations.go
@@ -42,7 +42,7 @@
 func (h *Holder) storeReservations(now clock.Instant) []HolderEffect {
 	record, err := NewReservationRecord(h.modRevision, h.targetReservations())
 	if err != nil {
-		h.dropAll(now)
+		h.discardState(now)
 		return nil
 	}
 	conditions := []kvstore.Condition{
@@ -83,7 +83,7 @@
 		h.recordRevision = in.ModRevision
 		h.confirmStored()
 	case StoreFenced:
-		h.dropAll(now)
+		h.discardState(now)
 	case StoreLeaderChanged:
 		h.cancelReductions()
 		h.dirty = true
--- a/internal/quota/invariants.go
+++ b/internal/quota/invariants.go
@@ -80,9 +80,9 @@
 	if record == nil {
 		return Quantity{}
 	}
-	own := record.allocationOf(node)
-	if own == nil || own.Holder.ModRevision != holder {
+	allocation := record.allocationOf(node)
+	if allocation == nil || allocation.Holder.ModRevision != holder {
 		return Quantity{}
 	}
-	return own.Quantity
+	return allocation.Quantity
 }
--- a/internal/quota/load.go
+++ b/internal/quota/load.go
@@ -52,14 +52,14 @@
 		return nil // of an earlier term: holders may have changed them since
 	}
 	a.readInFlight = false
-	if a.inFlight != nil {
+	if a.changeInFlight != nil {
 		return nil // what is being changed is read again
 	}
 	holders, reservations := map[string]ident.Revision{}, map[string]nodeReservations{}
 	for _, item := range items {
 		if node, ok := nameFromKey(item.Key, holderPrefix); ok {
 			holders[node] = item.ModRevision
-			a.noteHolderSeen(now, node)
+			a.startHolderTimeout(now, node)
 		}
 		if node, ok := nameFromKey(item.Key, reservationPrefix); ok {
 			read, err := readReservations(item)
@@ -74,21 +74,21 @@
 			}
 		}
 	}
-	a.loaded, a.loadedFrom = true, a.readStarted
+	a.loaded, a.loadedReadStarted = true, a.readStarted
 	a.holderRevisions, a.reservations = holders, reservations
-	for node := range a.lastRequest {
+	for node := range a.lastRequestAt {
 		if holders[node] == 0 {
-			delete(a.lastRequest, node)
+			delete(a.lastRequestAt, node)
 		}
 	}
 	a.updateCoverage()
 	return nil
 }
 
-// noteHolderSeen lets the timeout of a holder that is read for the first time begin.
-func (a *Allocator) noteHolderSeen(now clock.Instant, node string) {
-	if _, known := a.lastRequest[node]; !known {
-		a.lastRequest[node] = now
+// startHolderTimeout lets the timeout of a holder that is read for the first time begin.
+func (a *Allocator) startHolderTimeout(now clock.Instant, node string) {
+	if _, known := a.lastRequestAt[node]; !known {
+		a.lastRequestAt[node] = now
 	}
 }
 
--- a/internal/quota/orders_test.go
+++ b/internal/quota/orders_test.go
@@ -10,17 +10,17 @@
 	"badgerbay/internal/ident"
 )
 
-var quotaSteps = flag.Int("quotasteps", 6, "steps of which TestLastUnits plays every order")
+var quotaSteps = flag.Int("quotasteps", 6, "steps of which TestLimitHoldsInEveryActionOrder plays every order")
 
-// TestLastUnits lets two and three holders, and a leader, act in every order of some
+// TestLimitHoldsInEveryActionOrder lets two and three holders, and a leader, act in every order of some
 // steps, with responses lost, late and doubled, holders that return under their names and
 // leaders that change in between: more than the limit is never allocated or reserved.
-func TestLastUnits(t *testing.T) {
+func TestLimitHoldsInEveryActionOrder(t *testing.T) {
 	for holders := 2; holders <= 3; holders++ {
 		steps := *quotaSteps + 2 - holders
 		admitted, contended := 0, 0
-		eachOrder(holders, steps, func(order int, c *cluster) {
-			c.play(order, holders+4, steps)
+		forEachOrder(holders, steps, func(order int, c *cluster) {
+			c.runOrder(order, holders+4, steps)
 			if c.violation != nil {
 				t.Fatalf("order %d of %d holders: %v", order, holders, c.violation)
 			}
@@ -37,8 +37,8 @@
 	}
 }
 
-// eachOrder begins anew for each order of the steps.
-func eachOrder(holders, steps int, play func(order int, c *cluster)) {
+// forEachOrder begins anew for each order of the steps.
+func forEachOrder(holders, steps int, play func(order int, c *cluster)) {
 	orders := 1
 	for range steps {
 		orders *= holders + 4
@@ -48,13 +48,13 @@
 	}
 }
 
-// TestCheckInvariantsFindsOvershoot: were the leader to allocate more than the limit, the
+// TestCheckInvariantsReportsOverAllocation: were the leader to allocate more than the limit, the
 // check of what is stored would show it.
-func TestCheckInvariantsFindsOvershoot(t *testing.T) {
+func TestCheckInvariantsReportsOverAllocation(t *testing.T) {
 	found := 0
-	eachOrder(2, 4, func(order int, c *cluster) {
+	forEachOrder(2, 4, func(order int, c *cluster) {
 		c.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}} // the leader has 4
-		c.play(order, 6, 4)
+		c.runOrder(order, 6, 4)
 		if c.violation != nil {
 			found++
 		}
@@ -64,46 +64,46 @@
 	}
 }
 
-// play lets the members act in the order that the digits of a number say.
-func (c *cluster) play(order, actions, steps int) {
-	var old []*AllocationResponse
+// runOrder lets the members act in the order that the digits of a number say.
+func (c *cluster) runOrder(order, actions, steps int) {
+	var delivered []*AllocationResponse
 	requests := map[string]AllocationRequest{}
-	for i, m := range c.holders {
-		c.stepHolder(m, c.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 4, TaskDemand: Quantity{MilliCPU: 1000}})
-		c.stepHolder(m, c.now, Tick{})
+	for i, node := range c.nodes {
+		c.stepHolder(node, c.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 4, TaskDemand: Quantity{MilliCPU: 1000}})
+		c.stepHolder(node, c.now, Tick{})
 	}
 	for range steps {
 		c.now = c.now.Add(1100 * time.Millisecond)
 		action := order % actions
 		order /= actions
-		switch action - len(c.holders) {
+		switch action - len(c.nodes) {
 		case 0: // the leader acts
 			for _, request := range requests {
 				c.allocator.Receive(c.now, request, nil)
 			}
-			c.stepLeader(c.now, func(r Reply) { c.responses[r.Response.Holder.Node] = &r.Response })
+			c.stepLeader(c.now, func(r Reply) { c.pendingResponses[r.Response.Holder.Node] = &r.Response })
 		case 1: // responses are lost
-			clear(c.responses)
+			clear(c.pendingResponses)
 		case 2: // old responses come again
-			for _, a := range old {
-				c.stepHolder(c.holders[0], c.now, ResponseReceived{a})
+			for _, response := range delivered {
+				c.stepHolder(c.nodes[0], c.now, ResponseReceived{response})
 			}
 		case 3: // the leader changes, and a holder returns as another
 			c.elect()
 			c.restart(0)
 		default:
-			m := c.holders[action]
-			if a := c.responses[m.node]; a != nil {
-				c.stepHolder(m, c.now, ResponseReceived{a})
-				old = append(old, a)
-				delete(c.responses, m.node)
+			node := c.nodes[action]
+			if response := c.pendingResponses[node.name]; response != nil {
+				c.stepHolder(node, c.now, ResponseReceived{response})
+				delivered = append(delivered, response)
+				delete(c.pendingResponses, node.name)
 			} else {
-				c.stepHolder(m, c.now, ResponseReceived{})
+				c.stepHolder(node, c.now, ResponseReceived{})
 			}
 			job := ident.JobID(fmt.Sprintf("wk-%06d", 100+int(c.now.Sub(0)/time.Millisecond)))
-			c.stepHolder(m, c.now, JobSubmitted{Job: job, Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
-			for _, request := range c.stepHolder(m, c.now, Tick{}) {
-				requests[m.node] = request
+			c.stepHolder(node, c.now, JobSubmitted{Job: job, Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
+			for _, request := range c.stepHolder(node, c.now, Tick{}) {
+				requests[node.name] = request
 			}
 		}
 	}
--- a/internal/quota/quantity_test.go
+++ b/internal/quota/quantity_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestQuantityRounding(t *testing.T) {
-	need, err := DemandOf(&jobs.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
-	if err != nil || need != (Quantity{250, 1}) {
-		t.Errorf("%v, %v", need, err)
+	demand, err := DemandOf(&jobs.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
+	if err != nil || demand != (Quantity{250, 1}) {
+		t.Errorf("%v, %v", demand, err)
 	}
 	limit, err := LimitOf(config.Team{CPULimit: 1.9999, GPULimit: 0})
 	if err != nil || limit.MilliCPU != 1999 || limit.MilliGPU != Unlimited {
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -146,8 +146,8 @@
 }
 
 // decodeRecord reads a record and refuses one of a later schema.
-func decodeRecord(data []byte, into any, version *int) error {
-	if err := msgpack.Unmarshal(data, into); err != nil {
+func decodeRecord(data []byte, target any, version *int) error {
+	if err := msgpack.Unmarshal(data, target); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedRecord, err)
 	}
 	if *version > recordSchemaVersion {
--- a/internal/quota/records_test.go
+++ b/internal/quota/records_test.go
@@ -8,9 +8,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestMalformedRecordsAreRefused: what no program writes is refused whole, and never
+// TestMalformedRecordsAreRejected: what no program writes is refused whole, and never
 // counts as nothing.
-func TestMalformedRecordsAreRefused(t *testing.T) {
+func TestMalformedRecordsAreRejected(t *testing.T) {
 	good := Allocation{Holder: HolderID{"n0", 3}, Quantity: Quantity{MilliCPU: 1000}}
 	for name, record := range map[string]TeamRecord{
 		"a holder without a name": {SchemaVersion: 1, Allocations: []Allocation{{Holder: HolderID{"", 3}}}},
--- a/internal/quota/reservationrecord.go
+++ b/internal/quota/reservationrecord.go
@@ -64,9 +64,9 @@
 
 // check compares the totals with the reservations.
 func (r *ReservationRecord) check(reservations []Reservation) error {
-	for _, one := range reservations {
-		if one.Tasks < 1 || one.Tasks > maxTasksPerReservation || !one.TaskDemand.valid() || one.Job == "" {
-			return fmt.Errorf("%w: reservation %+v", ErrMalformedRecord, one)
+	for _, reservation := range reservations {
+		if reservation.Tasks < 1 || reservation.Tasks > maxTasksPerReservation || !reservation.TaskDemand.valid() || reservation.Job == "" {
+			return fmt.Errorf("%w: reservation %+v", ErrMalformedRecord, reservation)
 		}
 	}
 	totals := teamTotals(reservations)
--- a/internal/quota/revocation.go
+++ b/internal/quota/revocation.go
@@ -26,24 +26,24 @@
 // revoke takes from a node what it may not have any more; nil: there is nothing.
 func (a *Allocator) revoke(now clock.Instant, node string, maxRecords int) *kvstore.Txn {
 	revision := a.holderRevisions[node]
-	silent := revision != 0 && now.Sub(a.lastRequest[node]) > holderTimeout
+	timedOut := revision != 0 && now.Sub(a.lastRequestAt[node]) > holderTimeout
 	reserved, stored := a.reservations[node]
-	stale := stored && (silent || reserved.holderRevision != revision)
+	stale := stored && (timedOut || reserved.holderRevision != revision)
 
 	change := newPendingChange()
 	for _, team := range slices.Sorted(maps.Keys(a.teams)) {
 		account := a.teams[team]
-		own := account.record.allocationOf(node)
-		if own != nil && (silent || own.Holder.ModRevision != revision) && len(change.records) < maxRecords {
+		allocation := account.record.allocationOf(node)
+		if allocation != nil && (timedOut || allocation.Holder.ModRevision != revision) && len(change.records) < maxRecords {
 			change.records[team] = account.record.without(node)
 		}
 	}
-	if !silent && !stale && len(change.records) == 0 {
+	if !timedOut && !stale && len(change.records) == 0 {
 		return nil
 	}
-	a.inFlight = change
+	a.changeInFlight = change
 	txn := a.transaction(change)
-	if silent {
+	if timedOut {
 		change.removedHolders = append(change.removedHolders, node)
 		appendRemoval(txn, HolderKey(node), revision)
 	}
@@ -67,7 +67,7 @@
 			change.records[team] = TeamRecord{}
 		}
 		change.removedHolders = holders[:min(len(holders), maxRecords)]
-		a.inFlight = change
+		a.changeInFlight = change
 		txn := a.transaction(change)
 		for _, node := range change.removedHolders {
 			appendRemoval(txn, HolderKey(node), a.holderRevisions[node])
--- a/internal/quota/teamaccount.go
+++ b/internal/quota/teamaccount.go
@@ -45,8 +45,8 @@
 // allocationFor is what is stored for a holder, in answer to its request.
 func (t *teamAccount) allocationFor(now clock.Instant, holder HolderID, request TeamRequest) TeamAllocation {
 	out := TeamAllocation{Team: request.Team, ReleaseSeq: request.ReleaseSeq}
-	if own := t.record.allocationOf(holder.Node); own != nil && own.Holder == holder {
-		out.ReleaseSeq, out.Allocated = own.ReleaseSeq, own.Quantity
+	if allocation := t.record.allocationOf(holder.Node); allocation != nil && allocation.Holder == holder {
+		out.ReleaseSeq, out.Allocated = allocation.ReleaseSeq, allocation.Quantity
 	}
 	out.Recall = t.recallTarget(now).Min(out.Allocated)
 	return out
