--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -2,18 +2,17 @@
 
 import "badgerbay/internal/clock"
 
-// allocationStep is what one step of the allocator decides by, and the change that it
-// makes.
+// allocationStep holds the inputs of one step of the allocator and the change that the step builds.
 type allocationStep struct {
 	now        clock.Instant
 	usage      JobUsage
-	mayGrant   bool // holders may get more than they have
-	maxRecords int  // of the change
+	mayGrant   bool // whether holders may be granted more than they have
+	maxRecords int  // maximum number of team records in the change
 	change     *pendingChange
 }
 
-// changeAllocations adds to the step's change what a holder's request changes of its
-// allocations, and tells whether it changes any.
+// changeAllocations adds the changes that a holder's request makes to its allocations to the step's change, and
+// reports whether there are any.
 func (a *Allocator) changeAllocations(step allocationStep, request AllocationRequest) bool {
 	changed := false
 	for _, team := range request.Teams {
@@ -36,16 +35,16 @@
 	return changed
 }
 
-// adjustAllocation changes a holder's allocation in a record as it requests: down to
-// what it has released, and up to what it desires, as far as there is any. It tells
-// whether the allocation changes.
+// adjustAllocation applies a holder's request to its allocation in record: it lowers the allocation to the ceiling of
+// a newer release, and raises it towards the desired quantity as far as free quota allows. It reports whether the
+// allocation changed.
 func adjustAllocation(step allocationStep, account *teamAccount, record *TeamRecord, holder HolderID, request TeamRequest) bool {
 	current := record.allocationOf(holder.Node)
 	if current != nil && current.Holder != holder {
-		return false // of an earlier incarnation, which is revoked first
+		return false // held by an earlier incarnation of the node, which has to be revoked first
 	}
 	if current != nil && request.ReleaseSeq < current.ReleaseSeq {
-		return false // overtaken by a later request
+		return false // a request with a later release has been applied already
 	}
 	kept := Quantity{}
 	if current != nil {
@@ -67,8 +66,8 @@
 	return true
 }
 
-// grantFor is what a holder gets beside what it keeps. At most half of what is free goes
-// to one holder at a time, so that others find some too.
+// grantFor returns how much a holder gets in addition to what it keeps. One grant is at most half of the free quota,
+// so that some is left for other holders.
 func grantFor(step allocationStep, account *teamAccount, record *TeamRecord, request TeamRequest, kept Quantity) Quantity {
 	if !step.mayGrant || !account.recallTarget(step.now).IsZero() {
 		return Quantity{}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -13,77 +13,76 @@
 )
 
 const (
-	// readInterval is the pause between two reads of the records, and minChangeInterval
-	// the least time between two changes of them.
+	// readInterval is the interval between two reads of the records, and minChangeInterval the minimum interval
+	// between two changes to them.
 	readInterval      = time.Second
 	minChangeInterval = 500 * time.Millisecond
-	// blockedDemandTTL is how long it counts that work found no room in what is not
-	// allocated: until then nothing more of that team is allocated, and what holders do
-	// not use is recalled.
+	// blockedDemandTTL is how long blocked demand counts, which is demand that did not fit into the unallocated part
+	// of a team's limit. Until it expires, nothing more of that team's limit is allocated, and what holders do not
+	// use is recalled.
 	blockedDemandTTL = 3 * time.Second
-	// holderTimeout: a holder that has sent no request for so long is revoked. Its key
-	// is deleted with its allocations, so nothing that it has not stored can follow.
+	// holderTimeout is how long a holder may send no request before it is revoked. Its key is deleted together with
+	// its allocations. Its writes are conditional on the key, so none can succeed afterwards.
 	holderTimeout = 5 * time.Second
 )
 
-// JobUsage is what the allocator must know of the leader's jobs.
+// JobUsage is the information about the leader's jobs that the allocator needs.
 type JobUsage struct {
-	// Uncovered is what is placed of a team and no reservation covers.
+	// Uncovered returns the quantity of a team's placed tasks that no reservation covers.
 	Uncovered func(ident.Team) Quantity
-	// RemainingTasks is how many tasks of a job may still be under way; false: the job
-	// is not known.
+	// RemainingTasks returns how many tasks of a job may still be in progress, and false if the job is not known.
 	RemainingTasks func(ident.JobID) (int, bool)
 }
 
-// Allocator is the leader's side: the pure state machine of one term. What is not
-// allocated is the leader's own.
+// Allocator is the leader's side of quota allocation: a pure state machine that exists for one term. The leader
+// itself uses the part of a team's limit that is not allocated to holders.
 type Allocator struct {
-	enabled    bool // it may allocate; else it only honors what earlier leaders have
-	firstEpoch ident.Epoch
+	enabled    bool        // whether it grants quota; otherwise it only honors the allocations of earlier leaders
+	firstEpoch ident.Epoch // in which the term began
 	epoch      ident.Epoch
 
 	teams           map[ident.Team]*teamAccount
-	holderRevisions map[string]ident.Revision // of the holder keys, by node
+	holderRevisions map[string]ident.Revision // revisions of the holder keys, by node
 	reservations    map[string]nodeReservations
 	coverage        coverage
-	lastRequestAt   map[string]clock.Instant // of each holder, or when it was first seen
+	lastRequestAt   map[string]clock.Instant // last request of each holder, or when the holder was first read
 	pendingRequests map[string]pendingRequest
 
 	loaded            bool
 	readInFlight      bool
-	readStarted       clock.Instant // when the read in flight began
-	loadedReadStarted clock.Instant // when the read began that was loaded last
+	readStarted       clock.Instant // start of the read in flight
+	loadedReadStarted clock.Instant // start of the read that was loaded last
 	nextRead          clock.Instant
 	nextChange        clock.Instant
 	changeInFlight    *pendingChange
 }
 
-// pendingRequest is a holder's request that waits for its response.
+// pendingRequest is a holder's request that has not been answered yet.
 type pendingRequest struct {
 	request    AllocationRequest
 	responder  Responder
 	receivedAt clock.Instant
 }
 
-// pendingChange is a transaction of the allocator that is under way.
+// pendingChange is a transaction of the allocator that is being built or in flight.
 type pendingChange struct {
 	records        map[ident.Team]TeamRecord
 	removedHolders []string // nodes whose holder keys are deleted
-	requesters     []string // nodes whose requests it answers
+	requesters     []string // nodes whose requests are answered once the change is stored
 }
 
 func newPendingChange() *pendingChange {
 	return &pendingChange{records: map[ident.Team]TeamRecord{}}
 }
 
-// Reply is the response to a holder's request, and who takes it.
+// Reply is the response to a holder's request, with the Responder that delivers it.
 type Reply struct {
 	Responder Responder
 	Response  AllocationResponse
 }
 
-// NewAllocator returns the allocator of a term that began in the epoch. Only if it is
-// enabled it gives holders what they request. The error is an ErrOutOfRange.
+// NewAllocator returns the allocator of a term that began in the epoch. It grants quota to holders only if enabled is
+// true. The error wraps ErrOutOfRange.
 func NewAllocator(teams map[ident.Team]config.Team, enabled bool, epoch ident.Epoch) (*Allocator, error) {
 	a := &Allocator{
 		enabled:         enabled,
@@ -106,22 +105,22 @@
 	return a, nil
 }
 
-// SetEpoch takes in that the leader has advanced its epoch.
+// SetEpoch sets the epoch after the leader has advanced it.
 func (a *Allocator) SetEpoch(epoch ident.Epoch) { a.epoch = epoch }
 
-// Ready tells whether the records have been read: before, nobody knows what is
-// allocated, and nothing may be placed.
+// Ready reports whether the records have been read. Until then the allocations are unknown, and nothing may be
+// placed.
 func (a *Allocator) Ready() bool { return a.loaded }
 
-// ChangeInFlight tells whether a change is under way.
+// ChangeInFlight reports whether a change is in flight.
 func (a *Allocator) ChangeInFlight() bool { return a.changeInFlight != nil }
 
-// CoveredTasks is how many tasks of a team's job reservations cover.
+// CoveredTasks returns how many tasks of a team's job are covered by reservations.
 func (a *Allocator) CoveredTasks(job ident.JobID, team ident.Team) int {
 	return a.coverage.tasks(job, team)
 }
 
-// Allocated is what is allocated of a team's limit.
+// Allocated returns how much of a team's limit is allocated to holders.
 func (a *Allocator) Allocated(team ident.Team) Quantity {
 	if account := a.teams[team]; account != nil {
 		return account.record.Allocated()
@@ -129,16 +128,15 @@
 	return Quantity{}
 }
 
-// NoteBlocked notes that work of a team found no room for so much in what is not
-// allocated.
+// NoteBlocked records that work of a team with this demand did not fit into the unallocated part of the team's limit.
 func (a *Allocator) NoteBlocked(now clock.Instant, team ident.Team, demand Quantity) {
 	if account := a.teams[team]; account != nil {
 		account.blockedDemand, account.blockedAt = demand, now
 	}
 }
 
-// Receive takes in a holder's request. Step or CompleteChange returns the reply. What no
-// holder can have sent is dropped.
+// Receive queues a holder's request. A later Step or CompleteChange returns the reply. A request that no holder can
+// have sent is dropped.
 func (a *Allocator) Receive(now clock.Instant, request AllocationRequest, responder Responder) {
 	if !request.valid() {
 		return
@@ -148,12 +146,12 @@
 	if a.holderRevisions[node] == request.Holder.ModRevision {
 		a.lastRequestAt[node] = now
 	} else {
-		a.nextRead = min(a.nextRead, now) // it has registered since, or is revoked
+		a.nextRead = min(a.nextRead, now) // the holder registered after the last read, or was revoked
 	}
 }
 
-// Step decides what to change and whom to answer. It grants nothing unless every node
-// enforces allocations; a change holds maxRecords records of teams at most.
+// Step returns the next transaction to commit, if any, and the replies that need no change. It grants nothing unless
+// every node enforces allocations. A change contains at most maxRecords team records.
 func (a *Allocator) Step(now clock.Instant, usage JobUsage, allEnforce bool, maxRecords int) (*kvstore.Txn, []Reply) {
 	if !a.loaded || a.changeInFlight != nil || now.Before(a.nextChange) {
 		return nil, nil
@@ -177,14 +175,14 @@
 	return a.transaction(step.change), replies
 }
 
-// serve answers a node's pending request, unless it must wait: for the change that it
-// needs, or for its registration to be read.
+// serve answers a node's pending request. It returns false if the request has to wait for a change that it needs, or
+// for a read that can show the holder's registration.
 func (a *Allocator) serve(step allocationStep, node string) (Reply, bool) {
 	pending := a.pendingRequests[node]
 	holder := pending.request.Holder
 	switch revision := a.holderRevisions[node]; {
 	case revision < holder.ModRevision && a.loadedReadStarted <= pending.receivedAt:
-		return Reply{}, false // its registration may not have been read yet
+		return Reply{}, false // the last read may have begun before the registration
 	case revision != holder.ModRevision:
 		revoked := AllocationResponse{Holder: holder, Epoch: a.epoch, Revoked: true}
 		return Reply{pending.responder, revoked}, true
@@ -195,7 +193,7 @@
 	return a.replyTo(step.now, pending, step.usage), true
 }
 
-// replyTo answers a request with what is stored.
+// replyTo returns the reply to a request, with the allocations as they are stored.
 func (a *Allocator) replyTo(now clock.Instant, pending pendingRequest, usage JobUsage) Reply {
 	request := pending.request
 	response := AllocationResponse{Holder: request.Holder, Epoch: a.epoch}
@@ -213,9 +211,9 @@
 	return Reply{pending.responder, response}
 }
 
-// transaction stores a change, under the epoch and the revisions of the records. Its
-// first operation and its second condition are of the same record, by which the outcome
-// is found out if the service does not answer.
+// transaction returns the transaction that stores a change, conditional on the epoch and on the revisions of the
+// records. Its first operation and its second condition refer to the same record: if the service does not answer, the
+// outcome is determined from the revision of that record.
 func (a *Allocator) transaction(change *pendingChange) *kvstore.Txn {
 	txn := &kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(a.epoch)}}
 	for _, team := range slices.Sorted(maps.Keys(change.records)) {
@@ -228,9 +226,8 @@
 	return txn
 }
 
-// CompleteChange takes in what became of the change under way, and answers the requests
-// that it was for. A change that was not stored is made anew once the records were read
-// again.
+// CompleteChange handles the outcome of the change in flight, and returns the replies to the requests that it was
+// made for. After a change that was not stored, the records are read again, and the change is determined anew.
 func (a *Allocator) CompleteChange(now clock.Instant, stored bool, revision ident.Revision, usage JobUsage) []Reply {
 	change := a.changeInFlight
 	a.changeInFlight = nil
@@ -253,7 +250,7 @@
 	return replies
 }
 
-// apply takes in that a change is stored.
+// apply updates the allocator's state after a change has been stored.
 func (a *Allocator) apply(change *pendingChange, revision ident.Revision) {
 	for team, record := range change.records {
 		account := a.teams[team]
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -11,8 +11,9 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestDamagedRecordIsReplaced: a team's record that can't be read is replaced only in
-// one transaction with the end of all holders; one of a later version stops the leader.
+// TestDamagedRecordIsReplaced checks that a team's record that cannot be decoded is replaced together with the
+// deletion of all holder keys, and that the holder then gives up its registration. Otherwise a holder could go on
+// using an allocation that the leader does not know of. A record with a newer schema version must stop the leader.
 func TestDamagedRecordIsReplaced(t *testing.T) {
 	c := newCluster(1, oneTeam)
 	node := c.nodes[0]
@@ -25,7 +26,7 @@
 		c.stepLeader(c.now, func(Reply) {})
 	}
 	if c.revisionOf(HolderKey(node.name)) != 0 || c.allocator.Status(c.now, c.usage())["red"].Damaged {
-		t.Error("not replaced, or the holder is still one")
+		t.Error("the record was not replaced, or the holder key still exists")
 	}
 	if requests := c.stepHolder(node, c.now, Tick{}); len(requests) == 1 {
 		c.allocator.Receive(c.now, requests[0], nil)
@@ -35,16 +36,16 @@
 		}
 	}
 	if node.holder.modRevision == revision {
-		t.Error("the holder was not told")
+		t.Error("the holder still uses its deleted key")
 	}
 	c.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: TeamKey("red"), Value: TeamRecord{SchemaVersion: 2}}}})
 	if err := c.allocator.Load(c.now, c.allocator.epoch, c.list()); !errors.Is(err, ErrNewerSchema) {
-		t.Errorf("a later schema: %v", err)
+		t.Errorf("loading a record with a newer schema version: %v, want %v", err, ErrNewerSchema)
 	}
 }
 
-// TestLoweredLimitStopsAllocation: while more is in use than a limit that was lowered, nothing is
-// allocated, and what is idle is recalled.
+// TestLoweredLimitStopsAllocation checks that nothing is allocated and that unused allocations are recalled while
+// more is in use than a limit that was lowered.
 func TestLoweredLimitStopsAllocation(t *testing.T) {
 	c := newCluster(1, oneTeam)
 	node := c.nodes[0]
@@ -63,16 +64,16 @@
 		work(2)
 	}
 	if got := c.allocator.Allocated("red"); got.MilliCPU < 3000 {
-		t.Fatalf("%v allocated of 4 CPUs", got)
+		t.Fatalf("allocated %v of 4 CPUs, want at least 3", got)
 	}
 	c.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}}
 	c.elect()
-	c.violation = nil // what is stored is beyond the new limit
+	c.violation = nil // the stored allocations exceed the new limit
 	work(20)
 	before := c.allocator.Allocated("red")
 	c.stepHolder(node, c.now, JobSubmitted{Job: "wk-000077", Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
 	work(5)
 	if after := c.allocator.Allocated("red"); !after.Within(before) || before.MilliCPU > 3000 {
-		t.Errorf("allocated %v, then %v, of 1 CPU", before, after)
+		t.Errorf("allocated %v, then %v, with a limit of 1 CPU", before, after)
 	}
 }
--- a/internal/quota/benchmark_test.go
+++ b/internal/quota/benchmark_test.go
@@ -10,9 +10,8 @@
 	"badgerbay/internal/ident"
 )
 
-// BenchmarkAdmission measures what holders admit, and what changes that takes, where
-// each node takes five jobs a second for a minute; asking the leader for each would take
-// a question and a change for every one.
+// BenchmarkAdmission measures how many jobs holders admit, and how many changes that takes, when five jobs a second
+// are submitted to each node for a minute. Asking the leader instead would take a request and a change for every job.
 func BenchmarkAdmission(b *testing.B) {
 	for _, holders := range []int{1, 3, 10} {
 		for _, teams := range []int{1, 6, 50} {
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -16,8 +16,8 @@
 
 var oneTeam = map[ident.Team]config.Team{"red": {Name: "red", CPUGuarantee: 2, CPULimit: 4}}
 
-// cluster is holders and a leader around one state service. Its lock stands for that of
-// the service; every change is checked as it is made.
+// cluster consists of holders and a leader around one state service. Its lock stands for that of the service. The
+// invariants are checked after every stored change.
 type cluster struct {
 	mu               sync.Mutex
 	store            *fake.KVStore
@@ -27,9 +27,8 @@
 	violation        error
 	nodes            []*testNode
 	allocator        *Allocator
-	pendingResponses map[string]*AllocationResponse // that wait for their holders
-	// awaitingReply names the holders whose requests a concurrent leader has not
-	// answered yet.
+	pendingResponses map[string]*AllocationResponse // not yet delivered to their holders
+	// awaitingReply contains the nodes whose requests a concurrent leader has not answered yet.
 	awaitingReply map[string]bool
 }
 
@@ -59,7 +58,7 @@
 	c.nodes[i].holder = NewHolder(c.nodes[i].name, 8<<10)
 }
 
-// elect lets a new leader begin.
+// elect replaces the leader by a new one.
 func (c *cluster) elect() {
 	epoch, _ := c.commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: "leader"}}})
 	allocator, err := NewAllocator(c.teams, true, ident.Epoch(epoch))
@@ -69,7 +68,7 @@
 	c.allocator = allocator
 }
 
-// commit carries out a transaction and checks what is stored then.
+// commit executes a transaction and checks the records that are stored after it.
 func (c *cluster) commit(t kvstore.Txn) (ident.Revision, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +94,7 @@
 	return item.ModRevision
 }
 
-// stepHolder gives a holder an input and carries out its effects, but for requests, which
-// are returned.
+// stepHolder passes an input to a holder and executes its effects, except for requests, which it returns.
 func (c *cluster) stepHolder(node *testNode, now clock.Instant, in HolderInput) (requests []AllocationRequest) {
 	for _, e := range node.holder.Step(now, in) {
 		switch e := e.(type) {
@@ -131,7 +129,7 @@
 	}
 }
 
-// stepLeader lets the leader do what is due.
+// stepLeader executes what is due for the leader, and passes its replies to deliver.
 func (c *cluster) stepLeader(now clock.Instant, deliver func(Reply)) {
 	if c.allocator.BeginReadIfDue(now) {
 		if err := c.allocator.Load(now, c.allocator.epoch, c.list()); err != nil {
@@ -156,7 +154,7 @@
 	return sum
 }
 
-// finishJobs lets all jobs that are reserved for be over.
+// finishJobs marks all jobs with reservations as finished.
 func (c *cluster) finishJobs() {
 	for _, item := range c.list() {
 		if _, reservations, err := DecodeReservationRecord(item.Value); err == nil {
--- a/internal/quota/concurrent_test.go
+++ b/internal/quota/concurrent_test.go
@@ -13,10 +13,9 @@
 	"badgerbay/internal/ident"
 )
 
-// TestConcurrentAdmission lets ten holders and a leader run side by side, each with a
-// goroutine of its own, while holders die and return, leaders change and jobs end: at
-// every change that is stored nobody has more than the limit, and in the end all is
-// back.
+// TestConcurrentAdmission runs ten holders and a leader concurrently, each in a goroutine of its own, while holders
+// crash and restart, leaders change and jobs finish. It checks the invariants after every stored change, which guards
+// against an allocation or a reservation beyond a limit, and that in the end all quota has been released.
 func TestConcurrentAdmission(t *testing.T) {
 	const holders = 10
 	teams := map[ident.Team]config.Team{}
@@ -34,37 +33,37 @@
 		sum, least = sum+n, min(least, n)
 	}
 	if sum < 10*holders || least == 0 {
-		t.Errorf("%d jobs admitted, the least by one holder %d", sum, least)
+		t.Errorf("%d jobs admitted, want at least %d; the fewest by one holder %d, want at least 1", sum, 10*holders, least)
 	}
 	for _, item := range c.list() {
 		if r, err := DecodeTeamRecord(item.Value); err == nil && !r.Allocated().IsZero() {
-			t.Errorf("%s: %v are left", item.Key, r.Allocated())
+			t.Errorf("%s: %v still allocated at the end", item.Key, r.Allocated())
 		}
 	}
-	t.Logf("%d jobs admitted, between %d and %v a holder, in %v of simulated time; %d changes", sum, least, admitted, c.now.Sub(clock.Instant(time.Hour)), c.store.OperationCount)
+	t.Logf("%d jobs admitted, the fewest by one holder %d, by each holder %v, in %v of simulated time; %d changes", sum, least, admitted, c.now.Sub(clock.Instant(time.Hour)), c.store.OperationCount)
 }
 
 const (
-	// submissionSteps are the steps of 20 ms in which jobs come and holders die, and
-	// totalSteps those after which everything has been given back.
+	// submissionSteps is the number of steps of 20 ms in which jobs are submitted and holders crash. After
+	// totalSteps, all quota must have been released.
 	submissionSteps = 20_000
 	totalSteps      = 30_000
 	concurrentStep  = 20 * time.Millisecond
 )
 
-// concurrentNode is a holder with a goroutine of its own.
+// concurrentNode is a holder that runs in a goroutine of its own.
 type concurrentNode struct {
 	*testNode
 	index     int
 	rng       *rand.Rand
 	waiting   bool
-	responses chan *AllocationResponse // nil: none will come
+	responses chan *AllocationResponse // nil: no response will arrive
 	admitted  int
 }
 
-// runConcurrently lets each holder and the leader take a step at every instant, all of
-// them side by side, and time pass once all have: so a goroutine that the machine
-// starves is not left behind by the others' clock. It returns what each has admitted.
+// runConcurrently has each holder and the leader execute one step at every instant, concurrently, and advances the
+// time once all have finished. So a goroutine that gets little CPU time does not fall behind the clock of the others.
+// It returns how many jobs each holder has admitted.
 func (c *cluster) runConcurrently() []int {
 	requests := make(chan AllocationRequest, len(c.nodes))
 	nodes := make([]*concurrentNode, len(c.nodes))
@@ -100,14 +99,14 @@
 	return admitted
 }
 
-// runHolder takes a holder's step: it submits jobs and dies now and then.
+// runHolder executes one step of a holder, which submits jobs and now and then crashes and restarts.
 func (c *cluster) runHolder(node *concurrentNode, now clock.Instant, requests chan<- AllocationRequest) {
 	if node.waiting {
 		select {
 		case response := <-node.responses:
 			node.waiting = false
 			if node.rng.IntN(10) == 0 {
-				response = nil // it is lost
+				response = nil // the response is lost
 			}
 			c.stepHolder(node.testNode, now, ResponseReceived{response})
 		default:
@@ -131,7 +130,7 @@
 	}
 }
 
-// advance lets time pass, and returns what time it is.
+// advance advances the time and returns the new time.
 func (c *cluster) advance(d time.Duration) clock.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,8 +138,8 @@
 	return c.now
 }
 
-// runLeader takes the leader's step: it answers holders, is replaced now and then, and
-// lets jobs end.
+// runLeader executes one step of the leader. The leader answers holders, and now and then it is replaced and the jobs
+// finish.
 func (c *cluster) runLeader(step int, now clock.Instant, requests <-chan AllocationRequest, nodes []*concurrentNode) {
 	for more := true; more; {
 		select {
--- a/internal/quota/coverage.go
+++ b/internal/quota/coverage.go
@@ -7,17 +7,17 @@
 	"badgerbay/internal/ident"
 )
 
-// coverage is which tasks of which jobs reservations cover, as far as the leader knows.
+// coverage tracks which tasks of which jobs are covered by reservations, as far as the leader knows.
 type coverage struct {
 	reservations map[ident.JobID]Reservation
-	caps         map[ident.JobID]int // what holders were told in this term
+	caps         map[ident.JobID]int // lowest cap sent to holders in this term
 }
 
 func newCoverage() coverage {
 	return coverage{reservations: map[ident.JobID]Reservation{}, caps: map[ident.JobID]int{}}
 }
 
-// tasks is how many tasks of a team's job reservations cover.
+// tasks returns how many tasks of a team's job are covered by reservations.
 func (c *coverage) tasks(job ident.JobID, team ident.Team) int {
 	if r, ok := c.reservations[job]; ok && r.Team == team {
 		return r.Tasks
@@ -25,21 +25,22 @@
 	return 0
 }
 
-// capJob notes what a holder was told of a job: it may free the rest from now on.
+// capJob lowers the coverage of a job to the cap that is sent to its holder: from then on the holder may free the
+// tasks beyond the cap.
 func (c *coverage) capJob(job ident.JobID, tasks int) {
 	if old, capped := c.caps[job]; capped && old <= tasks {
 		return
 	}
 	r, covered := c.reservations[job]
 	if !covered {
-		return // nothing that could be freed is known of
+		return // the leader knows of no reservation that could be freed
 	}
 	c.caps[job] = tasks
 	r.Tasks = min(r.Tasks, tasks)
 	c.reservations[job] = r
 }
 
-// applyCaps lowers reservations to the caps, and returns their sums by team.
+// applyCaps lowers reservations to the caps, in place, and returns their sums by team.
 func (c *coverage) applyCaps(reservations []Reservation) map[ident.Team]Quantity {
 	totals := map[ident.Team]Quantity{}
 	for i := range reservations {
@@ -52,9 +53,9 @@
 	return totals
 }
 
-// updateCoverage works out anew what reservations cover. Those of a holder that is gone,
-// or that has reserved more than it was allocated, cover nothing: then its tasks count
-// as the leader's own.
+// updateCoverage recomputes which tasks reservations cover. The reservations of a holder whose key is gone, or that
+// has reserved more of a team's limit than it was allocated, cover nothing: their tasks then count against the part
+// of the limit that is not allocated.
 func (a *Allocator) updateCoverage() {
 	clear(a.coverage.reservations)
 	for _, node := range slices.Sorted(maps.Keys(a.reservations)) {
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -18,11 +18,10 @@
 type goldenCase struct {
 	value  any
 	decode func([]byte) (any, error)
-	// stored: it is a record, so its form in JSON counts against the limits of the
-	// state service too.
+	// stored marks a record. The limits of the state service apply to its JSON form, so that is compared too.
 	stored bool
-	// unordered: the value holds a map of several keys, whose order in MessagePack
-	// is random, so only what the bytes decode to is compared.
+	// unordered marks a value that contains a map with several keys. Their order in MessagePack is random, so only
+	// the length of the encoding and the decoded value are compared.
 	unordered bool
 }
 
@@ -88,7 +87,7 @@
 			return diff, nil
 		}
 		if err == nil && r.TeamTotals == nil {
-			r.TeamTotals = map[ident.Team]quota.Quantity{} // nothing reserved is left out
+			r.TeamTotals = map[ident.Team]quota.Quantity{} // the encoding omits an empty map
 		}
 		return r, err
 	}
@@ -99,8 +98,7 @@
 	return v, msgpack.Unmarshal(data, v)
 }
 
-// readGolden reads the bytes of each case, in MessagePack, and its form in JSON; "-":
-// none.
+// readGolden reads the expected encodings of each case: MessagePack in hexadecimal and JSON, where "-" means none.
 func readGolden(t *testing.T) map[string][2]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/encoded.txt")
@@ -118,11 +116,12 @@
 	return out
 }
 
-// TestGoldenEncodings: records and messages keep the bytes that earlier versions wrote.
+// TestGoldenEncodings checks that records and messages keep the encodings of earlier versions. It guards against a
+// change of a tag, of the order of fields or of the packed form.
 func TestGoldenEncodings(t *testing.T) {
 	golden, cases := readGolden(t), goldenCases(t)
 	if len(golden) != len(cases) {
-		t.Errorf("%d golden encodings of %d cases", len(golden), len(cases))
+		t.Errorf("%d golden encodings, want %d", len(golden), len(cases))
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -158,7 +157,7 @@
 	}
 }
 
-// TestGoldenKeys: records stay where earlier versions look for them.
+// TestGoldenKeys checks that records keep the keys under which earlier versions read them.
 func TestGoldenKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		quota.KeyPrefix:                  "quota/",
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// requestInterval is the pause between two requests of a holder, and
-	// minStoreInterval the least time between two changes of its reservations.
+	// requestInterval is the interval between two requests of a holder, and minStoreInterval the minimum interval
+	// between two writes of its reservations.
 	requestInterval  = time.Second
 	minStoreInterval = time.Second
-	// demandWindow is how long a submission counts as demand of its team, and
-	// idleReleaseDelay how long after the last a holder releases what it does not use.
+	// demandWindow is how long a submission counts as demand of its team, and idleReleaseDelay how long after a
+	// team's last submission a holder releases what it does not use.
 	demandWindow     = 5 * time.Second
 	idleReleaseDelay = 10 * time.Second
-	// registrationRetryDelay is the pause between two attempts to become a holder.
+	// registrationRetryDelay is the delay between two attempts to register as a holder.
 	registrationRetryDelay = 3 * time.Second
 )
 
 const (
-	// maxBytesPerReservation bounds what a reservation takes of a value, in JSON: a
-	// job's and a team's name, three numbers, and base64.
+	// maxBytesPerReservation bounds the size of a reservation in the record's JSON form: the names of a job and a
+	// team and three numbers, encoded in base64.
 	maxBytesPerReservation = 72
-	// recordHeaderBytes are set aside for the record's head, with its totals.
+	// recordHeaderBytes is reserved for the record's other fields, including the totals by team.
 	recordHeaderBytes = 512
 )
 
-// Holder is the pure state machine of one holder. It admits jobs within what the leader
-// has allocated to its node.
+// Holder is the pure state machine of one holder. It admits jobs within the quota that the leader has allocated to
+// its node.
 type Holder struct {
 	node    string
-	maxJobs int // that have reservations at a time
+	maxJobs int // maximum number of jobs with reservations
 
-	modRevision      ident.Revision // of the holder key; 0: not a holder
+	modRevision      ident.Revision // of the holder key; 0: not registered
 	registering      bool
 	nextRegistration clock.Instant
-	lastDemand       clock.Instant // 0: nothing was submitted yet
+	lastDemand       clock.Instant // last submission; 0: none yet
 
 	teams           map[ident.Team]*teamState
 	requestInFlight bool
 	nextRequest     clock.Instant
 	lastQueriedJob  ident.JobID
-	leaderEpoch     ident.Epoch // of the last response
+	leaderEpoch     ident.Epoch // latest epoch of a response
 
 	reservations   map[ident.JobID]*reservationState
 	storeInFlight  bool
-	dirty          bool // the stored reservations differ
+	dirty          bool // the reservations differ from the stored ones
 	nextStore      clock.Instant
 	recordRevision ident.Revision // of the stored reservations
 
 	admitted int
-	refused  int // submissions that could not be admitted here
+	refused  int // submissions left to the leader
 }
 
-// NewHolder returns the holder of a node whose reservations may take maxValueBytes.
+// NewHolder returns the holder of a node whose reservation record may take up to maxValueBytes.
 func NewHolder(node string, maxValueBytes int) *Holder {
 	return &Holder{
 		node:         node,
@@ -65,7 +65,7 @@
 	}
 }
 
-// Step takes one input at now and returns what to do.
+// Step applies one input at the time now and returns the effects to execute.
 func (h *Holder) Step(now clock.Instant, in HolderInput) []HolderEffect {
 	switch in := in.(type) {
 	case Tick:
@@ -96,7 +96,8 @@
 	return effects
 }
 
-// admit admits what fits of a job. What does not is the leader's to admit.
+// admit reserves quota for as many of a job's tasks as fit into the free part of the allocation. The leader admits
+// the other tasks.
 func (h *Holder) admit(now clock.Instant, in JobSubmitted) {
 	team := h.team(in.Team)
 	team.recentDemand = append(team.recentDemand, demandSample{now, in.TaskDemand.Mul(in.Tasks)})
@@ -116,7 +117,7 @@
 	h.admitted++
 }
 
-// register makes this node a holder, once anything is submitted to it.
+// register registers this node as a holder if a job was submitted to it within demandWindow.
 func (h *Holder) register(now clock.Instant) []HolderEffect {
 	idle := h.lastDemand == 0 || now.Sub(h.lastDemand) > demandWindow
 	if h.registering || now.Before(h.nextRegistration) || idle {
@@ -132,8 +133,8 @@
 	h.modRevision = in.ModRevision
 }
 
-// discardState gives up everything: the holder key is gone, so nothing that is stored under
-// it can follow.
+// discardState drops the registration, the allocations and the reservations. All writes are conditional on the holder
+// key, which is gone, so none of them can succeed later.
 func (h *Holder) discardState(now clock.Instant) {
 	h.modRevision, h.recordRevision = 0, 0
 	h.dirty, h.storeInFlight = false, false
--- a/internal/quota/holdermessages.go
+++ b/internal/quota/holdermessages.go
@@ -8,29 +8,30 @@
 	"badgerbay/internal/kvstore"
 )
 
-// HolderInput is what a holder takes: one of the types below.
+// HolderInput is an input of a holder: one of the types below.
 type HolderInput interface{ holderInput() }
 
 // Inputs of a holder.
 type (
-	// Tick lets time pass.
+	// Tick makes the holder do the work that is due.
 	Tick struct{}
-	// JobSubmitted is a job that this node has just stored, and nobody else has.
+	// JobSubmitted reports a job that has just been stored by this node, and by no other.
 	JobSubmitted struct {
 		Job        ident.JobID
 		Team       ident.Team
 		Tasks      int
 		TaskDemand Quantity
-		Gang       bool // is admitted whole or not at all
+		Gang       bool // the job is admitted as a whole or not at all
 	}
-	// RegistrationDone completes Register. ModRevision 0: it failed.
+	// RegistrationDone reports the result of Register. ModRevision is the revision of the holder key, or 0 if the
+	// registration failed.
 	RegistrationDone struct{ ModRevision ident.Revision }
-	// StoreDone completes StoreReservations.
+	// StoreDone reports the result of StoreReservations.
 	StoreDone struct {
 		Outcome     StoreOutcome
-		ModRevision ident.Revision // of the reservations, if it succeeded
+		ModRevision ident.Revision // of the reservation record, if the write succeeded
 	}
-	// ResponseReceived completes SendRequest; nil: no response came.
+	// ResponseReceived reports the response to SendRequest. Response is nil if none arrived.
 	ResponseReceived struct{ Response *AllocationResponse }
 )
 
@@ -40,34 +41,34 @@
 func (StoreDone) holderInput()        {}
 func (ResponseReceived) holderInput() {}
 
-// StoreOutcome is what became of a change of the reservations.
+// StoreOutcome is the outcome of a write of the reservations.
 type StoreOutcome int
 
 // Outcomes of StoreReservations.
 const (
 	StoreSucceeded StoreOutcome = iota
-	// StoreFailed: it was surely not carried out; try again.
+	// StoreFailed means that the write was certainly not executed; the holder retries it.
 	StoreFailed
-	// StoreFenced: the holder key is not what it was. Nothing that this holder had
-	// counts any more.
+	// StoreFenced means that the holder key has changed or is gone. The holder's allocations and reservations are
+	// void.
 	StoreFenced
-	// StoreLeaderChanged: the leader that said what may be freed does not lead now.
+	// StoreLeaderChanged means that the leader that allowed a reduction does not lead any more.
 	StoreLeaderChanged
 )
 
-// HolderEffect is what a holder wants done: one of the types below.
+// HolderEffect is an action that a holder requests from its caller: one of the types below.
 type HolderEffect interface{ holderEffect() }
 
 // Effects of a holder.
 type (
-	// Register sets the holder key anew.
+	// Register writes the holder key. The key's new revision identifies the new incarnation of the holder.
 	Register struct{ Node string }
-	// StoreReservations writes the reservations under the conditions. Whoever carries
-	// it out finds out the outcome if the service does not answer.
+	// StoreReservations writes the reservations, subject to the conditions. If the service does not answer, the
+	// caller determines the outcome before it reports StoreDone.
 	StoreReservations struct {
 		Key        string
 		Record     *ReservationRecord
-		Conditions []kvstore.Condition // the first is of the holder key, the second of Key
+		Conditions []kvstore.Condition // the first is on the holder key, the second on Key
 	}
 	// SendRequest sends a request to the leader.
 	SendRequest struct{ Request AllocationRequest }
@@ -77,7 +78,8 @@
 func (StoreReservations) holderEffect() {}
 func (SendRequest) holderEffect()       {}
 
-// Txn sets the holder key anew, provided that it still has the revision (0: is absent).
+// Txn returns the transaction that writes the holder key, provided that the key still has the revision (0: does not
+// exist).
 func (e Register) Txn(revision ident.Revision) kvstore.Txn {
 	key := HolderKey(e.Node)
 	return kvstore.Txn{
@@ -86,8 +88,8 @@
 	}
 }
 
-// Txn writes the reservations. Its conditions name the revisions that it changes, so it
-// is applied at most once.
+// Txn returns the transaction that writes the reservations. Its conditions include the revision of the record that it
+// replaces, so it is applied at most once.
 func (e StoreReservations) Txn() kvstore.Txn {
 	return kvstore.Txn{
 		Conditions: e.Conditions,
@@ -95,7 +97,7 @@
 	}
 }
 
-// OutcomeOf tells from the conditions that failed what a conflict means.
+// OutcomeOf returns the outcome that follows from the failed conditions of a conflict.
 func (e StoreReservations) OutcomeOf(conflict *kvstore.ConflictError) StoreOutcome {
 	holderKey := e.Conditions[0].Key
 	switch {
--- a/internal/quota/holderrequest.go
+++ b/internal/quota/holderrequest.go
@@ -8,15 +8,15 @@
 	"badgerbay/internal/ident"
 )
 
-// teamState is what a holder has of a team's limit.
+// teamState is a holder's part of a team's limit.
 type teamState struct {
-	allocated    Quantity // that it may use: confirmed, and not released
-	releaseSeq   uint64   // of the last release
-	confirmedSeq uint64   // of the last release that the leader has stored
+	allocated    Quantity // usable: confirmed by the leader and not released
+	releaseSeq   uint64   // number of the last release
+	confirmedSeq uint64   // number of the last release that the leader has stored
 	recentDemand []demandSample
 }
 
-// demandSample is what a submission would have taken.
+// demandSample is the quantity that a submission asked for, and the time of the submission.
 type demandSample struct {
 	at       clock.Instant
 	quantity Quantity
@@ -31,8 +31,9 @@
 	return team
 }
 
-// release lowers what the holder may use. It does without at once, and the leader learns
-// it from the next request: so what it has released can't be reserved any more.
+// release lowers the allocation that the holder may use, and reports whether it has. The release takes effect before
+// the next request reports it to the leader, so a quantity that the leader knows to be released cannot be reserved
+// any more.
 func (t *teamState) release(to Quantity) bool {
 	if !to.Within(t.allocated) || to == t.allocated {
 		return false
@@ -42,13 +43,14 @@
 	return true
 }
 
-// idle tells whether the leader need not hear of the team.
+// idle reports whether requests to the leader may omit the team: nothing is allocated or desired, and the leader has
+// stored the last release.
 func (t *teamState) idle(desired Quantity) bool {
 	return t.allocated.IsZero() && desired.IsZero() && t.releaseSeq == t.confirmedSeq
 }
 
-// sendRequest tells the leader what this holder has and desires. What it desires less it
-// has released before it says so.
+// sendRequest reports to the leader what this holder has and desires. If it desires less than it has, it releases the
+// difference before it sends the request.
 func (h *Holder) sendRequest(now clock.Instant) []HolderEffect {
 	request := AllocationRequest{Holder: HolderID{h.node, h.modRevision}, Jobs: h.nextJobsToQuery()}
 	for _, name := range slices.Sorted(maps.Keys(h.teams)) {
@@ -67,8 +69,8 @@
 	return []HolderEffect{SendRequest{request}}
 }
 
-// desired is what a holder should have of a team's limit: what it has reserved, and as
-// much again as was submitted in the last seconds. What it has it keeps for a while.
+// desired returns how much of a team's limit the holder should have: what it has reserved, and in addition what was
+// submitted within demandWindow. Until idleReleaseDelay after the last submission it is at least what the holder has.
 func (h *Holder) desired(now clock.Instant, name ident.Team, team *teamState) Quantity {
 	team.recentDemand = slices.DeleteFunc(team.recentDemand, func(d demandSample) bool {
 		return now.Sub(d.at) > idleReleaseDelay
@@ -85,7 +87,8 @@
 	return desired
 }
 
-// nextJobsToQuery lists some jobs with reservations, others each time.
+// nextJobsToQuery returns the next jobs with reservations to ask the leader about. Successive calls go through all of
+// them in turn.
 func (h *Holder) nextJobsToQuery() []ident.JobID {
 	ids := slices.Sorted(maps.Keys(h.reservations))
 	from, _ := slices.BinarySearch(ids, h.lastQueriedJob+"\x00")
@@ -97,7 +100,7 @@
 	return out
 }
 
-// responseReceived takes in what the leader answers.
+// responseReceived applies the leader's response.
 func (h *Holder) responseReceived(now clock.Instant, in ResponseReceived) {
 	h.requestInFlight = false
 	response := in.Response
@@ -123,13 +126,12 @@
 	}
 }
 
-// applyAllocation takes in what is stored for this holder of a team's limit, and releases
-// what is recalled of it as far as nothing is reserved of that; the next request says so
-// at once.
+// applyAllocation adopts the stored allocation from a team's limit. It then releases what the leader recalls of it,
+// except for what is reserved, and has the next request report the release at once.
 func (h *Holder) applyAllocation(now clock.Instant, in TeamAllocation) {
 	team := h.teams[in.Team]
 	if team == nil || in.ReleaseSeq != team.releaseSeq || !in.Allocated.valid() {
-		return // of before a release
+		return // malformed, or from before the last release
 	}
 	team.allocated, team.confirmedSeq = in.Allocated, in.ReleaseSeq
 	if in.Recall.IsZero() || !in.Recall.valid() {
--- a/internal/quota/holderreservations.go
+++ b/internal/quota/holderreservations.go
@@ -10,22 +10,21 @@
 	"badgerbay/internal/kvstore"
 )
 
-// reservationState is a reservation as the holder knows it.
+// reservationState is the holder's state of one reservation.
 type reservationState struct {
 	team          ident.Team
 	taskDemand    Quantity
-	targetTasks   int // that are to be stored
-	storedTasks   int // that are, or may be
-	inFlightTasks int // in the change under way
+	targetTasks   int // number of tasks to be stored
+	storedTasks   int // highest number of tasks that the stored record may contain
+	inFlightTasks int // number of tasks in the write in flight
 }
 
-// quantity is what the reservation takes: the larger of what is stored and what is to
-// be stored.
+// quantity returns the quota that the reservation takes: the larger of what is stored and what is to be stored.
 func (r *reservationState) quantity() Quantity {
 	return r.taskDemand.Mul(max(r.targetTasks, r.storedTasks))
 }
 
-// reservedQuantity is what is reserved of a team's limit.
+// reservedQuantity returns how much of a team's limit is reserved.
 func (h *Holder) reservedQuantity(team ident.Team) Quantity {
 	var sum Quantity
 	for _, r := range h.reservations {
@@ -36,9 +35,9 @@
 	return sum
 }
 
-// storeReservations writes the reservations as they are to be. A reduction is stored
-// only under the epoch of the leader that has allowed it: a later one may have read the
-// stored ones, and places by them.
+// storeReservations writes the target reservations. A write that reduces a reservation is conditional on the epoch of
+// the leader that allowed the reduction: a later leader may already have read the stored reservations and places
+// tasks according to them.
 func (h *Holder) storeReservations(now clock.Instant) []HolderEffect {
 	record, err := NewReservationRecord(h.modRevision, h.targetReservations())
 	if err != nil {
@@ -61,7 +60,7 @@
 	return []HolderEffect{StoreReservations{Key: ReservationKey(h.node), Record: record, Conditions: conditions}}
 }
 
-// targetReservations lists the reservations that are to be stored, by job.
+// targetReservations returns the reservations to be stored, sorted by job.
 func (h *Holder) targetReservations() []Reservation {
 	var all []Reservation
 	for _, job := range slices.Sorted(maps.Keys(h.reservations)) {
@@ -92,8 +91,7 @@
 	}
 }
 
-// confirmStored takes in that the reservations are stored as they were when they were
-// sent.
+// confirmStored marks the reservations as stored with the numbers of tasks that the write in flight contained.
 func (h *Holder) confirmStored() {
 	for job, r := range h.reservations {
 		r.storedTasks = r.inFlightTasks
@@ -104,15 +102,15 @@
 	}
 }
 
-// cancelReductions keeps what was to be freed and is not yet: the leader that has
-// allowed it does not lead now, or may not.
+// cancelReductions keeps the tasks whose release is not stored yet: the leader that allowed the reduction does not
+// lead any more, or may not.
 func (h *Holder) cancelReductions() {
 	for _, r := range h.reservations {
 		r.targetTasks = max(r.targetTasks, r.storedTasks)
 	}
 }
 
-// capReservation frees what a reservation need not cover any more.
+// capReservation frees the part of a reservation that need not cover tasks any more.
 func (h *Holder) capReservation(in JobCap) {
 	r := h.reservations[in.Job]
 	if r == nil || in.MaxTasks >= r.targetTasks || in.MaxTasks < 0 {
--- a/internal/quota/invariants.go
+++ b/internal/quota/invariants.go
@@ -8,16 +8,16 @@
 	"badgerbay/internal/kvstore"
 )
 
-// snapshot holds the records as they are stored at one revision.
+// snapshot holds the quota records that are stored at one revision.
 type snapshot struct {
 	holders      map[string]ident.Revision
 	teams        map[ident.Team]*TeamRecord
 	reservations map[string]*ReservationRecord
 }
 
-// CheckInvariants checks the records as they are stored at one revision: that no team's
-// allocations exceed its limit, and that no holder whose key is there has reserved more
-// than it was allocated.
+// CheckInvariants checks the quota records that are stored at one revision. It returns an error if a team's
+// allocations exceed its limit, or if a holder whose key exists has reserved more than it was allocated. It also fails
+// if a record cannot be decoded or a limit is out of range.
 func CheckInvariants(items []kvstore.KeyValue, teams map[ident.Team]config.Team) error {
 	stored, err := readSnapshot(items)
 	if err != nil {
@@ -26,20 +26,20 @@
 	for team, record := range stored.teams {
 		limit, err := LimitOf(teams[team])
 		if err != nil {
-			return fmt.Errorf("limit of %s: %w", team, err)
+			return fmt.Errorf("limit of team %s: %w", team, err)
 		}
 		if allocated := record.Allocated(); !allocated.Within(limit) {
-			return fmt.Errorf("%s: %v are allocated of %v", team, allocated, limit)
+			return fmt.Errorf("team %s: allocations of %v exceed the limit of %v", team, allocated, limit)
 		}
 	}
 	for node, record := range stored.reservations {
 		if record.HolderRevision != stored.holders[node] {
-			continue // its holder is gone: a leader is about to remove it
+			continue // the holder key is gone or was written again; a leader will remove the record
 		}
 		for team, reserved := range record.TeamTotals {
 			allocated := stored.allocated(team, node, record.HolderRevision)
 			if !reserved.Within(allocated) {
-				return fmt.Errorf("%s: %s has reserved %v of %v", team, node, reserved, allocated)
+				return fmt.Errorf("team %s: node %s has reserved %v, allocated are %v", team, node, reserved, allocated)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 	return out, nil
 }
 
-// allocated is what a holder's incarnation may reserve of a team's limit.
+// allocated returns how much of a team's limit one incarnation of a holder may reserve.
 func (s *snapshot) allocated(team ident.Team, node string, holder ident.Revision) Quantity {
 	record := s.teams[team]
 	if record == nil {
--- a/internal/quota/load.go
+++ b/internal/quota/load.go
@@ -9,14 +9,15 @@
 	"badgerbay/internal/kvstore"
 )
 
-// nodeReservations are those of one node, as they were last read.
+// nodeReservations are the reservations of one node as they were last read.
 type nodeReservations struct {
-	holderRevision ident.Revision
-	revision       ident.Revision
+	holderRevision ident.Revision // of the holder key that they were stored under
+	revision       ident.Revision // of the reservation record
 	jobs           []Reservation
 }
 
-// BeginReadIfDue tells whether the records should be read now, and notes that they are.
+// BeginReadIfDue reports whether the records should be read now. If so, it marks a read as in flight
+// until Load or ReadFailed is called.
 func (a *Allocator) BeginReadIfDue(now clock.Instant) bool {
 	if a.readInFlight || now.Before(a.nextRead) || !a.needsReads() {
 		return false
@@ -25,7 +26,7 @@
 	return true
 }
 
-// needsReads tells whether anybody may hold or request anything.
+// needsReads reports whether any node may hold or request quota, or the records have not been read yet.
 func (a *Allocator) needsReads() bool {
 	if !a.loaded || len(a.holderRevisions)+len(a.reservations)+len(a.pendingRequests) > 0 {
 		return true
@@ -38,22 +39,22 @@
 	return false
 }
 
-// ReadFailed takes in that the records could not be read in the epoch.
+// ReadFailed reports that a read of the records in the epoch has failed.
 func (a *Allocator) ReadFailed(epoch ident.Epoch) {
 	if epoch >= a.firstEpoch {
 		a.readInFlight = false
 	}
 }
 
-// Load takes in all records, as they were read in the epoch. The error is an
-// ErrNewerSchema: a program that can't read a record must not decide.
+// Load updates the allocator from all records as they were read in the epoch. The error wraps ErrNewerSchema: a
+// version that cannot decode a record must not make decisions.
 func (a *Allocator) Load(now clock.Instant, epoch ident.Epoch, items []kvstore.KeyValue) error {
 	if epoch < a.firstEpoch {
-		return nil // of an earlier term: holders may have changed them since
+		return nil // read in an earlier term; holders may have changed the records since
 	}
 	a.readInFlight = false
 	if a.changeInFlight != nil {
-		return nil // what is being changed is read again
+		return nil // the records are read again after the change in flight
 	}
 	holders, reservations := map[string]ident.Revision{}, map[string]nodeReservations{}
 	for _, item := range items {
@@ -85,15 +86,15 @@
 	return nil
 }
 
-// startHolderTimeout lets the timeout of a holder that is read for the first time begin.
+// startHolderTimeout starts the timeout of a holder that is read for the first time.
 func (a *Allocator) startHolderTimeout(now clock.Instant, node string) {
 	if _, known := a.lastRequestAt[node]; !known {
 		a.lastRequestAt[node] = now
 	}
 }
 
-// readReservations decodes a node's reservations. A record that can't be read has none,
-// and no holder, so that it is removed as stale.
+// readReservations decodes a node's reservations. For a malformed record it returns no reservations and holder
+// revision 0, so that the record is removed as stale.
 func readReservations(item kvstore.KeyValue) (nodeReservations, error) {
 	record, jobs, err := DecodeReservationRecord(item.Value)
 	if errors.Is(err, ErrNewerSchema) {
@@ -108,12 +109,12 @@
 func (a *Allocator) loadTeam(team ident.Team, item kvstore.KeyValue) error {
 	account := a.teams[team]
 	if account == nil {
-		// Of a team that the settings do not name any more. It can submit nothing.
+		// The settings do not contain the team any more, so no jobs can be submitted for it.
 		account = &teamAccount{}
 		a.teams[team] = account
 	}
 	if item.ModRevision < account.revision {
-		return nil // it was read before the last change of it
+		return nil // read before the last change of the record
 	}
 	record, err := DecodeTeamRecord(item.Value)
 	if errors.Is(err, ErrNewerSchema) {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -5,53 +5,53 @@
 	"badgerbay/internal/wire"
 )
 
-// AllocationRequest is what a holder tells the leader once a second, as long as it has
-// or desires anything.
+// AllocationRequest is the message that a holder sends to the leader once a second, as long as it has or desires any
+// quota.
 type AllocationRequest struct {
 	Holder HolderID                      `msgpack:"h"`
 	Teams  wire.BoundedList[TeamRequest] `msgpack:"t,omitempty"`
-	// Jobs are some of those that it has reservations for: it asks how many of their
-	// tasks may still be under way.
+	// Jobs are some of the jobs that the holder has reservations for. It asks how many of their tasks may still be in
+	// progress.
 	Jobs wire.BoundedList[ident.JobID] `msgpack:"j,omitempty"`
 }
 
-// TeamRequest is what a holder has, and desires, of a team's limit.
+// TeamRequest is what a holder has and desires of a team's limit.
 type TeamRequest struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"`
-	// Ceiling is what the holder does not go beyond from this release on.
+	// Ceiling is the quantity that the holder does not exceed from the release ReleaseSeq on.
 	Ceiling Quantity `msgpack:"c"`
-	Desired Quantity `msgpack:"w"` // in all
+	Desired Quantity `msgpack:"w"` // in total
 }
 
-// AllocationResponse is what the leader answers. What it says is stored.
+// AllocationResponse is the leader's response. The allocations that it reports are stored.
 type AllocationResponse struct {
 	Holder  HolderID                         `msgpack:"h"`
 	Epoch   ident.Epoch                      `msgpack:"e"`
 	Teams   wire.BoundedList[TeamAllocation] `msgpack:"t,omitempty"`
 	JobCaps wire.BoundedList[JobCap]         `msgpack:"j,omitempty"`
-	// Revoked: the holder key is gone, and with it all that it held.
+	// Revoked means that the holder key is gone, and with it the allocations and reservations of the holder.
 	Revoked bool `msgpack:"r,omitempty"`
 }
 
-// TeamAllocation is what a holder has of a team's limit, as of a release.
+// TeamAllocation is a holder's allocation from a team's limit, as of the release ReleaseSeq.
 type TeamAllocation struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"`
 	Allocated  Quantity   `msgpack:"u"`
-	// Recall is what the holder should release, as far as nothing is reserved of it.
+	// Recall is the quantity that the holder should release, as far as it is not reserved.
 	Recall Quantity `msgpack:"r"`
 }
 
-// JobCap says how many tasks of a job a reservation may still cover.
+// JobCap is the maximum number of tasks of a job that a reservation may still cover.
 type JobCap struct {
 	Job      ident.JobID `msgpack:"j"`
 	MaxTasks int         `msgpack:"n"`
 }
 
-// Responder takes the response to a holder's request.
+// Responder delivers the response to a holder's request.
 type Responder interface {
-	// Respond takes the one response.
+	// Respond delivers the only response to the request.
 	Respond(AllocationResponse)
 }
 
@@ -61,7 +61,7 @@
 	maxJobsPerRequest  = 64
 )
 
-// valid tells whether a request can be what a holder has sent.
+// valid reports whether a holder can have sent the request.
 func (r *AllocationRequest) valid() bool {
 	if r.Holder.Node == "" || r.Holder.ModRevision == 0 {
 		return false
--- a/internal/quota/orders_test.go
+++ b/internal/quota/orders_test.go
@@ -10,11 +10,11 @@
 	"badgerbay/internal/ident"
 )
 
-var quotaSteps = flag.Int("quotasteps", 6, "steps of which TestLimitHoldsInEveryActionOrder plays every order")
+var quotaSteps = flag.Int("quotasteps", 6, "number of steps of which TestLimitHoldsInEveryActionOrder runs every order")
 
-// TestLimitHoldsInEveryActionOrder lets two and three holders, and a leader, act in every order of some
-// steps, with responses lost, late and doubled, holders that return under their names and
-// leaders that change in between: more than the limit is never allocated or reserved.
+// TestLimitHoldsInEveryActionOrder has two and three holders and a leader act in every order of some steps. Responses
+// are lost, delayed and delivered twice, holders restart under the same names, and leaders change in between. The
+// test guards against allocations or reservations beyond the limit at any time.
 func TestLimitHoldsInEveryActionOrder(t *testing.T) {
 	for holders := 2; holders <= 3; holders++ {
 		steps := *quotaSteps + 2 - holders
@@ -32,39 +32,39 @@
 			}
 		})
 		if admitted == 0 || contended == 0 {
-			t.Errorf("%d holders: something was admitted in %d orders, and most was allocated in %d", holders, admitted, contended)
+			t.Errorf("%d holders: jobs were admitted in %d orders, and at least 3 of 4 CPUs allocated in %d; want at least 1 each", holders, admitted, contended)
 		}
 	}
 }
 
-// forEachOrder begins anew for each order of the steps.
-func forEachOrder(holders, steps int, play func(order int, c *cluster)) {
+// forEachOrder calls run with a new cluster for each order of the steps.
+func forEachOrder(holders, steps int, run func(order int, c *cluster)) {
 	orders := 1
 	for range steps {
 		orders *= holders + 4
 	}
 	for order := range orders {
-		play(order, newCluster(holders, oneTeam))
+		run(order, newCluster(holders, oneTeam))
 	}
 }
 
-// TestCheckInvariantsReportsOverAllocation: were the leader to allocate more than the limit, the
-// check of what is stored would show it.
+// TestCheckInvariantsReportsOverAllocation checks that CheckInvariants reports a leader that allocates more than the
+// limit. Otherwise the tests that rely on it would pass with such a leader.
 func TestCheckInvariantsReportsOverAllocation(t *testing.T) {
 	found := 0
 	forEachOrder(2, 4, func(order int, c *cluster) {
-		c.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}} // the leader has 4
+		c.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}} // the leader still allocates up to 4 CPUs
 		c.runOrder(order, 6, 4)
 		if c.violation != nil {
 			found++
 		}
 	})
 	if found == 0 {
-		t.Error("not found")
+		t.Error("CheckInvariants reported no allocation beyond the limit")
 	}
 }
 
-// runOrder lets the members act in the order that the digits of a number say.
+// runOrder executes one action in each step. The digits of order, in base actions, determine which.
 func (c *cluster) runOrder(order, actions, steps int) {
 	var delivered []*AllocationResponse
 	requests := map[string]AllocationRequest{}
@@ -84,11 +84,11 @@
 			c.stepLeader(c.now, func(r Reply) { c.pendingResponses[r.Response.Holder.Node] = &r.Response })
 		case 1: // responses are lost
 			clear(c.pendingResponses)
-		case 2: // old responses come again
+		case 2: // earlier responses are delivered again
 			for _, response := range delivered {
 				c.stepHolder(c.nodes[0], c.now, ResponseReceived{response})
 			}
-		case 3: // the leader changes, and a holder returns as another
+		case 3: // the leader changes, and a holder restarts as a new incarnation
 			c.elect()
 			c.restart(0)
 		default:
--- a/internal/quota/quantity.go
+++ b/internal/quota/quantity.go
@@ -9,8 +9,7 @@
 	"badgerbay/internal/jobs"
 )
 
-// Quantity is an amount of what a team's limit counts, in thousandths of a CPU and of a
-// GPU.
+// Quantity is an amount of the resources that a team's limit applies to, in thousandths of a CPU and of a GPU.
 type Quantity struct {
 	MilliCPU int64 `msgpack:"c" json:"c"`
 	MilliGPU int64 `msgpack:"g" json:"g"`
@@ -20,17 +19,17 @@
 	milliPerUnit = 1000
 	// Unlimited stands for the absence of a limit.
 	Unlimited = int64(1) << 50
-	// maxMillis bounds what a record may claim, so that sums of many can't overflow.
+	// maxMillis is the largest amount that a record or message may contain. Sums of many such amounts cannot
+	// overflow.
 	maxMillis = int64(1) << 50
-	// roundingTolerance forgives the rounding of sums of decimal amounts, in
-	// thousandths.
+	// roundingTolerance is the rounding error of a sum of decimal amounts that is ignored, in thousandths.
 	roundingTolerance = 1e-6
 )
 
-// ErrOutOfRange says that an amount is negative, not a number, or too large to count.
+// ErrOutOfRange is returned when an amount is negative, not a number, or too large to count.
 var ErrOutOfRange = errors.New("amount that can't be counted")
 
-// checkedMillis checks a number of thousandths.
+// checkedMillis converts a number of thousandths to an integer. The error wraps ErrOutOfRange.
 func checkedMillis(scaled float64) (int64, error) {
 	if math.IsNaN(scaled) || scaled < 0 || scaled > float64(maxMillis) {
 		return 0, fmt.Errorf("%w: %v thousandths", ErrOutOfRange, scaled)
@@ -38,15 +37,15 @@
 	return int64(scaled), nil
 }
 
-// DemandOf is what one task takes, rounded up. The error is an ErrOutOfRange.
+// DemandOf returns the demand of one task, rounded up to thousandths. The error wraps ErrOutOfRange.
 func DemandOf(spec *jobs.Spec) (Quantity, error) {
 	cpu, cpuErr := checkedMillis(math.Ceil(spec.CPUs*milliPerUnit - roundingTolerance))
 	gpu, gpuErr := checkedMillis(math.Ceil(spec.GPUs*milliPerUnit - roundingTolerance))
 	return Quantity{cpu, gpu}, errors.Join(cpuErr, gpuErr)
 }
 
-// LimitOf is the limit of a team, rounded down; Unlimited where it has none. The error
-// is an ErrOutOfRange.
+// LimitOf returns the limit of a team, rounded down to thousandths. An amount without a limit is Unlimited. The error
+// wraps ErrOutOfRange.
 func LimitOf(team config.Team) (Quantity, error) {
 	cpu, cpuErr := limitMillis(team.CPULimit)
 	gpu, gpuErr := limitMillis(team.GPULimit)
@@ -60,7 +59,7 @@
 	return checkedMillis(math.Floor(limit*milliPerUnit + roundingTolerance))
 }
 
-// IsLimited tells whether a team has any limit to share out.
+// IsLimited reports whether q, as a limit, limits at least one resource.
 func (q Quantity) IsLimited() bool { return q.MilliCPU < Unlimited || q.MilliGPU < Unlimited }
 
 // Add returns the sum.
@@ -86,15 +85,15 @@
 	return Quantity{max(q.MilliCPU, o.MilliCPU), max(q.MilliGPU, o.MilliGPU)}
 }
 
-// IsZero tells whether there is none of anything.
+// IsZero reports whether both amounts are zero.
 func (q Quantity) IsZero() bool { return q == Quantity{} }
 
-// Within tells whether q is at most o in each amount.
+// Within reports whether q is at most o in each amount.
 func (q Quantity) Within(o Quantity) bool {
 	return q.MilliCPU <= o.MilliCPU && q.MilliGPU <= o.MilliGPU
 }
 
-// CapacityFor is how many of the demand fit into q.
+// CapacityFor returns how many times the demand fits into q.
 func (q Quantity) CapacityFor(demand Quantity) int {
 	n := int64(math.MaxInt32)
 	if demand.MilliCPU > 0 {
@@ -106,12 +105,12 @@
 	return int(max(0, n))
 }
 
-// valid tells whether a record may claim the amount.
+// valid reports whether a record or message may contain q.
 func (q Quantity) valid() bool {
 	return q.MilliCPU >= 0 && q.MilliGPU >= 0 && q.MilliCPU <= maxMillis && q.MilliGPU <= maxMillis
 }
 
-// Resources is the quantity in whole CPUs and GPUs, as the scheduler counts it.
+// Resources returns the quantity in CPUs and GPUs, the units of the scheduler.
 func (q Quantity) Resources() jobs.Resources {
 	return jobs.Resources{CPUs: float64(q.MilliCPU) / milliPerUnit, GPUs: float64(q.MilliGPU) / milliPerUnit}
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -12,9 +12,9 @@
 	"badgerbay/internal/wire"
 )
 
-// Keys. A holder key is written by its node, and deleted by a leader: its revision is
-// the holder's identity, on which its changes are conditional. The record of a team is
-// written by the leader alone.
+// Prefixes of the keys of the stored records. A node writes its holder key, and a leader deletes it. The revision of
+// the holder key identifies the holder, and the holder's writes are conditional on it. Only the leader writes the
+// records of teams.
 const (
 	KeyPrefix         = "quota/"
 	teamPrefix        = KeyPrefix + "team/"
@@ -26,22 +26,22 @@
 const recordSchemaVersion = 1
 
 const (
-	// MaxHolders bounds the holders that a team's record names.
+	// MaxHolders is the maximum number of holders in a team's record.
 	MaxHolders = 64
-	// maxTasksPerReservation bounds what a record may claim of a job.
+	// maxTasksPerReservation is the maximum number of tasks that a record may contain for one job.
 	maxTasksPerReservation = 100_000
 )
 
-// TeamKey is the key of a team's record.
+// TeamKey returns the key of a team's record.
 func TeamKey(team ident.Team) string { return teamPrefix + url.PathEscape(string(team)) }
 
-// HolderKey is the key by which a node is a holder.
+// HolderKey returns the key that registers a node as a holder.
 func HolderKey(node string) string { return holderPrefix + url.PathEscape(node) }
 
-// ReservationKey is the key of a node's reservations.
+// ReservationKey returns the key of a node's reservation record.
 func ReservationKey(node string) string { return reservationPrefix + url.PathEscape(node) }
 
-// nameFromKey is the node or team that a key of the prefix names.
+// nameFromKey returns the node or team that a key with the prefix names, and false for any other key.
 func nameFromKey(key, prefix string) (string, bool) {
 	escaped, ok := strings.CutPrefix(key, prefix)
 	if !ok {
@@ -52,9 +52,9 @@
 }
 
 var (
-	// ErrNewerSchema says that a record was written by a later version.
-	ErrNewerSchema = errors.New("quota record has a later schema")
-	// ErrMalformedRecord says that a record can't be what any program wrote.
+	// ErrNewerSchema is returned when a record was written by a later version.
+	ErrNewerSchema = errors.New("quota record has a newer schema version")
+	// ErrMalformedRecord is returned when no version can have written a record.
 	ErrMalformedRecord = errors.New("malformed quota record")
 )
 
@@ -63,23 +63,23 @@
 	Node string `msgpack:"n" json:"n"`
 }
 
-// HolderID names one incarnation of a holder.
+// HolderID identifies one incarnation of a holder.
 type HolderID struct {
 	Node        string         `msgpack:"n" json:"n"`
-	ModRevision ident.Revision `msgpack:"s" json:"s"` // of its holder key
+	ModRevision ident.Revision `msgpack:"s" json:"s"` // of the holder key
 }
 
-// Allocation is what a holder may reserve of a team's limit.
+// Allocation is the part of a team's limit that a holder may reserve.
 type Allocation struct {
 	Holder   HolderID `msgpack:"h" json:"h"`
 	Quantity Quantity `msgpack:"u" json:"u"`
-	// ReleaseSeq numbers the holder's releases: what it releases, it has given up
-	// before it says so.
+	// ReleaseSeq is the number of the holder's last release that is stored. A holder stops using a quantity before it
+	// reports the release.
 	ReleaseSeq uint64 `msgpack:"p" json:"p"`
 }
 
-// TeamRecord is the value of a team's key. The sum of the allocations is at most the
-// limit at any time; what is left is the leader's own.
+// TeamRecord is the value of a team's key. The leader allocates no more than the limit in sum, so only a limit that
+// was lowered can be exceeded. The leader itself uses the part that is not allocated.
 type TeamRecord struct {
 	SchemaVersion int                          `msgpack:"v" json:"v"`
 	Limit         Quantity                     `msgpack:"l" json:"l"`
@@ -87,7 +87,7 @@
 	Allocations   wire.BoundedList[Allocation] `msgpack:"a,omitempty" json:"a,omitempty"`
 }
 
-// Allocated is the sum of the allocations.
+// Allocated returns the sum of the allocations.
 func (r *TeamRecord) Allocated() Quantity {
 	var sum Quantity
 	for _, a := range r.Allocations {
@@ -96,7 +96,7 @@
 	return sum
 }
 
-// allocationOf finds the allocation of a node, whichever incarnation has it; nil: none.
+// allocationOf returns the allocation of a node, whichever incarnation has it, or nil if there is none.
 func (r *TeamRecord) allocationOf(node string) *Allocation {
 	for i := range r.Allocations {
 		if r.Allocations[i].Holder.Node == node {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// without is the record without a node's allocation.
+// without returns a copy of the record without a node's allocation.
 func (r *TeamRecord) without(node string) TeamRecord {
 	out := *r
 	out.Allocations = nil
@@ -118,15 +118,14 @@
 	return out
 }
 
-// clone copies the record, so that a change of the copy leaves it as it is.
+// clone returns a copy of the record whose allocations can be changed independently.
 func (r *TeamRecord) clone() TeamRecord {
 	out := *r
 	out.Allocations = append(wire.BoundedList[Allocation](nil), r.Allocations...)
 	return out
 }
 
-// DecodeTeamRecord reads a team's record and checks it. The error is an ErrNewerSchema
-// or an ErrMalformedRecord.
+// DecodeTeamRecord decodes and validates a team's record. The error wraps ErrNewerSchema or ErrMalformedRecord.
 func DecodeTeamRecord(data []byte) (*TeamRecord, error) {
 	r := new(TeamRecord)
 	if err := decodeRecord(data, r, &r.SchemaVersion); err != nil {
@@ -145,16 +144,16 @@
 	return r, nil
 }
 
-// decodeRecord reads a record and refuses one of a later schema.
+// decodeRecord decodes a record and rejects one with a newer schema version.
 func decodeRecord(data []byte, target any, version *int) error {
 	if err := msgpack.Unmarshal(data, target); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedRecord, err)
 	}
 	if *version > recordSchemaVersion {
-		return fmt.Errorf("%w: %d, this program knows %d", ErrNewerSchema, *version, recordSchemaVersion)
+		return fmt.Errorf("%w: %d, the latest supported one is %d", ErrNewerSchema, *version, recordSchemaVersion)
 	}
 	if *version < 1 {
-		return fmt.Errorf("%w: schema %d", ErrMalformedRecord, *version)
+		return fmt.Errorf("%w: schema version %d", ErrMalformedRecord, *version)
 	}
 	return nil
 }
--- a/internal/quota/records_test.go
+++ b/internal/quota/records_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestMalformedRecordsAreRejected: what no program writes is refused whole, and never
-// counts as nothing.
+// TestMalformedRecordsAreRejected checks that a record that no version writes is rejected as a whole. If it counted
+// as empty, quota that is in use would be allocated again.
 func TestMalformedRecordsAreRejected(t *testing.T) {
 	good := Allocation{Holder: HolderID{"n0", 3}, Quantity: Quantity{MilliCPU: 1000}}
 	for name, record := range map[string]TeamRecord{
@@ -54,7 +54,7 @@
 	record.TeamTotals["red"] = Quantity{MilliCPU: 10}
 	data := encode(t, record)
 	if _, _, err := DecodeReservationRecord(data); !errors.Is(err, ErrMalformedRecord) {
-		t.Errorf("totals that differ: %v", err)
+		t.Errorf("record whose totals differ from its reservations: %v, want %v", err, ErrMalformedRecord)
 	}
 	for _, junk := range [][]byte{nil, {0xc1}, []byte("\x81\xa1v\xa1x"), data[:len(data)/2]} {
 		if _, err := DecodeTeamRecord(junk); !errors.Is(err, ErrMalformedRecord) {
--- a/internal/quota/reservationrecord.go
+++ b/internal/quota/reservationrecord.go
@@ -10,25 +10,25 @@
 	"badgerbay/internal/wire"
 )
 
-// Reservation is what a holder has admitted of a job: so many tasks may be under way at
-// a time on its allocation.
+// Reservation is what a holder has admitted of a job: up to Tasks tasks may be in progress at a time on its
+// allocation.
 type Reservation struct {
 	Job        ident.JobID
 	Team       ident.Team
 	Tasks      int
-	TaskDemand Quantity // of a task
+	TaskDemand Quantity // of one task
 }
 
-// ReservationRecord is the value of a node's reservations.
+// ReservationRecord is the value of a node's reservation key.
 type ReservationRecord struct {
 	SchemaVersion  int            `msgpack:"v" json:"v"`
-	HolderRevision ident.Revision `msgpack:"h" json:"h"` // of its holder key
-	// TeamTotals are the sums by team, for those who do not read the jobs.
+	HolderRevision ident.Revision `msgpack:"h" json:"h"` // of the holder key
+	// TeamTotals are the sums by team, for readers that do not unpack the reservations.
 	TeamTotals map[ident.Team]Quantity `msgpack:"u,omitempty" json:"u,omitempty"`
 	Packed     wire.Packed             `msgpack:"pk,omitempty" json:"pk,omitempty"`
 }
 
-// NewReservationRecord packs the reservations of the holder whose key has the revision.
+// NewReservationRecord returns the record with the reservations of the holder whose key has the revision.
 func NewReservationRecord(holder ident.Revision, reservations []Reservation) (*ReservationRecord, error) {
 	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holder, TeamTotals: teamTotals(reservations)}
 	if len(reservations) == 0 {
@@ -36,14 +36,14 @@
 	}
 	packed, err := wire.Pack(func(e *msgpack.Encoder) error { return packReservations(e, reservations) })
 	if err != nil {
-		return nil, fmt.Errorf("reservations: %w", err)
+		return nil, fmt.Errorf("packing reservations: %w", err)
 	}
 	out.Packed = packed
 	return out, nil
 }
 
-// DecodeReservationRecord reads a node's reservations and checks them. The error is an
-// ErrNewerSchema or an ErrMalformedRecord.
+// DecodeReservationRecord decodes and validates a node's reservations. The error wraps ErrNewerSchema or
+// ErrMalformedRecord.
 func DecodeReservationRecord(data []byte) (*ReservationRecord, []Reservation, error) {
 	r := new(ReservationRecord)
 	if err := decodeRecord(data, r, &r.SchemaVersion); err != nil {
@@ -62,7 +62,7 @@
 	return r, reservations, r.check(reservations)
 }
 
-// check compares the totals with the reservations.
+// check validates the reservations and compares their sums with the stored totals.
 func (r *ReservationRecord) check(reservations []Reservation) error {
 	for _, reservation := range reservations {
 		if reservation.Tasks < 1 || reservation.Tasks > maxTasksPerReservation || !reservation.TaskDemand.valid() || reservation.Job == "" {
@@ -72,16 +72,16 @@
 	totals := teamTotals(reservations)
 	for team, stored := range r.TeamTotals {
 		if totals[team] != stored {
-			return fmt.Errorf("%w: %s has %v, not %v", ErrMalformedRecord, team, totals[team], stored)
+			return fmt.Errorf("%w: reservations of team %s sum to %v, the stored total is %v", ErrMalformedRecord, team, totals[team], stored)
 		}
 	}
 	if len(totals) != len(r.TeamTotals) {
-		return fmt.Errorf("%w: totals of %d teams, not %d", ErrMalformedRecord, len(r.TeamTotals), len(totals))
+		return fmt.Errorf("%w: stored totals of %d teams, reservations of %d", ErrMalformedRecord, len(r.TeamTotals), len(totals))
 	}
 	return nil
 }
 
-// teamTotals are the sums of reservations by team.
+// teamTotals returns the sums of the reservations by team.
 func teamTotals(reservations []Reservation) map[ident.Team]Quantity {
 	totals := map[ident.Team]Quantity{}
 	for _, r := range reservations {
@@ -127,8 +127,8 @@
 		e.EncodeUint(uint64(r.TaskDemand.MilliGPU)))
 }
 
-// unpack reads what pack wrote. Numbers beyond what check allows are clamped to just
-// beyond it, so that they don't overflow before they are refused.
+// unpack decodes what pack encoded. It clamps numbers above the maximum amount to the maximum plus one, so that they
+// do not overflow before check rejects them.
 func (r *Reservation) unpack(d *msgpack.Decoder) error {
 	job, err := wire.DecodeString(d)
 	if err != nil {
--- a/internal/quota/revocation.go
+++ b/internal/quota/revocation.go
@@ -9,8 +9,9 @@
 	"badgerbay/internal/kvstore"
 )
 
-// revokeNext takes everything from one holder that is gone or silent: in one transaction
-// with its key, where there is one, so that nothing which it has not stored can follow.
+// revokeNext returns the transaction of the next revocation, or nil if none is due: one that replaces a damaged
+// record, or one that revokes a holder whose key is gone or that has timed out. A holder's allocations are removed
+// together with its key, if it still has one. Its writes are conditional on the key, so none can succeed afterwards.
 func (a *Allocator) revokeNext(now clock.Instant, maxRecords int) *kvstore.Txn {
 	if txn := a.replaceDamaged(maxRecords); txn != nil {
 		return txn
@@ -23,7 +24,8 @@
 	return nil
 }
 
-// revoke takes from a node what it may not have any more; nil: there is nothing.
+// revoke returns the transaction that removes what a node may not hold any more, or nil if there is nothing to
+// remove.
 func (a *Allocator) revoke(now clock.Instant, node string, maxRecords int) *kvstore.Txn {
 	revision := a.holderRevisions[node]
 	timedOut := revision != 0 && now.Sub(a.lastRequestAt[node]) > holderTimeout
@@ -53,9 +55,12 @@
 	return txn
 }
 
-// replaceDamaged replaces a team's record that can't be read by one without allocations,
-// with the last of the transactions that delete all holder keys: whoever had an
-// allocation by it can store nothing more.
+// replaceDamaged returns the next transaction for replacing a team's record that cannot be decoded, or nil if there
+// is no such record.
+//
+//  1. The transactions delete all holder keys, at most maxRecords in each.
+//  2. The last of them also replaces the record by one without allocations. A holder that had an allocation in the
+//     damaged record has no key any more, so it can store nothing.
 func (a *Allocator) replaceDamaged(maxRecords int) *kvstore.Txn {
 	for _, team := range slices.Sorted(maps.Keys(a.teams)) {
 		if !a.teams[team].damaged {
@@ -77,13 +82,13 @@
 	return nil
 }
 
-// appendRemoval adds the removal of a key to a transaction.
+// appendRemoval adds the deletion of a key, conditional on its revision, to a transaction.
 func appendRemoval(txn *kvstore.Txn, key string, revision ident.Revision) {
 	txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: key, ModRevision: revision})
 	txn.Operations = append(txn.Operations, kvstore.Operation{DeleteKey: key})
 }
 
-// knownNodes lists those that are holders, or have an allocation or reservations.
+// knownNodes returns the nodes that have a holder key, an allocation or reservations.
 func (a *Allocator) knownNodes() []string {
 	all := map[string]bool{}
 	for node := range a.holderRevisions {
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -7,18 +7,18 @@
 	"badgerbay/internal/ident"
 )
 
-// TeamStatus is what an operator may know of a team.
+// TeamStatus is the state of a team's quota that is shown to operators.
 type TeamStatus struct {
 	Limit        Quantity
 	Guarantee    Quantity
 	Allocated    Quantity
 	Uncovered    Quantity // placed without a reservation
-	RecallTarget Quantity // what holders should give back
+	RecallTarget Quantity // what holders should release
 	Allocations  []Allocation
-	Damaged      bool // the record can't be read and is being replaced
+	Damaged      bool // the record cannot be decoded and is being replaced
 }
 
-// Status tells how the teams with limits are.
+// Status returns the state of the teams that have limits.
 func (a *Allocator) Status(now clock.Instant, usage JobUsage) map[ident.Team]TeamStatus {
 	out := map[ident.Team]TeamStatus{}
 	for team, account := range a.teams {
@@ -38,19 +38,19 @@
 	return out
 }
 
-// HolderStatus is what an operator may know of a holder.
+// HolderStatus is the state of a holder that is shown to operators.
 type HolderStatus struct {
-	ModRevision ident.Revision // of its key; 0: it is no holder
-	Jobs        int            // with reservations
-	Admitted    int            // jobs, since the start
-	Refused     int            // jobs left to the leader, since the start
+	ModRevision ident.Revision // of the holder key; 0: not registered
+	Jobs        int            // number of jobs with reservations
+	Admitted    int            // number of jobs admitted since the start
+	Refused     int            // number of jobs left to the leader since the start
 	Teams       map[ident.Team]TeamUsage
 }
 
-// TeamUsage is what a holder has of a team's limit.
+// TeamUsage is a holder's part of a team's limit.
 type TeamUsage struct{ Allocated, Reserved Quantity }
 
-// Status tells how the holder is.
+// Status returns the state of the holder.
 func (h *Holder) Status() HolderStatus {
 	out := HolderStatus{
 		ModRevision: h.modRevision,
--- a/internal/quota/teamaccount.go
+++ b/internal/quota/teamaccount.go
@@ -6,15 +6,15 @@
 	"badgerbay/internal/ident"
 )
 
-// teamAccount is what the leader knows of a team.
+// teamAccount is the leader's state of a team's quota.
 type teamAccount struct {
 	limit         Quantity
 	guarantee     Quantity
 	record        TeamRecord
 	revision      ident.Revision // of the stored record; 0: there is none
-	damaged       bool           // the stored record can't be read
-	blockedDemand Quantity       // what found no room in what is not allocated
-	blockedAt     clock.Instant  // 0: never
+	damaged       bool           // the stored record cannot be decoded
+	blockedDemand Quantity       // demand that did not fit into the unallocated part of the limit
+	blockedAt     clock.Instant  // when blockedDemand was recorded; 0: never
 }
 
 func newTeamAccount(team config.Team) (*teamAccount, error) {
@@ -32,8 +32,8 @@
 	return &teamAccount{limit: limit, guarantee: guarantee.Min(limit)}, nil
 }
 
-// recallTarget is what holders of the team should give back: what is allocated beyond
-// the limit, or what work that found no room needs.
+// recallTarget returns how much holders of the team should release: the allocations beyond the limit, or the blocked
+// demand where that is larger.
 func (t *teamAccount) recallTarget(now clock.Instant) Quantity {
 	excess := t.record.Allocated().Sub(t.limit).Max(Quantity{})
 	if t.blockedAt != 0 && now.Sub(t.blockedAt) <= blockedDemandTTL {
@@ -42,7 +42,7 @@
 	return excess
 }
 
-// allocationFor is what is stored for a holder, in answer to its request.
+// allocationFor returns the allocation that is stored for a holder, as the response to its request.
 func (t *teamAccount) allocationFor(now clock.Instant, holder HolderID, request TeamRequest) TeamAllocation {
 	out := TeamAllocation{Team: request.Team, ReleaseSeq: request.ReleaseSeq}
 	if allocation := t.record.allocationOf(holder.Node); allocation != nil && allocation.Holder == holder {
