--- a/internal/election/standby.go
+++ b/internal/election/standby.go
@@ -16,8 +16,8 @@
 	LeaderAlive
 	// LeaderWithoutHeartbeats: the leader writes no valid ones, so only its lease counts.
 	LeaderWithoutHeartbeats
-	// OtherStandbyFirst: the leader has failed, and others are given the time to go first.
-	OtherStandbyFirst
+	// WaitingForOtherStandby: the leader has failed, and others are given the time to go first.
+	WaitingForOtherStandby
 	// FailoverConflict: the leader was heard again, or another node was quicker.
 	FailoverConflict
 	// HeartbeatsDisabled: this node was started without heartbeats.
@@ -35,7 +35,7 @@
 		return "leader alive"
 	case LeaderWithoutHeartbeats:
 		return "leader writes no heartbeats, only its lease counts"
-	case OtherStandbyFirst:
+	case WaitingForOtherStandby:
 		return "leader silent, another standby goes first"
 	case FailoverConflict:
 		return "leader was heard again, or another standby took over"
@@ -57,7 +57,7 @@
 	case e.detector.heartbeatRevision == 0:
 		e.blockReason = LeaderWithoutHeartbeats
 	case e.detector.expired(now):
-		e.blockReason = OtherStandbyFirst
+		e.blockReason = WaitingForOtherStandby
 	default:
 		e.blockReason = LeaderAlive
 	}
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -19,9 +19,9 @@
 	// leaderLossThreshold: a node that no leader has answered for so long does not reach
 	// one.
 	leaderLossThreshold = 2500 * time.Millisecond
-	// probeMemory is how long it counts that a worker was sent to another node: time for
+	// contactMaxAge is how long it counts that a worker was sent to another node: time for
 	// it to find one, or to come back.
-	probeMemory = 30 * time.Second
+	contactMaxAge = 30 * time.Second
 	// probeDuration is how long a worker is away that tries one node in vain: it goes
 	// there within half a second, waits 4 s for an answer and tries the next node a
 	// second later.
@@ -85,10 +85,10 @@
 type Delegate struct {
 	zone      ident.Zone // of the node
 	startedAt clock.Instant
-	// canProbeFirst: a worker that has waited in vain for the node that it came from can
+	// canProbeBeforeRenewal: a worker that has waited in vain for the node that it came from can
 	// bear another such wait before its lease expires.
-	canProbeFirst bool
-	leaderHeardAt clock.Instant // when the last request left that the leader answered
+	canProbeBeforeRenewal bool
+	lastLeaderContactAt   clock.Instant // when the last request left that the leader answered
 
 	epoch            ident.Epoch // of the grant; 0: there was none
 	grantRequestedAt clock.Instant
@@ -108,10 +108,10 @@
 // NewDelegate returns the delegate of a process that started at now.
 func NewDelegate(zone ident.Zone, workers config.Workers, now clock.Instant) *Delegate {
 	return &Delegate{
-		zone:          zone,
-		startedAt:     now,
-		canProbeFirst: workers.FailoverTime() > probeDuration,
-		contacts:      map[ident.MachineID]contact{},
+		zone:                  zone,
+		startedAt:             now,
+		canProbeBeforeRenewal: workers.FailoverTime() > probeDuration,
+		contacts:              map[ident.MachineID]contact{},
 	}
 }
 
@@ -119,7 +119,7 @@
 // request for it left.
 func (d *Delegate) AcceptStatus(requestedAt clock.Instant, status Status) {
 	if status.Epoch != 0 {
-		d.leaderHeardAt = max(d.leaderHeardAt, requestedAt)
+		d.lastLeaderContactAt = max(d.lastLeaderContactAt, requestedAt)
 	}
 	outdated := status.Epoch < d.epoch || status.Epoch == d.epoch && requestedAt < d.grantRequestedAt
 	if status.GrantDuration <= 0 || outdated {
@@ -148,14 +148,14 @@
 // is renewed once before it probes: it comes from a node that did not answer, and a second
 // wait of 4 s cost it a lease of 10 s.
 func (d *Delegate) Decide(now clock.Instant, isolation Isolation, h *fleet.Heartbeat) Disposition {
-	if isolation == Connected || d.epoch == 0 || now.Sub(d.leaderHeardAt) < leaderLossThreshold {
+	if isolation == Connected || d.epoch == 0 || now.Sub(d.lastLeaderContactAt) < leaderLossThreshold {
 		return ForwardToLeader
 	}
 	if !d.mayRenew(now, h) {
 		return RefuseHeartbeat
 	}
 	last, known := d.lastContact(now, h.Machine)
-	if !last.probed && (known || d.canProbeFirst) && d.canProbe(now, isolation) {
+	if !last.probed && (known || d.canProbeBeforeRenewal) && d.canProbe(now, isolation) {
 		d.contacts[h.Machine] = contact{at: now, probed: true}
 		return RedirectOutside
 	}
@@ -176,7 +176,7 @@
 		clear(d.contacts)
 	}
 	last, known := d.contacts[id]
-	if !known || now.Sub(last.at) > probeMemory {
+	if !known || now.Sub(last.at) > contactMaxAge {
 		return contact{}, false
 	}
 	return last, true
--- a/internal/leasedelegation/delegate_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -12,9 +12,9 @@
 
 const now = clock.Instant(time.Hour)
 
-func seconds(s float64) clock.Instant { return now.Add(clock.Seconds(s)) }
+func instantAt(s float64) clock.Instant { return now.Add(clock.Seconds(s)) }
 
-func settings() *config.Settings {
+func testSettings() *config.Settings {
 	return &config.Settings{NodeName: "n0", Zone: "a",
 		Peers:  []config.Peer{{NodeName: "n1", Zone: "b"}, {NodeName: "n2", Zone: "b"}},
 		Params: config.Params{Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}}}
@@ -27,34 +27,34 @@
 		return &fleet.Heartbeat{Machine: id, Zone: zone, FencingToken: token}
 	}
 	own := heartbeat("m1", "a", 7)
-	d := NewDelegate("a", settings().Params.Workers, now)
-	if d.Decide(seconds(60), NodeIsolated, own) != ForwardToLeader {
+	d := NewDelegate("a", testSettings().Params.Workers, now)
+	if d.Decide(instantAt(60), NodeIsolated, own) != ForwardToLeader {
 		t.Error("a node that never had a grant took a decision of its own")
 	}
-	d.AcceptStatus(seconds(60), Status{Epoch: 7, GrantDuration: 20 * time.Second, ExcludedMachines: []ident.MachineID{"m2"}})
-	d.AcceptStatus(seconds(59), Status{Epoch: 6, GrantDuration: time.Hour}) // came late, of an earlier leader
-	if d.Decide(seconds(62), NodeIsolated, own) != ForwardToLeader || d.Decide(seconds(70), Connected, own) != ForwardToLeader {
+	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 20 * time.Second, ExcludedMachines: []ident.MachineID{"m2"}})
+	d.AcceptStatus(instantAt(59), Status{Epoch: 6, GrantDuration: time.Hour}) // came late, of an earlier leader
+	if d.Decide(instantAt(62), NodeIsolated, own) != ForwardToLeader || d.Decide(instantAt(70), Connected, own) != ForwardToLeader {
 		t.Error("a node that is not cut off took a decision of its own")
 	}
-	if d.Decide(seconds(63), NodeIsolated, own) != RedirectOutside || d.Decide(seconds(70), NodeIsolated, own) != RenewLease {
+	if d.Decide(instantAt(63), NodeIsolated, own) != RedirectOutside || d.Decide(instantAt(70), NodeIsolated, own) != RenewLease {
 		t.Error("a worker must try one other node, and have its lease renewed when it is back")
 	}
-	if d.Decide(seconds(71), StateServiceOutage, heartbeat("m3", "a", 7)) != RenewLease {
+	if d.Decide(instantAt(71), StateServiceOutage, heartbeat("m3", "a", 7)) != RenewLease {
 		t.Error("in an outage no other node does better by a worker")
 	}
 	for reason, h := range map[string]*fleet.Heartbeat{"owes an exit": heartbeat("m2", "a", 7),
 		"is of another node's zone": heartbeat("m5", "b", 7), "has seen a later leader": heartbeat("m6", "a", 8)} {
-		if d.Decide(seconds(72), StateServiceOutage, h) == RenewLease {
+		if d.Decide(instantAt(72), StateServiceOutage, h) == RenewLease {
 			t.Errorf("a lease was renewed of a worker that %s", reason)
 		}
 	}
-	if d.Decide(seconds(73.9), NodeIsolated, heartbeat("m4", "a", 7)) != RedirectOutside || d.Decide(seconds(74.1), NodeIsolated, heartbeat("m7", "a", 7)) != RenewLease {
+	if d.Decide(instantAt(73.9), NodeIsolated, heartbeat("m4", "a", 7)) != RedirectOutside || d.Decide(instantAt(74.1), NodeIsolated, heartbeat("m7", "a", 7)) != RenewLease {
 		t.Error("a worker must try another node only if it is back before the grant expires")
 	}
-	if idle := d.IdleFor(seconds(78)); idle != 3900*time.Millisecond {
+	if idle := d.IdleFor(instantAt(78)); idle != 3900*time.Millisecond {
 		t.Errorf("the last lease was renewed %v ago, want 3.9 s", idle)
 	}
-	if d.Decide(seconds(80), NodeIsolated, own) != RefuseHeartbeat {
+	if d.Decide(instantAt(80), NodeIsolated, own) != RefuseHeartbeat {
 		t.Error("a lease was renewed after the grant had expired")
 	}
 }
@@ -63,10 +63,10 @@
 // does not answer is renewed before its worker probes one, and after.
 func TestDelegateOfShortLeases(t *testing.T) {
 	d := NewDelegate("a", config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, now)
-	d.AcceptStatus(seconds(60), Status{Epoch: 7, GrantDuration: 27 * time.Second})
+	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 27 * time.Second})
 	for i, want := range []Disposition{RenewLease, RedirectOutside, RenewLease, RenewLease} {
 		at := []float64{65, 66, 71.5, 72.5}[i]
-		if got := d.Decide(seconds(at), NodeIsolated, &fleet.Heartbeat{Machine: "m1", Zone: "a", FencingToken: 7}); got != want {
+		if got := d.Decide(instantAt(at), NodeIsolated, &fleet.Heartbeat{Machine: "m1", Zone: "a", FencingToken: 7}); got != want {
 			t.Errorf("at %v s: disposition %v, want %v", at, got, want)
 		}
 	}
--- a/internal/leasedelegation/grant_tracker.go
+++ b/internal/leasedelegation/grant_tracker.go
@@ -28,14 +28,14 @@
 	for _, p := range settings.Peers {
 		t.peers[p.NodeName] = &peerGrant{
 			zone:    ident.Zone(p.Zone),
-			renewal: fleet.DelegatedRenewal{LastRenewal: acquiredAt, NoneUntil: acquiredAt, GrantsExpireAt: t.expiry(acquiredAt)},
+			renewal: fleet.DelegatedRenewal{LastRenewal: acquiredAt, NoneUntil: acquiredAt, GrantsExpireAt: t.latestExpiry(acquiredAt)},
 		}
 	}
 	return t
 }
 
-// expiry is when a grant given at now has surely expired by the clock of any node.
-func (t *GrantTracker) expiry(now clock.Instant) clock.Instant {
+// latestExpiry is when a grant given at now has surely expired by the clock of any node.
+func (t *GrantTracker) latestExpiry(now clock.Instant) clock.Instant {
 	return now.Add(time.Duration(float64(t.grantDuration) * (1 + 2*fleet.MaxClockDrift)))
 }
 
@@ -46,7 +46,7 @@
 	if p == nil {
 		return 0
 	}
-	p.renewal.GrantsExpireAt = max(p.renewal.GrantsExpireAt, t.expiry(now))
+	p.renewal.GrantsExpireAt = max(p.renewal.GrantsExpireAt, t.latestExpiry(now))
 	return t.grantDuration
 }
 
--- a/internal/recovery/heartbeat_poll.go
+++ b/internal/recovery/heartbeat_poll.go
@@ -10,7 +10,7 @@
 // HeartbeatPoll tracks the requests for a heartbeat that a new leader sends to all
 // machines. The zero value is a poll that has not begun.
 type HeartbeatPoll struct {
-	complete   bool // every listed machine was sent a request
+	allSent    bool // every listed machine was sent a request
 	lastSentAt clock.Instant
 }
 
@@ -21,17 +21,17 @@
 // RecordSent notes that requests to so many machines leave now, and whether more machines
 // are still to be sent one.
 func (p *HeartbeatPoll) RecordSent(now clock.Instant, machines int, more bool) {
-	if !p.complete || machines > 0 {
+	if !p.allSent || machines > 0 {
 		p.lastSentAt = now
 	}
-	p.complete = !more
+	p.allSent = !more
 }
 
 // answered tells whether the polled machines have answered. Where some did not, it is
 // enough that most did and the others had the time; where most did not, this node may be
 // the one that is cut off, and they are waited for as if there had been no poll.
 func (p *HeartbeatPoll) answered(now clock.Instant, machines []*fleet.Machine) bool {
-	if !p.complete {
+	if !p.allSent {
 		return false
 	}
 	up, silent := 0, 0
