--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -5,7 +5,7 @@
 	"badgerbay/internal/ident"
 )
 
-// onLeaderKeysRead campaigns if the leader key is free for this node, or its holder has failed.
+// onLeaderKeysRead starts a campaign if this node may write the leader key or if the leader has failed.
 func (e *Elector) onLeaderKeysRead(now clock.Instant, in LeaderKeysRead) []Effect {
 	e.requestPending = false
 	e.schedulePoll(now)
@@ -19,7 +19,7 @@
 	e.observed, e.observedEpoch = in.Leader, in.Epoch
 	e.detector.observe(now, in)
 	if e.role == roleAcquiring && in.Epoch != 0 && in.Leader == e.ownRecord {
-		// The acquisition was executed, and its answer was lost.
+		// The acquisition was executed, but its response was lost.
 		e.becomeLeader(now, in.Epoch)
 		return nil
 	}
@@ -33,16 +33,16 @@
 	return []Effect{GrantLease{TTL: e.timing.LeaseTTL}}
 }
 
-// leaderKeyFree tells whether this node may write the leader key without replacing another
-// leader: the key is absent, or names this same node. Then an earlier process of this node
-// wrote it, which is surely dead, or a leader that transferred its leadership; the condition on
-// the epoch keeps the write from replacing any other record.
+// leaderKeyFree reports whether this node may write the leader key without replacing another leader: the key is absent
+// or names this node. A key that names this node was written either by an earlier process of this node, which has
+// certainly ended, or by a leader that transferred its leadership to this node. The condition on the epoch keeps the
+// write from replacing any other record.
 func (e *Elector) leaderKeyFree(now clock.Instant) bool {
 	if e.observedEpoch == 0 {
 		return !now.Before(e.cooldownUntil)
 	}
-	// Also while this node cools down from a leadership that it gave up: else a key
-	// that was transferred to it would stay without a leader.
+	// The cooldown after a resignation does not apply here: otherwise a leader key that was transferred to this node
+	// during the cooldown would have no active leader.
 	return e.observed.Node == e.node
 }
 
@@ -89,8 +89,8 @@
 	case OutcomeOK:
 		e.becomeLeader(now, in.Epoch)
 	case OutcomeUnknown:
-		// Read the key back at once: its value names this attempt if it was
-		// executed. Should it be executed later still, a later read finds it.
+		// Read the key back immediately: its value holds the nonce of this attempt if the attempt was executed. If
+		// the attempt is executed after that read, a later read finds it.
 		e.nextPoll = now
 	default:
 		e.role = roleFollower
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,8 +1,7 @@
-// Package election decides which node leads. One key of the state service, bound to a lease,
-// names the leader; the key's modification revision is the epoch, the fencing token of every
-// write of the leader and of every command to a machine. The package owns the leader key, the
-// leader's heartbeat key and the pure state machine over them; sending requests to the state
-// service, and what a leader does with its epoch, are left to the callers.
+// Package election implements leader election among the nodes. One key in the state service, bound to a lease, names
+// the leader. The modification revision of that key is the epoch, which is the fencing token of every write by the
+// leader and of every command to a machine. The package owns the leader key, the leader's heartbeat key and the pure
+// state machine over them. The callers send the requests to the state service and use the epoch.
 package election
 
 import (
@@ -16,8 +15,8 @@
 // LeaderKey is the key that names the leader.
 const LeaderKey = "leader"
 
-// LeaderRecord is the value of LeaderKey. The nonce names one attempt of one process, so
-// that a restarted process can't take its predecessor's epoch for its own.
+// LeaderRecord is the value of LeaderKey. The nonce identifies one acquisition attempt of one process, so that a
+// restarted process can't mistake the epoch of its predecessor for its own.
 type LeaderRecord struct {
 	Node  string `msgpack:"node" json:"node"`
 	Nonce string `msgpack:"nonce" json:"nonce"`
@@ -28,23 +27,22 @@
 const (
 	roleFollower role = iota
 	roleRequestingLease
-	roleAcquiring // the leader key was written, the answer is outstanding or lost
+	roleAcquiring // the write of the leader key was sent; its response is pending or lost
 	roleLeader
 )
 
-// Elector is the state machine of leader election on one node. It is pure: it takes inputs
-// with the time at which they arrive, and returns the requests to send. It is not safe for
-// concurrent use.
+// Elector is the state machine of leader election on one node. It performs no I/O: each input is passed with its
+// arrival time, and Step returns the requests to send. It is not safe for concurrent use.
 type Elector struct {
 	node   string
 	timing Timing
 	rng    *rand.Rand
 
 	role           role
-	observed       LeaderRecord // as last read
-	observedEpoch  ident.Epoch  // of the observed record; 0: no leader
+	observed       LeaderRecord // last value read from the leader key
+	observedEpoch  ident.Epoch  // epoch of the observed record; 0: no leader
 	nextPoll       clock.Instant
-	requestPending bool // a read of the keys, or a step of a campaign
+	requestPending bool // a read of the leader's keys or a campaign request has no response yet
 
 	leaseID        ident.LeaseID
 	ownRecord      LeaderRecord
@@ -52,14 +50,14 @@
 	leaseDeadline  clock.Instant
 	renewPending   bool
 	nextRenew      clock.Instant
-	advancePending bool          // of the epoch
-	cooldownUntil  clock.Instant // no campaign for a free key before
+	advancePending bool          // a request to advance the epoch has no definite outcome yet
+	cooldownUntil  clock.Instant // no campaign for an absent leader key before this time
 
-	// The rest is used only with heartbeats.
+	// The fields below are used only with heartbeats enabled.
 
-	nodes              []string // all of them, sorted
+	nodes              []string // names of all nodes, sorted
 	detector           failureDetector
-	replicaReady       bool // this node could take over without reading all records
+	replicaReady       bool // this node can become leader without reading all records
 	failingOver        bool // the pending acquisition replaces a failed leader
 	acquireSentAt      clock.Instant
 	advanceSentAt      clock.Instant
@@ -69,27 +67,26 @@
 	blockReason        BlockReason
 }
 
-// New returns the elector of a node, a follower at first. Every process must give it a random
-// source of its own.
+// New returns the elector of a node in the follower role. Each process must pass its own random source, because the
+// nonces drawn from it must differ between processes.
 func New(node string, timing Timing, rng *rand.Rand) *Elector {
 	return &Elector{node: node, timing: timing, rng: rng}
 }
 
-// IsLeader tells whether this node holds the leader key, whether or not its lease is still
-// known to be valid.
+// IsLeader reports whether this node is the leader as far as it knows, even if its lease may have expired.
 func (e *Elector) IsLeader() bool { return e.role == roleLeader }
 
-// Epoch is the epoch under which this node leads; 0 if it does not.
+// Epoch returns the epoch under which this node leads, or 0 if it is not the leader.
 func (e *Elector) Epoch() ident.Epoch { return e.epoch }
 
-// LeaseValid tells whether this node may act as leader at now: it holds the leader key, and
-// surely still does.
+// LeaseValid reports whether this node may act as leader at now: it is the leader, and no other node can have replaced
+// it yet.
 func (e *Elector) LeaseValid(now clock.Instant) bool {
 	return e.role == roleLeader && now.Before(e.leaseValidBefore())
 }
 
-// LeaseValidUntil is until when this node may act as leader unless it renews its lease; 0 if
-// it does not lead.
+// LeaseValidUntil returns the time until which this node may act as leader without another renewal, or 0 if it is not
+// the leader.
 func (e *Elector) LeaseValidUntil() clock.Instant {
 	if e.role != roleLeader {
 		return 0
@@ -97,11 +94,12 @@
 	return e.leaseValidBefore()
 }
 
-// LastLeaseDeadline is until when this node may act, or might have acted, as leader; 0 if it
-// never led.
+// LastLeaseDeadline returns the time until which this node may act, or may have acted, as leader, or 0 if it was never
+// the leader.
 func (e *Elector) LastLeaseDeadline() clock.Instant { return e.leaseValidBefore() }
 
-// leaseValidBefore is when the lease ends or, with heartbeats, the last one that was stored.
+// leaseValidBefore returns the deadline of the lease or, with heartbeats enabled, the earlier of that deadline and the
+// deadline of the last stored heartbeat.
 func (e *Elector) leaseValidBefore() clock.Instant {
 	if !e.timing.Heartbeat.enabled() {
 		return e.leaseDeadline
@@ -109,7 +107,7 @@
 	return min(e.leaseDeadline, e.heartbeatDeadline)
 }
 
-// LeaderNode is the node that was last seen to hold the leader key; "" if there was none.
+// LeaderNode returns the name of the last known holder of the leader key, or "" if there was none.
 func (e *Elector) LeaderNode() string {
 	if e.role == roleLeader {
 		return e.node
@@ -117,11 +115,11 @@
 	return e.observed.Node
 }
 
-// AdvancingEpoch tells whether the epoch is being advanced. Writes of the leader wait
-// meanwhile, since their condition on the epoch would fail.
+// AdvancingEpoch reports whether an advance of the epoch is in progress. The leader holds back its writes until the
+// advance completes, since their condition on the epoch would fail.
 func (e *Elector) AdvancingEpoch() bool { return e.advancePending }
 
-// Step takes one input at now and returns the requests to send.
+// Step applies one input that arrived at now and returns the requests to send.
 func (e *Elector) Step(now clock.Instant, in Input) []Effect {
 	switch in := in.(type) {
 	case Tick:
@@ -166,8 +164,8 @@
 	pollJitterSpan = 0.6
 )
 
-// schedulePoll sets the time of the next look at the leader's keys. The jitter keeps nodes
-// that started together from polling together.
+// schedulePoll sets the time of the next read of the leader's keys. The jitter keeps nodes that started at the same
+// time from polling at the same time.
 func (e *Elector) schedulePoll(now clock.Instant) {
 	jitter := pollJitterMin + pollJitterSpan*e.rng.Float64()
 	interval := e.timing.PollInterval
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -13,8 +13,8 @@
 //go:embed testdata/golden/values.json
 var goldenValues []byte
 
-// goldenValue is a value of the state service: as it is stored, and in the form in
-// which its size is counted.
+// goldenValue is a value in the state service: MsgPack is its stored encoding, and JSON is the encoding whose size
+// counts towards the limits of the state service.
 type goldenValue struct {
 	Key     string `json:"key"`
 	MsgPack string `json:"msgpack"` // hex
@@ -39,7 +39,7 @@
 	goldenHeartbeat = HeartbeatRecord{Node: "n1", Nonce: "0123456789abcdef", TTLMs: 2600}
 )
 
-func writtenValues(t *testing.T) map[string]goldenValue {
+func encodedValues(t *testing.T) map[string]goldenValue {
 	t.Helper()
 	return map[string]goldenValue{
 		"leader":        encodeValue(t, LeaderKey, goldenLeader),
@@ -49,19 +49,20 @@
 	}
 }
 
-// TestGoldenValues: nodes of several versions read one another's keys.
+// TestGoldenValues checks that the values of the leader key and the heartbeat key are encoded and decoded exactly as
+// recorded, because nodes of different releases read each other's keys.
 func TestGoldenValues(t *testing.T) {
 	var golden map[string]goldenValue
 	if err := json.Unmarshal(goldenValues, &golden); err != nil {
 		t.Fatal(err)
 	}
-	written := writtenValues(t)
-	if diff := cmp.Diff(golden, written); diff != "" {
-		t.Errorf("written otherwise: %s", diff)
+	encoded := encodedValues(t)
+	if diff := cmp.Diff(golden, encoded); diff != "" {
+		t.Errorf("encodings differ from the golden file (-golden +encoded): %s", diff)
 	}
-	var readLeader LeaderRecord
-	var readHeartbeat HeartbeatRecord
-	for name, into := range map[string]any{"leader": &readLeader, "heartbeat": &readHeartbeat} {
+	var decodedLeader LeaderRecord
+	var decodedHeartbeat HeartbeatRecord
+	for name, into := range map[string]any{"leader": &decodedLeader, "heartbeat": &decodedHeartbeat} {
 		data, err := hex.DecodeString(golden[name].MsgPack)
 		if err != nil {
 			t.Fatal(err)
@@ -70,7 +71,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if readLeader != goldenLeader || readHeartbeat != goldenHeartbeat {
-		t.Errorf("read otherwise: %+v, %+v", readLeader, readHeartbeat)
+	if decodedLeader != goldenLeader || decodedHeartbeat != goldenHeartbeat {
+		t.Errorf("decoded %+v and %+v, want %+v and %+v", decodedLeader, decodedHeartbeat, goldenLeader, goldenHeartbeat)
 	}
 }
--- a/internal/election/leader.go
+++ b/internal/election/leader.go
@@ -8,24 +8,23 @@
 
 const (
 	renewRetryDelay = 700 * time.Millisecond
-	// leaseMargin is how long before the end of its lease a leader stops acting, for
-	// timers that fire late.
+	// leaseMargin is how long before the end of its lease a leader stops acting, to allow for timers that fire late.
 	leaseMargin = 300 * time.Millisecond
-	// maxClockDrift is by which part of a time two steady clocks may differ.
+	// maxClockDrift is the fraction of an interval by which two monotonic clocks may differ in measuring it.
 	maxClockDrift = 0.0005
 )
 
-// leaseDeadlineFrom is until when a request for the lease that was sent at an instant, and
-// was granted, lets this node act.
+// leaseDeadlineFrom returns the time until which a successful grant or renewal of the lease that was requested at the
+// given time entitles this node to act as leader.
 func (e *Elector) leaseDeadlineFrom(sent clock.Instant) clock.Instant {
 	return validUntil(sent, e.timing.LeaseTTL)
 }
 
-// validUntil is until when its holder may rely on what it was granted for ttl, counted from
-// when the request left.
+// validUntil returns the time until which the holder may rely on a grant with the given TTL, counted from the time at
+// which the request was sent. Clock drift and leaseMargin are subtracted.
 func validUntil(sent clock.Instant, ttl time.Duration) clock.Instant {
-	shortest := time.Duration(float64(ttl) * (1 - 2*maxClockDrift))
-	return sent.Add(shortest - leaseMargin)
+	minTTL := time.Duration(float64(ttl) * (1 - 2*maxClockDrift))
+	return sent.Add(minTTL - leaseMargin)
 }
 
 func (e *Elector) renewIfDue(now clock.Instant) []Effect {
@@ -38,13 +37,13 @@
 
 func (e *Elector) onLeaseRenewed(now clock.Instant, in LeaseRenewed) {
 	if e.role != roleLeader || in.LeaseID != e.leaseID {
-		return // of an earlier term, whose lease was another
+		return // the response belongs to an earlier term, which had a different lease
 	}
 	e.renewPending = false
 	switch in.Outcome {
 	case OutcomeOK:
-		// Also right after the deadline: the key was bound to the lease all
-		// along, so nobody else can have set it in between.
+		// This also holds right after the deadline: the leader key was bound to the lease throughout, so no other node
+		// can have set it in the meantime.
 		e.leaseDeadline = max(e.leaseDeadline, e.leaseDeadlineFrom(in.SentAt))
 		e.nextRenew = in.SentAt.Add(e.timing.RenewInterval)
 	case OutcomeGone:
@@ -73,8 +72,8 @@
 	case OutcomeRefused:
 		e.advancePending = false
 	}
-	// OutcomeUnknown and OutcomeGone: the caller reads the key back and passes
-	// LeaderKeyRewritten or LeadershipLost; until then the leader's writes wait.
+	// After OutcomeUnknown and OutcomeGone the caller reads the key back and passes LeaderKeyRewritten or
+	// LeadershipLost; until then the leader holds back its writes.
 }
 
 func (e *Elector) onResign(now clock.Instant, in Resign) []Effect {
@@ -92,7 +91,7 @@
 	return []Effect{TransferLeadership{PrevEpoch: epoch, Transferee: transferee, LeaseID: e.leaseID}}
 }
 
-// stepDown makes a follower of a leader that has lost the leader key or gives it up.
+// stepDown returns a leader that has lost or resigned its leadership to the follower role.
 func (e *Elector) stepDown(now clock.Instant) {
 	if e.role != roleLeader {
 		return
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -7,61 +7,60 @@
 	"badgerbay/internal/ident"
 )
 
-// Input is what an Elector takes: one of the types below.
+// Input is an input of Elector.Step: one of the types below.
 type Input interface{ isInput() }
 
-// Inputs. SentAt is when the request left this node.
+// Inputs. SentAt is the time at which this node sent the request.
 type (
-	// Tick lets time pass.
+	// Tick triggers the actions that are due at the time of the step.
 	Tick struct{}
-	// LeaderKeysRead answers ReadLeaderKeys.
+	// LeaderKeysRead is the response to ReadLeaderKeys.
 	LeaderKeysRead struct {
 		OK     bool
 		Leader LeaderRecord
-		Epoch  ident.Epoch // of the leader; 0: there is none
-		// Heartbeat is the value of HeartbeatKey. HeartbeatRevision 0: there is none, or
-		// it was not read.
+		Epoch  ident.Epoch // epoch of the leader; 0: there is no leader
+		// Heartbeat is the value of HeartbeatKey. If HeartbeatRevision is 0, there is no heartbeat or it was not read.
 		Heartbeat         HeartbeatRecord
 		HeartbeatRevision ident.Revision
 	}
-	// LeaseGranted answers GrantLease.
+	// LeaseGranted is the response to GrantLease.
 	LeaseGranted struct {
 		OK      bool
 		LeaseID ident.LeaseID
 		SentAt  clock.Instant
 	}
-	// LeaderKeyAcquired answers AcquireLeaderKey.
+	// LeaderKeyAcquired is the response to AcquireLeaderKey.
 	LeaderKeyAcquired struct {
 		Outcome Outcome
 		Epoch   ident.Epoch
 	}
-	// LeaseRenewed answers RenewLease.
+	// LeaseRenewed is the response to RenewLease.
 	LeaseRenewed struct {
 		LeaseID ident.LeaseID
 		Outcome Outcome
 		SentAt  clock.Instant
 	}
-	// LeaderKeyRewritten answers RewriteLeaderKey.
+	// LeaderKeyRewritten is the response to RewriteLeaderKey.
 	LeaderKeyRewritten struct {
-		PrevEpoch ident.Epoch // of the request
+		PrevEpoch ident.Epoch // PrevEpoch of the request
 		Outcome   Outcome
 		Epoch     ident.Epoch
 	}
-	// LeadershipLost says that a condition on the leader key has failed.
+	// LeadershipLost reports that a transaction failed because its condition on the leader key was not met.
 	LeadershipLost struct{}
-	// AdvanceEpoch asks for a higher epoch of the same leader.
+	// AdvanceEpoch requests a higher epoch for this node, which remains the leader.
 	AdvanceEpoch struct{}
-	// HeartbeatWritten answers WriteHeartbeat. OutcomeGone: the leader key has another
+	// HeartbeatWritten is the response to WriteHeartbeat. OutcomeGone means that the leader key has a different
 	// epoch.
 	HeartbeatWritten struct {
-		Epoch   ident.Epoch // of the request
+		Epoch   ident.Epoch // Epoch of the request
 		Outcome Outcome
 		SentAt  clock.Instant
 	}
-	// ReplicaState says whether this node has a complete replica of the records.
+	// ReplicaState reports whether this node has a complete replica of the records.
 	ReplicaState struct{ Ready bool }
-	// Resign asks to give leadership up, to the node Transferee if one is named. The node
-	// does not campaign for a free key again during Cooldown.
+	// Resign requests that this node resign its leadership and, if Transferee is not empty, transfer it to that node.
+	// This node does not campaign for an absent leader key during Cooldown.
 	Resign struct {
 		Cooldown   time.Duration
 		Transferee string
@@ -80,44 +79,44 @@
 func (HeartbeatWritten) isInput()   {}
 func (ReplicaState) isInput()       {}
 
-// Outcome of a request to the state service.
+// Outcome is the outcome of a request to the state service.
 type Outcome int
 
 // Outcomes.
 const (
 	OutcomeOK Outcome = iota
-	// OutcomeRefused: the request was not executed, and never will be.
+	// OutcomeRefused means that the request was not executed and never will be.
 	OutcomeRefused
-	// OutcomeUnknown: it may have been executed, or may still be.
+	// OutcomeUnknown means that the request may have been executed, or may be executed later.
 	OutcomeUnknown
-	// OutcomeGone: the lease has ended, or the leader key is another leader's.
+	// OutcomeGone means that the lease has ended or that the leader key has a different epoch.
 	OutcomeGone
 )
 
-// Effect is what an Elector asks for: one of the types below.
+// Effect is a request that Elector.Step returns for the caller to send: one of the types below.
 type Effect interface{ isEffect() }
 
 // Effects: requests to the state service.
 type (
 	// ReadLeaderKeys reads LeaderKey, and HeartbeatKey if heartbeats are enabled.
 	ReadLeaderKeys struct{}
-	// GrantLease asks for a lease.
+	// GrantLease requests a lease.
 	GrantLease struct{ TTL time.Duration }
-	// AcquireLeaderKey sets the leader key if it still has the epoch PrevEpoch, and the
-	// first heartbeat with it if there is one.
+	// AcquireLeaderKey sets the leader key and, unless Heartbeat is nil, the first heartbeat, on condition that the
+	// leader key still has the epoch PrevEpoch.
 	AcquireLeaderKey struct {
 		PrevEpoch ident.Epoch // 0: the key does not exist
 		Leader    LeaderRecord
 		LeaseID   ident.LeaseID
 		Heartbeat *HeartbeatRecord
-		// ExpectedHeartbeatRevision makes a failover from a leader that still holds the
-		// key conditional on its last heartbeat. 0: the key is free, or of this node.
+		// ExpectedHeartbeatRevision makes a failover from a leader that still holds the key conditional on the last
+		// heartbeat read from that leader. It is 0 if the key is absent or names this node.
 		ExpectedHeartbeatRevision ident.Revision
 	}
 	// RenewLease extends the lease.
 	RenewLease struct{ LeaseID ident.LeaseID }
-	// RewriteLeaderKey sets the leader key again if it still has the epoch PrevEpoch, and
-	// a heartbeat with it if there is one. The key's new revision is the next epoch.
+	// RewriteLeaderKey sets the leader key again and, unless Heartbeat is nil, a heartbeat, on condition that the
+	// leader key still has the epoch PrevEpoch. The new revision of the key is the next epoch.
 	RewriteLeaderKey struct {
 		PrevEpoch ident.Epoch
 		Leader    LeaderRecord
@@ -129,15 +128,15 @@
 		Epoch     ident.Epoch
 		Heartbeat HeartbeatRecord
 	}
-	// TransferLeadership sets the leader key to another node's name if it still has the
-	// epoch PrevEpoch, bound to the same lease. That node takes it for a key of its own
-	// and acquires it at once; should it not, the key ends with the lease.
+	// TransferLeadership sets the leader key to the name of another node, bound to the same lease, on condition that
+	// the key still has the epoch PrevEpoch. That node treats the key as its own and acquires it as soon as it reads
+	// it. If it does not, the key is deleted when the lease expires.
 	TransferLeadership struct {
 		PrevEpoch  ident.Epoch
 		Transferee LeaderRecord
 		LeaseID    ident.LeaseID
 	}
-	// RevokeLease ends the lease, and with it the leader key that is bound to it.
+	// RevokeLease ends the lease, which deletes the leader key that is bound to it.
 	RevokeLease struct{ LeaseID ident.LeaseID }
 )
 
--- a/internal/election/standby.go
+++ b/internal/election/standby.go
@@ -6,27 +6,30 @@
 	"badgerbay/internal/clock"
 )
 
-// BlockReason is why a node could not take over when it last read the leader's keys.
+// BlockReason is the reason why a node could not take over when it last read the leader's keys.
 type BlockReason int
 
 // Reasons why a failover is blocked.
 const (
 	NotBlocked BlockReason = iota
-	// LeaderAlive: the leader may still act.
+	// LeaderAlive means that the leader may still act.
 	LeaderAlive
-	// LeaderWithoutHeartbeats: the leader writes no valid ones, so only its lease counts.
+	// LeaderWithoutHeartbeats means that there is no valid heartbeat of the leader, so that only the end of its lease
+	// allows a failover.
 	LeaderWithoutHeartbeats
-	// WaitingForOtherStandby: the leader has failed, and others are given the time to go first.
+	// WaitingForOtherStandby means that the leader has failed and that the failover delay of this node has not passed,
+	// during which standbys with precedence may take over.
 	WaitingForOtherStandby
-	// FailoverConflict: the leader was heard again, or another node was quicker.
+	// FailoverConflict means that the failover was rejected, usually because the leader wrote another heartbeat or
+	// another node took over first.
 	FailoverConflict
-	// HeartbeatsDisabled: this node was started without heartbeats.
+	// HeartbeatsDisabled means that this node was started without heartbeats.
 	HeartbeatsDisabled
-	// LeaderKeysUnreadable: the keys could not be read.
+	// LeaderKeysUnreadable means that the leader's keys could not be read.
 	LeaderKeysUnreadable
 )
 
-// String names the reason for logs and operators; "" if failover is not blocked.
+// String returns a description of the reason for logs and operators, or "" if failover is not blocked.
 func (r BlockReason) String() string {
 	switch r {
 	case NotBlocked:
@@ -47,7 +50,7 @@
 	return "unknown"
 }
 
-// updateBlockReason notes why the leader that was just read is not replaced.
+// updateBlockReason records why this node does not replace the leader that it just read.
 func (e *Elector) updateBlockReason(now clock.Instant) {
 	switch {
 	case e.observedEpoch == 0:
@@ -63,15 +66,14 @@
 	}
 }
 
-// StandbyStatus is what an operator may know of this node as a standby.
+// StandbyStatus is the state of this node as a standby, as reported to operators.
 type StandbyStatus struct {
 	BlockReason BlockReason
-	// SilentSince is when this node first saw the leader's present heartbeat; 0 if
-	// it does not watch one.
+	// SilentSince is when this node first saw the leader's current heartbeat, or 0 if it tracks none.
 	SilentSince clock.Instant
 }
 
-// SilentFor is how long the leader has been silent at now, as far as this node knows.
+// SilentFor returns how long before now this node first saw the leader's current heartbeat, or 0 if it tracks none.
 func (s StandbyStatus) SilentFor(now clock.Instant) time.Duration {
 	if s.SilentSince == 0 {
 		return 0
@@ -79,7 +81,7 @@
 	return now.Sub(s.SilentSince)
 }
 
-// Standby is the status of this node as a standby; the zero value if it leads.
+// Standby returns the status of this node as a standby, or the zero value if it is the leader.
 func (e *Elector) Standby() StandbyStatus {
 	if e.role == roleLeader {
 		return StandbyStatus{}
--- a/internal/election/txn.go
+++ b/internal/election/txn.go
@@ -10,14 +10,14 @@
 	"badgerbay/internal/kvstore"
 )
 
-// EpochCondition is the condition that the leader of the epoch still holds the leader key. It
-// fences every write of a leader.
+// EpochCondition returns the condition that the leader key still has the given epoch. It fences every write of a
+// leader.
 func EpochCondition(epoch ident.Epoch) kvstore.Condition {
 	return kvstore.Condition{Key: LeaderKey, ModRevision: ident.Revision(epoch)}
 }
 
-// Txn is the transaction that sets the leader key, and the first heartbeat if there is one. If
-// the key is taken from a failed leader, its heartbeat must still be the one that was last seen.
+// Txn returns the transaction that sets the leader key and, unless Heartbeat is nil, the first heartbeat. If it
+// replaces a failed leader, the transaction is conditional on the last heartbeat read from that leader.
 func (e AcquireLeaderKey) Txn() kvstore.Txn {
 	txn := withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
 	if e.ExpectedHeartbeatRevision != 0 {
@@ -26,17 +26,17 @@
 	return txn
 }
 
-// Txn is the transaction that sets the leader key again.
+// Txn returns the transaction that sets the leader key again.
 func (e RewriteLeaderKey) Txn() kvstore.Txn {
 	return withHeartbeat(leaderKeyTxn(e.PrevEpoch, e.Leader, e.LeaseID), e.Heartbeat)
 }
 
-// Txn is the transaction that sets the leader key to the name of the node that is to lead next.
+// Txn returns the transaction that sets the leader key to the name of the next leader.
 func (e TransferLeadership) Txn() kvstore.Txn {
 	return leaderKeyTxn(e.PrevEpoch, e.Transferee, e.LeaseID)
 }
 
-// Txn is the transaction that writes the heartbeat.
+// Txn returns the transaction that writes the heartbeat.
 func (e WriteHeartbeat) Txn() kvstore.Txn {
 	return withHeartbeat(kvstore.Txn{Conditions: []kvstore.Condition{EpochCondition(e.Epoch)}}, &e.Heartbeat)
 }
@@ -55,21 +55,20 @@
 	return txn
 }
 
-// DecodeLeaderRecord reads the value of LeaderKey. The record of a key that does not exist is
-// empty.
+// DecodeLeaderRecord decodes the value of LeaderKey. It returns an empty record if the key does not exist.
 func DecodeLeaderRecord(item kvstore.KeyValue) (LeaderRecord, error) {
 	if item.ModRevision == 0 {
 		return LeaderRecord{}, nil
 	}
 	var leader LeaderRecord
 	if err := msgpack.Unmarshal(item.Value, &leader); err != nil {
-		return LeaderRecord{}, fmt.Errorf("leader key: %w", err)
+		return LeaderRecord{}, fmt.Errorf("decoding leader key: %w", err)
 	}
 	return leader, nil
 }
 
-// DecodeLeaderKeys reads LeaderKey and HeartbeatKey from the items that hold them. A heartbeat
-// that can't be read is taken for none: then only the lease counts.
+// DecodeLeaderKeys decodes the values of LeaderKey and HeartbeatKey, if present, and ignores other keys. A heartbeat
+// that can't be decoded is treated as absent, so that only the lease limits the leadership.
 func DecodeLeaderKeys(items []kvstore.KeyValue) (LeaderKeysRead, error) {
 	in := LeaderKeysRead{OK: true}
 	for _, item := range items {
@@ -91,7 +90,7 @@
 	return in, nil
 }
 
-// OutcomeOf is the outcome of a request to the state service that returned err.
+// OutcomeOf returns the outcome of a request to the state service that returned err.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
@@ -104,8 +103,8 @@
 	return OutcomeRefused
 }
 
-// HeartbeatOutcomeOf is the outcome of the transaction of WriteHeartbeat that returned err. Its
-// only condition is on the epoch: a conflict means that the leader key is another leader's.
+// HeartbeatOutcomeOf returns the outcome of a WriteHeartbeat transaction that returned err. Its only condition is on
+// the epoch, so a conflict means that the leader key has a different epoch.
 func HeartbeatOutcomeOf(err error) Outcome {
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
--- a/internal/election/txn_test.go
+++ b/internal/election/txn_test.go
@@ -17,14 +17,14 @@
 //go:embed testdata/golden/transactions.json
 var goldenTransactions []byte
 
-// TestGoldenTransactions: what a node writes about leadership, and on which conditions, is
-// the same byte by byte in every version.
+// TestGoldenTransactions checks that the election transactions, including their conditions, are encoded byte for byte
+// as recorded, because they must be the same in every release.
 func TestGoldenTransactions(t *testing.T) {
 	var golden map[string]string // hex
 	if err := json.Unmarshal(goldenTransactions, &golden); err != nil {
 		t.Fatal(err)
 	}
-	written := map[string]string{}
+	encoded := map[string]string{}
 	for name, txn := range map[string]kvstore.Txn{
 		"acquire": AcquireLeaderKey{Leader: goldenLeader, LeaseID: 17}.Txn(),
 		"failover": AcquireLeaderKey{PrevEpoch: 982, Leader: goldenLeader, LeaseID: 17, Heartbeat: &goldenHeartbeat,
@@ -37,13 +37,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		written[name] = hex.EncodeToString(data)
+		encoded[name] = hex.EncodeToString(data)
 	}
-	if diff := cmp.Diff(golden, written); diff != "" {
-		t.Errorf("written otherwise: %s", diff)
+	if diff := cmp.Diff(golden, encoded); diff != "" {
+		t.Errorf("transactions differ from the golden file (-golden +encoded): %s", diff)
 	}
 }
 
+// TestDecodeLeaderKeys checks that both keys are decoded, that a heartbeat that can't be decoded is treated as absent,
+// that other keys are ignored, and that a leader key that can't be decoded is an error.
 func TestDecodeLeaderKeys(t *testing.T) {
 	encode := func(v any) []byte {
 		data, err := msgpack.Marshal(v)
@@ -54,7 +56,7 @@
 	}
 	leaderKey := kvstore.KeyValue{Key: LeaderKey, Value: encode(goldenLeader), ModRevision: 982}
 	heartbeatKey := kvstore.KeyValue{Key: HeartbeatKey, Value: encode(goldenHeartbeat), ModRevision: 990}
-	broken := encode("not a record")
+	undecodable := encode("not a record")
 	for name, test := range map[string]struct {
 		items []kvstore.KeyValue
 		want  LeaderKeysRead
@@ -62,9 +64,9 @@
 		"none": {nil, LeaderKeysRead{OK: true}},
 		"both": {[]kvstore.KeyValue{leaderKey, heartbeatKey},
 			LeaderKeysRead{OK: true, Leader: goldenLeader, Epoch: 982, Heartbeat: goldenHeartbeat, HeartbeatRevision: 990}},
-		"broken heartbeat": {[]kvstore.KeyValue{leaderKey, {Key: HeartbeatKey, Value: broken, ModRevision: 990}},
+		"undecodable heartbeat": {[]kvstore.KeyValue{leaderKey, {Key: HeartbeatKey, Value: undecodable, ModRevision: 990}},
 			LeaderKeysRead{OK: true, Leader: goldenLeader, Epoch: 982}},
-		"another key": {[]kvstore.KeyValue{leaderKey, {Key: LeaderKey + "ship", Value: broken, ModRevision: 991}},
+		"unrelated key": {[]kvstore.KeyValue{leaderKey, {Key: LeaderKey + "ship", Value: undecodable, ModRevision: 991}},
 			LeaderKeysRead{OK: true, Leader: goldenLeader, Epoch: 982}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,11 +79,12 @@
 			}
 		})
 	}
-	if got, err := DecodeLeaderKeys([]kvstore.KeyValue{{Key: LeaderKey, Value: broken, ModRevision: 982}}); err == nil || got.OK {
-		t.Errorf("a broken leader key was read as %+v", got)
+	if got, err := DecodeLeaderKeys([]kvstore.KeyValue{{Key: LeaderKey, Value: undecodable, ModRevision: 982}}); err == nil || got.OK {
+		t.Errorf("decoded an invalid leader key as %+v, want an error", got)
 	}
 }
 
+// TestOutcomes checks the mapping from errors of the state service to outcomes, for heartbeats and for other requests.
 func TestOutcomes(t *testing.T) {
 	conflict := fmt.Errorf("commit: %w", &kvstore.ConflictError{FailedKeys: []string{LeaderKey}})
 	for _, test := range []struct {
