--- a/internal/leadtransfer/history_test.go
+++ b/internal/leadtransfer/history_test.go
@@ -7,22 +7,22 @@
 	"badgerbay/internal/clock"
 )
 
-// TestTransfersBackOff: a node that has transferred leadership waits longer when it leads
-// again soon, and forgets that after a while.
+// TestTransfersBackOff checks that the delay doubles with each recent transfer up to its maximum, and returns to the
+// initial delay after BackoffReset.
 func TestTransfersBackOff(t *testing.T) {
 	var history History
 	now := clock.Instant(time.Hour)
 	for want := Delay; want <= Delay<<maxBackoffDoublings; want *= 2 {
 		if got := history.Delay(now); got != want {
-			t.Errorf("waits for %v, want %v", got, want)
+			t.Errorf("delay %v, want %v", got, want)
 		}
 		history.RecordTransfer(now)
 		now = now.Add(30 * time.Second)
 	}
 	if got := history.Delay(now); got != Delay<<maxBackoffDoublings {
-		t.Errorf("waits for %v", got)
+		t.Errorf("delay %v, want the maximum", got)
 	}
 	if got := history.Delay(now.Add(BackoffReset)); got != Delay {
-		t.Errorf("waits for %v after a quiet while", got)
+		t.Errorf("delay %v after BackoffReset without a transfer, want the initial delay", got)
 	}
 }
--- a/internal/leadtransfer/reachability.go
+++ b/internal/leadtransfer/reachability.go
@@ -1,7 +1,6 @@
-// Package leadtransfer decides whether a leader should transfer leadership to another node,
-// because the workers reach that one and not this. It owns the record of the way by which
-// each worker's heartbeats come, and the backoff between transfers. Resigning and the
-// election are left to package election.
+// Package leadtransfer decides whether a leader should transfer leadership to another node because the workers reach
+// that node but not this one. It records whether each worker's heartbeats arrive directly or are relayed by another
+// node, and computes the backoff between transfers. Package election performs the resignation and the election.
 package leadtransfer
 
 import (
@@ -12,32 +11,31 @@
 )
 
 const (
-	// heartbeatWindow is how recent a heartbeat must be to count.
+	// heartbeatWindow is the maximum age of a heartbeat that is counted.
 	heartbeatWindow = 8 * time.Second
-	// minMissingRatio times as many workers that don't reach this node as do show that the
-	// leader is badly placed.
+	// The leader counts as unreachable for most workers if at least minMissingRatio times as many workers don't reach it
+	// directly as do.
 	minMissingRatio = 2
-	// minRelayedWorkers, and one worker in relayedShareDivisor, whose heartbeats come
-	// through other nodes show that one of those is placed better.
+	// At least minRelayedWorkers workers, and at least one in relayedShareDivisor of the known workers, must send their
+	// heartbeats through other nodes before one of those nodes counts as better reachable.
 	minRelayedWorkers   = 3
 	relayedShareDivisor = 20
 )
 
-// Reachability tells whether the workers reach this node, or only others that relay their
+// Reachability tracks which workers reach this node directly and which reach only another node that relays their
 // heartbeats. The zero value is ready for use.
 type Reachability struct {
 	contacts         map[ident.MachineID]contact
-	unreachableSince clock.Instant // when most workers became unreachable; 0: they are not
+	unreachableSince clock.Instant // when most workers became unreachable; 0: most workers are reachable
 }
 
-// contact is the last heartbeat of a worker.
+// contact records the arrival of a worker's last heartbeat.
 type contact struct {
 	at  clock.Instant
-	via string // the node that relayed it; empty: it came directly
+	via string // the node that relayed the heartbeat; empty if it arrived directly
 }
 
-// RecordHeartbeat notes a worker's heartbeat that the node via relayed, or, if that is
-// empty, that came directly.
+// RecordHeartbeat records a worker's heartbeat that the node via relayed, or that arrived directly if via is empty.
 func (r *Reachability) RecordHeartbeat(now clock.Instant, id ident.MachineID, via string) {
 	if r.contacts == nil {
 		r.contacts = map[ident.MachineID]contact{}
@@ -45,10 +43,10 @@
 	r.contacts[id] = contact{at: now, via: via}
 }
 
-// ResetDelay lets the delay before a transfer begin anew.
+// ResetDelay restarts the delay before a transfer.
 func (r *Reachability) ResetDelay() { r.unreachableSince = 0 }
 
-// HasRelayed tells whether any worker's last heartbeat was relayed.
+// HasRelayed reports whether any recorded worker's last heartbeat was relayed.
 func (r *Reachability) HasRelayed() bool {
 	for _, c := range r.contacts {
 		if c.via != "" {
@@ -58,10 +56,17 @@
 	return false
 }
 
-// Transferee is the node that should lead, or "": for the delay, nearly all known workers
-// have not reached this node, and some reach that one. Workers that nobody hears from
-// count too: through the state service a node relays but a part of hundreds, and a leader
-// that waited until most were relayed held on for half a minute while leases expired.
+// Transferee returns the node that should become leader, or "" if leadership should stay here. A transfer requires
+// that:
+//
+//  1. throughout the delay, at least minMissingRatio times as many known workers have not reached this node directly as
+//     have, and at least minRelayedWorkers have not;
+//  2. enough workers reach other nodes that relay their heartbeats, see minRelayedWorkers and relayedShareDivisor;
+//  3. the transferee relays the heartbeats of more workers than reach this node directly.
+//
+// Workers whose heartbeats reach no node count as not reaching this node. Of hundreds of workers a node can relay only
+// a part through the state service, and a leader that waited until most were relayed kept its leadership for half a
+// minute while leases expired.
 func (r *Reachability) Transferee(now clock.Instant, knownWorkers int, delay time.Duration) string {
 	direct, relayed, relayedBy := r.countRecent(now)
 	missing := max(knownWorkers, direct+relayed) - direct
@@ -76,17 +81,17 @@
 		return ""
 	}
 	node := busiestRelay(relayedBy)
-	// Right after a failover most workers may still be on their way here: whoever is to
-	// lead must relay more than come directly. A leader that did not wait for that
-	// transferred leadership to the wrong side of a network partition.
+	// Right after a failover most workers may not have reconnected to this node yet, so the transferee must relay more
+	// workers than reach this node directly. Without this condition a leader transferred leadership to the wrong side
+	// of a network partition.
 	if relayedBy[node] <= direct {
 		return ""
 	}
 	return node
 }
 
-// countRecent counts the workers with a recent heartbeat by the way it came, and forgets
-// the others.
+// countRecent counts the workers with a recent heartbeat, separately for direct and relayed ones and by relaying node,
+// and removes the records of all other workers.
 func (r *Reachability) countRecent(now clock.Instant) (direct, relayed int, relayedBy map[string]int) {
 	relayedBy = map[string]int{}
 	for id, c := range r.contacts {
@@ -103,7 +108,7 @@
 	return direct, relayed, relayedBy
 }
 
-// busiestRelay returns the node that relays the most workers; of several the first by name.
+// busiestRelay returns the node that relays the most workers. Among equals it returns the first by name.
 func busiestRelay(relayedBy map[string]int) string {
 	busiest := ""
 	for node, workers := range relayedBy {
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -1,9 +1,8 @@
-// Package leasedelegation lets a node that is cut off together with its zone's workers renew
-// their leases for a while. The leader grants it that beforehand, in its epoch and for a
-// bounded time; the node sends no commands under the grant. It owns both sides: the Delegate
-// that holds a grant, and the GrantTracker by which a leader bounds what others may have
-// done. Asking for grants and telling what a node is cut off from are left to the node and
-// the controller.
+// Package leasedelegation lets a node that is isolated together with the workers of its zone renew their leases for a
+// limited time. The leader grants this right in advance, for its epoch and a bounded duration; the node sends no
+// commands under the grant. The package owns both sides: the Delegate, which holds a grant, and the GrantTracker, with
+// which a leader bounds the renewals that other nodes may have made. The node and the controller request grants and
+// determine the isolation of a node.
 package leasedelegation
 
 import (
@@ -16,34 +15,33 @@
 )
 
 const (
-	// leaderLossThreshold: a node that no leader has answered for so long does not reach
-	// one.
+	// leaderLossThreshold is the time without an answer from a leader after which a node treats the leader as
+	// unreachable.
 	leaderLossThreshold = 2500 * time.Millisecond
-	// contactMaxAge is how long it counts that a worker was sent to another node: time for
-	// it to find one, or to come back.
+	// contactMaxAge is how long a worker's last contact, and thus its redirect to another node, is taken into account.
+	// It leaves the worker time to find another node or to return.
 	contactMaxAge = 30 * time.Second
-	// probeDuration is how long a worker is away that tries one node in vain: it goes
-	// there within half a second, waits 4 s for an answer and tries the next node a
-	// second later.
+	// probeDuration bounds how long a worker is away while it tries one other node without success: it connects to that
+	// node within half a second, waits 4 s for an answer and tries the next node one second later.
 	probeDuration = 6 * time.Second
-	// maxTrackedWorkers bounds the workers that are remembered.
+	// maxTrackedWorkers limits the number of workers whose contacts are kept.
 	maxTrackedWorkers = 10_000
 )
 
-// Isolation tells what a node is cut off from.
+// Isolation describes whether and how a node is isolated.
 type Isolation int
 
-// Isolations.
+// Kinds of isolation.
 const (
 	Connected Isolation = iota
 	// NodeIsolated means that the state service does not answer this node.
 	NodeIsolated
-	// StateServiceOutage means that it answers none of the nodes, and all of these are
-	// reachable.
+	// StateServiceOutage means that the state service answers none of the nodes, and that this node reaches all other
+	// nodes.
 	StateServiceOutage
 )
 
-// String names the isolation for logs.
+// String returns the name of the isolation for logs.
 func (i Isolation) String() string {
 	switch i {
 	case Connected:
@@ -56,41 +54,42 @@
 	return "unknown"
 }
 
-// Disposition tells what to do with a heartbeat at a node that does not lead.
+// Disposition is the decision of a node that does not act as leader on how to handle a worker's heartbeat.
 type Disposition int
 
 // Dispositions.
 const (
-	ForwardToLeader Disposition = iota // not cut off: the leader is to answer
-	RefuseHeartbeat                    // cut off, but the worker may reach other nodes
-	RedirectOutside                    // likewise: the worker tries one node outside the zone and comes back
-	RenewLease                         // answer it under the grant
+	ForwardToLeader Disposition = iota // this node is not isolated, so the leader answers
+	RefuseHeartbeat                    // this node is isolated, but the worker may reach another node
+	RedirectOutside                    // this node is isolated; the worker probes one node outside the zone and returns
+	RenewLease                         // this node answers and renews the lease under the grant
 )
 
-// Status is what a node answers to another that asks for it.
+// Status is the answer of a node to a status request by another node.
 type Status struct {
-	// Epoch and GrantDuration are of a grant; GrantDuration 0: none is given.
+	// Epoch is the epoch of the answering leader, 0 if the node does not act as leader. GrantDuration is the duration
+	// of the grant in that epoch, 0 if none is given.
 	Epoch         ident.Epoch
 	GrantDuration time.Duration
-	// ExcludedMachines must end some task: their leases are not renewed.
+	// ExcludedMachines are machines that must end some task, so their leases must not be renewed under the grant.
 	ExcludedMachines []ident.MachineID
-	// IdleFor is how long ago, at least, the node last renewed a lease under a grant.
+	// IdleFor is the minimum time since the node last renewed a lease under a grant.
 	IdleFor time.Duration
 }
 
-// Delegate holds the grant of a node, and what the node did under it. It renews leases of
-// its own zone's workers only: a node that restarts can't say what it did before, so
-// whatever it may have renewed is given up later when it does. When all nodes might renew
-// the leases of a zone that has no node, one crash held dead machines there for 10 s more.
+// Delegate holds the grant of a node and tracks the renewals that the node makes under it. It renews leases only for
+// workers of the node's own zone: a restarted node does not know which leases it renewed before the restart, so the
+// leader has to assume that it renewed all that it was allowed to, and lets those leases expire later. When every node
+// was allowed to renew the leases of a zone without a node, one node crash kept dead machines in that zone 10 s longer.
 type Delegate struct {
-	zone      ident.Zone // of the node
+	zone      ident.Zone // zone of the node
 	startedAt clock.Instant
-	// canProbeBeforeRenewal: a worker that has waited in vain for the node that it came from can
-	// bear another such wait before its lease expires.
+	// canProbeBeforeRenewal is whether a worker that has already waited for an unresponsive node can wait for a second
+	// one before its lease expires.
 	canProbeBeforeRenewal bool
-	lastLeaderContactAt   clock.Instant // when the last request left that the leader answered
+	lastLeaderContactAt   clock.Instant // when the last request that a leader answered was sent
 
-	epoch            ident.Epoch // of the grant; 0: there was none
+	epoch            ident.Epoch // epoch of the grant; 0: no grant was received
 	grantRequestedAt clock.Instant
 	grantExpiresAt   clock.Instant
 	excluded         map[ident.MachineID]bool
@@ -99,10 +98,10 @@
 	contacts    map[ident.MachineID]contact
 }
 
-// contact is the last heartbeat of a worker while the node is cut off.
+// contact records the last heartbeat of a worker that reached the node while the node was isolated.
 type contact struct {
 	at     clock.Instant
-	probed bool // it was sent to another node
+	probed bool // the worker was redirected to another node
 }
 
 // NewDelegate returns the delegate of a process that started at now.
@@ -115,8 +114,8 @@
 	}
 }
 
-// AcceptStatus applies a status, and the grant in it if it is the newest, by when the
-// request for it left.
+// AcceptStatus applies a status that this node requested at requestedAt. It replaces the current grant by the one in
+// the status if that one has a later epoch, or the same epoch and no earlier request time.
 func (d *Delegate) AcceptStatus(requestedAt clock.Instant, status Status) {
 	if status.Epoch != 0 {
 		d.lastLeaderContactAt = max(d.lastLeaderContactAt, requestedAt)
@@ -133,20 +132,26 @@
 	}
 }
 
-// GrantRequestedAt is when the request for the grant left.
+// GrantRequestedAt returns when the request for the grant was sent.
 func (d *Delegate) GrantRequestedAt() clock.Instant { return d.grantRequestedAt }
 
-// GrantExpiresAt is when the grant expires.
+// GrantExpiresAt returns when the grant expires.
 func (d *Delegate) GrantExpiresAt() clock.Instant { return d.grantExpiresAt }
 
-// GrantEpoch is the epoch of the grant.
+// GrantEpoch returns the epoch of the grant.
 func (d *Delegate) GrantEpoch() ident.Epoch { return d.epoch }
 
-// Decide decides on a heartbeat. A worker that may reach another node probes one first: the
-// leader, if there is one, does better by it. It must be back before the grant expires, or
-// the probe would cost it the last renewal of its lease. Where leases are short its lease
-// is renewed once before it probes: it comes from a node that did not answer, and a second
-// wait of 4 s cost it a lease of 10 s.
+// Decide returns the disposition of a heartbeat:
+//
+//  1. If the node is not isolated, holds no grant or had recent contact with a leader, the leader answers.
+//  2. If the grant does not cover the worker's lease, the heartbeat is refused.
+//  3. A worker that was not redirected recently and may reach another node is redirected to one first, because the
+//     leader, if there is one, can do more for the worker than renew its lease. The worker must be able to return
+//     before the grant expires; otherwise the probe would cost it the last renewal of its lease.
+//  4. In all other cases the node renews the lease.
+//
+// Where leases are short the lease is renewed once before the probe: the worker has already waited for a node that did
+// not answer, and a second wait of 4 s made a lease of 10 s expire.
 func (d *Delegate) Decide(now clock.Instant, isolation Isolation, h *fleet.Heartbeat) Disposition {
 	if isolation == Connected || d.epoch == 0 || now.Sub(d.lastLeaderContactAt) < leaderLossThreshold {
 		return ForwardToLeader
@@ -164,13 +169,13 @@
 	return RenewLease
 }
 
-// mayRenew tells whether the grant covers the worker's lease now.
+// mayRenew reports whether the grant allows this node to renew the worker's lease at now.
 func (d *Delegate) mayRenew(now clock.Instant, h *fleet.Heartbeat) bool {
 	return now.Before(d.grantExpiresAt) && h.Zone == d.zone && h.FencingToken <= d.epoch && !d.excluded[h.Machine]
 }
 
-// lastContact returns the worker's last heartbeat, if it still counts. It forgets all
-// workers when they are too many.
+// lastContact returns the worker's last contact and whether there is one that is no older than contactMaxAge. It
+// removes the contacts of all workers if there are more than maxTrackedWorkers.
 func (d *Delegate) lastContact(now clock.Instant, id ident.MachineID) (contact, bool) {
 	if len(d.contacts) > maxTrackedWorkers {
 		clear(d.contacts)
@@ -182,15 +187,15 @@
 	return last, true
 }
 
-// canProbe tells whether a worker that looks for another node is back before the grant
-// expires if it finds none.
+// canProbe reports whether a worker may try another node: not during an outage of the state service, and only if it
+// would return before the grant expires.
 func (d *Delegate) canProbe(now clock.Instant, isolation Isolation) bool {
 	return isolation != StateServiceOutage && !d.grantExpiresAt.Before(now.Add(probeDuration))
 }
 
-// IdleFor is how long ago, at least, this node renewed a lease; what an earlier process of
-// it did was before this one started.
+// IdleFor returns the minimum time since this node last renewed a lease. Renewals by an earlier process of the node
+// were made before this process started.
 func (d *Delegate) IdleFor(now clock.Instant) time.Duration { return now.Sub(d.IdleSince()) }
 
-// IdleSince is since when, at the latest, this node has renewed no lease.
+// IdleSince returns the latest time at which this node may have renewed a lease.
 func (d *Delegate) IdleSince() clock.Instant { return max(d.lastRenewal, d.startedAt) }
--- a/internal/leasedelegation/delegate_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -20,8 +20,7 @@
 		Params: config.Params{Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}}}
 }
 
-// TestDelegate follows a node through a network partition: which leases it renews, and
-// for how long.
+// TestDelegate checks which leases a node renews under a grant during a network partition, and for how long.
 func TestDelegate(t *testing.T) {
 	heartbeat := func(id ident.MachineID, zone ident.Zone, token ident.Epoch) *fleet.Heartbeat {
 		return &fleet.Heartbeat{Machine: id, Zone: zone, FencingToken: token}
@@ -29,38 +28,38 @@
 	own := heartbeat("m1", "a", 7)
 	d := NewDelegate("a", testSettings().Params.Workers, now)
 	if d.Decide(instantAt(60), NodeIsolated, own) != ForwardToLeader {
-		t.Error("a node that never had a grant took a decision of its own")
+		t.Error("a node that never held a grant did not forward the heartbeat to the leader")
 	}
 	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 20 * time.Second, ExcludedMachines: []ident.MachineID{"m2"}})
-	d.AcceptStatus(instantAt(59), Status{Epoch: 6, GrantDuration: time.Hour}) // came late, of an earlier leader
+	d.AcceptStatus(instantAt(59), Status{Epoch: 6, GrantDuration: time.Hour}) // delayed status of an earlier leader
 	if d.Decide(instantAt(62), NodeIsolated, own) != ForwardToLeader || d.Decide(instantAt(70), Connected, own) != ForwardToLeader {
-		t.Error("a node that is not cut off took a decision of its own")
+		t.Error("a node that is not isolated did not forward the heartbeat to the leader")
 	}
 	if d.Decide(instantAt(63), NodeIsolated, own) != RedirectOutside || d.Decide(instantAt(70), NodeIsolated, own) != RenewLease {
-		t.Error("a worker must try one other node, and have its lease renewed when it is back")
+		t.Error("a worker must try one other node first and have its lease renewed when it returns")
 	}
 	if d.Decide(instantAt(71), StateServiceOutage, heartbeat("m3", "a", 7)) != RenewLease {
-		t.Error("in an outage no other node does better by a worker")
+		t.Error("the lease was not renewed at once although no other node can help during an outage of the state service")
 	}
-	for reason, h := range map[string]*fleet.Heartbeat{"owes an exit": heartbeat("m2", "a", 7),
-		"is of another node's zone": heartbeat("m5", "b", 7), "has seen a later leader": heartbeat("m6", "a", 8)} {
+	for reason, h := range map[string]*fleet.Heartbeat{"must end a task": heartbeat("m2", "a", 7),
+		"is in another zone": heartbeat("m5", "b", 7), "has seen a later epoch": heartbeat("m6", "a", 8)} {
 		if d.Decide(instantAt(72), StateServiceOutage, h) == RenewLease {
-			t.Errorf("a lease was renewed of a worker that %s", reason)
+			t.Errorf("renewed the lease of a worker that %s", reason)
 		}
 	}
 	if d.Decide(instantAt(73.9), NodeIsolated, heartbeat("m4", "a", 7)) != RedirectOutside || d.Decide(instantAt(74.1), NodeIsolated, heartbeat("m7", "a", 7)) != RenewLease {
-		t.Error("a worker must try another node only if it is back before the grant expires")
+		t.Error("a worker must try another node only if it can return before the grant expires")
 	}
 	if idle := d.IdleFor(instantAt(78)); idle != 3900*time.Millisecond {
-		t.Errorf("the last lease was renewed %v ago, want 3.9 s", idle)
+		t.Errorf("last renewal %v ago, want 3.9 s", idle)
 	}
 	if d.Decide(instantAt(80), NodeIsolated, own) != RefuseHeartbeat {
-		t.Error("a lease was renewed after the grant had expired")
+		t.Error("the heartbeat was not refused after the grant had expired")
 	}
 }
 
-// TestDelegateOfShortLeases: a lease that does not bear a second wait for a node that
-// does not answer is renewed before its worker probes one, and after.
+// TestDelegateOfShortLeases checks that a lease that would expire during a second wait for an unresponsive node is
+// renewed before its worker probes another node, and again afterwards.
 func TestDelegateOfShortLeases(t *testing.T) {
 	d := NewDelegate("a", config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, now)
 	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 27 * time.Second})
--- a/internal/leasedelegation/grant.go
+++ b/internal/leasedelegation/grant.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// cancellationMargin is what is left of the time in which a cancelled job's tasks must
-	// be gone: for clock drift, for heartbeats that are under way, and for the list of the
-	// excluded machines, which is as old as the grant.
+	// cancellationMargin is the part of the cancel timeout that a grant and the following lease leave unused. It covers
+	// clock drift, heartbeats in flight, and the list of excluded machines, which is as old as the grant.
 	cancellationMargin = 3 * time.Second
-	// minGrantDuration and maxGrantDuration bound a grant: a shorter one is of no use, and
-	// a longer one keeps lost work from being placed anew.
+	// minGrantDuration and maxGrantDuration bound the duration of a grant: a shorter grant is of no use, and a longer
+	// one delays the rescheduling of lost tasks.
 	minGrantDuration = 5 * time.Second
 	maxGrantDuration = 30 * time.Second
 )
 
-// GrantDuration is how long a grant lasts from the request for it, or 0 if none is given.
-// A lease may be renewed until the grant expires and lasts for its TTL from then; the tasks
-// of a job that is cancelled just after the grant must be gone by then.
+// GrantDuration returns the duration of a grant, counted from the request for it, or 0 if no grants are given. A lease
+// may be renewed until the grant expires and then lasts for its TTL. The tasks of a job that is cancelled just after
+// the grant may run until that lease expires, which must be within the cancel timeout.
 func GrantDuration(workers config.Workers) time.Duration {
 	duration := workers.CancelTimeout() - workers.LeaseTTL() - cancellationMargin
 	if duration < minGrantDuration {
--- a/internal/leasedelegation/grant_test.go
+++ b/internal/leasedelegation/grant_test.go
@@ -6,15 +6,15 @@
 	"badgerbay/internal/config"
 )
 
-// TestGrantDuration: what a cancelled job runs under a grant that was given just before is
-// gone in time.
+// TestGrantDuration checks that the tasks of a job that is cancelled just after a grant end within the cancel timeout,
+// and that no grant is given if there is no time for it.
 func TestGrantDuration(t *testing.T) {
 	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	if duration := GrantDuration(workers); duration <= 0 || duration+workers.LeaseTTL() >= workers.CancelTimeout() {
-		t.Errorf("a grant lasts for %v", duration)
+		t.Errorf("grant duration %v, want a positive one that ends with a lease before the cancel timeout", duration)
 	}
 	workers.CancelSeconds = 30
 	if duration := GrantDuration(workers); duration != 0 {
-		t.Errorf("a grant lasts for %v although there is no time for it", duration)
+		t.Errorf("grant duration %v, want 0: the cancel timeout leaves no time for a grant", duration)
 	}
 }
--- a/internal/leasedelegation/grant_tracker.go
+++ b/internal/leasedelegation/grant_tracker.go
@@ -9,7 +9,7 @@
 	"badgerbay/internal/ident"
 )
 
-// GrantTracker is what a leader knows of the grants that other nodes may be using.
+// GrantTracker tracks, on the leader, the grants that other nodes may be using.
 type GrantTracker struct {
 	grantDuration time.Duration
 	peers         map[string]*peerGrant // by node name
@@ -20,9 +20,9 @@
 	renewal fleet.DelegatedRenewal
 }
 
-// NewGrantTracker returns the tracker of a leader that acquired its epoch at acquiredAt.
-// Grants of earlier leaders may be in use for their whole duration from then on: they were
-// given before, by a leader that was entitled then.
+// NewGrantTracker returns the tracker of a leader that acquired its epoch at acquiredAt. Earlier leaders gave their
+// grants before acquiredAt, while they were entitled to do so, so these grants may be in use for up to a full grant
+// duration after acquiredAt.
 func NewGrantTracker(settings *config.Settings, acquiredAt clock.Instant) *GrantTracker {
 	t := &GrantTracker{grantDuration: GrantDuration(settings.Params.Workers), peers: map[string]*peerGrant{}}
 	for _, p := range settings.Peers {
@@ -34,13 +34,12 @@
 	return t
 }
 
-// latestExpiry is when a grant given at now has surely expired by the clock of any node.
+// latestExpiry returns the time by which a grant given at now has expired on every node, allowing for clock drift.
 func (t *GrantTracker) latestExpiry(now clock.Instant) clock.Instant {
 	return now.Add(time.Duration(float64(t.grantDuration) * (1 + 2*fleet.MaxClockDrift)))
 }
 
-// Grant notes that a grant is given to a peer now, and returns its duration; 0: none is
-// given.
+// Grant records that a grant is given to a peer at now and returns its duration. It returns 0 if no grant is given.
 func (t *GrantTracker) Grant(now clock.Instant, node string) time.Duration {
 	p := t.peers[node]
 	if p == nil {
@@ -50,8 +49,8 @@
 	return t.grantDuration
 }
 
-// ConfirmIdle notes that a peer, asked at sentAt, answered at receivedAt that it has
-// renewed no lease for idleFor.
+// ConfirmIdle records that a peer, in response to a request sent at sentAt and answered at receivedAt, reported that it
+// has renewed no lease for idleFor.
 func (t *GrantTracker) ConfirmIdle(node string, sentAt, receivedAt clock.Instant, idleFor time.Duration) {
 	p := t.peers[node]
 	if p == nil {
@@ -61,23 +60,23 @@
 	p.renewal.LastRenewal = max(p.renewal.LastRenewal, receivedAt.Add(-idleFor))
 }
 
-// RenewalIn sums up what may have been done under grants in a zone or, if that is empty, in
-// any. It returns false where no grant can have been used.
-func (t *GrantTracker) RenewalIn(zone ident.Zone) (sum fleet.DelegatedRenewal, found bool) {
+// RenewalIn returns the combined bounds on lease renewals under grants by the nodes of a zone, or by all nodes if zone
+// is empty. It returns false if no node there can have used a grant.
+func (t *GrantTracker) RenewalIn(zone ident.Zone) (combined fleet.DelegatedRenewal, found bool) {
 	if t.grantDuration == 0 {
-		return sum, false
+		return combined, false
 	}
 	for _, p := range t.peers {
 		if zone != "" && p.zone != zone {
 			continue
 		}
 		if !found {
-			sum, found = p.renewal, true
+			combined, found = p.renewal, true
 			continue
 		}
-		sum.LastRenewal = max(sum.LastRenewal, p.renewal.LastRenewal)
-		sum.NoneUntil = min(sum.NoneUntil, p.renewal.NoneUntil)
-		sum.GrantsExpireAt = max(sum.GrantsExpireAt, p.renewal.GrantsExpireAt)
+		combined.LastRenewal = max(combined.LastRenewal, p.renewal.LastRenewal)
+		combined.NoneUntil = min(combined.NoneUntil, p.renewal.NoneUntil)
+		combined.GrantsExpireAt = max(combined.GrantsExpireAt, p.renewal.GrantsExpireAt)
 	}
-	return sum, found
+	return combined, found
 }
--- a/internal/leasedelegation/grant_tracker_test.go
+++ b/internal/leasedelegation/grant_tracker_test.go
@@ -9,12 +9,12 @@
 	"badgerbay/internal/ident"
 )
 
-// TestGrantTracker: a zone's leases count from the last moment at which a node in it may
-// have renewed them, whether or not that node is heard.
+// TestGrantTracker checks the bounds on the renewals that the nodes of a zone may have made, both for nodes that answer
+// and for nodes that don't.
 func TestGrantTracker(t *testing.T) {
 	tracker := NewGrantTracker(testSettings(), now)
 	if _, ok := tracker.RenewalIn("a"); ok {
-		t.Error("the leader's own zone has no other node, and yet renewals")
+		t.Error("the leader's own zone has no other node that can have renewed leases")
 	}
 	renewalIn := func(zone ident.Zone) fleet.DelegatedRenewal {
 		v, _ := tracker.RenewalIn(zone)
@@ -22,31 +22,31 @@
 	}
 	duration := GrantDuration(testSettings().Params.Workers)
 	if v := renewalIn("b"); v.NoneUntil != now || v.GrantsExpireAt < now.Add(duration) {
-		t.Errorf("%+v after a failover: grants of earlier leaders may be in use", v)
+		t.Errorf("%+v after a failover: grants of earlier leaders may still be in use", v)
 	}
 	tracker.ConfirmIdle("n1", instantAt(40), instantAt(41), 30*time.Second)
 	if v := renewalIn("b"); v.NoneUntil != now || v.LastRenewal != instantAt(11) {
-		t.Errorf("%+v: one of two nodes was heard, which has renewed leases 11 s in", v)
+		t.Errorf("%+v: only one of two nodes answered, and its last renewal was at 11 s", v)
 	}
 	tracker.ConfirmIdle("n2", instantAt(42), instantAt(42), time.Hour)
-	tracker.ConfirmIdle("n2", instantAt(3), instantAt(43), time.Hour) // an answer that was delayed
+	tracker.ConfirmIdle("n2", instantAt(3), instantAt(43), time.Hour) // answer to an earlier request, received late
 	if v := renewalIn("b"); v.NoneUntil != instantAt(40) {
-		t.Errorf("%+v: both said that they renew none", v)
+		t.Errorf("%+v: both nodes reported no renewal up to 40 s", v)
 	}
 	tracker.Grant(instantAt(50), "n2")
 	if v := renewalIn("b"); v.GrantsExpireAt < instantAt(50).Add(duration) {
 		t.Errorf("%+v: a grant was given at 50 s", v)
 	}
 	if v, ok := tracker.RenewalIn("c"); ok {
-		t.Errorf("%+v: a zone without a node has nobody to renew its leases", v)
+		t.Errorf("%+v: a zone without a node has no node that renews its leases", v)
 	}
 	if v, ok := tracker.RenewalIn(""); !ok || v != renewalIn("b") {
-		t.Errorf("%+v %v: a machine whose zone is not known may be in any", v, ok)
+		t.Errorf("%+v %v: a machine of unknown zone may be in any zone", v, ok)
 	}
 }
 
-// TestDelegatedLeaseExpiry: a lease that a node may have renewed under a grant has not
-// expired before that node said that it did not, or can't any more.
+// TestDelegatedLeaseExpiry checks that the leader does not treat a lease as expired while a node may have renewed it
+// under a grant: the node must have reported that it did not, or its grant must have expired.
 func TestDelegatedLeaseExpiry(t *testing.T) {
 	var renewal fleet.DelegatedRenewal
 	f := fleet.New(fleet.Timing{HeartbeatInterval: 5 * time.Second, LeaseTTL: 27 * time.Second}, 7, now, nil)
@@ -58,13 +58,13 @@
 	}
 	switch {
 	case expired(27, now, instantAt(27), now):
-		t.Error("expired before its time")
+		t.Error("expired before the end of its TTL")
 	case !expired(29, now, instantAt(28.5), instantAt(40)):
-		t.Error("not expired although nobody renewed it")
+		t.Error("not expired although no node renewed it")
 	case expired(29, now, instantAt(20), instantAt(40)):
-		t.Error("expired although a node that was last heard 20 s in may renew it")
+		t.Error("expired although a node that last answered at 20 s may have renewed it")
 	case expired(29, instantAt(10), instantAt(28.5), instantAt(40)):
-		t.Error("expired although it was renewed 10 s in")
+		t.Error("expired although it was renewed at 10 s")
 	case !expired(68, now, instantAt(20), instantAt(40)):
 		t.Error("not expired although no grant can be in use any more")
 	}
