--- a/internal/recovery/heartbeat_poll.go
+++ b/internal/recovery/heartbeat_poll.go
@@ -7,19 +7,19 @@
 	"badgerbay/internal/fleet"
 )
 
-// HeartbeatPoll tracks the requests for a heartbeat that a new leader sends to all
-// machines. The zero value is a poll that has not begun.
+// HeartbeatPoll tracks the heartbeat requests that a new leader sends to all machines. The zero value is a poll that
+// has not begun.
 type HeartbeatPoll struct {
 	allSent    bool // every listed machine was sent a request
 	lastSentAt clock.Instant
 }
 
-// answerTimeout is how long the answer of a polled machine is waited for; what a machine
-// without an answer holds counts as running.
+// answerTimeout is how long a new leader waits for the answers of polled machines after the last request. The tasks of
+// a machine that did not answer count as running.
 const answerTimeout = time.Second
 
-// RecordSent notes that requests to so many machines leave now, and whether more machines
-// are still to be sent one.
+// RecordSent records that heartbeat requests to the given number of machines are sent at now, and whether requests to
+// more machines will follow.
 func (p *HeartbeatPoll) RecordSent(now clock.Instant, machines int, more bool) {
 	if !p.allSent || machines > 0 {
 		p.lastSentAt = now
@@ -27,9 +27,12 @@
 	p.allSent = !more
 }
 
-// answered tells whether the polled machines have answered. Where some did not, it is
-// enough that most did and the others had the time; where most did not, this node may be
-// the one that is cut off, and they are waited for as if there had been no poll.
+// answered reports whether the polled machines have answered, once every request was sent:
+//
+//  1. If no polled or busy machine is silent, at least one machine must be up.
+//  2. If some are silent, at least as many machines must be up, and answerTimeout must have passed.
+//  3. If more machines are silent than up, this node itself may be isolated. The leader then waits as if it had not
+//     polled any machine.
 func (p *HeartbeatPoll) answered(now clock.Instant, machines []*fleet.Machine) bool {
 	if !p.allSent {
 		return false
--- a/internal/recovery/heartbeat_poll_test.go
+++ b/internal/recovery/heartbeat_poll_test.go
@@ -9,20 +9,19 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestHeartbeatPoll: polled machines are waited for until they have answered, or most have
-// and the others had the time; a leader that hardly any machine answers waits as if it had
-// polled none.
+// TestHeartbeatPoll checks that the poll is answered once all polled machines have answered, or once most have answered
+// and answerTimeout has passed. A leader that most machines don't answer waits as if it had not polled any.
 func TestHeartbeatPoll(t *testing.T) {
 	const polled = 20
 	for _, c := range []struct {
 		name     string
 		silent   int
-		complete bool
+		allSent  bool
 		after    time.Duration
 		answered bool
 	}{
 		{"all have answered", 0, true, 0, true},
-		{"not all were polled yet", 0, false, 0, false},
+		{"not all have been polled", 0, false, 0, false},
 		{"some have not answered yet", 5, true, 500 * time.Millisecond, false},
 		{"some do not answer", 5, true, answerTimeout, true},
 		{"most do not answer", 11, true, answerTimeout, false},
@@ -34,7 +33,7 @@
 			}
 			var poll HeartbeatPoll
 			requests := f.ClaimHeartbeatRequests(polled)
-			poll.RecordSent(acquiredAt, len(requests), !c.complete)
+			poll.RecordSent(acquiredAt, len(requests), !c.allSent)
 			for _, m := range requests[c.silent:] {
 				f.ApplyCommandAnswer(acquiredAt, &fleet.Heartbeat{Machine: m.ID, Session: 1, HeartbeatSeq: 1})
 			}
@@ -42,7 +41,7 @@
 				t.Errorf("answered %v, want %v", got, c.answered)
 			}
 			if again := f.ClaimHeartbeatRequests(polled); len(again) != 0 {
-				t.Errorf("%d machines are polled twice", len(again))
+				t.Errorf("%d machines were polled twice", len(again))
 			}
 		})
 	}
--- a/internal/recovery/records.go
+++ b/internal/recovery/records.go
@@ -1,8 +1,7 @@
-// Package recovery holds what a new leader does before it decides anything: it decodes
-// the records that earlier leaders left, and keeps scheduling closed until the state of
-// nearly all machines is known again. It owns the decoded records and the rule that opens
-// scheduling. Reading the key-value store, sending requests to machines and replaying the
-// records into jobs and machines are left to the controller; nothing here does I/O.
+// Package recovery implements the first steps of a new leader. It decodes the records that earlier leaders stored, and
+// blocks scheduling until the state of nearly all machines is known again. It owns the decoded records and the rule
+// that opens scheduling, and performs no I/O. The controller reads the key-value store, sends requests to machines and
+// replays the records into jobs and machines.
 package recovery
 
 import (
@@ -19,26 +18,25 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// StoredRecords is everything that the key-value store holds, still encoded.
+// StoredRecords holds all records of the key-value store in encoded form.
 type StoredRecords struct {
 	// Jobs and Rounds are the first values of job and round records.
 	Jobs, Rounds []kvstore.KeyValue
-	// Chunks are the further values of records of both kinds.
+	// Chunks are the further values of job and round records.
 	Chunks []kvstore.KeyValue
-	// SchemaAgreement is the schema version that the nodes agreed on; its revision is 0
-	// if there is none.
+	// SchemaAgreement is the stored schema version that the nodes agreed on. Its revision is 0 if none is stored.
 	SchemaAgreement kvstore.KeyValue
 }
 
-// Records are the decoded records, and those that could not be decoded.
+// Records holds the decoded records and lists those that could not be decoded.
 type Records struct {
 	Jobs   []JobRecord
 	Rounds []roundlog.StoredRecord
-	// LostRounds are the slots of the round log whose records can't be decoded.
+	// LostRounds are the slots of the round log whose records could not be decoded.
 	LostRounds      []kvstore.KeyValue
 	SchemaAgreement schemaversion.Agreement
-	// StageRevision and SchemaRevision are the revisions of the keys by which staged
-	// records and the schema agreement are guarded; 0: absent.
+	// StageRevision is the revision of the key that guards staged records, and SchemaRevision that of the key of the
+	// schema agreement. 0 means that the key is absent.
 	StageRevision, SchemaRevision ident.Revision
 	UnreadableRecords             []UnreadableRecord
 }
@@ -50,20 +48,20 @@
 	Revision ident.Revision
 }
 
-// UnreadableRecord is a record that can't be decoded.
+// UnreadableRecord identifies a record that could not be decoded.
 type UnreadableRecord struct {
 	Key string
 	Err error
 }
 
-// FromNewerSchema tells whether a newer program wrote the record: this one must not
-// decide without knowing what that one decided.
+// FromNewerSchema reports whether a newer release wrote the record. This release can't read the decisions in such a
+// record and must not make its own without them.
 func (u UnreadableRecord) FromNewerSchema() bool {
 	return errors.Is(u.Err, jobs.ErrNewerSchema) || errors.Is(u.Err, roundlog.ErrNewerSchema)
 }
 
-// DecodeRecords decodes all records; stageKey is the key that guards staged records.
-// Records that can't be decoded are listed and don't keep the others from being read.
+// DecodeRecords decodes all records; stageKey is the key that guards staged records. Records that can't be decoded are
+// listed in the result and don't prevent the others from being decoded.
 func DecodeRecords(stored StoredRecords, stageKey string) *Records {
 	records := &Records{}
 	records.decodeAgreement(stored.SchemaAgreement)
@@ -101,8 +99,8 @@
 	}
 }
 
-// DecodeJob decodes the record of one job; chunk returns its further values by number, or
-// nil. The error wraps jobs.ErrNewerSchema if a newer program wrote the record.
+// DecodeJob decodes the record of one job. chunk returns the chunk with the given number, or nil if it is absent. The
+// error wraps jobs.ErrNewerSchema if a newer release wrote the record.
 func DecodeJob(id ident.JobID, item kvstore.KeyValue, chunk func(n int) []byte) (JobRecord, error) {
 	record, err := jobs.DecodeWithChunks(item.Value, chunk)
 	if err != nil {
--- a/internal/recovery/records_test.go
+++ b/internal/recovery/records_test.go
@@ -11,8 +11,8 @@
 	"badgerbay/internal/roundlog"
 )
 
-// TestDecodeRecordsNamesUnreadable: a record that can't be decoded is named, and the
-// others are decoded all the same.
+// TestDecodeRecordsNamesUnreadable checks that a record that can't be decoded is listed with its key and does not
+// prevent the others from being decoded.
 func TestDecodeRecordsNamesUnreadable(t *testing.T) {
 	good, err := msgpack.Marshal(jobs.NewRecord(jobs.Spec{Tasks: 2, CPUs: 1}, 0))
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestRecordsOfNewerProgramAreTold: a record of a newer schema is told apart from one that
-// is damaged, and an agreement that can't be decoded is named too.
+// TestRecordsOfNewerProgramAreTold checks that records of a newer schema are distinguished from damaged ones, and that
+// an agreement that can't be decoded is listed too.
 func TestRecordsOfNewerProgramAreTold(t *testing.T) {
 	newer, err := msgpack.Marshal(map[string]any{"v": 99})
 	if err != nil {
--- a/internal/recovery/scheduling_gate.go
+++ b/internal/recovery/scheduling_gate.go
@@ -10,28 +10,28 @@
 	"badgerbay/internal/leasedelegation"
 )
 
-// SchedulingGate decides when a new leader may place tasks: it reconciles before it
-// creates.
+// SchedulingGate decides when a new leader may place tasks: only after it has reconciled its records with the state of
+// the machines.
 type SchedulingGate struct {
 	// AcquiredAt is when this leader acquired Epoch.
 	AcquiredAt clock.Instant
 	Epoch      ident.Epoch
 	Workers    config.Workers
-	// LostRounds: some round record can't be read, so a task of it may run anywhere.
+	// LostRounds is whether some round record can't be decoded, so that its tasks may run on any machine.
 	LostRounds bool
-	// Pristine: nothing was ever placed or provisioned, and the cloud lists no machine,
-	// so there is nobody to wait for.
+	// Pristine is whether nothing was ever placed or provisioned and the cloud lists no machine, so that there is no
+	// machine to wait for.
 	Pristine bool
 	Poll     HeartbeatPoll
 }
 
-// silentShareDivisor bounds the busy machines that may be silent when scheduling opens:
-// one in so many. Among hundreds some are always silent, and what they hold counts as
-// running.
+// silentShareDivisor bounds the busy machines that may be silent when scheduling opens to one in silentShareDivisor.
+// Among hundreds of machines some are always silent; their tasks count as running.
 const silentShareDivisor = 20
 
-// Open tells whether tasks may be placed: nearly all busy machines have reported under
-// the epoch, or have answered the poll, or have had the time to report by themselves.
+// Open reports whether tasks may be placed. One of these conditions must hold: the cluster is pristine, nearly all busy
+// machines have reported under the epoch, the polled machines have answered, or every machine has had time to send a
+// periodic heartbeat. If a round record is lost, the tasks of that round must also have had time to end.
 func (g *SchedulingGate) Open(now clock.Instant, machines []*fleet.Machine) bool {
 	sinceAcquired := now.Sub(g.AcquiredAt)
 	if g.LostRounds && sinceAcquired < g.maxPlacementLifetime() {
@@ -46,9 +46,8 @@
 	return g.Poll.answered(now, machines)
 }
 
-// maxPlacementLifetime is how long a task that an earlier leader started may run on a
-// machine that no record names, counted from the failover: for a lease that was renewed
-// under a grant until the grant expired.
+// maxPlacementLifetime returns how long after the failover a task that an earlier leader started may still run on a
+// machine that no record names: for the TTL of a lease that was renewed under a grant just before the grant expired.
 func (g *SchedulingGate) maxPlacementLifetime() time.Duration {
 	const margin = 2 * time.Second
 	return g.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.Workers) + margin
--- a/internal/recovery/scheduling_gate_test.go
+++ b/internal/recovery/scheduling_gate_test.go
@@ -16,8 +16,8 @@
 	epoch      = ident.Epoch(10)
 )
 
-// busyMachines returns n machines that are up and hold a task each, of which silent have
-// not reported under the epoch.
+// busyMachines returns n machines that are up with one task each. The first silent of them have not reported under the
+// epoch.
 func busyMachines(t *testing.T, n, silent int) []*fleet.Machine {
 	t.Helper()
 	job := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: n, CPUs: 1}, 0), 1, acquiredAt)
@@ -35,8 +35,8 @@
 	return f.Machines()
 }
 
-// TestSchedulingGate: a new leader places nothing until nearly all machines have reported
-// to it, or could have.
+// TestSchedulingGate checks that a new leader places no tasks until nearly all machines have reported to it or have had
+// the time to do so, and, if a round is lost, until its tasks have ended.
 func TestSchedulingGate(t *testing.T) {
 	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	for _, c := range []struct {
@@ -49,10 +49,10 @@
 		{"half are silent", SchedulingGate{}, 10, 6 * time.Second, false},
 		{"one of twenty is silent", SchedulingGate{}, 1, time.Second, true},
 		{"two of twenty are silent", SchedulingGate{}, 2, time.Second, false},
-		{"an interval and a quarter have passed", SchedulingGate{}, 20, 6250 * time.Millisecond, true},
+		{"the maximum heartbeat gap has passed", SchedulingGate{}, 20, 6250 * time.Millisecond, true},
 		{"nothing was ever placed", SchedulingGate{Pristine: true}, 20, 0, true},
 		{"a round is lost", SchedulingGate{LostRounds: true}, 0, 40 * time.Second, false},
-		{"a round is lost, and what it placed is over", SchedulingGate{LostRounds: true}, 0, 52 * time.Second, true},
+		{"a round is lost, but its tasks have ended", SchedulingGate{LostRounds: true}, 0, 52 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			gate := c.gate
--- a/internal/schemaversion/golden_test.go
+++ b/internal/schemaversion/golden_test.go
@@ -12,11 +12,11 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// TestGoldenAgreement reads the recorded values of the key under which the agreed
-// schema version is stored, and writes them as they were.
+// TestGoldenAgreement checks that recorded values of the agreement are decoded to the expected versions and encoded
+// again without a change, and that the key of the agreement is unchanged.
 func TestGoldenAgreement(t *testing.T) {
 	if schemaversion.Key != "form" {
-		t.Errorf("stored under %q", schemaversion.Key)
+		t.Errorf("the agreement is stored under key %q, want \"form\"", schemaversion.Key)
 	}
 	data, err := os.ReadFile("testdata/golden/agreement.txt")
 	if err != nil {
@@ -41,13 +41,13 @@
 			t.Fatal(err)
 		}
 		if fromMsgpack.Version != want || fromJSON.Version != want {
-			t.Errorf("%s: read %d and %d, want %d", lines[i], fromMsgpack.Version, fromJSON.Version, want)
+			t.Errorf("%s: decoded versions %d and %d, want %d", lines[i], fromMsgpack.Version, fromJSON.Version, want)
 		}
 		if again, err := msgpack.Marshal(fromMsgpack); err != nil || hex.EncodeToString(again) != recorded {
-			t.Errorf("%s: written as %x, %v", recorded, again, err)
+			t.Errorf("%s: encoded as %x, %v", recorded, again, err)
 		}
 		if again, err := json.Marshal(fromJSON); err != nil || string(again) != text {
-			t.Errorf("%s: written as %s, %v", text, again, err)
+			t.Errorf("%s: encoded as %s, %v", text, again, err)
 		}
 	}
 }
--- a/internal/schemaversion/negotiator_test.go
+++ b/internal/schemaversion/negotiator_test.go
@@ -9,19 +9,20 @@
 
 const now = clock.Instant(time.Hour)
 
-// TestAgreement: a later version is used once every node has reported it lately, and stays.
+// TestAgreement checks that a later version is used only once every node has recently reported it and it is stored, and
+// that it is never withdrawn.
 func TestAgreement(t *testing.T) {
 	n := New([]string{"n1", "n2"}, 0)
 	n.RecordReport(now, "n1", Latest)
-	n.RecordReport(now, "n2", 0) // of the release before
-	n.RecordReport(now, "who", Latest)
+	n.RecordReport(now, "n2", 0) // previous release, which reports no version
+	n.RecordReport(now, "unconfigured", Latest)
 	if n.Propose(now) != 0 || n.Version() != First || n.BehindCount(now) != 1 {
-		t.Fatal("agreed without a node")
+		t.Fatal("agreed although a node does not support the version")
 	}
 	late := now.Add(10 * time.Second)
 	n.RecordReport(late, "n2", Latest)
 	if n.Propose(late) != 0 {
-		t.Error("agreed though a node has not reported lately")
+		t.Error("agreed although a node has not reported recently")
 	}
 	n.RecordReport(late, "n1", Latest)
 	if n.Propose(late) != Latest || n.Propose(late) != 0 || n.Version() != First {
@@ -29,47 +30,47 @@
 	}
 	n.Settle(false)
 	if n.Version() != First || n.Propose(late) != Latest {
-		t.Error("used although it was not stored, or not tried again")
+		t.Error("used although it was not stored, or not proposed again")
 	}
 	n.Settle(true)
-	n.RecordReport(late, "n1", 0) // the release before has come back
+	n.RecordReport(late, "n1", 0) // restarted with the previous release
 	if n.Version() != Latest || n.Propose(late) != 0 {
-		t.Error("taken back")
+		t.Error("the agreed version was withdrawn, or proposed again")
 	}
 	if New([]string{"n1"}, ChunkedJobs).Version() != ChunkedJobs {
-		t.Error("a successor does not know")
+		t.Error("a successor does not use the stored version")
 	}
 	if New(nil, 99).Version() != Latest {
-		t.Error("a version is used that this program does not know")
+		t.Error("a version is used that this release does not support")
 	}
 }
 
-// TestReducedLimitsProveUpgrade: limits that come only after the upgrade show that it is over,
-// also where a node is out of reach.
+// TestReducedLimitsProveUpgrade checks that reduced limits of the state service, which it enforces only after an
+// upgrade of all nodes, allow ChunkedJobs even if a node is unreachable, but no later version.
 func TestReducedLimitsProveUpgrade(t *testing.T) {
 	n := New([]string{"n1"}, 0)
 	n.ObserveReducedLimits()
 	if n.Version() != ChunkedJobs || n.Propose(now) != ChunkedJobs {
-		t.Error("not used, or not stored")
+		t.Error("ChunkedJobs is not used or not proposed")
 	}
 	n.Settle(true)
 	if n.Version() != ChunkedJobs || n.Propose(now) != 0 {
-		t.Error("a node that has not reported was taken for one of this release")
+		t.Error("treated a node that has not reported as one of this release")
 	}
 	n.RecordReport(now, "n1", Latest)
 	if n.Propose(now) != Latest {
-		t.Error("the latest version is not stored after the one before")
+		t.Error("the latest version is not proposed after ChunkedJobs")
 	}
 }
 
-// TestVersionThatAllNodesKnow: where nodes have releases in between, the latest version
-// that all of them know is agreed on, and later ones after it.
+// TestVersionThatAllNodesKnow checks that with nodes of intermediate releases the latest version that all of them
+// support is agreed on, and later versions once all nodes support them.
 func TestVersionThatAllNodesKnow(t *testing.T) {
 	n := New([]string{"n1", "n2"}, 0)
 	n.RecordReport(now, "n1", ChunkedJobs)
 	n.RecordReport(now, "n2", Latest)
 	if n.Propose(now) != ChunkedJobs {
-		t.Fatal("the version that all know was not agreed on")
+		t.Fatal("the latest version that all nodes support was not proposed")
 	}
 	n.Settle(true)
 	if n.Version() != ChunkedJobs || n.BehindCount(now) != 1 || n.Propose(now) != 0 {
@@ -77,6 +78,6 @@
 	}
 	n.RecordReport(now, "n1", 99)
 	if n.Propose(now) != Latest {
-		t.Error("the latest version was not agreed on")
+		t.Error("the latest version was not proposed")
 	}
 }
