--- a/internal/jobs/chunks.go
+++ b/internal/jobs/chunks.go
@@ -41,29 +41,29 @@
 	return nil
 }
 
-func (r *Record) newChunkInfo(text wire.Packed, chunks int) *ChunkInfo {
-	return &ChunkInfo{Chunks: chunks, Checksum: chunk.Checksum(text), DoneTasks: r.Done.Len(), LiveTasks: r.LiveTasks()}
+func (r *Record) newChunkInfo(compressed wire.Packed, chunks int) *ChunkInfo {
+	return &ChunkInfo{Chunks: chunks, Checksum: chunk.Checksum(compressed), DoneTasks: r.Done.Len(), LiveTasks: r.LiveTasks()}
 }
 
 // Split returns the record as it is stored, and its chunks, where a value holds limit bytes in
 // JSON and at most so many values may be written, the record's own included. size measures a
 // value. With one value only, the record has schemaPlain and may be too large: versions of the
 // program serve that know no chunks.
-func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*chunk.Value, error) {
+func (r *Record) Split(valueLimit, maxValues int, jsonSize func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
-	if err != nil || values <= 1 || size(plain) <= limit {
+	if err != nil || maxValues <= 1 || jsonSize(plain) <= valueLimit {
 		return plain, nil, err
 	}
-	text, err := wire.CompressRecord(r.encodeProgress)
+	compressed, err := wire.CompressRecord(r.encodeProgress)
 	if err != nil {
 		return nil, nil, err
 	}
 	out := *plain
 	out.SchemaVersion = schemaChunked
-	out.Packed = text[:1] // so that the measure has its field's name
-	out.ChunkInfo = r.newChunkInfo(text, chunk.MaxChunks)
-	limits := chunk.Limits{HeadBytes: limit - size(&out), ValueBytes: limit, Chunks: values - 1}
-	head, chunks, err := chunk.Split(text, limits, schemaChunked)
+	out.Packed = compressed[:1] // so that the measure has its field's name
+	out.ChunkInfo = r.newChunkInfo(compressed, chunk.MaxChunks)
+	limits := chunk.Limits{HeadBytes: valueLimit - jsonSize(&out), ValueBytes: valueLimit, Chunks: maxValues - 1}
+	head, chunks, err := chunk.Split(compressed, limits, schemaChunked)
 	if err != nil {
 		return nil, nil, fmt.Errorf("job record: %w", err)
 	}
@@ -75,18 +75,18 @@
 // size: the chunks first, in the bank that the stored record does not use, then
 // the record itself, which holds neither spec nor placements. Until that is
 // written the stored one stays whole. storedOffset is the offset of the stored record's chunks.
-func (r *Record) SplitMultiTxn(limit, storedOffset int) (*Record, []*chunk.Value, error) {
-	text, err := wire.CompressRecord(r.encodeSpecAndProgress)
+func (r *Record) SplitMultiTxn(valueLimit, storedOffset int) (*Record, []*chunk.Value, error) {
+	compressed, err := wire.CompressRecord(r.encodeSpecAndProgress)
 	if err != nil {
 		return nil, nil, err
 	}
-	_, chunks, err := chunk.Split(text, chunk.Limits{ValueBytes: limit, Chunks: chunkBankSize}, schemaMultiTxn)
+	_, chunks, err := chunk.Split(compressed, chunk.Limits{ValueBytes: valueLimit, Chunks: chunkBankSize}, schemaMultiTxn)
 	if err != nil {
 		return nil, nil, fmt.Errorf("job record: %w", err)
 	}
 	out := *r
 	out.SchemaVersion, out.Spec, out.Done, out.Placements, out.Packed = schemaMultiTxn, Spec{}, nil, nil, ""
-	out.ChunkInfo = r.newChunkInfo(text, len(chunks))
+	out.ChunkInfo = r.newChunkInfo(compressed, len(chunks))
 	if storedOffset == 0 {
 		out.ChunkInfo.Offset = chunkBankSize
 	}
@@ -115,7 +115,7 @@
 		return r, err
 	}
 	info := r.ChunkInfo
-	text, err := chunk.Join(r.Packed, info.Chunks, info.Checksum, func(n int) []byte { return chunkData(info.Offset + n) })
+	compressed, err := chunk.Join(r.Packed, info.Chunks, info.Checksum, func(n int) []byte { return chunkData(info.Offset + n) })
 	if err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
 	}
@@ -123,7 +123,7 @@
 	if r.SchemaVersion == schemaMultiTxn {
 		decode = r.decodeSpecAndProgress
 	}
-	if err := text.DecompressRecord(maxDecompressedBytes, decode); err != nil {
+	if err := compressed.DecompressRecord(maxDecompressedBytes, decode); err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
 	}
 	r.Packed, r.ChunkInfo, r.ChunkOffset = "", nil, info.Offset
--- a/internal/jobs/chunks_test.go
+++ b/internal/jobs/chunks_test.go
@@ -25,7 +25,7 @@
 	return len(data)
 }
 
-func stored(t interface{ Fatal(...any) }, v any) []byte {
+func marshal(t interface{ Fatal(...any) }, v any) []byte {
 	data, err := msgpack.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 		}
 		values := map[int][]byte{}
 		for i, value := range chunks {
-			values[i+1] = stored(t, value)
+			values[i+1] = marshal(t, value)
 			if n := jsonLen(value); n > limit {
 				t.Fatalf("chunk of %d bytes, %d allowed", n, limit)
 			}
@@ -70,16 +70,16 @@
 		if n := jsonLen(head); n > limit || len(chunks) >= maxValues {
 			t.Fatalf("%d chunks, the record takes %d of %d", len(chunks), n, limit)
 		}
-		data := stored(t, head)
-		back, err := DecodeWithChunks(data, func(n int) []byte { return values[n] })
+		data := marshal(t, head)
+		decoded, err := DecodeWithChunks(data, func(n int) []byte { return values[n] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, want := fmt.Sprint(back.Done, back.Placements), fmt.Sprint(r.Done, r.Placements); got != want {
+		if got, want := fmt.Sprint(decoded.Done, decoded.Placements), fmt.Sprint(r.Done, r.Placements); got != want {
 			t.Fatalf("read back %s, want %s", got, want)
 		}
-		if alone, err := Decode(data); err != nil || alone.ChunkInfo != nil && (alone.ChunkInfo.DoneTasks != r.Done.Len() || alone.ChunkInfo.LiveTasks != r.LiveTasks()) {
-			t.Fatalf("alone it says %+v, %v", alone.ChunkInfo, err)
+		if headOnly, err := Decode(data); err != nil || headOnly.ChunkInfo != nil && (headOnly.ChunkInfo.DoneTasks != r.Done.Len() || headOnly.ChunkInfo.LiveTasks != r.LiveTasks()) {
+			t.Fatalf("alone it says %+v, %v", headOnly.ChunkInfo, err)
 		}
 	})
 }
@@ -115,37 +115,37 @@
 	if err != nil || len(chunks) < 2 {
 		t.Fatalf("%d chunks, %v", len(chunks), err)
 	}
-	whole := func(n int) []byte { return stored(t, chunks[n-1]) }
-	for what, chunkData := range map[string]func(int) []byte{
+	whole := func(n int) []byte { return marshal(t, chunks[n-1]) }
+	for name, chunkData := range map[string]func(int) []byte{
 		"missing": func(int) []byte { return nil },
 		"swapped": func(n int) []byte { return whole(len(chunks) + 1 - n) },
 		"cut": func(n int) []byte {
 			value := *chunks[n-1]
 			value.Data = value.Data[:len(value.Data)/2]
-			return stored(t, &value)
+			return marshal(t, &value)
 		},
 		"older": func(n int) []byte {
 			value := *chunks[n-1]
 			value.Checksum++
-			return stored(t, &value)
+			return marshal(t, &value)
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
-			if _, err := DecodeWithChunks(stored(t, head), chunkData); !errors.Is(err, chunk.ErrTorn) {
+		t.Run(name, func(t *testing.T) {
+			if _, err := DecodeWithChunks(marshal(t, head), chunkData); !errors.Is(err, chunk.ErrTorn) {
 				t.Error(err)
 			}
 		})
 	}
-	odd := *head
-	odd.ChunkInfo = &ChunkInfo{Chunks: 1 << 30, Checksum: head.ChunkInfo.Checksum}
-	if _, err := DecodeWithChunks(stored(t, &odd), whole); !errors.Is(err, chunk.ErrTorn) {
+	malformed := *head
+	malformed.ChunkInfo = &ChunkInfo{Chunks: 1 << 30, Checksum: head.ChunkInfo.Checksum}
+	if _, err := DecodeWithChunks(marshal(t, &malformed), whole); !errors.Is(err, chunk.ErrTorn) {
 		t.Errorf("a record that claims 2^30 chunks: %v", err)
 	}
-	if n := len(ChunkNumbers(stored(t, &odd))); n > chunk.MaxChunks {
+	if n := len(ChunkNumbers(marshal(t, &malformed))); n > chunk.MaxChunks {
 		t.Errorf("%d chunks would be read", n)
 	}
-	odd.ChunkInfo = nil
-	if _, err := Decode(stored(t, &odd)); err == nil {
+	malformed.ChunkInfo = nil
+	if _, err := Decode(marshal(t, &malformed)); err == nil {
 		t.Error("a record of the later schema without chunks was taken")
 	}
 }
@@ -166,16 +166,16 @@
 		if r.LiveTasks() < 150 || r.Done.Len() != 20 || r.LastRound != 4500 {
 			t.Errorf("%s: %d tasks placed, %d done, round %d", name, r.LiveTasks(), r.Done.Len(), r.LastRound)
 		}
-		plain, none, err := r.Split(16<<10, 1, jsonLen)
-		if err != nil || len(none) > 0 || !bytes.Equal(stored(t, plain), data) {
-			t.Errorf("%s: not written as it was read: %d chunks, %v", name, len(none), err)
+		plain, extraChunks, err := r.Split(16<<10, 1, jsonLen)
+		if err != nil || len(extraChunks) > 0 || !bytes.Equal(marshal(t, plain), data) {
+			t.Errorf("%s: not written as it was read: %d chunks, %v", name, len(extraChunks), err)
 		}
 		small, chunks, err := r.Split(2048, maxValues, jsonLen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := DecodeWithChunks(stored(t, small), func(n int) []byte { return stored(t, chunks[n-1]) })
-		if err != nil || fmt.Sprint(back.Placements, back.Done) != fmt.Sprint(r.Placements, r.Done) {
+		decoded, err := DecodeWithChunks(marshal(t, small), func(n int) []byte { return marshal(t, chunks[n-1]) })
+		if err != nil || fmt.Sprint(decoded.Placements, decoded.Done) != fmt.Sprint(r.Placements, r.Done) {
 			t.Errorf("%s: not the same in %d values: %v", name, len(chunks)+1, err)
 		}
 	}
@@ -200,21 +200,21 @@
 			if jsonLen(value) > 2048 {
 				t.Errorf("chunk %d takes %d bytes", i, jsonLen(value))
 			}
-			values[head.ChunkInfo.Offset+i+1] = stored(t, value)
+			values[head.ChunkInfo.Offset+i+1] = marshal(t, value)
 		}
-		data := stored(t, head)
+		data := marshal(t, head)
 		if numbers := ChunkNumbers(data); len(numbers) != len(chunks) || numbers[0] != head.ChunkInfo.Offset+1 {
 			t.Errorf("chunks %v", numbers)
 		}
-		alone, err := Decode(data)
-		if err != nil || alone.Phase != PhaseCancelled || alone.ChunkInfo.DoneTasks != 3000 || alone.ChunkInfo.LiveTasks != 6000 {
-			t.Errorf("alone it says %+v, %v", alone, err)
+		headOnly, err := Decode(data)
+		if err != nil || headOnly.Phase != PhaseCancelled || headOnly.ChunkInfo.DoneTasks != 3000 || headOnly.ChunkInfo.LiveTasks != 6000 {
+			t.Errorf("alone it says %+v, %v", headOnly, err)
 		}
-		back, err := DecodeWithChunks(data, func(n int) []byte { return values[n] })
-		if err != nil || fmt.Sprint(back.Spec, back.Placements, back.Done) != fmt.Sprint(r.Spec, r.Placements, r.Done) {
+		decoded, err := DecodeWithChunks(data, func(n int) []byte { return values[n] })
+		if err != nil || fmt.Sprint(decoded.Spec, decoded.Placements, decoded.Done) != fmt.Sprint(r.Spec, r.Placements, r.Done) {
 			t.Errorf("not read back as it was: %v", err)
 		}
-		if j := NewJob("wk-000001", back, 1, 0); j.Stored.ChunkOffset != head.ChunkInfo.Offset {
+		if j := NewJob("wk-000001", decoded, 1, 0); j.Stored.ChunkOffset != head.ChunkInfo.Offset {
 			t.Errorf("the job's chunks are taken for those after number %d, not %d", j.Stored.ChunkOffset, head.ChunkInfo.Offset)
 		}
 		delete(values, head.ChunkInfo.Offset+2)
@@ -222,7 +222,7 @@
 			t.Errorf("a chunk is missing: %v", err)
 		}
 	}
-	if _, err := Decode(stored(t, &Record{SchemaVersion: schemaMultiTxn, ChunkInfo: &ChunkInfo{Chunks: -1}})); err == nil {
+	if _, err := Decode(marshal(t, &Record{SchemaVersion: schemaMultiTxn, ChunkInfo: &ChunkInfo{Chunks: -1}})); err == nil {
 		t.Error("a record with impossible chunks was taken")
 	}
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -30,14 +30,14 @@
 
 func (g goldenRecord) data(t *testing.T) []byte {
 	t.Helper()
-	return unhex(t, g.MsgPack)
+	return decodeHex(t, g.MsgPack)
 }
 
 func (g goldenRecord) chunkData(t *testing.T) func(int) []byte {
-	return func(number int) []byte { return unhex(t, g.Chunks[number-g.Offset-1]) }
+	return func(number int) []byte { return decodeHex(t, g.Chunks[number-g.Offset-1]) }
 }
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	data, err := hex.DecodeString(s)
 	if err != nil {
@@ -52,7 +52,7 @@
 		Image: "mutabakat-07", ImageGB: 1.5, EstimatedRunSeconds: 33.5, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6, DeadlineSeconds: 95}
 }
 
-func withPlacements() *Record {
+func activeRecord() *Record {
 	r := NewRecord(fullSpec(), 1764642000123)
 	r.Epoch, r.LastRound, r.Next = 982, 4500, ActionReconcile
 	r.Done = indexset.Set{{First: 0, Last: 3}, {First: 200, Last: 299}}
@@ -63,27 +63,27 @@
 	return r
 }
 
-func cancelled() *Record {
+func cancelledRecord() *Record {
 	r := NewRecord(Spec{Class: "c", Team: "t", Tasks: 1, CPUs: 1, Image: "i"}, 7)
 	r.Phase, r.Next = PhaseCancelled, ActionNone
 	return r
 }
 
 const (
-	goldenLimit  = 560 // bytes of a value of a record with chunks
-	goldenValues = 4
+	goldenValueBytes = 560 // bytes of a value of a record with chunks
+	goldenMaxValues  = 4
 )
 
 func encodeRecord(t *testing.T, r *Record, chunks []*chunk.Value) goldenRecord {
 	t.Helper()
-	out := goldenRecord{MsgPack: hex.EncodeToString(stored(t, r))}
+	out := goldenRecord{MsgPack: hex.EncodeToString(marshal(t, r))}
 	text, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out.JSON = string(text)
 	for _, value := range chunks {
-		out.Chunks = append(out.Chunks, hex.EncodeToString(stored(t, value)))
+		out.Chunks = append(out.Chunks, hex.EncodeToString(marshal(t, value)))
 	}
 	if r.ChunkInfo != nil {
 		out.Offset = r.ChunkInfo.Offset
@@ -94,7 +94,7 @@
 // plainRecords are those whose stored form is the same byte by byte.
 func plainRecords(t *testing.T) map[string]goldenRecord {
 	out := map[string]goldenRecord{}
-	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": withPlacements(), "cancelled": cancelled()} {
+	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": activeRecord(), "cancelled": cancelledRecord()} {
 		plain, err := r.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -106,15 +106,15 @@
 
 // compressedRecords are those with compressed chunks.
 func compressedRecords(t *testing.T) map[string]goldenRecord {
-	chunked, chunkedValues, err := withPlacements().Split(goldenLimit, goldenValues, jsonLen)
+	chunked, chunkedValues, err := activeRecord().Split(goldenValueBytes, goldenMaxValues, jsonLen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	staged, stagedValues, err := withPlacements().SplitMultiTxn(goldenLimit, 0)
+	staged, stagedValues, err := activeRecord().SplitMultiTxn(goldenValueBytes, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	firstBank, firstBankValues, err := withPlacements().SplitMultiTxn(goldenLimit, chunkBankSize)
+	firstBank, firstBankValues, err := activeRecord().SplitMultiTxn(goldenValueBytes, chunkBankSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		"staged in the first bank": encodeRecord(t, firstBank, firstBankValues)}
 }
 
-func checkRead(t *testing.T, g goldenRecord, want *Record) {
+func checkDecodes(t *testing.T, g goldenRecord, want *Record) {
 	t.Helper()
 	got, err := DecodeWithChunks(g.data(t), g.chunkData(t))
 	if err != nil {
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkRewritten passes the stored values through the types of this version.
-func checkRewritten(t *testing.T, g goldenRecord) {
+// checkReencodes passes the stored values through the types of this version.
+func checkReencodes(t *testing.T, g goldenRecord) {
 	t.Helper()
 	var r Record
 	if err := msgpack.Unmarshal(g.data(t), &r); err != nil {
@@ -159,7 +159,7 @@
 	var chunks []*chunk.Value
 	for _, text := range g.Chunks {
 		value := new(chunk.Value)
-		if err := msgpack.Unmarshal(unhex(t, text), value); err != nil {
+		if err := msgpack.Unmarshal(decodeHex(t, text), value); err != nil {
 			t.Fatal(err)
 		}
 		chunks = append(chunks, value)
@@ -176,17 +176,17 @@
 	if err := json.Unmarshal(goldenRecords, &golden); err != nil {
 		t.Fatal(err)
 	}
-	wanted := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelled(), "under way": withPlacements(),
-		"schema 1": withPlacements(), "in parts": withPlacements(), "staged": withPlacements(), "staged in the first bank": withPlacements()}
-	if len(golden) != len(wanted) {
-		t.Fatalf("%d golden records, want %d", len(golden), len(wanted))
+	wantRecords := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelledRecord(), "under way": activeRecord(),
+		"schema 1": activeRecord(), "in parts": activeRecord(), "staged": activeRecord(), "staged in the first bank": activeRecord()}
+	if len(golden) != len(wantRecords) {
+		t.Fatalf("%d golden records, want %d", len(golden), len(wantRecords))
 	}
 	schemas := map[string]int{"accepted": 2, "cancelled": 2, "under way": 2, "schema 1": 1, "in parts": 3, "staged": 4, "staged in the first bank": 4}
-	for name, want := range wanted {
+	for name, want := range wantRecords {
 		t.Run(name, func(t *testing.T) {
 			checkSchema(t, golden[name], schemas[name])
-			checkRead(t, golden[name], want)
-			checkRewritten(t, golden[name])
+			checkDecodes(t, golden[name], want)
+			checkReencodes(t, golden[name])
 		})
 	}
 	for name, written := range plainRecords(t) {
@@ -200,7 +200,7 @@
 	for name, written := range compressedRecords(t) {
 		t.Run(name+", written", func(t *testing.T) {
 			checkSchema(t, written, schemas[name])
-			checkRead(t, written, wanted[name])
+			checkDecodes(t, written, wantRecords[name])
 			if written.Offset != golden[name].Offset {
 				t.Errorf("chunks after number %d, want %d", written.Offset, golden[name].Offset)
 			}
@@ -220,7 +220,7 @@
 // TestGoldenSpareBytes: how many tasks may be placed follows from these figures, and so
 // does what is scheduled.
 func TestGoldenSpareBytes(t *testing.T) {
-	r := withPlacements()
+	r := activeRecord()
 	j := NewJob("wk-000412", r, 1, 0)
 	for _, g := range r.Placements {
 		for i := range g.Tasks.All() {
--- a/internal/jobs/placement.go
+++ b/internal/jobs/placement.go
@@ -75,14 +75,14 @@
 
 // placementGroups are the job's placements as its record holds them, in an order of their own.
 func (j *Job) placementGroups() []PlacementGroup {
-	index := map[groupKey]int{}
+	groupIndex := map[groupKey]int{}
 	var groups []PlacementGroup
 	for _, p := range j.Placements {
 		key := p.groupKey()
-		n, ok := index[key]
+		n, ok := groupIndex[key]
 		if !ok {
 			n = len(groups)
-			index[key] = n
+			groupIndex[key] = n
 			groups = append(groups, PlacementGroup{Machine: p.Machine, Session: p.Session, Attempt: p.Attempt})
 		}
 		groups[n].Tasks.Add(p.Task)
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -34,13 +34,13 @@
 	}
 	schema1 := *want
 	schema1.SchemaVersion = 1
-	list, err := msgpack.Marshal(&schema1)
+	listForm, err := msgpack.Marshal(&schema1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromList, err := Decode(list)
-	if err != nil || len(fromList.Placements) != 1 || !fromList.Done.Contains(4) {
-		t.Errorf("record of schema 1 read as %+v, %v", fromList, err)
+	decodedList, err := Decode(listForm)
+	if err != nil || len(decodedList.Placements) != 1 || !decodedList.Done.Contains(4) {
+		t.Errorf("record of schema 1 read as %+v, %v", decodedList, err)
 	}
 	got, err := Decode(data)
 	if err != nil {
@@ -52,9 +52,9 @@
 	if len(got.Placements) != 1 || got.Placements[0].Tasks.Len() != 3 || got.Next != ActionReconcile {
 		t.Errorf("%+v", got)
 	}
-	again := NewJob("wk-000001", got, 4, 0)
-	if again.Queue.Len() != 9 || again.Queue.Contains(4) {
-		t.Errorf("queue %v, want all but what is done", again.Queue)
+	reloaded := NewJob("wk-000001", got, 4, 0)
+	if reloaded.Queue.Len() != 9 || reloaded.Queue.Contains(4) {
+		t.Errorf("queue %v, want all but what is done", reloaded.Queue)
 	}
 }
 
@@ -97,15 +97,15 @@
 		}
 		machines := rapid.IntRange(1, 200).Draw(t, "machines")
 		seed := rapid.Uint64().Draw(t, "seed")
-		next := func(n int) int {
+		randomIntn := func(n int) int {
 			seed = seed*6364136223846793005 + 1442695040888963407
 			return int(seed>>33) % n
 		}
 		live := map[ident.TaskIndex]*Placement{}
 		for round := range 60 {
 			for spare := j.SpareBytes(limit, 1, len(spec)); len(j.Queue) > 0; {
-				machine := ident.MachineID(fmt.Sprintf("host-%06d", next(machines)))
-				n := j.FittingTasks(spare, machine, min(1+next(9), j.Queue.Len()))
+				machine := ident.MachineID(fmt.Sprintf("host-%06d", randomIntn(machines)))
+				n := j.FittingTasks(spare, machine, min(1+randomIntn(9), j.Queue.Len()))
 				if n == 0 {
 					break
 				}
@@ -125,7 +125,7 @@
 					}
 					continue
 				}
-				switch next(4) {
+				switch randomIntn(4) {
 				case 0:
 					j.CompleteTask(1, i)
 					j.EndPlacement(1, p, "a", true)
--- a/internal/jobs/recordspace.go
+++ b/internal/jobs/recordspace.go
@@ -13,16 +13,16 @@
 	// groupOverheadBytes bounds the bytes of a packed group, leaving aside its tasks
 	// and the name of its machine: list heads, session and attempt.
 	groupOverheadBytes = 16
-	// listHeadBytes bounds the head of the packed list of groups.
-	listHeadBytes = 5
-	// longMachineIDBytes is the length of a machine's name where it is not known yet.
-	longMachineIDBytes = 32
+	// arrayHeaderBytes bounds the head of the packed list of groups.
+	arrayHeaderBytes = 5
+	// assumedMachineIDBytes is the length of a machine's name where it is not known yet.
+	assumedMachineIDBytes = 32
 )
 
 // RecordCapacity is how many bytes of packed text a record may hold beside its spec, of
 // specBytes in JSON, where a value holds limit bytes and so many values may be written.
-func RecordCapacity(limit, values, specBytes int) int {
-	return limit - specBytes - recordOverheadBytes + chunk.Capacity(limit, values-1)
+func RecordCapacity(valueLimit, maxValues, specBytes int) int {
+	return valueLimit - specBytes - recordOverheadBytes + chunk.Capacity(valueLimit, maxValues-1)
 }
 
 // SpareBytes is how many bytes more a record may hold before they are packed into text.
@@ -31,9 +31,9 @@
 // SpareBytes is how much may be added to the job's placements so that its record fits into so
 // many values of limit bytes, whatever order the tasks end in: each task that is placed is, at
 // any later time, at most one span of its group or of those done.
-func (j *Job) SpareBytes(limit, values, specBytes int) SpareBytes {
+func (j *Job) SpareBytes(valueLimit, maxValues, specBytes int) SpareBytes {
 	const textBytes, unpackedBytes = 4, 3 // of base64
-	spare := SpareBytes(RecordCapacity(limit, values, specBytes)*unpackedBytes/textBytes - j.Done.DeltaSizeBound() - listHeadBytes)
+	spare := SpareBytes(RecordCapacity(valueLimit, maxValues, specBytes)*unpackedBytes/textBytes - j.Done.DeltaSizeBound() - arrayHeaderBytes)
 	counted := map[groupKey]bool{}
 	for _, p := range j.Placements {
 		if key := p.groupKey(); !counted[key] {
@@ -51,7 +51,7 @@
 
 // FittingSingleTasks is how many tasks may be added, each on a machine of its own.
 func (j *Job) FittingSingleTasks(spare SpareBytes) int {
-	return max(0, int(spare/(groupOverheadBytes+longMachineIDBytes+j.bytesPerTask())))
+	return max(0, int(spare/(groupOverheadBytes+assumedMachineIDBytes+j.bytesPerTask())))
 }
 
 // GroupBytes is what n tasks that are added as one group take of the spare bytes.
--- a/internal/roundlog/bound.go
+++ b/internal/roundlog/bound.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// longestMachineID stands for the names of machines that are not known yet.
-	longestMachineID = ident.MachineID("machine-12345678")
+	// placeholderMachineID stands for the names of machines that are not known yet.
+	placeholderMachineID = ident.MachineID("machine-12345678")
 	// reservedHeadJSONSize bounds what a round's record holds beside its starts.
 	reservedHeadJSONSize = maxRecordHeadJSONSize + 2*MaxProvisionJSONSize
 )
@@ -32,12 +32,12 @@
 func jobRecordFits(spec *jobs.Spec, machines, specSize int, limits config.State) bool {
 	job := &jobs.Job{Spec: *spec}
 	spare := job.SpareBytes(limits.MaxValueBytes(), limits.MaxTxnValues(), specSize)
-	return jobs.SpareBytes(machines)*job.GroupBytes(longestMachineID, 0)+job.GroupBytes("", spec.Tasks) <= spare
+	return jobs.SpareBytes(machines)*job.GroupBytes(placeholderMachineID, 0)+job.GroupBytes("", spec.Tasks) <= spare
 }
 
 func roundRecordFits(spec *jobs.Spec, machines int, limits config.State) bool {
 	largestIndex := indexset.Set{{First: ident.TaskIndex(spec.Tasks), Last: ident.TaskIndex(spec.Tasks)}}
-	start := Start{Machine: longestMachineID, Session: math.MaxInt32, Tasks: largestIndex}
+	start := Start{Machine: placeholderMachineID, Session: math.MaxInt32, Tasks: largestIndex}
 	// One value is left to what else the round starts: with it a gang might wait for ever,
 	// if higher work came in each round.
 	room := max(limits.MaxValueBytes()-reservedHeadJSONSize, chunk.Capacity(limits.MaxValueBytes(), limits.MaxTxnValues()-1))
--- a/internal/roundlog/record.go
+++ b/internal/roundlog/record.go
@@ -56,11 +56,11 @@
 }
 
 // AttemptInRound is the attempt of the start in a round.
-func (s *Start) AttemptInRound(no ident.RoundNo) ident.Attempt {
+func (s *Start) AttemptInRound(roundNo ident.RoundNo) ident.Attempt {
 	if s.Attempt != 0 {
 		return s.Attempt
 	}
-	return ident.Attempt(no)
+	return ident.Attempt(roundNo)
 }
 
 // Provision is a request for machines, which the cloud knows by its name.
@@ -72,8 +72,8 @@
 
 // ProvisionName is the name of the n-th provision of a round. It holds the epoch, so that a
 // round number lost with its leader can't bring a name back.
-func ProvisionName(epoch ident.Epoch, no ident.RoundNo, n int) string {
-	return fmt.Sprintf("r-%d-%d-%d", epoch, no, n)
+func ProvisionName(epoch ident.Epoch, roundNo ident.RoundNo, n int) string {
+	return fmt.Sprintf("r-%d-%d-%d", epoch, roundNo, n)
 }
 
 // ChunkInfo is what a record says of its chunks.
@@ -141,9 +141,9 @@
 // in JSON and at most so many values may be written, the record's own included. size measures
 // a value in JSON. With one value only, the record is one that the program before reads. The
 // error is chunk.ErrTooLarge for a record that does not fit.
-func (r *Record) Split(limit, values int, size func(any) int) (*Record, []*chunk.Value, error) {
+func (r *Record) Split(valueLimit, maxValues int, jsonSize func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
-	if err != nil || values <= 1 || r.fitsPlainSchema() && size(plain) <= limit {
+	if err != nil || maxValues <= 1 || r.fitsPlainSchema() && jsonSize(plain) <= valueLimit {
 		return plain, nil, err
 	}
 	compressed, err := wire.CompressRecord(func(e *msgpack.Encoder) error { return r.encodeStarts(e, true) })
@@ -153,7 +153,7 @@
 	out := *plain
 	out.SchemaVersion, out.Packed = schemaChunked, compressed[:1] // for its field to be counted
 	out.ChunkInfo = &ChunkInfo{Chunks: chunk.MaxChunks, Checksum: chunk.Checksum(compressed)}
-	limits := chunk.Limits{HeadBytes: limit - size(&out), ValueBytes: limit, Chunks: values - 1}
+	limits := chunk.Limits{HeadBytes: valueLimit - jsonSize(&out), ValueBytes: valueLimit, Chunks: maxValues - 1}
 	head, rest, err := chunk.Split(compressed, limits, schemaChunked)
 	if err != nil {
 		return nil, nil, fmt.Errorf("splitting the record of round %d: %w", r.RoundNo, err)
--- a/internal/roundlog/record_golden_test.go
+++ b/internal/roundlog/record_golden_test.go
@@ -38,22 +38,22 @@
 		{Job: "wk-000001", Machine: "host-000002", Session: 300, Tasks: indexset.Set{span(9, 9)}},
 		{Job: "wk-123456789012", Machine: "host-000002", Session: 1, Tasks: indexset.Set{span(0, 0)}},
 	}
-	replaced := append(wire.BoundedList[Start](nil), starts...)
-	replaced[1].Attempt = 70_000
-	hires := wire.BoundedList[Provision]{{Name: ProvisionName(991, 4711, 0), Offer: cloud.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
+	withReplacement := append(wire.BoundedList[Start](nil), starts...)
+	withReplacement[1].Attempt = 70_000
+	provisions := wire.BoundedList[Provision]{{Name: ProvisionName(991, 4711, 0), Offer: cloud.Offer{Type: "m4", Zone: "zone-a", Spot: true}, Count: 50},
 		{Name: ProvisionName(991, 4711, 1), Offer: cloud.Offer{Type: "g8", Zone: "zone-b"}, Count: 1}}
-	releases := wire.BoundedList[ident.MachineID]{"host-000007", "host-000008"}
-	var wide wire.BoundedList[Start]
+	deprovisions := wire.BoundedList[ident.MachineID]{"host-000007", "host-000008"}
+	var manyStarts wire.BoundedList[Start]
 	for i := range ident.TaskIndex(60) {
-		wide = append(wide, Start{Job: "wk-000412", Machine: ident.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
+		manyStarts = append(manyStarts, Start{Job: "wk-000412", Machine: ident.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
 			Session: ident.Session(i%9 + 1), Tasks: indexset.Set{span(i, i)}})
 	}
 	return []goldenRecord{
-		{"lists", 1, 0, 0, &Record{SchemaVersion: 1, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: starts, Provisions: hires, Deprovisions: releases}},
+		{"lists", 1, 0, 0, &Record{SchemaVersion: 1, RoundNo: 9, Epoch: 4, LowWatermark: 7, Starts: starts, Provisions: provisions, Deprovisions: deprovisions}},
 		{"empty", 2, 8192, 4, &Record{RoundNo: 70_000, Epoch: 4, LowWatermark: 70_000}},
-		{"packed", 2, 8192, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: starts, Provisions: hires, Deprovisions: releases}},
-		{"attempts", 3, 8192, 4, &Record{RoundNo: 80_000, Epoch: 991, LowWatermark: 4700, Starts: replaced, Provisions: hires}},
-		{"parts", 3, 400, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: wide, Deprovisions: releases}},
+		{"packed", 2, 8192, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: starts, Provisions: provisions, Deprovisions: deprovisions}},
+		{"attempts", 3, 8192, 4, &Record{RoundNo: 80_000, Epoch: 991, LowWatermark: 4700, Starts: withReplacement, Provisions: provisions}},
+		{"parts", 3, 400, 4, &Record{RoundNo: 4711, Epoch: 991, LowWatermark: 4700, Starts: manyStarts, Deprovisions: deprovisions}},
 	}
 }
 
--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// wideRecord is a round that starts a gang of n tasks on as many machines.
-func wideRecord(n int) *Record {
+// gangRecord is a round that starts a gang of n tasks on as many machines.
+func gangRecord(n int) *Record {
 	r := &Record{SchemaVersion: SchemaPlain, RoundNo: 4711, Epoch: 991, LowWatermark: 4700}
 	for i := range n {
 		r.Starts = append(r.Starts, Start{Job: "wk-000412", Machine: ident.MachineID(fmt.Sprintf("host-%06d", i*7919%1_000_000)),
@@ -122,7 +122,7 @@
 // TestRecordInChunks: a round that does not fit into one value is split into chunks of the
 // smaller limit, and read back.
 func TestRecordInChunks(t *testing.T) {
-	want := wideRecord(600)
+	want := gangRecord(600)
 	head, rest, err := want.Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 
 // TestTornRecord: a record whose chunks are missing or are not its own is not read.
 func TestTornRecord(t *testing.T) {
-	head, rest, err := wideRecord(600).Split(testValueBytes, testMaxValues, kvstore.JSONSize)
+	head, rest, err := gangRecord(600).Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 		{"one value only", 600, 8192, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			head, rest, err := wideRecord(c.starts).Split(c.limit, c.values, kvstore.JSONSize)
+			head, rest, err := gangRecord(c.starts).Split(c.limit, c.values, kvstore.JSONSize)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -193,7 +193,7 @@
 			}
 		})
 	}
-	if _, _, err := wideRecord(9000).Split(testValueBytes, testMaxValues, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
+	if _, _, err := gangRecord(9000).Split(testValueBytes, testMaxValues, kvstore.JSONSize); !errors.Is(err, chunk.ErrTooLarge) {
 		t.Errorf("9,000 starts: %v, want %v", err, chunk.ErrTooLarge)
 	}
 }
@@ -201,7 +201,7 @@
 // TestReplacementKeepsAttempt: a replacement in a gang that waits keeps the gang's attempt, in
 // a record that the program before refuses to read.
 func TestReplacementKeepsAttempt(t *testing.T) {
-	r := wideRecord(2)
+	r := gangRecord(2)
 	r.Starts[1].Attempt = 4700
 	head, rest, err := r.Split(2048, 4, kvstore.JSONSize)
 	if err != nil || len(rest) > 0 || head.SchemaVersion != schemaChunked {
--- a/internal/roundlog/ring.go
+++ b/internal/roundlog/ring.go
@@ -65,25 +65,27 @@
 }
 
 // Key is the key of the slot that a round goes to.
-func (r *Ring) Key(no ident.RoundNo) string {
-	return KeyPrefix + strconv.Itoa(int(no%ident.RoundNo(len(r.slots))))
+func (r *Ring) Key(roundNo ident.RoundNo) string {
+	return KeyPrefix + strconv.Itoa(int(roundNo%ident.RoundNo(len(r.slots))))
 }
 
 // ChunkKey is the key of the n-th chunk of the record under a slot's key. The keys of slots
 // name no job, so they don't meet those of jobs' chunks.
 func ChunkKey(slot string, n int) string { return chunk.Key(slot, n) }
 
-func (r *Ring) slotOf(no ident.RoundNo) *slot { return &r.slots[no%ident.RoundNo(len(r.slots))] }
+func (r *Ring) slotOf(roundNo ident.RoundNo) *slot {
+	return &r.slots[roundNo%ident.RoundNo(len(r.slots))]
+}
 
 // Next is the number of the next round, and whether its slot is free.
-func (r *Ring) Next() (no ident.RoundNo, free bool) { return r.next, !r.slotOf(r.next).isOpen() }
+func (r *Ring) Next() (roundNo ident.RoundNo, free bool) { return r.next, !r.slotOf(r.next).isOpen() }
 
 // IsUnused tells whether no round was ever recorded: no leader has provisioned or placed
 // anything.
 func (r *Ring) IsUnused() bool { return r.next == 1 }
 
 // Revision is the revision of the key that a round goes to; 0: it is absent.
-func (r *Ring) Revision(no ident.RoundNo) ident.Revision { return r.slotOf(no).revision }
+func (r *Ring) Revision(roundNo ident.RoundNo) ident.Revision { return r.slotOf(roundNo).revision }
 
 // LowWatermark is the lowest round that is not settled.
 func (r *Ring) LowWatermark() ident.RoundNo {
@@ -142,9 +144,9 @@
 }
 
 // JobFolded notes that the checkpoint of a job holds all rounds up to through.
-func (r *Ring) JobFolded(job ident.JobID, through ident.RoundNo) {
+func (r *Ring) JobFolded(job ident.JobID, lastRound ident.RoundNo) {
 	for i := range r.slots {
-		if s := &r.slots[i]; s.roundNo <= through {
+		if s := &r.slots[i]; s.roundNo <= lastRound {
 			delete(s.pendingJobs, job)
 		}
 	}
--- a/internal/roundlog/ring_test.go
+++ b/internal/roundlog/ring_test.go
@@ -14,7 +14,7 @@
 	slots        int
 	ring         *Ring
 	stored       map[string]StoredRecord
-	open         map[ident.RoundNo]ident.JobID
+	unsettled    map[ident.RoundNo]ident.JobID
 	lastRevision ident.Revision
 }
 
@@ -22,13 +22,13 @@
 // before what it decided is settled, and a new leader finds every round that is not.
 func TestRingReusesSettledSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ringModel{slots: 4, ring: NewRing(4), stored: map[string]StoredRecord{}, open: map[ident.RoundNo]ident.JobID{}}
+		m := &ringModel{slots: 4, ring: NewRing(4), stored: map[string]StoredRecord{}, unsettled: map[ident.RoundNo]ident.JobID{}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				m.storeRound(t)
 			case 1:
-				m.fold(t)
+				m.writeCheckpoint(t)
 			case 2:
 				m.failOver(t)
 			}
@@ -42,30 +42,30 @@
 
 // storeRound stores a round that starts tasks of a job, if a slot is free.
 func (m *ringModel) storeRound(t *rapid.T) {
-	no, free := m.ring.Next()
+	roundNo, free := m.ring.Next()
 	if !free {
 		return
 	}
-	key := m.ring.Key(no)
-	if old, ok := m.stored[key]; ok && m.open[old.Record.RoundNo] != "" {
-		t.Fatalf("round %d would overwrite round %d, which is open", no, old.Record.RoundNo)
+	key := m.ring.Key(roundNo)
+	if old, ok := m.stored[key]; ok && m.unsettled[old.Record.RoundNo] != "" {
+		t.Fatalf("round %d would overwrite round %d, which is open", roundNo, old.Record.RoundNo)
 	}
 	job := drawJob(t, "job")
-	record := &Record{RoundNo: no, LowWatermark: min(m.ring.LowWatermark(), no), Starts: []Start{{Job: job}}}
+	record := &Record{RoundNo: roundNo, LowWatermark: min(m.ring.LowWatermark(), roundNo), Starts: []Start{{Job: job}}}
 	m.lastRevision++
 	m.ring.Add(record, m.lastRevision)
 	m.stored[key] = StoredRecord{Key: key, Record: record, Revision: m.lastRevision}
-	m.open[no] = job
+	m.unsettled[roundNo] = job
 }
 
-// fold folds all rounds into the checkpoint of a job.
-func (m *ringModel) fold(t *rapid.T) {
+// writeCheckpoint folds all rounds into the checkpoint of a job.
+func (m *ringModel) writeCheckpoint(t *rapid.T) {
 	folded := drawJob(t, "folded")
 	next, _ := m.ring.Next()
 	m.ring.JobFolded(folded, next-1)
-	for no, job := range m.open {
-		if job == folded && no < next {
-			delete(m.open, no)
+	for roundNo, job := range m.unsettled {
+		if job == folded && roundNo < next {
+			delete(m.unsettled, roundNo)
 		}
 	}
 }
@@ -85,9 +85,9 @@
 	for _, record := range found {
 		seen[record.RoundNo] = true
 	}
-	for no := range m.open {
-		if !seen[no] {
-			t.Fatalf("a new leader does not find round %d", no)
+	for roundNo := range m.unsettled {
+		if !seen[roundNo] {
+			t.Fatalf("a new leader does not find round %d", roundNo)
 		}
 	}
 }
--- a/internal/roundlog/size.go
+++ b/internal/roundlog/size.go
@@ -5,7 +5,7 @@
 // Sizes of the parts of a record, in bytes, with the longest numbers that occur.
 const (
 	maxRecordHeadJSONSize   = 160
-	startHeadBytes          = 12 // packed
+	startOverheadBytes      = 12 // packed
 	attemptBytes            = 9  // packed
 	deprovisionJSONOverhead = 4
 
@@ -18,7 +18,7 @@
 
 // MaxJSONSizeSameJob bounds the JSON size, in bytes, of a start that follows one of its job.
 func (s *Start) MaxJSONSizeSameJob() int {
-	n := startHeadBytes + len(s.Machine) + s.Tasks.DeltaSizeBound()
+	n := startOverheadBytes + len(s.Machine) + s.Tasks.DeltaSizeBound()
 	if s.Attempt != 0 {
 		n += attemptBytes
 	}
--- a/internal/roundlog/starts.go
+++ b/internal/roundlog/starts.go
@@ -40,13 +40,13 @@
 	if err := e.EncodeArrayLen(len(r.Starts)); err != nil {
 		return err
 	}
-	last := ident.JobID("")
+	previousJob := ident.JobID("")
 	for _, start := range r.Starts {
 		job := start.Job
-		if job == last {
+		if job == previousJob {
 			job = ""
 		}
-		last = start.Job
+		previousJob = start.Job
 		err := errors.Join(e.EncodeString(string(job)), e.EncodeString(string(start.Machine)),
 			e.EncodeUint(uint64(start.Session)), start.Tasks.EncodeDelta(e))
 		if withAttempts {
@@ -65,19 +65,19 @@
 	if err != nil {
 		return err
 	}
-	last := ident.JobID("")
+	previousJob := ident.JobID("")
 	for range n {
 		var start Start
-		if err := start.decode(d, last, withAttempts); err != nil {
+		if err := start.decode(d, previousJob, withAttempts); err != nil {
 			return err
 		}
 		r.Starts = append(r.Starts, start)
-		last = start.Job
+		previousJob = start.Job
 	}
 	return nil
 }
 
-func (s *Start) decode(d *msgpack.Decoder, last ident.JobID, withAttempt bool) error {
+func (s *Start) decode(d *msgpack.Decoder, previousJob ident.JobID, withAttempt bool) error {
 	job, err := wire.DecodeString(d)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	}
 	s.Job, s.Machine, s.Session = ident.JobID(job), ident.MachineID(machine), ident.Session(session)
 	if job == "" {
-		s.Job = last
+		s.Job = previousJob
 	}
 	err = s.Tasks.DecodeDelta(d)
 	if err != nil || !withAttempt {
