--- a/internal/jobs/chunks.go
+++ b/internal/jobs/chunks.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// chunkBankSize is how many chunks one write of a record may have. A record of
-	// schemaMultiTxn uses one of two banks of chunk numbers, the one that the stored
-	// record does not.
+	// chunkBankSize is the maximum number of chunks in one write of a schemaMultiTxn record.
+	// Such a write uses one of two banks of chunk numbers, the one that the stored record does
+	// not use.
 	chunkBankSize = chunk.MaxChunks / 2
-	// maxDecompressedBytes bounds what a compressed record may hold.
+	// maxDecompressedBytes bounds the decompressed size of a record.
 	maxDecompressedBytes = 4 << 20
 )
 
-// ChunkKey is the key of a chunk of a job's record; the first is number 1.
+// ChunkKey returns the key of a chunk of a job's record. Chunk numbers start at 1.
 func ChunkKey(id ident.JobID, number int) string { return chunk.Key(string(id), number) }
 
-// ChunkInfo is what a record says of its chunks.
+// ChunkInfo describes the chunks of a record.
 type ChunkInfo struct {
 	Chunks   int    `msgpack:"n" json:"n"`
 	Checksum uint32 `msgpack:"s" json:"s"`
-	// DoneTasks and LiveTasks are counts for those who read the record without its chunks.
+	// DoneTasks and LiveTasks are task counts for readers of the record without its chunks.
 	DoneTasks int `msgpack:"d" json:"d"`
 	LiveTasks int `msgpack:"l" json:"l"`
-	// Offset is the number before that of the first chunk; see SplitMultiTxn.
+	// Offset is one less than the number of the first chunk; see SplitMultiTxn.
 	Offset int `msgpack:"f,omitempty" json:"f,omitempty"`
 }
 
-// validate refuses numbers of chunks that no version of the program writes.
+// validate returns ErrInvalidRecord for numbers of chunks that no version of the program writes.
 func (c *ChunkInfo) validate() error {
 	if c.Chunks < 0 || c.Chunks > chunk.MaxChunks || c.Offset < 0 || c.Offset > chunk.MaxChunks {
-		return fmt.Errorf("%w: impossible chunks", ErrInvalidRecord)
+		return fmt.Errorf("%w: number or offset of chunks is out of range", ErrInvalidRecord)
 	}
 	return nil
 }
@@ -45,10 +45,10 @@
 	return &ChunkInfo{Chunks: chunks, Checksum: chunk.Checksum(compressed), DoneTasks: r.Done.Len(), LiveTasks: r.LiveTasks()}
 }
 
-// Split returns the record as it is stored, and its chunks, where a value holds limit bytes in
-// JSON and at most so many values may be written, the record's own included. size measures a
-// value. With one value only, the record has schemaPlain and may be too large: versions of the
-// program serve that know no chunks.
+// Split returns the record in its stored form and its chunks. A value holds at most valueLimit
+// bytes as measured by jsonSize, and at most maxValues values, including the record's own, may be
+// written. If maxValues is 1, the record has schemaPlain and may exceed valueLimit: callers pass 1
+// while versions of the program that don't support chunks are in service.
 func (r *Record) Split(valueLimit, maxValues int, jsonSize func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
 	if err != nil || maxValues <= 1 || jsonSize(plain) <= valueLimit {
@@ -60,7 +60,7 @@
 	}
 	out := *plain
 	out.SchemaVersion = schemaChunked
-	out.Packed = compressed[:1] // so that the measure has its field's name
+	out.Packed = compressed[:1] // not empty, so that jsonSize counts the field's name
 	out.ChunkInfo = r.newChunkInfo(compressed, chunk.MaxChunks)
 	limits := chunk.Limits{HeadBytes: valueLimit - jsonSize(&out), ValueBytes: valueLimit, Chunks: maxValues - 1}
 	head, chunks, err := chunk.Split(compressed, limits, schemaChunked)
@@ -71,10 +71,14 @@
 	return &out, chunks, nil
 }
 
-// SplitMultiTxn returns the record as it is stored in several transactions, whatever its
-// size: the chunks first, in the bank that the stored record does not use, then
-// the record itself, which holds neither spec nor placements. Until that is
-// written the stored one stays whole. storedOffset is the offset of the stored record's chunks.
+// SplitMultiTxn returns the form of the record, of whatever size, that is stored in several
+// transactions:
+//  1. The chunks are written, in the bank that the stored record does not use. The stored record
+//     remains complete.
+//  2. The record itself, which contains neither spec nor placements, is written and replaces the
+//     stored one.
+//
+// storedOffset is the chunk offset of the stored record.
 func (r *Record) SplitMultiTxn(valueLimit, storedOffset int) (*Record, []*chunk.Value, error) {
 	compressed, err := wire.CompressRecord(r.encodeSpecAndProgress)
 	if err != nil {
@@ -93,7 +97,8 @@
 	return &out, chunks, nil
 }
 
-// ChunkNumbers lists the numbers of the chunks that a stored record has.
+// ChunkNumbers returns the numbers of the chunks of a stored record; none if the record is
+// invalid.
 func ChunkNumbers(data []byte) []int {
 	r := new(Record)
 	if err := msgpack.Unmarshal(data, r); err != nil || r.ChunkInfo == nil || r.ChunkInfo.validate() != nil {
@@ -106,9 +111,9 @@
 	return numbers
 }
 
-// DecodeWithChunks reads a record with its chunks. chunkData returns the value of the chunk
-// with a number, or nil. The error wraps chunk.ErrTorn if chunks are missing or of another
-// write.
+// DecodeWithChunks decodes a record with its chunks. chunkData returns the value of the chunk
+// with the given number, or nil if there is none. The error wraps chunk.ErrTorn if chunks are
+// missing or belong to another write.
 func DecodeWithChunks(data []byte, chunkData func(number int) []byte) (*Record, error) {
 	r, err := Decode(data)
 	if err != nil || r.ChunkInfo == nil {
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -19,12 +19,12 @@
 //go:embed testdata/golden/records.json
 var goldenRecords []byte
 
-// goldenRecord is a job's record as it is stored: its value and those of its chunks.
+// goldenRecord is a job's record in its stored form: its value and those of its chunks.
 type goldenRecord struct {
 	MsgPack string   `json:"msgpack"` // hex
-	JSON    string   `json:"json"`    // the form in which its size is counted
+	JSON    string   `json:"json"`    // the form in which the state service measures its size
 	Chunks  []string `json:"parts,omitempty"`
-	// Offset is the number before that of the first chunk.
+	// Offset is one less than the number of the first chunk.
 	Offset int `json:"first,omitempty"`
 }
 
@@ -70,7 +70,7 @@
 }
 
 const (
-	goldenValueBytes = 560 // bytes of a value of a record with chunks
+	goldenValueBytes = 560 // limit of each value of a record with chunks
 	goldenMaxValues  = 4
 )
 
@@ -91,7 +91,7 @@
 	return out
 }
 
-// plainRecords are those whose stored form is the same byte by byte.
+// plainRecords returns the records whose encoding must match the golden file byte for byte.
 func plainRecords(t *testing.T) map[string]goldenRecord {
 	out := map[string]goldenRecord{}
 	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": activeRecord(), "cancelled": cancelledRecord()} {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// compressedRecords are those with compressed chunks.
+// compressedRecords returns the records with compressed chunks.
 func compressedRecords(t *testing.T) map[string]goldenRecord {
 	chunked, chunkedValues, err := activeRecord().Split(goldenValueBytes, goldenMaxValues, jsonLen)
 	if err != nil {
@@ -131,14 +131,14 @@
 	}
 	ignore := cmpopts.IgnoreFields(Record{}, "SchemaVersion", "ChunkOffset")
 	if diff := cmp.Diff(want, got, ignore, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
-		t.Errorf("read otherwise: %s", diff)
+		t.Errorf("decoded record differs: %s", diff)
 	}
 	if got.ChunkOffset != g.Offset {
-		t.Errorf("chunks after number %d, want %d", got.ChunkOffset, g.Offset)
+		t.Errorf("chunk offset %d, want %d", got.ChunkOffset, g.Offset)
 	}
 }
 
-// checkSchema reads the version of the schema as any version of the program does.
+// checkSchema checks the schema version, which it reads as every version of the program does.
 func checkSchema(t *testing.T, g goldenRecord, want int) {
 	t.Helper()
 	var head struct {
@@ -149,7 +149,8 @@
 	}
 }
 
-// checkReencodes passes the stored values through the types of this version.
+// checkReencodes checks that the stored values are unchanged after they are decoded into the types
+// of this version and encoded again.
 func checkReencodes(t *testing.T, g goldenRecord) {
 	t.Helper()
 	var r Record
@@ -165,12 +166,12 @@
 		chunks = append(chunks, value)
 	}
 	if diff := cmp.Diff(g, encodeRecord(t, &r, chunks)); diff != "" {
-		t.Errorf("rewritten otherwise: %s", diff)
+		t.Errorf("encoding of the decoded values differs: %s", diff)
 	}
 }
 
-// TestGoldenRecords: records of every schema are read, and are written so that the
-// versions that know the schema read them.
+// TestGoldenRecords checks that records of every schema are decoded, and that they are encoded in
+// the form that other versions of the program with support for the schema can decode.
 func TestGoldenRecords(t *testing.T) {
 	var golden map[string]goldenRecord
 	if err := json.Unmarshal(goldenRecords, &golden); err != nil {
@@ -192,23 +193,25 @@
 	for name, written := range plainRecords(t) {
 		t.Run(name+", written", func(t *testing.T) {
 			if diff := cmp.Diff(golden[name], written); diff != "" {
-				t.Errorf("written otherwise: %s", diff)
+				t.Errorf("encoded record differs: %s", diff)
 			}
 		})
 	}
-	// What a compressor writes may change with its library: it is read back.
+	// The compressor's output may change with its library, so these records are decoded and
+	// compared instead of compared byte for byte.
 	for name, written := range compressedRecords(t) {
 		t.Run(name+", written", func(t *testing.T) {
 			checkSchema(t, written, schemas[name])
 			checkDecodes(t, written, wantRecords[name])
 			if written.Offset != golden[name].Offset {
-				t.Errorf("chunks after number %d, want %d", written.Offset, golden[name].Offset)
+				t.Errorf("chunk offset %d, want %d", written.Offset, golden[name].Offset)
 			}
 		})
 	}
 }
 
-// TestGoldenKeys: nodes of several versions find one another's records.
+// TestGoldenKeys checks that keys don't change, because nodes of different versions have to find
+// each other's records.
 func TestGoldenKeys(t *testing.T) {
 	got := []string{Key("wk-000412"), ChunkKey("wk-000412", 1), ChunkKey("wk-000412", 129), KeyPrefix, chunk.KeyPrefix}
 	want := []string{"job/wk-000412", "part/wk-000412/1", "part/wk-000412/129", "job/", "part/"}
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestGoldenSpareBytes: how many tasks may be placed follows from these figures, and so
-// does what is scheduled.
+// TestGoldenSpareBytes checks that the size bounds don't change, because they determine how many
+// tasks may be placed and therefore which tasks are scheduled.
 func TestGoldenSpareBytes(t *testing.T) {
 	r := activeRecord()
 	j := NewJob("wk-000412", r, 1, 0)
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -1,8 +1,8 @@
-// Package jobs holds what is kept of a job: its spec, and the checkpoint from which any leader
-// can go on. The record in the state service is the authority; the Job in memory is the
-// leader's working copy of it. The package owns the record's schemas, how it is split where it
-// does not fit one value, and how much may be placed so that it still fits; when records are
-// written, and where tasks are placed, is left to the callers.
+// Package jobs defines the state that is kept for each job: its spec, and the checkpoint from
+// which any leader can resume it. The record in the state service is authoritative; a Job in
+// memory is the leader's working copy of it. The package owns the record's schemas, splits a
+// record that does not fit into one value, and bounds how many tasks may be placed so that the
+// record still fits. Callers decide when records are written and where tasks are placed.
 package jobs
 
 import (
@@ -13,8 +13,8 @@
 	"badgerbay/internal/indexset"
 )
 
-// MinCountedRunTime is how long a task must have run when it is stopped for its start to
-// count to its user, with a margin.
+// MinCountedRunTime is how long a task must have run before it is stopped so that the start
+// counts for its user. It includes a margin.
 const MinCountedRunTime = 35 * time.Second
 
 // Job is the leader's working copy of a job.
@@ -24,42 +24,42 @@
 	AcceptedAtMs int64 // time of day
 	Phase        Phase
 	Done         indexset.Set
-	Queue        indexset.Set // tasks that wait to be placed
+	Queue        indexset.Set // tasks waiting to be placed
 	Placements   map[ident.TaskIndex]*Placement
-	LastRound    ident.RoundNo // the last committed round that started tasks of it
+	LastRound    ident.RoundNo // the last committed round that started tasks of the job
 
 	Stored       StoredState
-	ChangeSeq    uint64 // counts changes
-	DirtySince   clock.Instant
-	FoldInFlight bool // the record is being written
+	ChangeSeq    uint64        // incremented by each change
+	DirtySince   clock.Instant // since when the stored record has lagged behind
+	FoldInFlight bool          // a write of the record is in flight
 
-	// StartedTasks holds the tasks that have run for long enough to count as started, as
-	// far as this leader has seen.
+	// StartedTasks holds the tasks that have run for at least MinCountedRunTime, as far as
+	// this leader has observed.
 	StartedTasks indexset.Set
 
 	ConsecutiveFailures int
-	LastFailedAttempt   ident.Attempt // of a gang
-	IncompleteSince     clock.Instant // of a gang, since when it lacks a task; 0: it does not
-	BackoffUntil        clock.Instant // nothing is placed before
+	LastFailedAttempt   ident.Attempt // for a gang
+	IncompleteSince     clock.Instant // for a gang: since when it has lacked a task; 0: it lacks none
+	BackoffUntil        clock.Instant // no task is placed before this instant
 	AvoidUntil          map[ident.MachineID]clock.Instant
 	PlacementsByZone    map[ident.Zone]int
-	QueuedSince         clock.Instant // since when tasks have been waiting
+	QueuedSince         clock.Instant // since when tasks have been waiting to be placed
 	LastPlacedAt        clock.Instant
-	KnownSince          clock.Instant // when this leader learned of the job
+	KnownSince          clock.Instant // when this leader created the working copy
 }
 
-// StoredState is what the leader knows of a job's stored record.
+// StoredState describes a job's stored record, as far as the leader knows it.
 type StoredState struct {
 	ModRevision ident.Revision
-	Seq         uint64 // the job's ChangeSeq that it holds
+	Seq         uint64 // the job's ChangeSeq that the record reflects
 	Round       ident.RoundNo
 	Phase       Phase
 	DoneTasks   int
-	ChunkOffset int // the number before that of its first chunk; see Record.SplitMultiTxn
+	ChunkOffset int // one less than the number of its first chunk; see Record.SplitMultiTxn
 }
 
-// NewJob makes the working copy of the stored record that has the revision. Its placements
-// are left to the caller, who knows what may still be on the machines.
+// NewJob returns a working copy of the record that is stored with the given revision. The
+// caller adds the placements, because it knows which tasks may still be on the machines.
 func NewJob(id ident.JobID, r *Record, revision ident.Revision, now clock.Instant) *Job {
 	j := &Job{
 		ID:           id,
@@ -86,13 +86,14 @@
 	return j
 }
 
-// StateOnceStored is the stored state once r, the record of the job as it stands, is written;
-// the revision and the chunks are known only then.
+// StateOnceStored returns the job's stored state after a successful write of r, the record of
+// its current state. It leaves out the revision and the chunk offset, which are known only after
+// the write.
 func (j *Job) StateOnceStored(r *Record) StoredState {
 	return StoredState{Seq: j.ChangeSeq, Round: r.LastRound, Phase: r.Phase, DoneTasks: r.Done.Len()}
 }
 
-// MarkDirty marks the job as changed since its record was written.
+// MarkDirty notes a change that the stored record does not reflect yet.
 func (j *Job) MarkDirty(now clock.Instant) {
 	if !j.Dirty() {
 		j.DirtySince = now
@@ -100,10 +101,10 @@
 	j.ChangeSeq++
 }
 
-// Dirty tells whether the record lags behind the working copy.
+// Dirty reports whether the stored record lags behind the working copy.
 func (j *Job) Dirty() bool { return j.ChangeSeq != j.Stored.Seq }
 
-// AddPlacement takes a placement of a queued task in.
+// AddPlacement adds a placement of a queued task and removes the task from the queue.
 func (j *Job) AddPlacement(p *Placement, zone ident.Zone) {
 	j.Queue.Remove(p.Task)
 	j.Placements[p.Task] = p
@@ -111,8 +112,8 @@
 	j.LastPlacedAt = max(j.LastPlacedAt, p.PlacedAt)
 }
 
-// EndPlacement takes a placement out that is surely over. With requeue its task waits
-// to be placed again, unless it is done or the job is over.
+// EndPlacement removes a placement whose task certainly cannot run any more. If requeue is set,
+// the task is queued again unless it is done or the job's phase is final.
 func (j *Job) EndPlacement(now clock.Instant, p *Placement, zone ident.Zone, requeue bool) {
 	if j.Placements[p.Task] != p {
 		return
@@ -133,8 +134,8 @@
 	p.EndSeq = j.ChangeSeq
 }
 
-// CompleteTask notes that a task has completed. The tasks of a gang complete
-// together.
+// CompleteTask marks a task as done. The tasks of a gang complete together, so all of them are
+// marked.
 func (j *Job) CompleteTask(now clock.Instant, task ident.TaskIndex) {
 	if int(task) >= j.Spec.Tasks || !j.Done.Add(task) {
 		return
@@ -150,7 +151,7 @@
 	j.MarkDirty(now)
 }
 
-// Cancel cancels the job unless it is over.
+// Cancel cancels the job unless its phase is final.
 func (j *Job) Cancel(now clock.Instant) {
 	if j.Phase.Final() {
 		return
@@ -159,8 +160,7 @@
 	j.MarkDirty(now)
 }
 
-// UnstartedTasks lists up to n queued tasks that have never run for long enough to count
-// as started.
+// UnstartedTasks returns up to n queued tasks that have never run for MinCountedRunTime.
 func (j *Job) UnstartedTasks(n int) []ident.TaskIndex {
 	var tasks []ident.TaskIndex
 	for task := range j.Queue.All() {
@@ -174,10 +174,10 @@
 	return tasks
 }
 
-// HasStarted tells whether any task of the job is placed or done.
+// HasStarted reports whether any task of the job is placed or done.
 func (j *Job) HasStarted() bool { return len(j.Placements) > 0 || len(j.Done) > 0 }
 
-// RunningTasks counts the tasks that are seen running.
+// RunningTasks returns the number of tasks that are observed running or checkpointing.
 func (j *Job) RunningTasks() int {
 	n := 0
 	for _, p := range j.Placements {
@@ -188,12 +188,13 @@
 	return n
 }
 
-// NeedsUrgentFold tells whether somebody waits for the record to be written.
+// NeedsUrgentFold reports whether somebody is waiting for the record to be written, which is the
+// case when the phase has changed since the last write.
 func (j *Job) NeedsUrgentFold() bool { return j.Dirty() && j.Phase != j.Stored.Phase }
 
-// Record is the checkpoint of the job as it stands, written by the leader of the epoch.
-// Placements that a round in flight proposes are not in it: they come to the job with that
-// round.
+// Record returns the checkpoint of the job's current state, to be written by the leader of the
+// given epoch. It does not include the placements that a round in flight proposes, because the
+// job receives them only when that round is committed.
 func (j *Job) Record(epoch ident.Epoch) *Record {
 	r := &Record{
 		SchemaVersion: schemaPlain,
--- a/internal/jobs/placement.go
+++ b/internal/jobs/placement.go
@@ -9,51 +9,52 @@
 	"badgerbay/internal/ident"
 )
 
-// PlacementState is how far a placement is known to have come.
+// PlacementState is the last known state of a placement.
 type PlacementState int
 
-// States of a placement. Each but PlacementEnded means that the task may be on the
-// machine, or may yet come to be.
+// States of a placement. In each of them but PlacementEnded, the task may be on the machine or
+// may still be started there.
 const (
-	PlacementPending PlacementState = iota // recorded; not seen on the machine
+	PlacementPending PlacementState = iota // recorded, but not reported by the machine yet
 	PlacementFetching
 	PlacementRunning
 	PlacementCheckpointing
 	PlacementEnded
 )
 
-// Placement is one attempt to run a task on one machine. It is over only when
-// it surely can't run any more; until then it counts for limits and capacity.
+// Placement is one attempt to run a task on one machine. It ends only when the task certainly
+// cannot run any more; until then it counts against limits and capacity.
 type Placement struct {
 	Job     *Job
 	Task    ident.TaskIndex
 	Machine ident.MachineID
 	Session ident.Session
 	Attempt ident.Attempt
-	RoundNo ident.RoundNo // that placed it; 0: an earlier leader did
+	RoundNo ident.RoundNo // the round that placed it; 0: an earlier leader placed it
 	State   PlacementState
-	// FencingToken is the highest token under which a start may have been sent. A heartbeat
-	// with a higher one that lacks the task proves that it never will start.
+	// FencingToken is the highest token under which a start command may have been sent. A
+	// heartbeat that carries a higher token and does not list the task proves that the task
+	// will never start.
 	FencingToken ident.Epoch
-	// StartAllowed tells that the start command may be sent, or sent again.
+	// StartAllowed is set when the start command may be sent, or sent again.
 	StartAllowed bool
-	// Stopping is set once the task has been told to stop, with GracePeriod.
+	// Stopping is set once the task has been requested to stop, with GracePeriod.
 	Stopping        bool
 	GracePeriod     time.Duration
-	StopRequestedAt clock.Instant // the first time
+	StopRequestedAt clock.Instant // the first request
 	PlacedAt        clock.Instant
-	RunningSince    clock.Instant // when it was first seen running; 0: it was not
-	// EndSeq is the job's ChangeSeq at which the end was taken in; the
-	// agent may forget the exit once that much is stored.
+	RunningSince    clock.Instant // when it was first observed running; 0: never
+	// EndSeq is the job's ChangeSeq right after the placement ended. The agent must keep the
+	// exit until the stored record reflects that change.
 	EndSeq uint64
 }
 
-// ID is the identifier of the placement's task.
+// ID returns the identifier of the placement's task.
 func (p *Placement) ID() ident.TaskID { return ident.TaskID{Job: p.Job.ID, Index: p.Task} }
 
-// runTime is how long the task has run, up to when it was told to stop. The time
-// that it took to checkpoint after that is not counted: tasks stopped a little too early
-// passed for started, and then waited behind all others for their next start.
+// runTime returns how long the task has run, up to the first request to stop it. The time of the
+// checkpoint after that request is excluded: with it, tasks that were stopped slightly too early
+// counted as started, and then waited behind all others for their next start.
 func (p *Placement) runTime(now clock.Instant) time.Duration {
 	if p.RunningSince == 0 {
 		return 0
@@ -64,7 +65,7 @@
 	return now.Sub(p.RunningSince)
 }
 
-// groupKey is what the placements of one group have in common.
+// groupKey holds the values that all placements of a PlacementGroup share.
 type groupKey struct {
 	machine ident.MachineID
 	session ident.Session
@@ -73,7 +74,8 @@
 
 func (p *Placement) groupKey() groupKey { return groupKey{p.Machine, p.Session, p.Attempt} }
 
-// placementGroups are the job's placements as its record holds them, in an order of their own.
+// placementGroups returns the job's placements in the groups that its record stores, sorted by
+// machine, attempt and session.
 func (j *Job) placementGroups() []PlacementGroup {
 	groupIndex := map[groupKey]int{}
 	var groups []PlacementGroup
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -11,61 +11,63 @@
 	"badgerbay/internal/wire"
 )
 
-// KeyPrefix begins the keys of the job records.
+// KeyPrefix is the prefix of the keys of job records.
 const KeyPrefix = "job/"
 
-// Key is the key of a job's record.
+// Key returns the key of a job's record.
 func Key(id ident.JobID) string { return KeyPrefix + string(id) }
 
-// SchemaVersion is the newest version of Record. A reader refuses a record of a newer
-// schema rather than guess what it means; see docs/operations.md.
+// SchemaVersion is the newest schema version of Record. Decode rejects a record of a newer schema
+// because its meaning is unknown; see docs/operations.md.
 const SchemaVersion = schemaMultiTxn
 
-// The schemas that are written. Up to schema 1 the done set and the placements were lists,
-// which are still read.
+// The schemas that are written. Schemas up to 1, which store the done set and the placements as
+// lists, are still read.
 const (
-	// schemaPlain has the done set and the placements packed. It is written wherever it
-	// fits, since the program's version before reads it.
+	// schemaPlain stores the done set and the placements packed. It is written for every
+	// record that fits into one value, because the previous release reads it.
 	schemaPlain = 2
-	// schemaChunked has them compressed, and may continue in chunks.
+	// schemaChunked stores them compressed. The record may continue in chunks.
 	schemaChunked = 3
-	// schemaMultiTxn has all but phase and counts in chunks, which are written in
-	// transactions before that of the record.
+	// schemaMultiTxn stores the spec, the done set and the placements in chunks, which are
+	// written in transactions before the one that writes the record. The record itself keeps
+	// the phase and the counts of tasks.
 	schemaMultiTxn = 4
 )
 
 var (
-	// ErrNewerSchema means that a record was written by a newer version of the program.
-	ErrNewerSchema = errors.New("record has a later schema")
-	// ErrInvalidRecord means that a record holds what no version of the program writes.
+	// ErrNewerSchema is returned when a record was written by a newer version of the program.
+	ErrNewerSchema = errors.New("job record has a newer schema")
+	// ErrInvalidRecord is returned when a record has contents that no version of the program
+	// writes.
 	ErrInvalidRecord = errors.New("invalid job record")
 )
 
-// Phase of a job. PhaseDone and PhaseCancelled are final.
+// Phase is the phase of a job. PhaseDone and PhaseCancelled are final.
 type Phase string
 
-// Phases.
+// Phases of a job.
 const (
 	PhaseActive    Phase = "active"
 	PhaseDone      Phase = "done"
 	PhaseCancelled Phase = "cancelled"
 )
 
-// Final tells whether a job in this phase stays in it for ever.
+// Final reports whether a job never leaves this phase.
 func (p Phase) Final() bool { return p == PhaseDone || p == PhaseCancelled }
 
-// NextAction is the next safe action for a new leader.
+// NextAction is the next safe action of a new leader on a job.
 type NextAction string
 
-// Actions.
+// Actions of a new leader.
 const (
-	ActionPlace     NextAction = "place"     // tasks are queued, none may be running
-	ActionReconcile NextAction = "reconcile" // placements must be matched before placing
-	ActionStop      NextAction = "halt"      // placements must be brought to an end
+	ActionPlace     NextAction = "place"     // tasks are queued, and none can be running
+	ActionReconcile NextAction = "reconcile" // placements must be reconciled before tasks are placed
+	ActionStop      NextAction = "halt"      // placements must be ended
 	ActionNone      NextAction = "none"
 )
 
-// PlacementGroup is a set of tasks that one round put on one machine.
+// PlacementGroup is a set of tasks that one round placed on one machine.
 type PlacementGroup struct {
 	Machine ident.MachineID `msgpack:"m" json:"m"`
 	Session ident.Session   `msgpack:"s" json:"s"`
@@ -73,32 +75,33 @@
 	Tasks   indexset.Set    `msgpack:"t" json:"t"`
 }
 
-// Record is the value of job/ID: the spec and the checkpoint.
+// Record is the value stored under job/ID: the job's spec and checkpoint.
 type Record struct {
 	SchemaVersion int                              `msgpack:"v" json:"v"`
 	Spec          Spec                             `msgpack:"spec" json:"spec"`
 	AcceptedAtMs  int64                            `msgpack:"at" json:"at"` // time of day
 	Phase         Phase                            `msgpack:"ph" json:"ph"`
-	Epoch         ident.Epoch                      `msgpack:"e" json:"e"` // of the leader that wrote it
-	LastRound     ident.RoundNo                    `msgpack:"r" json:"r"` // the last round folded in
+	Epoch         ident.Epoch                      `msgpack:"e" json:"e"` // of the leader that wrote the record
+	LastRound     ident.RoundNo                    `msgpack:"r" json:"r"` // the last round that the checkpoint includes
 	Done          indexset.Set                     `msgpack:"d,omitempty" json:"-"`
 	Placements    wire.BoundedList[PlacementGroup] `msgpack:"l,omitempty" json:"-"`
 	Packed        wire.Packed                      `msgpack:"pk,omitempty" json:"pk,omitempty"`
 	Next          NextAction                       `msgpack:"nx" json:"nx"`
-	// ChunkInfo is set in a record that is compressed and may have chunks. One
-	// that Decode returns with it lacks the done set and the placements.
+	// ChunkInfo is set in a record that is compressed and may have chunks. If Decode returns a
+	// record with ChunkInfo, the record lacks the done set and the placements, and in
+	// schemaMultiTxn also the spec.
 	ChunkInfo *ChunkInfo `msgpack:"ov,omitempty" json:"ov,omitempty"`
-	// ChunkOffset is the number before that of the first chunk which DecodeWithChunks has
-	// put into the record.
+	// ChunkOffset is one less than the number of the first chunk that DecodeWithChunks has
+	// read into the record.
 	ChunkOffset int `msgpack:"-" json:"-"`
 }
 
-// NewRecord is the record of a job just accepted, at a time of day in milliseconds.
+// NewRecord returns the record of a newly accepted job. acceptedAtMs is a time of day.
 func NewRecord(spec Spec, acceptedAtMs int64) *Record {
 	return &Record{SchemaVersion: schemaPlain, Spec: spec, AcceptedAtMs: acceptedAtMs, Phase: PhaseActive, Next: ActionPlace}
 }
 
-// LiveTasks counts the tasks that are placed.
+// LiveTasks returns the number of tasks that are placed.
 func (r *Record) LiveTasks() int {
 	n := 0
 	for _, group := range r.Placements {
@@ -120,7 +123,7 @@
 	return ActionPlace
 }
 
-// Encode returns the record as it is stored in one value.
+// Encode returns the record in the form that is stored in one value.
 func (r *Record) Encode() (*Record, error) {
 	out := *r
 	out.Done, out.Placements = nil, nil
@@ -132,18 +135,18 @@
 	return &out, err
 }
 
-// Decode reads a record and validates it. If the result has ChunkInfo, it lacks what is in the
-// chunks; see DecodeWithChunks.
+// Decode decodes and validates a record. If the result has ChunkInfo, it lacks the data that is
+// stored in chunks; DecodeWithChunks reads a record with that data.
 func Decode(data []byte) (*Record, error) {
 	r := new(Record)
 	if err := msgpack.Unmarshal(data, r); err != nil {
 		return nil, fmt.Errorf("decoding job record: %w", err)
 	}
 	if r.SchemaVersion > SchemaVersion {
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
+		return nil, fmt.Errorf("%w: %d, this program supports up to %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
 	}
 	if (r.SchemaVersion > schemaPlain) != (r.ChunkInfo != nil) {
-		return nil, fmt.Errorf("%w: schema %d does not agree with its chunks", ErrInvalidRecord, r.SchemaVersion)
+		return nil, fmt.Errorf("%w: schema %d and the presence of chunk information do not match", ErrInvalidRecord, r.SchemaVersion)
 	}
 	if r.SchemaVersion == schemaMultiTxn {
 		return r, r.ChunkInfo.validate()
@@ -157,20 +160,20 @@
 	return r, r.validate()
 }
 
-// validate refuses sets that no version of the program writes.
+// validate returns ErrInvalidRecord for sets of tasks that no version of the program writes.
 func (r *Record) validate() error {
 	if r.Spec.Tasks < 1 || !r.Done.Valid(r.Spec.Tasks) {
-		return fmt.Errorf("%w: impossible set of done tasks", ErrInvalidRecord)
+		return fmt.Errorf("%w: number of tasks or set of done tasks is invalid", ErrInvalidRecord)
 	}
 	for _, group := range r.Placements {
 		if !group.Tasks.Valid(r.Spec.Tasks) {
-			return fmt.Errorf("%w: impossible placement", ErrInvalidRecord)
+			return fmt.Errorf("%w: set of placed tasks is invalid", ErrInvalidRecord)
 		}
 	}
 	return nil
 }
 
-// encodeProgress writes the done set and the placements.
+// encodeProgress encodes the done set and the placements.
 func (r *Record) encodeProgress(e *msgpack.Encoder) error {
 	if err := r.Done.EncodeDelta(e); err != nil {
 		return err
@@ -186,6 +189,7 @@
 	return nil
 }
 
+// decodeProgress decodes what encodeProgress wrote.
 func (r *Record) decodeProgress(d *msgpack.Decoder) error {
 	if err := r.Done.DecodeDelta(d); err != nil {
 		return err
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -17,6 +17,8 @@
 	"badgerbay/internal/indexset"
 )
 
+// TestRecordRoundTrip checks that a record is decoded without loss, also from the lists of schema 1,
+// and that a job restored from it queues all tasks that are not done.
 func TestRecordRoundTrip(t *testing.T) {
 	j := NewJob("wk-000001", NewRecord(Spec{Team: "red", Tasks: 10, CPUs: 1.5, Image: "i", MachineTypes: []ident.MachineType{"m"}}, 99), 3, 0)
 	j.CompleteTask(1, 4)
@@ -40,7 +42,7 @@
 	}
 	decodedList, err := Decode(listForm)
 	if err != nil || len(decodedList.Placements) != 1 || !decodedList.Done.Contains(4) {
-		t.Errorf("record of schema 1 read as %+v, %v", decodedList, err)
+		t.Errorf("record of schema 1 decoded as %+v, %v", decodedList, err)
 	}
 	got, err := Decode(data)
 	if err != nil {
@@ -54,10 +56,12 @@
 	}
 	reloaded := NewJob("wk-000001", got, 4, 0)
 	if reloaded.Queue.Len() != 9 || reloaded.Queue.Contains(4) {
-		t.Errorf("queue %v, want all but what is done", reloaded.Queue)
+		t.Errorf("queue %v, want all tasks but task 4, which is done", reloaded.Queue)
 	}
 }
 
+// TestNewerSchemaIsRefused checks that Decode does not interpret a record of a newer schema, whose
+// meaning is unknown.
 func TestNewerSchemaIsRefused(t *testing.T) {
 	r := NewRecord(Spec{Tasks: 1}, 0)
 	r.SchemaVersion = SchemaVersion + 1
@@ -70,23 +74,24 @@
 	}
 }
 
+// TestFinalPhasesAreKept checks that a cancelled job does not become done, nor a done job cancelled.
 func TestFinalPhasesAreKept(t *testing.T) {
 	cancelled := NewJob("wk-000001", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
 	cancelled.Cancel(1)
 	cancelled.CompleteTask(2, 0)
 	if cancelled.Phase != PhaseCancelled {
-		t.Errorf("a cancelled job is %s", cancelled.Phase)
+		t.Errorf("phase of a cancelled job is %s", cancelled.Phase)
 	}
 	done := NewJob("wk-000002", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
 	done.CompleteTask(1, 0)
 	done.Cancel(2)
 	if done.Phase != PhaseDone {
-		t.Errorf("a done job is %s", done.Phase)
+		t.Errorf("phase of a done job is %s", done.Phase)
 	}
 }
 
-// TestRecordFitsOneValue draws how tasks of a large job start and end, as far as
-// SpareBytes lets them, and checks that its record never outgrows a value.
+// TestRecordFitsOneValue starts and ends random tasks of a large job, within the bound of
+// SpareBytes, and checks that the job's record never exceeds the size of one value.
 func TestRecordFitsOneValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 8 << 10
@@ -144,15 +149,16 @@
 				t.Fatal(err)
 			}
 			if len(data) > limit {
-				t.Fatalf("record of %d bytes after %d rounds: %d live, %d done spans", len(data), round, len(j.Placements), len(j.Done))
+				t.Fatalf("record has %d bytes after round %d: %d placements, %d spans of done tasks", len(data), round, len(j.Placements), len(j.Done))
 			}
 		}
 		if len(j.Done) == 0 {
-			t.Fatal("nothing got done")
+			t.Fatal("no task was completed")
 		}
 	})
 }
 
+// FuzzDecode checks that Decode and the use of its result don't panic on any input.
 func FuzzDecode(f *testing.F) {
 	data, err := msgpack.Marshal(NewRecord(Spec{Tasks: 3, CPUs: 1}, 5))
 	if err != nil {
@@ -179,17 +185,18 @@
 	})
 }
 
-// TestCheckpointTimeIsNotRunTime: a task that is told to stop too early has not started to
-// its user, however long its checkpoint takes.
+// TestCheckpointTimeIsNotRunTime checks that the time of the checkpoint after a stop request is
+// excluded from the run time: a task that is requested to stop before MinCountedRunTime does not
+// count as started, however long its checkpoint takes.
 func TestCheckpointTimeIsNotRunTime(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	j := NewJob("wk-000001", NewRecord(Spec{Tasks: 2, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6}, 0), 1, now)
-	for i, stopped := range []time.Duration{MinCountedRunTime - time.Second, MinCountedRunTime + time.Second} {
-		p := &Placement{Job: j, Task: ident.TaskIndex(i), State: PlacementRunning, RunningSince: now, Stopping: true, StopRequestedAt: now.Add(stopped)}
+	for i, runTime := range []time.Duration{MinCountedRunTime - time.Second, MinCountedRunTime + time.Second} {
+		p := &Placement{Job: j, Task: ident.TaskIndex(i), State: PlacementRunning, RunningSince: now, Stopping: true, StopRequestedAt: now.Add(runTime)}
 		j.AddPlacement(p, "a")
-		j.EndPlacement(now.Add(stopped+6*time.Second), p, "a", true)
+		j.EndPlacement(now.Add(runTime+6*time.Second), p, "a", true)
 	}
 	if unstarted := j.UnstartedTasks(2); len(unstarted) != 1 || unstarted[0] != 0 {
-		t.Errorf("tasks %v have never run for long enough, want task 0", unstarted)
+		t.Errorf("unstarted tasks %v, want task 0", unstarted)
 	}
 }
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Resources are an amount of what machines have.
+// Resources is an amount of each resource that machines provide.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// epsilon forgives the rounding of sums of decimal amounts.
+// epsilon is the tolerance for rounding errors in sums of decimal amounts.
 const epsilon = 1e-6
 
-// Fits tells whether need fits into r.
+// Fits reports whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// MaxCopies is how many times need fits into r.
+// MaxCopies returns how many times need fits into r; math.MaxInt32 if need is empty.
 func (r Resources) MaxCopies(need Resources) int {
 	n := math.MaxInt32
 	if need.CPUs > 0 {
@@ -28,31 +28,31 @@
 	return max(0, n)
 }
 
-// Add returns the sum.
+// Add returns the sum of r and o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
 }
 
-// Sub returns the difference.
+// Sub returns r less o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// Max returns the larger of each amount.
+// Max returns the larger amount of r and o for each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.CPUs, o.CPUs), max(r.GPUs, o.GPUs), max(r.MemoryGB, o.MemoryGB)}
 }
 
-// Multiply returns r n times.
+// Multiply returns r multiplied by n.
 func (r Resources) Multiply(n int) Resources { return r.Scale(float64(n)) }
 
-// Scale returns r times f.
+// Scale returns r multiplied by f.
 func (r Resources) Scale(f float64) Resources {
 	return Resources{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
 }
 
-// DominantShare is the largest share that r takes of any resource of total; +Inf
-// if it takes some of which there is none.
+// DominantShare returns the largest share that r has of any resource in total; +Inf if r
+// includes a resource that total lacks.
 func (r Resources) DominantShare(total Resources) float64 {
 	return max(share(r.CPUs, total.CPUs), share(r.GPUs, total.GPUs), share(r.MemoryGB, total.MemoryGB))
 }
--- a/internal/jobs/resources_test.go
+++ b/internal/jobs/resources_test.go
@@ -12,7 +12,7 @@
 		want int
 	}{
 		{Resources{CPUs: 1, MemoryGB: 1}, 4},
-		{Resources{CPUs: 0.1}, 40}, // sums of decimal amounts are rounded
+		{Resources{CPUs: 0.1}, 40}, // needs the tolerance for rounding errors
 		{Resources{MemoryGB: 5}, 3},
 		{Resources{CPUs: 1, GPUs: 0.5}, 2},
 		{Resources{CPUs: 5}, 0},
@@ -22,11 +22,11 @@
 			t.Errorf("%+v fits %d times, want %d", test.need, got, test.want)
 		}
 		if fits := capacity.Fits(test.need); fits != (test.want > 0) {
-			t.Errorf("%+v fits: %v", test.need, fits)
+			t.Errorf("%+v fits: %v, want %v", test.need, fits, !fits)
 		}
 	}
 	if n := (Resources{CPUs: -1}).MaxCopies(Resources{CPUs: 1}); n != 0 {
-		t.Errorf("a task fits %d times into less than nothing", n)
+		t.Errorf("need fits %d times into a negative amount, want 0", n)
 	}
 }
 
@@ -39,7 +39,7 @@
 		{Resources{}, 0},
 		{Resources{CPUs: 10, MemoryGB: 80}, 0.2},
 		{Resources{CPUs: 50, MemoryGB: 80}, 0.5},
-		{Resources{GPUs: 1}, math.Inf(1)}, // there are none
+		{Resources{GPUs: 1}, math.Inf(1)}, // the total has no GPUs
 	} {
 		if got := test.used.DominantShare(total); got != test.want {
 			t.Errorf("%+v: share %v, want %v", test.used, got, test.want)
@@ -50,12 +50,12 @@
 func TestAllowsMachine(t *testing.T) {
 	spec := Spec{MachineTypes: fullSpec().MachineTypes, Zone: "ankara"}
 	if !spec.AllowsMachine("orta", "ankara", false) || spec.AllowsMachine("kucuk", "ankara", false) {
-		t.Error("machine types are not kept to")
+		t.Error("machine types are not respected")
 	}
 	if spec.AllowsMachine("orta", "bursa", false) || spec.AllowsMachine("orta", "ankara", true) {
-		t.Error("zone and kind are not kept to")
+		t.Error("zone or exclusion of spot machines is not respected")
 	}
-	if everywhere := (Spec{Spot: true}); !everywhere.AllowsMachine("kucuk", "bursa", true) {
-		t.Error("a machine is refused to a job without wishes")
+	if unconstrained := (Spec{Spot: true}); !unconstrained.AllowsMachine("kucuk", "bursa", true) {
+		t.Error("a job without constraints is not allowed on a machine")
 	}
 }
--- a/internal/roundlog/record.go
+++ b/internal/roundlog/record.go
@@ -1,7 +1,8 @@
-// Package roundlog holds the records of rounds, in which the leader's decisions are stored
-// whole before any of their effects is sent, and the ring of keys that they are stored under.
-// It owns their schema versions, their sizes and what of them is still pending. What a round
-// decides is left to package scheduler; storing and carrying it out is left to the core.
+// Package roundlog defines the records of scheduling rounds and the ring of keys that they are
+// stored under. The leader stores all decisions of a round in its record before it sends any of
+// their effects. The package owns the schema versions and sizes of the records, and tracks which
+// decisions are still pending. Package scheduler makes the decisions; package controller stores
+// and executes them.
 package roundlog
 
 import (
@@ -18,21 +19,23 @@
 	"badgerbay/internal/wire"
 )
 
-// KeyPrefix begins the keys of the ring of round records.
+// KeyPrefix is the prefix of the keys of round records.
 const KeyPrefix = "round/"
 
-// SchemaVersion is the newest version of Record. Since 2 the starts are packed; the lists of
-// version 1 are still read. SchemaPlain is written wherever it serves, since the program
-// before reads it; a record of schemaChunked is compressed, names attempts and may continue
-// in chunks.
+// Schema versions of Record. Version 1, which stores the starts as a list, is still read.
 const (
+	// SchemaVersion is the newest schema version of Record.
 	SchemaVersion = schemaChunked
-	SchemaPlain   = 2
+	// SchemaPlain stores the starts packed. It is written for every record that it can
+	// represent in one value, because the previous release reads it.
+	SchemaPlain = 2
+	// schemaChunked stores the starts compressed and with their attempts. The record may
+	// continue in chunks.
 	schemaChunked = 3
 )
 
-// Record is the value of round/SLOT: decisions that are pending until they are settled
-// elsewhere. Every round below LowWatermark has been settled.
+// Record is the value stored under round/SLOT: the decisions of a round, which are pending until
+// they are settled elsewhere. Every round below LowWatermark has been settled.
 type Record struct {
 	SchemaVersion int                               `msgpack:"v" json:"v"`
 	RoundNo       ident.RoundNo                     `msgpack:"no" json:"no"`
@@ -51,11 +54,12 @@
 	Machine ident.MachineID `msgpack:"m" json:"m"`
 	Session ident.Session   `msgpack:"s" json:"s"`
 	Tasks   indexset.Set    `msgpack:"t" json:"t"`
-	// Attempt is that of a gang which waits for these tasks; 0: the number of the round.
+	// Attempt is the attempt of the gang that waits for these tasks; 0: the attempt is the
+	// number of the round.
 	Attempt ident.Attempt `msgpack:"-" json:"-"`
 }
 
-// AttemptInRound is the attempt of the start in a round.
+// AttemptInRound returns the attempt of the start if the round with the given number decided it.
 func (s *Start) AttemptInRound(roundNo ident.RoundNo) ident.Attempt {
 	if s.Attempt != 0 {
 		return s.Attempt
@@ -63,46 +67,47 @@
 	return ident.Attempt(roundNo)
 }
 
-// Provision is a request for machines, which the cloud knows by its name.
+// Provision is a request for machines. The cloud identifies it by its name.
 type Provision struct {
 	Name  string      `msgpack:"n" json:"n"`
 	Offer cloud.Offer `msgpack:"o" json:"o"`
 	Count int         `msgpack:"c" json:"c"`
 }
 
-// ProvisionName is the name of the n-th provision of a round. It holds the epoch, so that a
-// round number lost with its leader can't bring a name back.
+// ProvisionName returns the name of the n-th provision of a round. The name includes the epoch, so
+// that it does not recur if a round number is lost with its leader and used again.
 func ProvisionName(epoch ident.Epoch, roundNo ident.RoundNo, n int) string {
 	return fmt.Sprintf("r-%d-%d-%d", epoch, roundNo, n)
 }
 
-// ChunkInfo is what a record says of its chunks.
+// ChunkInfo describes the chunks of a record.
 type ChunkInfo struct {
 	Chunks   int    `msgpack:"n" json:"n"`
 	Checksum uint32 `msgpack:"s" json:"s"`
 }
 
-// ErrNewerSchema says that a record was written by a newer version of the program.
-var ErrNewerSchema = errors.New("round record has a later schema")
+// ErrNewerSchema is returned when a record was written by a newer version of the program.
+var ErrNewerSchema = errors.New("round record has a newer schema")
 
-// IsEmpty tells whether the round decides nothing.
+// IsEmpty reports whether the record contains no decisions.
 func (r *Record) IsEmpty() bool {
 	return len(r.Starts) == 0 && len(r.Provisions) == 0 && len(r.Deprovisions) == 0
 }
 
-// Decode reads a record. chunkValue returns the value of its n-th chunk, counted from 1, or
-// nil; it may itself be nil where there are none. The error is ErrNewerSchema for a record of
-// a newer version, and chunk.ErrTorn for one whose chunks are missing or don't belong to it.
+// Decode decodes a record. chunkValue returns the value of its n-th chunk, counted from 1, or nil
+// if that chunk is missing; chunkValue may be nil if there are no chunks. The error wraps
+// ErrNewerSchema if the record has a newer schema, and chunk.ErrTorn if its chunks are missing or
+// don't belong to it.
 func Decode(data []byte, chunkValue func(n int) []byte) (*Record, error) {
 	r := new(Record)
 	if err := msgpack.Unmarshal(data, r); err != nil {
 		return nil, fmt.Errorf("decoding round record: %w", err)
 	}
 	if r.SchemaVersion > SchemaVersion {
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
+		return nil, fmt.Errorf("%w: %d, this program supports up to %d", ErrNewerSchema, r.SchemaVersion, SchemaVersion)
 	}
 	if (r.SchemaVersion > SchemaPlain) != (r.ChunkInfo != nil) {
-		return nil, fmt.Errorf("round record of schema %d does not match its chunks", r.SchemaVersion)
+		return nil, fmt.Errorf("round record: schema %d and the presence of chunk information do not match", r.SchemaVersion)
 	}
 	if err := r.unpackStarts(chunkValue); err != nil {
 		return nil, fmt.Errorf("decoding starts of round %d: %w", r.RoundNo, err)
@@ -110,14 +115,15 @@
 	r.Packed, r.ChunkInfo = "", nil
 	for _, start := range r.Starts {
 		if !start.Tasks.Valid(maxTasks) {
-			return nil, fmt.Errorf("round %d starts impossible tasks of job %s", r.RoundNo, start.Job)
+			return nil, fmt.Errorf("round %d: set of started tasks of job %s is invalid", r.RoundNo, start.Job)
 		}
 	}
 	return r, nil
 }
 
-// Encode returns the record as the program before reads it: in one value, whatever its size,
-// with all starts in the attempt of the round.
+// Encode returns the record in the form that the previous release reads: in one value, whatever
+// its size, without the attempts of the starts, so that each start takes the round number as its
+// attempt.
 func (r *Record) Encode() (*Record, error) {
 	out := *r
 	out.SchemaVersion, out.Starts = SchemaPlain, nil
@@ -132,15 +138,16 @@
 	return &out, nil
 }
 
-// fitsPlainSchema tells whether the program before can read the starts.
+// fitsPlainSchema reports whether SchemaPlain, which the previous release reads, can represent
+// the starts: it can't store attempts.
 func (r *Record) fitsPlainSchema() bool {
 	return !slices.ContainsFunc(r.Starts, func(s Start) bool { return s.Attempt != 0 })
 }
 
-// Split returns the record as it is stored, with its chunks, where a value holds limit bytes
-// in JSON and at most so many values may be written, the record's own included. size measures
-// a value in JSON. With one value only, the record is one that the program before reads. The
-// error is chunk.ErrTooLarge for a record that does not fit.
+// Split returns the record in its stored form and its chunks. A value holds at most valueLimit
+// bytes as measured by jsonSize, and at most maxValues values, including the record's own, may be
+// written. If maxValues is 1, the record is in the form that the previous release reads. The
+// error wraps chunk.ErrTooLarge if the record does not fit.
 func (r *Record) Split(valueLimit, maxValues int, jsonSize func(any) int) (*Record, []*chunk.Value, error) {
 	plain, err := r.Encode()
 	if err != nil || maxValues <= 1 || r.fitsPlainSchema() && jsonSize(plain) <= valueLimit {
@@ -151,7 +158,7 @@
 		return nil, nil, fmt.Errorf("encoding starts of round %d: %w", r.RoundNo, err)
 	}
 	out := *plain
-	out.SchemaVersion, out.Packed = schemaChunked, compressed[:1] // for its field to be counted
+	out.SchemaVersion, out.Packed = schemaChunked, compressed[:1] // not empty, so that jsonSize counts the field's name
 	out.ChunkInfo = &ChunkInfo{Chunks: chunk.MaxChunks, Checksum: chunk.Checksum(compressed)}
 	limits := chunk.Limits{HeadBytes: valueLimit - jsonSize(&out), ValueBytes: valueLimit, Chunks: maxValues - 1}
 	head, rest, err := chunk.Split(compressed, limits, schemaChunked)
--- a/internal/roundlog/record_golden_test.go
+++ b/internal/roundlog/record_golden_test.go
@@ -21,13 +21,13 @@
 	"badgerbay/internal/wire"
 )
 
-// goldenRecord is a record whose stored form is in testdata/golden/records.txt: for each
-// value a line with its name, its MessagePack in hex and its JSON.
+// goldenRecord is a record whose stored form is in testdata/golden/records.txt. The file has one
+// line for each value: its name, its MessagePack in hex and its JSON.
 type goldenRecord struct {
 	name   string
 	schema int
-	limit  int // bytes of a value
-	values int // that the record may take; 0: it is written as lists, as schema 1 did
+	limit  int // maximum bytes of a value
+	values int // maximum number of values; 0: the starts are encoded as a list, as in schema 1
 	record *Record
 }
 
@@ -76,7 +76,7 @@
 	return values
 }
 
-// lines returns the record in the form of the golden file, and its values.
+// lines returns the record's lines in the golden file, and its values.
 func (g *goldenRecord) lines(t *testing.T, r *Record) (lines []string, values [][]byte) {
 	t.Helper()
 	for n, value := range g.stored(t, r) {
@@ -94,8 +94,8 @@
 	return lines, values
 }
 
-// TestGoldenRecords: records of every schema are read from the bytes in which
-// they were stored, and written into the same bytes again.
+// TestGoldenRecords checks that records of every schema are encoded to the bytes in the golden file,
+// decoded from them without loss, and encoded to the same bytes again.
 func TestGoldenRecords(t *testing.T) {
 	data, err := os.ReadFile("testdata/golden/records.txt")
 	if err != nil {
@@ -107,11 +107,11 @@
 		text := strings.Join(lines, "\n") + "\n"
 		want, rest, _ := cutLines(golden, len(lines))
 		if golden = rest; text != want {
-			t.Errorf("%s is written as\n%swant\n%s", g.name, text, want)
+			t.Errorf("%s is encoded as\n%swant\n%s", g.name, text, want)
 			continue
 		}
 		if !strings.Contains(lines[0], fmt.Sprintf(`"v":%d,`, g.schema)) {
-			t.Errorf("%s: not of schema %d: %s", g.name, g.schema, lines[0])
+			t.Errorf("%s: schema is not %d: %s", g.name, g.schema, lines[0])
 		}
 		read, err := Decode(values[0], func(n int) []byte { return values[n] })
 		if err != nil {
@@ -119,18 +119,18 @@
 			continue
 		}
 		if diff := cmp.Diff(g.record, read, cmpopts.IgnoreFields(Record{}, "SchemaVersion"), cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%s is read as another record:\n%s", g.name, diff)
+			t.Errorf("%s: decoded record differs:\n%s", g.name, diff)
 		}
 		if again, _ := g.lines(t, read); strings.Join(again, "\n")+"\n" != text {
-			t.Errorf("%s is written as\n%s\nafter it was read, before as\n%s", g.name, strings.Join(again, "\n"), text)
+			t.Errorf("%s is encoded after decoding as\n%s\nwant\n%s", g.name, strings.Join(again, "\n"), text)
 		}
 	}
 	if golden != "" {
-		t.Errorf("golden lines that nothing writes:\n%s", golden)
+		t.Errorf("golden lines that match no record:\n%s", golden)
 	}
 }
 
-// cutLines cuts the first n lines off a text.
+// cutLines splits a text after its first n lines. It reports whether the text has that many lines.
 func cutLines(text string, n int) (head, rest string, ok bool) {
 	end := 0
 	for range n {
@@ -143,7 +143,8 @@
 	return text[:end], text[end:], true
 }
 
-// TestGoldenKeys: keys and names that other versions read.
+// TestGoldenKeys checks that keys and provision names, which other versions of the program read,
+// don't change.
 func TestGoldenKeys(t *testing.T) {
 	ring := NewRing(32)
 	for got, want := range map[string]string{
@@ -161,12 +162,12 @@
 	}
 }
 
-// TestGoldenGangBounds: the largest gangs that are accepted under some limits.
+// TestGoldenGangBounds checks the size of the largest gang that is accepted under given limits.
 func TestGoldenGangBounds(t *testing.T) {
 	for _, c := range []struct {
-		limits     config.State
-		perMachine int
-		want       int
+		limits          config.State
+		tasksPerMachine int
+		want            int
 	}{
 		{config.State{MaxValueKB: 2, MaxTxnOps: 4}, 1, 126},
 		{config.State{MaxValueKB: 2, MaxTxnOps: 4}, 7, 525},
@@ -176,11 +177,11 @@
 		{config.State{MaxValueKB: 32, MaxTxnOps: 64}, 4, 1723},
 	} {
 		spec := jobs.Spec{Tasks: 1, Gang: true}
-		for GangRecordsFit(&spec, c.perMachine, 300, c.limits) {
+		for GangRecordsFit(&spec, c.tasksPerMachine, 300, c.limits) {
 			spec.Tasks++
 		}
 		if largest := spec.Tasks - 1; largest != c.want {
-			t.Errorf("%+v, %d to a machine: a gang of %d tasks is the largest, want %d", c.limits, c.perMachine, largest, c.want)
+			t.Errorf("%+v, %d tasks per machine: the largest gang has %d tasks, want %d", c.limits, c.tasksPerMachine, largest, c.want)
 		}
 	}
 }
--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -26,17 +26,17 @@
 		Deprovisions: wire.BoundedList[ident.MachineID]{"host-000007"}}
 }
 
-// TestRecordRoundTrip: what a new leader reads is what was decided, from records of this
-// schema and of the one before.
+// TestRecordRoundTrip checks that a record is decoded without loss, from SchemaPlain and from
+// schema 1, so that a new leader reads the same decisions that were stored.
 func TestRecordRoundTrip(t *testing.T) {
 	want := sampleRecord()
 	stored, err := want.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := *want
-	old.SchemaVersion = 1
-	for _, record := range []*Record{stored, &old} {
+	schema1 := *want
+	schema1.SchemaVersion = 1
+	for _, record := range []*Record{stored, &schema1} {
 		data, err := msgpack.Marshal(record)
 		if err != nil {
 			t.Fatal(err)
@@ -52,6 +52,8 @@
 	}
 }
 
+// FuzzDecodeRecord checks that Decode does not panic on any input, and that every record that it
+// accepts can be encoded.
 func FuzzDecodeRecord(f *testing.F) {
 	stored, err := sampleRecord().Encode()
 	if err != nil {
@@ -66,14 +68,14 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if r, err := Decode(data, nil); err == nil {
 			if _, err := r.Encode(); err != nil {
-				t.Errorf("was read and can't be written: %v", err)
+				t.Errorf("encoding a decoded record: %v", err)
 			}
 		}
 	})
 }
 
-// TestRecordOfPreviousVersion: a round that the program in production has stored is read, and
-// written again byte by byte.
+// TestRecordOfPreviousVersion checks that a round stored by the version in production is decoded, and
+// encoded again to the same bytes.
 func TestRecordOfPreviousVersion(t *testing.T) {
 	data, err := os.ReadFile("testdata/production/round.msgpack")
 	if err != nil {
@@ -91,11 +93,12 @@
 		t.Fatal(err)
 	}
 	if out, err := msgpack.Marshal(again); err != nil || !bytes.Equal(out, data) {
-		t.Errorf("not written as it was read: %v", err)
+		t.Errorf("encoding differs from the bytes decoded: %v", err)
 	}
 }
 
-// gangRecord is a round that starts a gang of n tasks on as many machines.
+// gangRecord returns the record of a round that starts a gang of n tasks, each on a different
+// machine.
 func gangRecord(n int) *Record {
 	r := &Record{SchemaVersion: SchemaPlain, RoundNo: 4711, Epoch: 991, LowWatermark: 4700}
 	for i := range n {
@@ -119,8 +122,8 @@
 	return data
 }
 
-// TestRecordInChunks: a round that does not fit into one value is split into chunks of the
-// smaller limit, and read back.
+// TestRecordInChunks checks that a record that does not fit into one value is split into chunks
+// within the limit, and decoded without loss.
 func TestRecordInChunks(t *testing.T) {
 	want := gangRecord(600)
 	head, rest, err := want.Split(testValueBytes, testMaxValues, kvstore.JSONSize)
@@ -128,11 +131,11 @@
 		t.Fatal(err)
 	}
 	if len(rest) < 2 || head.SchemaVersion != schemaChunked || kvstore.JSONSize(head) > testValueBytes {
-		t.Fatalf("%d chunks, a head of %d bytes in schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
+		t.Fatalf("%d chunks, record has %d bytes and schema %d", len(rest), kvstore.JSONSize(head), head.SchemaVersion)
 	}
 	for _, value := range rest {
 		if n := kvstore.JSONSize(value); n > testValueBytes {
-			t.Errorf("a chunk of %d bytes", n)
+			t.Errorf("chunk has %d bytes, limit is %d", n, testValueBytes)
 		}
 	}
 	got, err := Decode(marshal(t, head), func(n int) []byte { return marshal(t, rest[n-1]) })
@@ -145,7 +148,8 @@
 	}
 }
 
-// TestTornRecord: a record whose chunks are missing or are not its own is not read.
+// TestTornRecord checks that a record is rejected if its chunks are missing, belong to another record
+// or are in the wrong order.
 func TestTornRecord(t *testing.T) {
 	head, rest, err := gangRecord(600).Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
@@ -154,14 +158,14 @@
 	if len(rest) < 2 {
 		t.Fatalf("%d chunks", len(rest))
 	}
-	foreign := *rest[0]
-	foreign.Checksum++
+	otherRecord := *rest[0]
+	otherRecord.Checksum++
 	for _, c := range []struct {
 		name   string
 		chunks func(n int) []byte
 	}{
 		{"missing chunks", func(int) []byte { return nil }},
-		{"chunks of another record", func(int) []byte { return marshal(t, foreign) }},
+		{"chunks of another record", func(int) []byte { return marshal(t, otherRecord) }},
 		{"chunks in another order", func(n int) []byte { return marshal(t, rest[len(rest)-n]) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -172,8 +176,9 @@
 	}
 }
 
-// TestRecordInOneValue: a round that fits into one value, or for which only one may be written,
-// is stored as the program before reads it; one that fits into no number of values is refused.
+// TestRecordInOneValue checks that a record that fits into one value, or for which only one value
+// may be written, has the schema that the previous release reads, and that a record that does not
+// fit into the allowed number of values is rejected.
 func TestRecordInOneValue(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -198,8 +203,8 @@
 	}
 }
 
-// TestReplacementKeepsAttempt: a replacement in a gang that waits keeps the gang's attempt, in
-// a record that the program before refuses to read.
+// TestReplacementKeepsAttempt checks that the start of a replacement task keeps the attempt of the
+// waiting gang. The record then has schemaChunked, which the previous release rejects.
 func TestReplacementKeepsAttempt(t *testing.T) {
 	r := gangRecord(2)
 	r.Starts[1].Attempt = 4700
@@ -216,6 +221,6 @@
 		t.Fatal(err)
 	}
 	if a, b := got.Starts[0].AttemptInRound(got.RoundNo), got.Starts[1].AttemptInRound(got.RoundNo); a != 4711 || b != 4700 {
-		t.Errorf("attempts %d and %d", a, b)
+		t.Errorf("attempts %d and %d, want 4711 and 4700", a, b)
 	}
 }
--- a/internal/roundlog/ring.go
+++ b/internal/roundlog/ring.go
@@ -11,8 +11,8 @@
 	"badgerbay/internal/ident"
 )
 
-// slot is a key of the ring, with what the round that is stored there has decided and what is
-// not settled yet.
+// slot is the state of one key of the ring: which round is stored there, and which of its
+// decisions are not settled yet.
 type slot struct {
 	revision            ident.Revision
 	roundNo             ident.RoundNo
@@ -21,12 +21,13 @@
 	pendingDeprovisions map[ident.MachineID]bool
 }
 
+// isOpen reports whether the round has decisions that are not settled.
 func (s *slot) isOpen() bool {
 	return len(s.pendingJobs)+len(s.pendingProvisions)+len(s.pendingDeprovisions) > 0
 }
 
-// Ring is the small ring of round records. A slot is used again once all that its round
-// decided is settled elsewhere.
+// Ring tracks the slots, a small fixed number of keys, that round records are stored in. A slot is
+// reused once all decisions of its round are settled elsewhere.
 type Ring struct {
 	slots []slot
 	next  ident.RoundNo
@@ -35,16 +36,16 @@
 // NewRing returns an empty ring of n slots.
 func NewRing(n int) *Ring { return &Ring{slots: make([]slot, n), next: 1} }
 
-// StoredRecord is a record read back, with its key and revision.
+// StoredRecord is a record that was read from the state service, with its key and revision.
 type StoredRecord struct {
 	Key      string
 	Record   *Record
 	Revision ident.Revision
 }
 
-// RestoreRing makes a ring of n slots from the records that a new leader reads, and returns
-// those that may not be settled in the order of their rounds. Those below the low watermark
-// of the newest are settled.
+// RestoreRing returns a ring of n slots that is rebuilt from the records that a new leader reads,
+// and those of the records that may not be settled, sorted by round number. Rounds below the
+// highest low watermark among the records are settled.
 func RestoreRing(n int, stored []StoredRecord) (*Ring, []*Record) {
 	ring := NewRing(n)
 	slices.SortFunc(stored, func(x, y StoredRecord) int { return cmp.Compare(x.Record.RoundNo, y.Record.RoundNo) })
@@ -64,30 +65,31 @@
 	return ring, open
 }
 
-// Key is the key of the slot that a round goes to.
+// Key returns the key of the slot that a round is stored in.
 func (r *Ring) Key(roundNo ident.RoundNo) string {
 	return KeyPrefix + strconv.Itoa(int(roundNo%ident.RoundNo(len(r.slots))))
 }
 
-// ChunkKey is the key of the n-th chunk of the record under a slot's key. The keys of slots
-// name no job, so they don't meet those of jobs' chunks.
+// ChunkKey returns the key of the n-th chunk of the record that is stored under a slot's key. A
+// slot's key is not a job name, so the key does not collide with that of a chunk of a job record.
 func ChunkKey(slot string, n int) string { return chunk.Key(slot, n) }
 
 func (r *Ring) slotOf(roundNo ident.RoundNo) *slot {
 	return &r.slots[roundNo%ident.RoundNo(len(r.slots))]
 }
 
-// Next is the number of the next round, and whether its slot is free.
+// Next returns the number of the next round and reports whether its slot is free.
 func (r *Ring) Next() (roundNo ident.RoundNo, free bool) { return r.next, !r.slotOf(r.next).isOpen() }
 
-// IsUnused tells whether no round was ever recorded: no leader has provisioned or placed
-// anything.
+// IsUnused reports whether no round was ever recorded, which means that no leader has provisioned
+// or placed anything.
 func (r *Ring) IsUnused() bool { return r.next == 1 }
 
-// Revision is the revision of the key that a round goes to; 0: it is absent.
+// Revision returns the revision of the key that a round is stored under; 0: the key is absent.
 func (r *Ring) Revision(roundNo ident.RoundNo) ident.Revision { return r.slotOf(roundNo).revision }
 
-// LowWatermark is the lowest round that is not settled.
+// LowWatermark returns the number of the lowest round that is not settled, or that of the next
+// round if all are settled.
 func (r *Ring) LowWatermark() ident.RoundNo {
 	low := r.next
 	for i := range r.slots {
@@ -98,7 +100,7 @@
 	return low
 }
 
-// FreeSlots counts the free slots.
+// FreeSlots returns the number of free slots.
 func (r *Ring) FreeSlots() int {
 	n := 0
 	for i := range r.slots {
@@ -109,7 +111,7 @@
 	return n
 }
 
-// Add notes that a record is stored under a revision of its key.
+// Add tracks a record that is stored under its key with the given revision.
 func (r *Ring) Add(record *Record, revision ident.Revision) {
 	s := slot{
 		revision:            revision,
@@ -131,9 +133,9 @@
 	r.next = max(r.next, record.RoundNo+1)
 }
 
-// SkipUnreadable notes that the record under a key can't be read. Its slot may be used again
-// under that revision, and its number, whatever it was, is passed over: a number names
-// attempts, and must not come twice.
+// SkipUnreadable tracks a stored record that can't be decoded. Its slot may be overwritten at the
+// given revision. Its round number is unknown, so the next round number is advanced by the number
+// of slots, which skips it: round numbers identify attempts and must not repeat.
 func (r *Ring) SkipUnreadable(key string, revision ident.Revision) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, KeyPrefix))
 	if err != nil || n < 0 || n >= len(r.slots) {
@@ -143,7 +145,8 @@
 	r.next += ident.RoundNo(len(r.slots))
 }
 
-// JobFolded notes that the checkpoint of a job holds all rounds up to through.
+// JobFolded settles the decisions on a job in all rounds up to lastRound, because the job's stored
+// checkpoint includes them.
 func (r *Ring) JobFolded(job ident.JobID, lastRound ident.RoundNo) {
 	for i := range r.slots {
 		if s := &r.slots[i]; s.roundNo <= lastRound {
@@ -152,21 +155,22 @@
 	}
 }
 
-// SettleProvision notes that a provision has been answered for good.
+// SettleProvision settles a provision, to which the cloud has given its final answer.
 func (r *Ring) SettleProvision(name string) {
 	for i := range r.slots {
 		delete(r.slots[i].pendingProvisions, name)
 	}
 }
 
-// SettleDeprovision notes that a machine is gone.
+// SettleDeprovision settles the deprovision of a machine, which no longer exists.
 func (r *Ring) SettleDeprovision(id ident.MachineID) {
 	for i := range r.slots {
 		delete(r.slots[i].pendingDeprovisions, id)
 	}
 }
 
-// OldestOpenJobs returns the jobs that keep the oldest open slot open, sorted by name.
+// OldestOpenJobs returns the jobs whose starts in the oldest open slot are not settled, sorted by
+// name.
 func (r *Ring) OldestOpenJobs() []ident.JobID {
 	var oldest *slot
 	for i := range r.slots {
--- a/internal/roundlog/ring_test.go
+++ b/internal/roundlog/ring_test.go
@@ -9,7 +9,8 @@
 	"badgerbay/internal/ident"
 )
 
-// ringModel is a ring beside what is stored of it, and the rounds that are not settled.
+// ringModel tracks a ring together with the records that are stored and the rounds that are not
+// settled.
 type ringModel struct {
 	slots        int
 	ring         *Ring
@@ -18,8 +19,9 @@
 	lastRevision ident.Revision
 }
 
-// TestRingReusesSettledSlots draws rounds, folds and failovers: a record is never overwritten
-// before what it decided is settled, and a new leader finds every round that is not.
+// TestRingReusesSettledSlots runs random sequences of rounds, checkpoint writes and failovers. It
+// checks that no record is overwritten before its decisions are settled, and that a new leader
+// finds every round that is not settled.
 func TestRingReusesSettledSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ringModel{slots: 4, ring: NewRing(4), stored: map[string]StoredRecord{}, unsettled: map[ident.RoundNo]ident.JobID{}}
@@ -48,7 +50,7 @@
 	}
 	key := m.ring.Key(roundNo)
 	if old, ok := m.stored[key]; ok && m.unsettled[old.Record.RoundNo] != "" {
-		t.Fatalf("round %d would overwrite round %d, which is open", roundNo, old.Record.RoundNo)
+		t.Fatalf("round %d would overwrite round %d, which is not settled", roundNo, old.Record.RoundNo)
 	}
 	job := drawJob(t, "job")
 	record := &Record{RoundNo: roundNo, LowWatermark: min(m.ring.LowWatermark(), roundNo), Starts: []Start{{Job: job}}}
@@ -58,19 +60,19 @@
 	m.unsettled[roundNo] = job
 }
 
-// writeCheckpoint folds all rounds into the checkpoint of a job.
+// writeCheckpoint settles a job in all rounds, as its stored checkpoint does.
 func (m *ringModel) writeCheckpoint(t *rapid.T) {
-	folded := drawJob(t, "folded")
+	checkpointed := drawJob(t, "checkpointed")
 	next, _ := m.ring.Next()
-	m.ring.JobFolded(folded, next-1)
+	m.ring.JobFolded(checkpointed, next-1)
 	for roundNo, job := range m.unsettled {
-		if job == folded && roundNo < next {
+		if job == checkpointed && roundNo < next {
 			delete(m.unsettled, roundNo)
 		}
 	}
 }
 
-// failOver checks what a new leader would find.
+// failOver checks the state that a new leader restores.
 func (m *ringModel) failOver(t *rapid.T) {
 	var stored []StoredRecord
 	for _, record := range m.stored {
@@ -79,7 +81,7 @@
 	next, _ := m.ring.Next()
 	restored, found := RestoreRing(m.slots, stored)
 	if got, _ := restored.Next(); got != next {
-		t.Fatalf("a new leader goes on at round %d, not %d", got, next)
+		t.Fatalf("next round of a new leader is %d, want %d", got, next)
 	}
 	seen := map[ident.RoundNo]bool{}
 	for _, record := range found {
@@ -87,7 +89,7 @@
 	}
 	for roundNo := range m.unsettled {
 		if !seen[roundNo] {
-			t.Fatalf("a new leader does not find round %d", roundNo)
+			t.Fatalf("new leader does not find unsettled round %d", roundNo)
 		}
 	}
 }
--- a/internal/roundlog/size.go
+++ b/internal/roundlog/size.go
@@ -2,21 +2,25 @@
 
 import "badgerbay/internal/wire"
 
-// Sizes of the parts of a record, in bytes, with the longest numbers that occur.
+// Upper bounds for the sizes of a record's parts, in bytes. They assume the longest numbers that
+// occur.
 const (
 	maxRecordHeadJSONSize   = 160
-	startOverheadBytes      = 12 // packed
-	attemptBytes            = 9  // packed
+	startOverheadBytes      = 12 // before it is packed into text
+	attemptBytes            = 9  // before it is packed into text
 	deprovisionJSONOverhead = 4
 
-	// MaxProvisionJSONSize bounds the JSON size of a provision without its names, in bytes.
+	// MaxProvisionJSONSize bounds the JSON size, in bytes, of a provision without its name, machine
+	// type and zone.
 	MaxProvisionJSONSize = 120
 )
 
-// MaxJSONSize bounds the JSON size, in bytes, of a start that does not follow one of its job.
+// MaxJSONSize returns an upper bound for the JSON size, in bytes, of a start that does not follow
+// a start of the same job.
 func (s *Start) MaxJSONSize() int { return wire.PackedLen(len(s.Job)) + s.MaxJSONSizeSameJob() }
 
-// MaxJSONSizeSameJob bounds the JSON size, in bytes, of a start that follows one of its job.
+// MaxJSONSizeSameJob returns an upper bound for the JSON size, in bytes, of a start that follows
+// a start of the same job.
 func (s *Start) MaxJSONSizeSameJob() int {
 	n := startOverheadBytes + len(s.Machine) + s.Tasks.DeltaSizeBound()
 	if s.Attempt != 0 {
@@ -25,7 +29,7 @@
 	return wire.PackedLen(n)
 }
 
-// MaxJSONSize bounds the JSON size of the record, in bytes.
+// MaxJSONSize returns an upper bound for the JSON size of the record, in bytes.
 func (r *Record) MaxJSONSize() int {
 	n := r.MaxHeadJSONSize()
 	for i := range r.Starts {
@@ -34,7 +38,8 @@
 	return n
 }
 
-// MaxHeadJSONSize bounds the JSON size of the record without its starts, in bytes.
+// MaxHeadJSONSize returns an upper bound for the JSON size of the record without its starts, in
+// bytes.
 func (r *Record) MaxHeadJSONSize() int {
 	n := maxRecordHeadJSONSize
 	for _, p := range r.Provisions {
--- a/internal/roundlog/starts.go
+++ b/internal/roundlog/starts.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxDecompressedBytes bounds what a compressed record may hold.
+	// maxDecompressedBytes bounds the decompressed size of a record.
 	maxDecompressedBytes = 4 << 20
-	// maxTasks bounds the task indexes that are read back.
+	// maxTasks is the exclusive upper bound of the task indexes that Decode accepts.
 	maxTasks = 1 << 31
 )
 
-// unpackStarts reads the starts of a stored record.
+// unpackStarts decodes the starts of a stored record.
 func (r *Record) unpackStarts(chunkValue func(n int) []byte) error {
 	if info := r.ChunkInfo; info != nil {
 		compressed, err := chunk.Join(r.Packed, info.Chunks, info.Checksum, chunkValue)
@@ -29,13 +29,13 @@
 		})
 	}
 	if r.Packed == "" {
-		return nil // there are none, or schema 1 lists them
+		return nil // there are no starts, or schema 1 stores them as a list
 	}
 	return r.Packed.Unpack(func(d *msgpack.Decoder) error { return r.decodeStarts(d, false) })
 }
 
-// encodeStarts writes the starts, with their attempts if these are wanted. The name of a job
-// is left empty where it is that of the start before.
+// encodeStarts encodes the starts, with their attempts if withAttempts is set. The name of a job
+// is left empty if it is the same as that of the preceding start.
 func (r *Record) encodeStarts(e *msgpack.Encoder, withAttempts bool) error {
 	if err := e.EncodeArrayLen(len(r.Starts)); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// decodeStarts reads what encodeStarts has written.
+// decodeStarts decodes what encodeStarts wrote.
 func (r *Record) decodeStarts(d *msgpack.Decoder, withAttempts bool) error {
 	n, err := wire.DecodeArrayLen(d)
 	if err != nil {
@@ -77,6 +77,7 @@
 	return nil
 }
 
+// decode decodes a start. An empty job name in it stands for previousJob.
 func (s *Start) decode(d *msgpack.Decoder, previousJob ident.JobID, withAttempt bool) error {
 	job, err := wire.DecodeString(d)
 	if err != nil {
