--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -19,25 +19,25 @@
 //go:embed testdata/golden/records.json
 var goldenRecords []byte
 
-// goldenRecord is a job's record as it is stored: its value and those of its chunks.
+// goldenRecord is a job's record in its stored form: its value and those of its chunks.
 type goldenRecord struct {
 	MsgPack string   `json:"msgpack"` // hex
-	JSON    string   `json:"json"`    // the form in which its size is counted
+	JSON    string   `json:"json"`    // the form in which the state service measures its size
 	Chunks  []string `json:"parts,omitempty"`
-	// Offset is the number before that of the first chunk.
+	// Offset is one less than the number of the first chunk.
 	Offset int `json:"first,omitempty"`
 }
 
 func (g goldenRecord) data(t *testing.T) []byte {
 	t.Helper()
-	return unhex(t, g.MsgPack)
+	return decodeHex(t, g.MsgPack)
 }
 
 func (g goldenRecord) chunkData(t *testing.T) func(int) []byte {
-	return func(number int) []byte { return unhex(t, g.Chunks[number-g.Offset-1]) }
+	return func(number int) []byte { return decodeHex(t, g.Chunks[number-g.Offset-1]) }
 }
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	data, err := hex.DecodeString(s)
 	if err != nil {
@@ -52,7 +52,7 @@
 		Image: "mutabakat-07", ImageGB: 1.5, EstimatedRunSeconds: 33.5, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6, DeadlineSeconds: 95}
 }
 
-func withPlacements() *Record {
+func activeRecord() *Record {
 	r := NewRecord(fullSpec(), 1764642000123)
 	r.Epoch, r.LastRound, r.Next = 982, 4500, ActionReconcile
 	r.Done = indexset.Set{{First: 0, Last: 3}, {First: 200, Last: 299}}
@@ -63,27 +63,27 @@
 	return r
 }
 
-func cancelled() *Record {
+func cancelledRecord() *Record {
 	r := NewRecord(Spec{Class: "c", Team: "t", Tasks: 1, CPUs: 1, Image: "i"}, 7)
 	r.Phase, r.Next = PhaseCancelled, ActionNone
 	return r
 }
 
 const (
-	goldenLimit  = 560 // bytes of a value of a record with chunks
-	goldenValues = 4
+	goldenValueBytes = 560 // limit of each value of a record with chunks
+	goldenMaxValues  = 4
 )
 
 func encodeRecord(t *testing.T, r *Record, chunks []*chunk.Value) goldenRecord {
 	t.Helper()
-	out := goldenRecord{MsgPack: hex.EncodeToString(stored(t, r))}
+	out := goldenRecord{MsgPack: hex.EncodeToString(marshal(t, r))}
 	text, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out.JSON = string(text)
 	for _, value := range chunks {
-		out.Chunks = append(out.Chunks, hex.EncodeToString(stored(t, value)))
+		out.Chunks = append(out.Chunks, hex.EncodeToString(marshal(t, value)))
 	}
 	if r.ChunkInfo != nil {
 		out.Offset = r.ChunkInfo.Offset
@@ -91,10 +91,10 @@
 	return out
 }
 
-// plainRecords are those whose stored form is the same byte by byte.
+// plainRecords returns the records whose encoding must match the golden file byte for byte.
 func plainRecords(t *testing.T) map[string]goldenRecord {
 	out := map[string]goldenRecord{}
-	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": withPlacements(), "cancelled": cancelled()} {
+	for name, r := range map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "under way": activeRecord(), "cancelled": cancelledRecord()} {
 		plain, err := r.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -104,17 +104,17 @@
 	return out
 }
 
-// compressedRecords are those with compressed chunks.
+// compressedRecords returns the records with compressed chunks.
 func compressedRecords(t *testing.T) map[string]goldenRecord {
-	chunked, chunkedValues, err := withPlacements().Split(goldenLimit, goldenValues, jsonLen)
+	chunked, chunkedValues, err := activeRecord().Split(goldenValueBytes, goldenMaxValues, jsonLen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	staged, stagedValues, err := withPlacements().SplitMultiTxn(goldenLimit, 0)
+	staged, stagedValues, err := activeRecord().SplitMultiTxn(goldenValueBytes, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	firstBank, firstBankValues, err := withPlacements().SplitMultiTxn(goldenLimit, chunkBankSize)
+	firstBank, firstBankValues, err := activeRecord().SplitMultiTxn(goldenValueBytes, chunkBankSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		"staged in the first bank": encodeRecord(t, firstBank, firstBankValues)}
 }
 
-func checkRead(t *testing.T, g goldenRecord, want *Record) {
+func checkDecodes(t *testing.T, g goldenRecord, want *Record) {
 	t.Helper()
 	got, err := DecodeWithChunks(g.data(t), g.chunkData(t))
 	if err != nil {
@@ -131,14 +131,14 @@
 	}
 	ignore := cmpopts.IgnoreFields(Record{}, "SchemaVersion", "ChunkOffset")
 	if diff := cmp.Diff(want, got, ignore, cmp.AllowUnexported(indexset.Span{}), cmpopts.EquateEmpty()); diff != "" {
-		t.Errorf("read otherwise: %s", diff)
+		t.Errorf("decoded record differs: %s", diff)
 	}
 	if got.ChunkOffset != g.Offset {
-		t.Errorf("chunks after number %d, want %d", got.ChunkOffset, g.Offset)
+		t.Errorf("chunk offset %d, want %d", got.ChunkOffset, g.Offset)
 	}
 }
 
-// checkSchema reads the version of the schema as any version of the program does.
+// checkSchema checks the schema version, which it reads as every version of the program does.
 func checkSchema(t *testing.T, g goldenRecord, want int) {
 	t.Helper()
 	var head struct {
@@ -149,8 +149,9 @@
 	}
 }
 
-// checkRewritten passes the stored values through the types of this version.
-func checkRewritten(t *testing.T, g goldenRecord) {
+// checkReencodes checks that the stored values are unchanged after they are decoded into the types
+// of this version and encoded again.
+func checkReencodes(t *testing.T, g goldenRecord) {
 	t.Helper()
 	var r Record
 	if err := msgpack.Unmarshal(g.data(t), &r); err != nil {
@@ -159,56 +160,58 @@
 	var chunks []*chunk.Value
 	for _, text := range g.Chunks {
 		value := new(chunk.Value)
-		if err := msgpack.Unmarshal(unhex(t, text), value); err != nil {
+		if err := msgpack.Unmarshal(decodeHex(t, text), value); err != nil {
 			t.Fatal(err)
 		}
 		chunks = append(chunks, value)
 	}
 	if diff := cmp.Diff(g, encodeRecord(t, &r, chunks)); diff != "" {
-		t.Errorf("rewritten otherwise: %s", diff)
+		t.Errorf("encoding of the decoded values differs: %s", diff)
 	}
 }
 
-// TestGoldenRecords: records of every schema are read, and are written so that the
-// versions that know the schema read them.
+// TestGoldenRecords checks that records of every schema are decoded, and that they are encoded in
+// the form that other versions of the program with support for the schema can decode.
 func TestGoldenRecords(t *testing.T) {
 	var golden map[string]goldenRecord
 	if err := json.Unmarshal(goldenRecords, &golden); err != nil {
 		t.Fatal(err)
 	}
-	wanted := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelled(), "under way": withPlacements(),
-		"schema 1": withPlacements(), "in parts": withPlacements(), "staged": withPlacements(), "staged in the first bank": withPlacements()}
-	if len(golden) != len(wanted) {
-		t.Fatalf("%d golden records, want %d", len(golden), len(wanted))
+	wantRecords := map[string]*Record{"accepted": NewRecord(fullSpec(), 1764642000123), "cancelled": cancelledRecord(), "under way": activeRecord(),
+		"schema 1": activeRecord(), "in parts": activeRecord(), "staged": activeRecord(), "staged in the first bank": activeRecord()}
+	if len(golden) != len(wantRecords) {
+		t.Fatalf("%d golden records, want %d", len(golden), len(wantRecords))
 	}
 	schemas := map[string]int{"accepted": 2, "cancelled": 2, "under way": 2, "schema 1": 1, "in parts": 3, "staged": 4, "staged in the first bank": 4}
-	for name, want := range wanted {
+	for name, want := range wantRecords {
 		t.Run(name, func(t *testing.T) {
 			checkSchema(t, golden[name], schemas[name])
-			checkRead(t, golden[name], want)
-			checkRewritten(t, golden[name])
+			checkDecodes(t, golden[name], want)
+			checkReencodes(t, golden[name])
 		})
 	}
 	for name, written := range plainRecords(t) {
 		t.Run(name+", written", func(t *testing.T) {
 			if diff := cmp.Diff(golden[name], written); diff != "" {
-				t.Errorf("written otherwise: %s", diff)
+				t.Errorf("encoded record differs: %s", diff)
 			}
 		})
 	}
-	// What a compressor writes may change with its library: it is read back.
+	// The compressor's output may change with its library, so these records are decoded and
+	// compared instead of compared byte for byte.
 	for name, written := range compressedRecords(t) {
 		t.Run(name+", written", func(t *testing.T) {
 			checkSchema(t, written, schemas[name])
-			checkRead(t, written, wanted[name])
+			checkDecodes(t, written, wantRecords[name])
 			if written.Offset != golden[name].Offset {
-				t.Errorf("chunks after number %d, want %d", written.Offset, golden[name].Offset)
+				t.Errorf("chunk offset %d, want %d", written.Offset, golden[name].Offset)
 			}
 		})
 	}
 }
 
-// TestGoldenKeys: nodes of several versions find one another's records.
+// TestGoldenKeys checks that keys don't change, because nodes of different versions have to find
+// each other's records.
 func TestGoldenKeys(t *testing.T) {
 	got := []string{Key("wk-000412"), ChunkKey("wk-000412", 1), ChunkKey("wk-000412", 129), KeyPrefix, chunk.KeyPrefix}
 	want := []string{"job/wk-000412", "part/wk-000412/1", "part/wk-000412/129", "job/", "part/"}
@@ -217,10 +220,10 @@
 	}
 }
 
-// TestGoldenSpareBytes: how many tasks may be placed follows from these figures, and so
-// does what is scheduled.
+// TestGoldenSpareBytes checks that the size bounds don't change, because they determine how many
+// tasks may be placed and therefore which tasks are scheduled.
 func TestGoldenSpareBytes(t *testing.T) {
-	r := withPlacements()
+	r := activeRecord()
 	j := NewJob("wk-000412", r, 1, 0)
 	for _, g := range r.Placements {
 		for i := range g.Tasks.All() {
