--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxAnswerBytes = 2 << 20
-	callTimeout    = 4 * time.Second
-	listPageSize   = 500
+	maxResponseBytes = 2 << 20
+	callTimeout      = 4 * time.Second
+	listPageSize     = 500
 )
 
 type wireProvisionRequest struct {
@@ -46,8 +46,8 @@
 	Error string `msgpack:"error"`
 }
 
-// noCapacityError is the text by which the cloud tells a lack of machines from trouble.
-const noCapacityError = "no capacity"
+// noCapacityErrorText is the text by which the cloud tells a lack of machines from trouble.
+const noCapacityErrorText = "no capacity"
 
 // Client calls the cloud. Its errors wrap one of this package's errors; that of a call
 // that was cancelled is ErrOutcomeUnknown.
@@ -63,11 +63,11 @@
 
 // MachineTypes reads the machine types and their present prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]*fleet.MachineType, error) {
-	var answer wireMachineTypes
-	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &answer); err != nil {
+	var response wireMachineTypes
+	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &response); err != nil {
 		return nil, fmt.Errorf("reading machine types: %w", err)
 	}
-	types, err := usableMachineTypes(answer.MachineTypes)
+	types, err := usableMachineTypes(response.MachineTypes)
 	if err != nil {
 		return nil, fmt.Errorf("reading machine types: %w", err)
 	}
@@ -78,11 +78,11 @@
 // returns what the first one provisioned.
 func (c *Client) Provision(ctx context.Context, name string, offer Offer, count int) ([]ident.MachineID, error) {
 	request := wireProvisionRequest{Name: name, MachineType: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count}
-	var answer wireMachineIDs
-	if err := c.call(ctx, http.MethodPost, "/hosts", request, &answer); err != nil {
+	var response wireMachineIDs
+	if err := c.call(ctx, http.MethodPost, "/hosts", request, &response); err != nil {
 		return nil, fmt.Errorf("provisioning %s: %w", name, err)
 	}
-	return answer.Machines, nil
+	return response.Machines, nil
 }
 
 // Deprovision gives machines back. Once it has succeeded they are gone; a repeat is
@@ -101,27 +101,27 @@
 	if after != "" {
 		query.Set("since", string(after))
 	}
-	var answer wireMachineList
-	if err = c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &answer); err != nil {
+	var response wireMachineList
+	if err = c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &response); err != nil {
 		return nil, false, fmt.Errorf("listing machines: %w", err)
 	}
-	return answer.Machines, answer.More && len(answer.Machines) > 0, nil
+	return response.Machines, response.More && len(response.Machines) > 0, nil
 }
 
-// call sends a request and decodes the answer into out, unless that is nil.
+// call sends a request and decodes the response into out, unless that is nil.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	req, err := wire.NewRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	status, data, err := wire.Do(c.http, req, maxAnswerBytes)
+	status, data, err := wire.Do(c.http, req, maxResponseBytes)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return decodeAnswer(status, data, out)
+	return decodeResponse(status, data, out)
 }
 
-func decodeAnswer(status int, data []byte, out any) error {
+func decodeResponse(status int, data []byte, out any) error {
 	switch status {
 	case http.StatusOK:
 		if out == nil {
@@ -133,7 +133,7 @@
 		return nil
 	case http.StatusServiceUnavailable:
 		var refusal wireError
-		if msgpack.Unmarshal(data, &refusal) == nil && refusal.Error == noCapacityError {
+		if msgpack.Unmarshal(data, &refusal) == nil && refusal.Error == noCapacityErrorText {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -23,8 +23,8 @@
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(bytes.NewReader(s.body))}, nil
 }
 
-// TestErrorsOfCloudAnswers: callers can tell the answers apart by their errors.
-func TestErrorsOfCloudAnswers(t *testing.T) {
+// TestErrorsDistinguishCloudResponses: callers can tell the answers apart by their errors.
+func TestErrorsDistinguishCloudResponses(t *testing.T) {
 	transport := &scriptedTransport{}
 	client := NewClient("10.2.0.2:1", transport)
 	for _, s := range []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-func FuzzCloudAnswers(f *testing.F) {
+func FuzzCloudResponses(f *testing.F) {
 	f.Add(200, []byte("\x81\xa7shambas\x91\xa6host-1"))
 	f.Add(200, []byte("\x81\xa6frames\xdd\xff\xff\xff\xff"))
 	transport := &scriptedTransport{}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -24,8 +24,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// golden reads the recorded messages: a name and the bytes in hexadecimal on each line.
-func golden(t *testing.T) map[string][]byte {
+// readGoldenMessages reads the recorded messages: a name and the bytes in hexadecimal on each line.
+func readGoldenMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	file, err := os.Open("testdata/golden/messages.txt")
 	if err != nil {
@@ -48,15 +48,15 @@
 	return messages
 }
 
-// recorder is a cloud that answers one recorded message and keeps the request.
-type recorder struct {
-	answer  []byte
-	request string
-	body    []byte
+// recordingTransport is a cloud that answers one recorded message and keeps the request.
+type recordingTransport struct {
+	response []byte
+	request  string
+	body     []byte
 }
 
 // RoundTrip implements http.RoundTripper.
-func (r *recorder) RoundTrip(req *http.Request) (*http.Response, error) {
+func (r *recordingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	r.request = fmt.Sprintf("%s %s %s", req.Method, req.URL, req.Header.Get("Content-Type"))
 	r.body = nil
 	if req.Body != nil {
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(r.answer))}, nil
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(r.response))}, nil
 }
 
 func goldenMachineTypes() []*fleet.MachineType {
@@ -79,7 +79,7 @@
 // TestGoldenCloudCalls sends each request to the cloud as it was recorded, and reads
 // the recorded answer to it.
 func TestGoldenCloudCalls(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	spot, onDemand := cloud.Offer{Type: "m16.xlarge", Zone: "zone-b", Spot: true}, cloud.Offer{Type: "m", Zone: "a"}
 	listed := []cloud.Machine{
 		{ID: "host-000001", Type: "m", Zone: "a", State: cloud.MachineStarting, AgeSeconds: 0.5},
@@ -125,23 +125,23 @@
 			}, page{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			answer, ok := messages[c.name+"/answer"]
+			response, ok := messages[c.name+"/answer"]
 			if !ok {
-				t.Fatal("no recorded answer")
+				t.Fatal("no recorded response")
 			}
-			r := &recorder{answer: answer}
-			got, err := c.call(cloud.NewClient("10.2.0.2:8443", r))
+			transport := &recordingTransport{response: response}
+			got, err := c.call(cloud.NewClient("10.2.0.2:8443", transport))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
-			if r.request != c.request {
-				t.Errorf("request %q, want %q", r.request, c.request)
+			if transport.request != c.request {
+				t.Errorf("request %q, want %q", transport.request, c.request)
 			}
-			if want := messages[c.name+"/request"]; !bytes.Equal(r.body, want) {
-				t.Errorf("body %x, recorded %x", r.body, want)
+			if want := messages[c.name+"/request"]; !bytes.Equal(transport.body, want) {
+				t.Errorf("body %x, recorded %x", transport.body, want)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 
 // TestGoldenRefusals tells the cloud's refusals apart by the recorded answers.
 func TestGoldenRefusals(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	for _, c := range []struct {
 		name string
 		code int
@@ -158,12 +158,12 @@
 		{"refusal/no-capacity", http.StatusServiceUnavailable, cloud.ErrNoCapacity},
 		{"refusal/trouble", http.StatusServiceUnavailable, cloud.ErrUnavailable},
 	} {
-		answer, ok := messages[c.name]
+		response, ok := messages[c.name]
 		if !ok {
 			t.Fatalf("%s is not recorded", c.name)
 		}
-		client := cloud.NewClient("10.2.0.2:8443", roundTrip(func(*http.Request) (*http.Response, error) {
-			return &http.Response{StatusCode: c.code, Body: io.NopCloser(bytes.NewReader(answer))}, nil
+		client := cloud.NewClient("10.2.0.2:8443", roundTripperFunc(func(*http.Request) (*http.Response, error) {
+			return &http.Response{StatusCode: c.code, Body: io.NopCloser(bytes.NewReader(response))}, nil
 		}))
 		if _, err := client.Provision(context.Background(), "n0-12-1", cloud.Offer{Type: "m", Zone: "a"}, 1); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -171,15 +171,15 @@
 	}
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripperFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
-func (f roundTrip) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
+func (f roundTripperFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
 // TestGoldenStoredMachineTypes reads the recorded value in which machine types are kept, and
 // writes it as it was.
 func TestGoldenStoredMachineTypes(t *testing.T) {
-	recorded := golden(t)["stored/types"]
+	recorded := readGoldenMessages(t)["stored/types"]
 	types, err := cloud.DecodeMachineTypes(recorded)
 	if err != nil {
 		t.Fatal(err)
@@ -187,15 +187,15 @@
 	if diff := cmp.Diff(goldenMachineTypes(), types); diff != "" {
 		t.Error(diff)
 	}
-	again, err := msgpack.Marshal(cloud.EncodeMachineTypes(types))
-	if err != nil || !bytes.Equal(again, recorded) {
-		t.Errorf("written as %x, %v; recorded %x", again, err, recorded)
+	encoded, err := msgpack.Marshal(cloud.EncodeMachineTypes(types))
+	if err != nil || !bytes.Equal(encoded, recorded) {
+		t.Errorf("written as %x, %v; recorded %x", encoded, err, recorded)
 	}
 }
 
 // TestGoldenOffers reads and writes the offers that round records hold.
 func TestGoldenOffers(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	for name, want := range map[string]cloud.Offer{
 		"offer/spot":      {Type: "m16.xlarge", Zone: "zone-b", Spot: true},
 		"offer/on-demand": {Type: "m", Zone: "a"},
@@ -216,7 +216,7 @@
 	if err := unmarshal(recorded, &got); err != nil || got != want {
 		t.Errorf("%s: read %+v, %v", name, got, err)
 	}
-	if again, err := marshal(want); err != nil || !bytes.Equal(again, recorded) {
-		t.Errorf("%s: written as %x, %v; recorded %x", name, again, err, recorded)
+	if encoded, err := marshal(want); err != nil || !bytes.Equal(encoded, recorded) {
+		t.Errorf("%s: written as %x, %v; recorded %x", name, encoded, err, recorded)
 	}
 }
--- a/internal/cloud/machine_types_test.go
+++ b/internal/cloud/machine_types_test.go
@@ -9,9 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestUnusableMachineTypesAreLeftOut: a type on which nothing can run, or that no record
+// TestUnusableMachineTypesAreSkipped: a type on which nothing can run, or that no record
 // can name, is left out; without any other the caller is told so.
-func TestUnusableMachineTypesAreLeftOut(t *testing.T) {
+func TestUnusableMachineTypesAreSkipped(t *testing.T) {
 	unusable := []wireMachineType{
 		{Name: "", CPUs: 1, MemoryGB: 1},
 		{Name: strings.Repeat("x", maxMachineTypeNameBytes+1), CPUs: 1, MemoryGB: 1},
--- a/internal/cloud/tracker_test.go
+++ b/internal/cloud/tracker_test.go
@@ -11,9 +11,9 @@
 
 var offer = Offer{Type: "m", Zone: "a", Spot: true}
 
-// TestProvisionOfUnknownOutcomeIsRetriedUnderItsName: the retry shows what came of the
+// TestProvisionWithUnknownOutcomeIsRetriedUnderSameName: the retry shows what came of the
 // first request; only an answer settles it.
-func TestProvisionOfUnknownOutcomeIsRetriedUnderItsName(t *testing.T) {
+func TestProvisionWithUnknownOutcomeIsRetriedUnderSameName(t *testing.T) {
 	tracker := NewTracker(15 * time.Second)
 	tracker.AddProvision(t0, "r-1", offer, 3, false)
 	if request := tracker.NextProvision(t0); request == nil || request.Name != "r-1" {
@@ -55,15 +55,15 @@
 	if tracker.NextDeprovision(t0) != nil {
 		t.Error("retried at once")
 	}
-	again := tracker.NextDeprovision(t0.Add(deprovisionRetryDelay))
-	tracker.FinishDeprovision(t0, again, true)
-	if len(again) != 2 || tracker.NextDeprovision(t0.Add(time.Minute)) != nil {
+	retried := tracker.NextDeprovision(t0.Add(deprovisionRetryDelay))
+	tracker.FinishDeprovision(t0, retried, true)
+	if len(retried) != 2 || tracker.NextDeprovision(t0.Add(time.Minute)) != nil {
 		t.Error("not retried, or retried after the answer")
 	}
 }
 
-// TestProvisionResultsAreNamed: every result has a name of its own in the logs.
-func TestProvisionResultsAreNamed(t *testing.T) {
+// TestProvisionResultNamesAreDistinct: every result has a name of its own in the logs.
+func TestProvisionResultNamesAreDistinct(t *testing.T) {
 	named := map[string]bool{}
 	for result := ProvisionGranted; result <= ProvisionRejected; result++ {
 		named[result.String()] = true
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -55,8 +55,8 @@
 			continue
 		}
 		unconfirmed := !m.Confirmed && m.unansweredCommands < maxUnansweredCommands
-		if unconfirmed || f.missedHeartbeat(now, m) && now.Sub(m.lastProbe) > f.timing.HeartbeatInterval/2 {
-			m.commandInFlight, m.lastProbe = true, now
+		if unconfirmed || f.missedHeartbeat(now, m) && now.Sub(m.lastProbeAt) > f.timing.HeartbeatInterval/2 {
+			m.commandInFlight, m.lastProbeAt = true, now
 			claimed = append(claimed, m)
 		}
 	}
@@ -99,20 +99,20 @@
 		return
 	}
 	m.unansweredCommands++
-	m.lastUnanswered = now
+	m.lastUnansweredAt = now
 }
 
-// Commands returns what the machine is due: stops, then starts, then, if withForgets is
+// Commands returns what the machine is due: stops, then starts, then, if includeForgets is
 // set, exits to forget, each sorted by task. Repeating any command is harmless: starts and
 // stops name an attempt, and an exit is forgotten only when no copy of its start command
 // can still be under way.
-func (f *Fleet) Commands(m *Machine, withForgets bool) []Command {
+func (f *Fleet) Commands(m *Machine, includeForgets bool) []Command {
 	var stops, starts, forgets []Command
 	for _, p := range m.placements {
 		command := Command{Task: p.ID(), Attempt: p.Attempt}
 		switch {
 		case p.State == jobs.PlacementEnded:
-			if withForgets && m.canForget(p) {
+			if includeForgets && m.canForget(p) {
 				command.Kind = CommandForget
 				forgets = append(forgets, command)
 			}
@@ -127,7 +127,7 @@
 			starts = append(starts, command)
 		}
 	}
-	for key, status := range m.strays {
+	for key, status := range m.orphans {
 		if status.State != TaskExited {
 			stops = append(stops, Command{Kind: CommandStop, Task: key.task, Attempt: key.attempt})
 		}
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -9,9 +9,9 @@
 	"badgerbay/internal/ident"
 )
 
-// TestForgetOnlyWhatNoLateStartCanRevive: an exit is forgotten only once its meaning is
+// TestForgetRequiresStoredExitAndHigherFencingToken: an exit is forgotten only once its meaning is
 // stored and the worker has seen a higher fencing token than its start command's.
-func TestForgetOnlyWhatNoLateStartCanRevive(t *testing.T) {
+func TestForgetRequiresStoredExitAndHigherFencingToken(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
 	f.fleet.Commands(f.machine, true)
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestTombstoneOutlivesNextAttempt: the next attempt on the same machine must not push
+// TestTombstoneIsKeptWhenNextAttemptIsPlaced: the next attempt on the same machine must not push
 // the tombstone of the last one out.
-func TestTombstoneOutlivesNextAttempt(t *testing.T) {
+func TestTombstoneIsKeptWhenNextAttemptIsPlaced(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
 	f.fleet.Commands(f.machine, true)
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestDueCommandIsSentOnce: a machine is sent one command at a time, and only when it is
+// TestOneCommandInFlightPerMachine: a machine is sent one command at a time, and only when it is
 // up.
-func TestDueCommandIsSentOnce(t *testing.T) {
+func TestOneCommandInFlightPerMachine(t *testing.T) {
 	f := newFixture(1)
 	f.fleet.Ensure(f.now, "host-2").Addr = "10.0.0.2:1"
 	f.fleet.ScheduleCommand("host-2")
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -14,8 +14,8 @@
 	"badgerbay/internal/ident"
 )
 
-// golden reads the recorded messages: a name and the bytes in hexadecimal on each line.
-func golden(t *testing.T) map[string]string {
+// readGoldenMessages reads the recorded messages: a name and the bytes in hexadecimal on each line.
+func readGoldenMessages(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open("testdata/golden/messages.txt")
 	if err != nil {
@@ -38,35 +38,35 @@
 	return messages
 }
 
-func task(job ident.JobID, index ident.TaskIndex) ident.TaskID {
+func taskID(job ident.JobID, index ident.TaskIndex) ident.TaskID {
 	return ident.TaskID{Job: job, Index: index}
 }
 
 // TestGoldenHeartbeats reads recorded heartbeats.
 func TestGoldenHeartbeats(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	for name, want := range map[string]*fleet.Heartbeat{
 		"heartbeat/full": {Machine: "host-000017", Addr: "10.0.3.17:9000", Type: "m16.xlarge", Zone: "zone-b", Spot: true,
 			Session: 3, HeartbeatSeq: 4711, FencingToken: 123456789012, InterruptionNoticed: true, InterruptionIn: 90500 * time.Millisecond,
 			Tasks: []fleet.TaskStatus{
-				{Task: task("wk-000412", 0), Attempt: 7, State: "fetching"},
-				{Task: task("wk-000412", 3), Attempt: 8, State: "gathering"},
-				{Task: task("wk-000413", 1), Attempt: 9, State: "running"},
-				{Task: task("wk-000414", 2), Attempt: 10, State: "flushing"},
-				{Task: task("wk-000415", 999999), Attempt: 1 << 40, State: "exited", Cause: fleet.ExitDone, CheckpointStored: true},
-				{Task: task("wk-123456789012", 4), Attempt: 11, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true},
-				{Task: task("wk-000416", 5), Attempt: 12, State: "exited", Cause: fleet.ExitError},
-				{Task: task("wk-000416", 6), Attempt: 13, State: "exited", Cause: fleet.ExitNoCapacity},
-				{Task: task("wk-000416", 7), Attempt: 14, State: "exited", Cause: fleet.ExitBusy},
-				{Task: task("wk-000416", 8), Attempt: 15, State: "exited", Cause: fleet.ExitUnknownTask},
-				{Task: task("wk-000416", 9), Attempt: 16, State: "exited", Cause: fleet.ExitGangPeersLost},
-				{Task: task("wk-000416", 10), Attempt: 17, State: "exited", Cause: fleet.ExitGangIncomplete},
+				{Task: taskID("wk-000412", 0), Attempt: 7, State: "fetching"},
+				{Task: taskID("wk-000412", 3), Attempt: 8, State: "gathering"},
+				{Task: taskID("wk-000413", 1), Attempt: 9, State: "running"},
+				{Task: taskID("wk-000414", 2), Attempt: 10, State: "flushing"},
+				{Task: taskID("wk-000415", 999999), Attempt: 1 << 40, State: "exited", Cause: fleet.ExitDone, CheckpointStored: true},
+				{Task: taskID("wk-123456789012", 4), Attempt: 11, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true},
+				{Task: taskID("wk-000416", 5), Attempt: 12, State: "exited", Cause: fleet.ExitError},
+				{Task: taskID("wk-000416", 6), Attempt: 13, State: "exited", Cause: fleet.ExitNoCapacity},
+				{Task: taskID("wk-000416", 7), Attempt: 14, State: "exited", Cause: fleet.ExitBusy},
+				{Task: taskID("wk-000416", 8), Attempt: 15, State: "exited", Cause: fleet.ExitUnknownTask},
+				{Task: taskID("wk-000416", 9), Attempt: 16, State: "exited", Cause: fleet.ExitGangPeersLost},
+				{Task: taskID("wk-000416", 10), Attempt: 17, State: "exited", Cause: fleet.ExitGangIncomplete},
 			}},
 		"heartbeat/idle": {Machine: "host-1", Addr: "10.0.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1},
 		"heartbeat/notice-now": {Machine: "host-1", Addr: "10.0.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 2,
 			FencingToken: 10, InterruptionNoticed: true},
 		"heartbeat/unreadable-entries": {Machine: "host-1", Addr: "10.0.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 3,
-			FencingToken: 10, UnreadableTasks: 3, Tasks: []fleet.TaskStatus{{Task: task("wk-000001", 0), Attempt: 1, State: "running"}}},
+			FencingToken: 10, UnreadableTasks: 3, Tasks: []fleet.TaskStatus{{Task: taskID("wk-000001", 0), Attempt: 1, State: "running"}}},
 		"heartbeat/unknown-fields": {Machine: "host-1", Addr: "10.0.0.1:9000", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 4, FencingToken: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 // TestGoldenMalformedHeartbeats refuses recorded heartbeats that name no machine, no
 // session or no address, and those with names that are too long.
 func TestGoldenMalformedHeartbeats(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	for _, name := range []string{"malformed/no-machine", "malformed/no-session", "malformed/no-address",
 		"malformed/long-machine", "malformed/long-type", "malformed/long-zone", "malformed/endless-list"} {
 		if got, err := fleet.DecodeHeartbeat(decodeHex(t, messages[name])); err == nil {
@@ -95,12 +95,12 @@
 
 // TestGoldenCommands writes what workers are sent as it was recorded.
 func TestGoldenCommands(t *testing.T) {
-	messages := golden(t)
+	messages := readGoldenMessages(t)
 	commands := []fleet.Command{
-		{Kind: fleet.CommandStop, Task: task("wk-000412", 3), Attempt: 8, GracePeriod: 2500 * time.Millisecond},
-		{Kind: fleet.CommandStop, Task: task("wk-000413", 1), Attempt: 9},
-		{Kind: fleet.CommandStart, Task: task("wk-000414", 0), Attempt: 1 << 40},
-		{Kind: fleet.CommandForget, Task: task("wk-000415", 999999), Attempt: 7},
+		{Kind: fleet.CommandStop, Task: taskID("wk-000412", 3), Attempt: 8, GracePeriod: 2500 * time.Millisecond},
+		{Kind: fleet.CommandStop, Task: taskID("wk-000413", 1), Attempt: 9},
+		{Kind: fleet.CommandStart, Task: taskID("wk-000414", 0), Attempt: 1 << 40},
+		{Kind: fleet.CommandForget, Task: taskID("wk-000415", 999999), Attempt: 7},
 	}
 	for name, encode := range map[string]func() ([]byte, error){
 		"answer/commands": func() ([]byte, error) { return fleet.EncodeHeartbeatAnswer(123456789012, commands) },
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -77,12 +77,12 @@
 }
 
 func (f *Fleet) updateMachine(now clock.Instant, m *Machine, h *Heartbeat) {
-	m.moveToZone(h.Zone)
+	m.setZone(h.Zone)
 	m.Addr, m.Type, m.Spot = h.Addr, h.Type, h.Spot
 	m.Session, m.HeartbeatSeq = h.Session, h.HeartbeatSeq
 	m.FencingToken = max(m.FencingToken, h.FencingToken)
 	m.Confirmed = m.Confirmed || h.FencingToken >= f.firstEpoch
-	if now.Sub(m.lastUnanswered) > unansweredCommandWindow {
+	if now.Sub(m.lastUnansweredAt) > unansweredCommandWindow {
 		m.unansweredCommands = 0
 	}
 	m.Up, m.LastContact = true, now
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -9,9 +9,9 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestAbsenceProvesNothingUnderSameFencingToken: a start command may be on its way, so a
+// TestMissingTaskEndsPlacementOnlyUnderHigherFencingToken: a start command may be on its way, so a
 // heartbeat that lacks the task ends the placement only under a higher fencing token.
-func TestAbsenceProvesNothingUnderSameFencingToken(t *testing.T) {
+func TestMissingTaskEndsPlacementOnlyUnderHigherFencingToken(t *testing.T) {
 	f := newFixture(1)
 	p := f.place(0, 5)
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); !cmp.Equal(got, []string{"launch 0/5"}) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestStrayTasksAreAdopted: what runs without a record counts as a placement, so that
+// TestOrphanTasksAreAdopted: what runs without a record counts as a placement, so that
 // it is not started elsewhere; what is done counts as done.
-func TestStrayTasksAreAdopted(t *testing.T) {
+func TestOrphanTasksAreAdopted(t *testing.T) {
 	f := newFixture(3)
 	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 3, TaskRunning, ""), taskStatus(1, 3, TaskExited, ExitDone))
 	if f.job.Placements[0] == nil || f.job.Queue.Contains(0) {
@@ -67,11 +67,11 @@
 	}
 }
 
-// TestPhantomOfOldHeartbeat: a copy of a heartbeat of before the failover names a task that
+// TestTaskNamedOnlyByOldHeartbeatIsEnded: a copy of a heartbeat of before the failover names a task that
 // ended long ago. The next heartbeat, under this leader's fencing token, proves it gone;
 // with the leader's own token on it, its task waited until the epoch was advanced for
 // something else.
-func TestPhantomOfOldHeartbeat(t *testing.T) {
+func TestTaskNamedOnlyByOldHeartbeatIsEnded(t *testing.T) {
 	f := newFixture(1)
 	f.machine.HeartbeatSeq = 0 // a leader that knows nothing newer
 	f.sendHeartbeat(1, 1, epoch-3, taskStatus(0, 5, TaskRunning, ""))
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// TestNewSessionHasAFullLease guards against a task once run twice: a session that becomes
+// TestNewSessionHasFullLease guards against a task once run twice: a session that becomes
 // known by the refusal of a direct command has had no heartbeat answered yet, and its
 // lease still lasts in full.
-func TestNewSessionHasAFullLease(t *testing.T) {
+func TestNewSessionHasFullLease(t *testing.T) {
 	f := newFixture(1)
 	f.now = t0.Add(40 * time.Second)
 	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 2, HeartbeatSeq: 1, FencingToken: epoch})
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestDuplicatesRenewNoLease: copies of heartbeats go on arriving after their machine has
+// TestStaleHeartbeatsDoNotExtendLease: copies of heartbeats go on arriving after their machine has
 // died. They must not put off the moment at which its tasks are surely gone.
-func TestDuplicatesRenewNoLease(t *testing.T) {
+func TestStaleHeartbeatsDoNotExtendLease(t *testing.T) {
 	f := newFixture(1)
 	f.sendHeartbeat(1, 20, epoch)
 	last := f.now
@@ -58,10 +58,10 @@
 	// lease, but from before the command.
 	f.now = f.now.Add(time.Second)
 	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 22, FencingToken: epoch})
-	overtaken := f.now
+	commandResponseAt := f.now
 	f.now = f.now.Add(time.Second)
 	f.sendHeartbeat(1, 21, epoch)
-	if f.machine.LastRenewal != overtaken {
-		t.Errorf("the answer counts from %v, want %v", f.machine.LastRenewal, overtaken)
+	if f.machine.LastRenewal != commandResponseAt {
+		t.Errorf("the answer counts from %v, want %v", f.machine.LastRenewal, commandResponseAt)
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -42,13 +42,13 @@
 	Confirmed bool
 
 	unansweredCommands int // in a row
-	lastUnanswered     clock.Instant
+	lastUnansweredAt   clock.Instant
 	commandInFlight    bool
-	lastProbe          clock.Instant // when it was last sent an empty command
+	lastProbeAt        clock.Instant // when it was last sent an empty command
 	heartbeatRequested bool          // see Fleet.ClaimHeartbeatRequests
 
 	placements map[placementKey]*jobs.Placement
-	strays     map[placementKey]TaskStatus // tasks of unknown jobs, or further copies of a task
+	orphans    map[placementKey]TaskStatus // tasks of unknown jobs, or further copies of a task
 	load       Load
 	used       jobs.Resources
 	images     imageCache
@@ -61,7 +61,7 @@
 		ProvisionedAt: now,
 		IdleSince:     now,
 		placements:    map[placementKey]*jobs.Placement{},
-		strays:        map[placementKey]TaskStatus{},
+		orphans:       map[placementKey]TaskStatus{},
 		images:        imageCache{},
 	}
 }
@@ -135,7 +135,7 @@
 
 // HasRunningStray tells whether a task that no placement names may run here.
 func (m *Machine) HasRunningStray() bool {
-	for _, status := range m.strays {
+	for _, status := range m.orphans {
 		if status.State != TaskExited {
 			return true
 		}
@@ -145,13 +145,13 @@
 
 // SetAttributes describes a machine that has sent no heartbeat yet.
 func (m *Machine) SetAttributes(machineType ident.MachineType, zone ident.Zone, spot bool) {
-	m.moveToZone(zone)
+	m.setZone(zone)
 	m.Type, m.Spot = machineType, spot
 }
 
-// moveToZone corrects the zone counts of jobs whose placements were restored before the
+// setZone corrects the zone counts of jobs whose placements were restored before the
 // machine's zone was known.
-func (m *Machine) moveToZone(zone ident.Zone) {
+func (m *Machine) setZone(zone ident.Zone) {
 	if m.Zone == zone {
 		return
 	}
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestZoneOfPlacementsIsCorrected: a placement that was restored before the zone of its
+// TestZoneCountsFollowMachineZone: a placement that was restored before the zone of its
 // machine was known counts in the right zone once it is.
-func TestZoneOfPlacementsIsCorrected(t *testing.T) {
+func TestZoneCountsFollowMachineZone(t *testing.T) {
 	f := newFixture(1)
 	m := f.fleet.Ensure(f.now, "host-2")
 	m.Session = 1 // as the record has it
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestInterruptionNoticeIsToldOnce: a machine that the cloud takes back gets no tasks until
+// TestInterruptionNoticeIsReportedOnce: a machine that the cloud takes back gets no tasks until
 // the notice is withdrawn.
-func TestInterruptionNoticeIsToldOnce(t *testing.T) {
+func TestInterruptionNoticeIsReportedOnce(t *testing.T) {
 	f := newFixture(1)
 	seq := ident.HeartbeatSeq(1)
 	heartbeat := func(noticed bool) Changes {
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -76,7 +76,7 @@
 	}
 	f.tombstones -= len(m.placements)
 	clear(m.placements)
-	m.strays = map[placementKey]TaskStatus{}
+	m.orphans = map[placementKey]TaskStatus{}
 	m.used = jobs.Resources{}
 }
 
--- a/internal/fleet/placement_test.go
+++ b/internal/fleet/placement_test.go
@@ -33,8 +33,8 @@
 // long after an earlier leader deprovisioned the machine.
 func TestUnconfirmedMachinesGetNoTasks(t *testing.T) {
 	f := newFixture(1)
-	copied := &Heartbeat{Machine: "host-9", Addr: "10.0.0.9:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 70, FencingToken: epoch - 3}
-	f.fleet.ApplyHeartbeat(f.now, copied)
+	staleHeartbeat := &Heartbeat{Machine: "host-9", Addr: "10.0.0.9:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 70, FencingToken: epoch - 3}
+	f.fleet.ApplyHeartbeat(f.now, staleHeartbeat)
 	m := f.fleet.Machine("host-9")
 	if f.fleet.Schedulable(m) {
 		t.Fatal("a machine known by one old heartbeat may get tasks")
@@ -46,10 +46,10 @@
 	if f.fleet.Schedulable(m) {
 		t.Error("it did not answer and may get tasks")
 	}
-	answer := *copied
-	answer.HeartbeatSeq++
+	response := *staleHeartbeat
+	response.HeartbeatSeq++
 	f.fleet.FinishCommand(f.now, m.ID, true)
-	f.fleet.ApplyCommandAnswer(f.now, &answer)
+	f.fleet.ApplyCommandAnswer(f.now, &response)
 	if !f.fleet.Schedulable(m) {
 		t.Error("it has answered and gets no tasks")
 	}
@@ -95,21 +95,21 @@
 	}
 }
 
-// TestCommandAnswersCountAfterFailover: a machine that answers a command may get tasks
+// TestCommandResponsesCountDuringRejoinGrace: a machine that answers a command may get tasks
 // for as long as its worker may still wait for the lost leader, and no longer without a
 // heartbeat.
-func TestCommandAnswersCountAfterFailover(t *testing.T) {
-	const wait = 8 * time.Second
-	f := New(Timing{HeartbeatInterval: time.Second, LeaseTTL: 27 * time.Second, RejoinGrace: wait}, epoch, t0, func(ident.JobID) *jobs.Job { return nil })
+func TestCommandResponsesCountDuringRejoinGrace(t *testing.T) {
+	const rejoinGrace = 8 * time.Second
+	f := New(Timing{HeartbeatInterval: time.Second, LeaseTTL: 27 * time.Second, RejoinGrace: rejoinGrace}, epoch, t0, func(ident.JobID) *jobs.Job { return nil })
 	m := f.Ensure(t0, "host-1")
 	if !f.HeartbeatOverdue(t0, m) {
 		t.Error("a machine that nothing was heard of")
 	}
 	f.ApplyCommandAnswer(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1})
-	if f.HeartbeatOverdue(t0.Add(wait-time.Second), m) {
+	if f.HeartbeatOverdue(t0.Add(rejoinGrace-time.Second), m) {
 		t.Error("its worker may still be waiting for the lost leader")
 	}
-	if !f.HeartbeatOverdue(t0.Add(wait), m) {
+	if !f.HeartbeatOverdue(t0.Add(rejoinGrace), m) {
 		t.Error("it answers commands, and has sent no heartbeat")
 	}
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -9,12 +9,12 @@
 // reconcilePlacements compares the tasks in a heartbeat with the placements.
 func (f *Fleet) reconcilePlacements(now clock.Instant, m *Machine, h *Heartbeat, changes *Changes) {
 	reported := make(map[placementKey]bool, len(h.Tasks))
-	m.strays = map[placementKey]TaskStatus{}
+	m.orphans = map[placementKey]TaskStatus{}
 	for _, status := range h.Tasks {
 		key := placementKey{status.Task, status.Attempt}
 		p := m.placements[key]
 		if p == nil {
-			p = f.adoptStray(now, m, status, h.FencingToken)
+			p = f.adoptOrphan(now, m, status, h.FencingToken)
 		}
 		if p != nil {
 			reported[key] = true
@@ -38,7 +38,7 @@
 	return missing
 }
 
-// adoptStray makes a placement for a task that none names, so that it counts like any
+// adoptOrphan makes a placement for a task that none names, so that it counts like any
 // other: what may run must not be started elsewhere. If the job is not known, or the task
 // has a placement already, it returns nil, the worker is told to stop the task, and the
 // machine gets nothing until it is gone.
@@ -46,10 +46,10 @@
 // The start command was sent under the fencing token that the worker had seen, at most.
 // With this leader's own token a task that only an old copy of a heartbeat named could not
 // be proven gone.
-func (f *Fleet) adoptStray(now clock.Instant, m *Machine, status TaskStatus, token ident.Epoch) *jobs.Placement {
+func (f *Fleet) adoptOrphan(now clock.Instant, m *Machine, status TaskStatus, token ident.Epoch) *jobs.Placement {
 	job := f.findJob(status.Task.Job)
-	if job == nil || !adoptable(job, status) {
-		m.strays[placementKey{status.Task, status.Attempt}] = status
+	if job == nil || !canAdopt(job, status) {
+		m.orphans[placementKey{status.Task, status.Attempt}] = status
 		return nil
 	}
 	p := &jobs.Placement{Job: job, Task: status.Task.Index, Machine: m.ID, Session: m.Session,
@@ -67,8 +67,8 @@
 	return p
 }
 
-// adoptable tells whether the job has the task, and no other placement of it if it runs.
-func adoptable(job *jobs.Job, status TaskStatus) bool {
+// canAdopt tells whether the job has the task, and no other placement of it if it runs.
+func canAdopt(job *jobs.Job, status TaskStatus) bool {
 	if int(status.Task.Index) >= job.Spec.Tasks {
 		return false
 	}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -48,7 +48,7 @@
 	GraceSeconds *float64      `msgpack:"leaveS,omitempty"`
 }
 
-type wireHeartbeatAnswer struct {
+type wireHeartbeatResponse struct {
 	FencingToken ident.Epoch   `msgpack:"seal"`
 	Commands     []wireCommand `msgpack:"orders"`
 }
@@ -138,7 +138,7 @@
 
 // EncodeHeartbeatAnswer encodes the answer to a heartbeat: the body of a 200.
 func EncodeHeartbeatAnswer(token ident.Epoch, commands []Command) ([]byte, error) {
-	return msgpack.Marshal(wireHeartbeatAnswer{FencingToken: token, Commands: wireCommands(commands)})
+	return msgpack.Marshal(wireHeartbeatResponse{FencingToken: token, Commands: wireCommands(commands)})
 }
 
 // EncodeDirectCommands encodes commands that a worker is sent outside the answer to a
