--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -46,22 +46,22 @@
 	Error string `msgpack:"error"`
 }
 
-// noCapacityErrorText is the text by which the cloud tells a lack of machines from trouble.
+// noCapacityErrorText is the error text that distinguishes a lack of capacity from other reasons for a status of 503.
 const noCapacityErrorText = "no capacity"
 
-// Client calls the cloud. Its errors wrap one of this package's errors; that of a call
-// that was cancelled is ErrOutcomeUnknown.
+// Client calls the cloud's API. Each of its errors wraps one of this package's errors; the error of a cancelled call
+// wraps ErrOutcomeUnknown.
 type Client struct {
 	baseURL string
 	http    *http.Client
 }
 
-// NewClient returns a client of the cloud at addr, host and port.
+// NewClient returns a client of the cloud whose API is served at addr, a host and port.
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport, Timeout: callTimeout}}
 }
 
-// MachineTypes reads the machine types and their present prices.
+// MachineTypes returns the usable machine types and their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]*fleet.MachineType, error) {
 	var response wireMachineTypes
 	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &response); err != nil {
@@ -74,8 +74,8 @@
 	return types, nil
 }
 
-// Provision asks for machines of an offer. The name makes the request idempotent: a repeat
-// returns what the first one provisioned.
+// Provision requests machines of an offer and returns their IDs. The name makes the request idempotent: a retry returns
+// the machines that the first request provisioned.
 func (c *Client) Provision(ctx context.Context, name string, offer Offer, count int) ([]ident.MachineID, error) {
 	request := wireProvisionRequest{Name: name, MachineType: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count}
 	var response wireMachineIDs
@@ -85,8 +85,7 @@
 	return response.Machines, nil
 }
 
-// Deprovision gives machines back. Once it has succeeded they are gone; a repeat is
-// harmless.
+// Deprovision releases machines. They no longer exist once it has succeeded. It is idempotent.
 func (c *Client) Deprovision(ctx context.Context, ids []ident.MachineID) error {
 	if err := c.call(ctx, http.MethodPost, "/hosts/release", wireMachineIDs{Machines: ids}, nil); err != nil {
 		return fmt.Errorf("deprovisioning %d machines: %w", len(ids), err)
@@ -94,8 +93,8 @@
 	return nil
 }
 
-// ListMachines reads the page of the machine list that follows a machine, or the first
-// page, and tells whether more follow.
+// ListMachines returns the page of the machine list that follows the machine after, or the first page if after is
+// empty. It also reports whether more pages follow.
 func (c *Client) ListMachines(ctx context.Context, after ident.MachineID) (machines []Machine, more bool, err error) {
 	query := url.Values{"page": {strconv.Itoa(listPageSize)}}
 	if after != "" {
@@ -108,7 +107,7 @@
 	return response.Machines, response.More && len(response.Machines) > 0, nil
 }
 
-// call sends a request and decodes the response into out, unless that is nil.
+// call sends a request and decodes the response into out, unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	req, err := wire.NewRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// scriptedTransport answers every request alike; status 0 is a lost connection.
+// scriptedTransport returns the same response to every request. A status of 0 simulates a lost connection.
 type scriptedTransport struct {
 	status int
 	body   []byte
@@ -23,7 +23,8 @@
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(bytes.NewReader(s.body))}, nil
 }
 
-// TestErrorsDistinguishCloudResponses: callers can tell the answers apart by their errors.
+// TestErrorsDistinguishCloudResponses checks that each kind of response results in the error by which callers
+// distinguish it.
 func TestErrorsDistinguishCloudResponses(t *testing.T) {
 	transport := &scriptedTransport{}
 	client := NewClient("10.2.0.2:1", transport)
@@ -50,6 +51,7 @@
 	}
 }
 
+// FuzzCloudResponses checks that no response causes a panic, and that an empty list of machine types is an error.
 func FuzzCloudResponses(f *testing.F) {
 	f.Add(200, []byte("\x81\xa7shambas\x91\xa6host-1"))
 	f.Add(200, []byte("\x81\xa6frames\xdd\xff\xff\xff\xff"))
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,9 +1,8 @@
-// Package cloud talks to the cloud that provides the machines: it provisions and
-// deprovisions them, and reads the machine list and the machine types. It owns the cloud's
-// wire format and the state of requests under way, in pure parts that are asked what to
-// send next and told what came of it. How many machines of which offer are wanted is
-// decided by the scheduler; the call rate is kept by the controller, sending is left to
-// the node.
+// Package cloud implements the client of the cloud that provides the machines: it provisions and deprovisions them, and
+// reads the machine list and the machine types. It owns the cloud's wire format and the state of pending requests. The
+// types that hold this state are pure: they return the next request to send, and are given its result. The scheduler
+// decides how many machines of which offer are needed, the controller limits the call rate, and the node makes the
+// calls.
 package cloud
 
 import (
@@ -12,33 +11,34 @@
 	"badgerbay/internal/ident"
 )
 
-// Errors by which callers decide how to go on.
+// Errors that callers distinguish in order to decide how to proceed.
 var (
-	ErrNoCapacity  = errors.New("cloud has no capacity for the offer")
-	ErrUnavailable = errors.New("cloud is in trouble or throttles calls")
-	// ErrOutcomeUnknown says that the request may have been executed, or may still be.
-	ErrOutcomeUnknown = errors.New("cloud gave no usable answer")
-	// ErrMalformed says that the cloud refused the request itself.
+	// ErrNoCapacity is returned when the cloud has no capacity for the offer.
+	ErrNoCapacity = errors.New("cloud has no capacity for the offer")
+	// ErrUnavailable is returned when the cloud is unavailable or throttles calls.
+	ErrUnavailable = errors.New("cloud is unavailable or throttles calls")
+	// ErrOutcomeUnknown is returned when the request may have been executed, or may still be.
+	ErrOutcomeUnknown = errors.New("cloud returned no usable response")
+	// ErrMalformed is returned when the cloud refused the request itself.
 	ErrMalformed = errors.New("cloud refused the request as malformed")
-	// ErrNoMachineTypes says that no machine type is usable.
+	// ErrNoMachineTypes is returned when no machine type is usable.
 	ErrNoMachineTypes = errors.New("no usable machine types")
 )
 
-// The cloud's limits on one request, in machines.
+// Maximum number of machines that the cloud accepts in one request.
 const (
 	MaxProvisionCount   = 50
 	MaxDeprovisionCount = 100
 )
 
-// Offer is a kind of machine that can be provisioned.
+// Offer is a combination of machine type, zone, and spot or on-demand pricing that can be provisioned.
 type Offer struct {
 	Type ident.MachineType `msgpack:"ty" json:"ty"`
 	Zone ident.Zone        `msgpack:"z" json:"z"`
 	Spot bool              `msgpack:"sp,omitempty" json:"sp,omitempty"`
 }
 
-// MachineState is the state of a machine in the cloud's list. The values are those of the
-// wire.
+// MachineState is the state of a machine in the cloud's machine list. Its values are sent on the wire.
 type MachineState string
 
 // States of a machine.
@@ -48,13 +48,13 @@
 	MachineFailed   MachineState = "failed"
 )
 
-// Machine is a machine as the cloud lists it.
+// Machine is an entry in the cloud's machine list.
 type Machine struct {
 	ID         ident.MachineID   `msgpack:"id"`
-	Addr       string            `msgpack:"addr"` // of its worker; empty until it runs
+	Addr       string            `msgpack:"addr"` // address of its worker; empty until the machine runs
 	Type       ident.MachineType `msgpack:"frame"`
 	Zone       ident.Zone        `msgpack:"hall"`
 	Spot       bool              `msgpack:"loaner"`
 	State      MachineState      `msgpack:"standing"`
-	AgeSeconds float64           `msgpack:"ageS"` // since it was provisioned
+	AgeSeconds float64           `msgpack:"ageS"` // time since it was provisioned
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -24,7 +24,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// readGoldenMessages reads the recorded messages: a name and the bytes in hexadecimal on each line.
+// readGoldenMessages returns the recorded messages by name. Each line of the file holds a name and the bytes in
+// hexadecimal.
 func readGoldenMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	file, err := os.Open("testdata/golden/messages.txt")
@@ -48,7 +49,7 @@
 	return messages
 }
 
-// recordingTransport is a cloud that answers one recorded message and keeps the request.
+// recordingTransport returns one recorded response and records the request.
 type recordingTransport struct {
 	response []byte
 	request  string
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestGoldenCloudCalls sends each request to the cloud as it was recorded, and reads
-// the recorded answer to it.
+// TestGoldenCloudCalls checks that each request to the cloud is sent exactly as recorded, and that the recorded
+// response to it is decoded to the expected values.
 func TestGoldenCloudCalls(t *testing.T) {
 	messages := readGoldenMessages(t)
 	spot, onDemand := cloud.Offer{Type: "m16.xlarge", Zone: "zone-b", Spot: true}, cloud.Offer{Type: "m", Zone: "a"}
@@ -147,7 +148,7 @@
 	}
 }
 
-// TestGoldenRefusals tells the cloud's refusals apart by the recorded answers.
+// TestGoldenRefusals checks that the recorded refusals of the cloud result in different errors.
 func TestGoldenRefusals(t *testing.T) {
 	messages := readGoldenMessages(t)
 	for _, c := range []struct {
@@ -176,8 +177,8 @@
 // RoundTrip implements http.RoundTripper.
 func (f roundTripperFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-// TestGoldenStoredMachineTypes reads the recorded value in which machine types are kept, and
-// writes it as it was.
+// TestGoldenStoredMachineTypes checks that the recorded value of the stored machine types is decoded, and encoded again
+// to the same bytes.
 func TestGoldenStoredMachineTypes(t *testing.T) {
 	recorded := readGoldenMessages(t)["stored/types"]
 	types, err := cloud.DecodeMachineTypes(recorded)
@@ -189,11 +190,11 @@
 	}
 	encoded, err := msgpack.Marshal(cloud.EncodeMachineTypes(types))
 	if err != nil || !bytes.Equal(encoded, recorded) {
-		t.Errorf("written as %x, %v; recorded %x", encoded, err, recorded)
+		t.Errorf("encoded as %x, %v; recorded %x", encoded, err, recorded)
 	}
 }
 
-// TestGoldenOffers reads and writes the offers that round records hold.
+// TestGoldenOffers checks that the offers in round records are decoded, and encoded again to the same bytes.
 func TestGoldenOffers(t *testing.T) {
 	messages := readGoldenMessages(t)
 	for name, want := range map[string]cloud.Offer{
@@ -214,9 +215,9 @@
 	}
 	var got cloud.Offer
 	if err := unmarshal(recorded, &got); err != nil || got != want {
-		t.Errorf("%s: read %+v, %v", name, got, err)
+		t.Errorf("%s: decoded %+v, %v", name, got, err)
 	}
 	if encoded, err := marshal(want); err != nil || !bytes.Equal(encoded, recorded) {
-		t.Errorf("%s: written as %x, %v; recorded %x", name, encoded, err, recorded)
+		t.Errorf("%s: encoded as %x, %v; recorded %x", name, encoded, err, recorded)
 	}
 }
--- a/internal/cloud/machine_lister.go
+++ b/internal/cloud/machine_lister.go
@@ -7,39 +7,38 @@
 	"badgerbay/internal/ident"
 )
 
-// MachineLister reads the machine list page by page, each page a call of its own within
-// the cloud's call rate: at 4,000 machines the eight pages sent at once were throttled by
-// a cloud that takes two calls a second, and no list was ever read. It is pure; the zero
-// value is ready for use.
+// MachineLister reads the machine list page by page. Each page is a separate call within the cloud's rate limit: at
+// 4,000 machines, eight pages requested at once were throttled by a cloud that accepts two calls per second, and no
+// list was ever completed. It is pure, and its zero value is ready to use.
 type MachineLister struct {
 	nextListAt   clock.Instant
-	inProgress   bool // some page of the present list was requested
+	inProgress   bool // a page of the current list was requested
 	awaitingPage bool
 	startedAt    clock.Instant // when the first page was requested
 	after        ident.MachineID
 	machines     []Machine
 }
 
-// Page is the answer to the request for one page, or, if not OK, its failure.
+// Page is the response to the request for one page. OK is false if the request failed.
 type Page struct {
 	OK       bool
 	Machines []Machine
 	More     bool
 }
 
-// MachineList is a machine list that was read whole.
+// MachineList is a complete machine list.
 type MachineList struct {
 	RequestedAt clock.Instant // when the first page was requested
 	Machines    []Machine
 }
 
-// PageDue tells whether a page should be requested now.
+// PageDue reports whether a page should be requested now.
 func (l *MachineLister) PageDue(now clock.Instant) bool {
 	return !l.awaitingPage && (l.inProgress || !now.Before(l.nextListAt))
 }
 
-// RequestPage notes that a page is being requested, and returns the machine that it
-// follows.
+// RequestPage records that a page is being requested, and returns the machine that the page follows, or an empty ID for
+// the first page.
 func (l *MachineLister) RequestPage(now clock.Instant) ident.MachineID {
 	if !l.inProgress {
 		l.inProgress, l.startedAt, l.after, l.machines = true, now, "", nil
@@ -48,8 +47,8 @@
 	return l.after
 }
 
-// AddPage adds a page, and returns the list and true once it is complete. A list of which a
-// page failed is given up. The next list is due after the pause.
+// AddPage adds a page, and returns the list and true once the list is complete. If the request for a page failed, the
+// list is discarded. In both cases the next list is due after the pause.
 func (l *MachineLister) AddPage(now clock.Instant, page Page, pause time.Duration) (list MachineList, complete bool) {
 	l.awaitingPage = false
 	if page.OK {
--- a/internal/cloud/machine_lister_test.go
+++ b/internal/cloud/machine_lister_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// TestMachineListerReadsPageByPage: a list is complete with its last page, dates from the
-// request for its first, and is given up if a page fails.
+// TestMachineListerReadsPageByPage checks that a list is complete with its last page, that its time is that of the
+// request for its first page, and that it is discarded if a page fails.
 func TestMachineListerReadsPageByPage(t *testing.T) {
 	const pause = 5 * time.Second
 	var lister MachineLister
 	if after := lister.RequestPage(t0); after != "" || lister.PageDue(t0) {
-		t.Fatalf("first page follows %q, or two are requested at once", after)
+		t.Fatalf("first page follows %q, or a second page is due while the first is in flight", after)
 	}
 	now := t0.Add(time.Second)
 	first := Page{OK: true, Machines: []Machine{{ID: "host-1"}, {ID: "host-2"}}, More: true}
 	if _, complete := lister.AddPage(now, first, pause); complete || !lister.PageDue(now) {
-		t.Fatal("complete without its last page, or the next is not due")
+		t.Fatal("the list is complete without its last page, or the next page is not due")
 	}
 	if after := lister.RequestPage(now); after != "host-2" {
 		t.Errorf("next page follows %q", after)
@@ -26,11 +26,11 @@
 		t.Errorf("list %+v, complete %v", list, complete)
 	}
 	if lister.PageDue(now.Add(pause-1)) || !lister.PageDue(now.Add(pause)) {
-		t.Error("the next list is due after the pause, and not before")
+		t.Error("the next list is not due exactly when the pause has passed")
 	}
 	now = now.Add(pause)
 	lister.RequestPage(now)
 	if _, complete := lister.AddPage(now, Page{}, pause); complete || lister.PageDue(now) {
-		t.Error("complete although a page failed, or repeated without a pause")
+		t.Error("the list is complete although a page failed, or the next one is due without a pause")
 	}
 }
--- a/internal/cloud/machine_types.go
+++ b/internal/cloud/machine_types.go
@@ -13,10 +13,10 @@
 	"badgerbay/internal/wire"
 )
 
-// maxMachineTypeNameBytes bounds the name of a machine type: records and submissions name it.
+// maxMachineTypeNameBytes limits the name of a machine type, because records and submissions contain it.
 const maxMachineTypeNameBytes = 128
 
-// wireMachineType is a machine type both in the cloud's answers and in the key-value store.
+// wireMachineType is the encoding of a machine type, both in the cloud's responses and in the key-value store.
 type wireMachineType struct {
 	Name            string                       `msgpack:"label"`
 	CPUs            float64                      `msgpack:"cpus"`
@@ -30,8 +30,8 @@
 	Zones           wire.BoundedList[ident.Zone] `msgpack:"halls"`
 }
 
-// EncodeMachineTypes returns the value in which machine types are stored: the cloud's own
-// form.
+// EncodeMachineTypes returns the value in which machine types are stored. It has the same form as in the cloud's
+// responses.
 func EncodeMachineTypes(types []*fleet.MachineType) any {
 	out := make([]wireMachineType, 0, len(types))
 	for _, t := range types {
@@ -51,8 +51,8 @@
 	return out
 }
 
-// DecodeMachineTypes decodes what EncodeMachineTypes returns. Types that can't be used are
-// left out; without any other the error is ErrNoMachineTypes.
+// DecodeMachineTypes decodes the stored form of the value that EncodeMachineTypes returns. It skips unusable types, and
+// returns ErrNoMachineTypes if no other type remains.
 func DecodeMachineTypes(data []byte) ([]*fleet.MachineType, error) {
 	var stored wire.BoundedList[wireMachineType]
 	if err := msgpack.Unmarshal(data, &stored); err != nil {
@@ -74,7 +74,7 @@
 	return usable, nil
 }
 
-// usable tells whether the cloud describes a machine that something can run on.
+// usable reports whether tasks can run on a machine of the type, and records can contain its name.
 func (w *wireMachineType) usable() bool {
 	return w.Name != "" && len(w.Name) <= maxMachineTypeNameBytes && w.CPUs > 0 && w.MemoryGB > 0 && w.GPUs >= 0 &&
 		!math.IsInf(w.CPUs+w.MemoryGB+w.GPUs, 0)
--- a/internal/cloud/machine_types_test.go
+++ b/internal/cloud/machine_types_test.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestUnusableMachineTypesAreSkipped: a type on which nothing can run, or that no record
-// can name, is left out; without any other the caller is told so.
+// TestUnusableMachineTypesAreSkipped checks that a type is skipped if no task can run on it or if records cannot
+// contain its name, and that ErrNoMachineTypes is returned if no other type remains.
 func TestUnusableMachineTypesAreSkipped(t *testing.T) {
 	unusable := []wireMachineType{
 		{Name: "", CPUs: 1, MemoryGB: 1},
--- a/internal/cloud/tracker.go
+++ b/internal/cloud/tracker.go
@@ -10,7 +10,7 @@
 	"badgerbay/internal/ident"
 )
 
-// ProvisionRequest is a recorded request for machines that is not settled.
+// ProvisionRequest is a recorded request for machines that is not settled yet.
 type ProvisionRequest struct {
 	Name  string
 	Offer Offer
@@ -22,19 +22,19 @@
 	retryAt        clock.Instant
 }
 
-// ProvisionResult says what became of a provision request.
+// ProvisionResult is the result of a provision request.
 type ProvisionResult int
 
 // Results of a provision request.
 const (
-	ProvisionGranted        ProvisionResult = iota // with the IDs of the machines
-	ProvisionNoCapacity                            // refused for want of capacity
-	ProvisionDeferred                              // not executed; the cloud is in trouble
+	ProvisionGranted        ProvisionResult = iota // the response contains the IDs of the machines
+	ProvisionNoCapacity                            // refused for lack of capacity
+	ProvisionDeferred                              // not executed: the cloud is unavailable or throttles calls
 	ProvisionOutcomeUnknown                        // may have been executed, or may still be
 	ProvisionRejected                              // refused as malformed
 )
 
-// String returns the result as logs name it.
+// String returns the name of the result in the logs.
 func (r ProvisionResult) String() string {
 	switch r {
 	case ProvisionGranted:
@@ -56,8 +56,7 @@
 	deprovisionRetryDelay = time.Second
 )
 
-// Tracker tracks the recorded provision requests and deprovisions until the cloud has
-// answered them. It is pure.
+// Tracker tracks the recorded provision requests and deprovisions until responses of the cloud settle them. It is pure.
 type Tracker struct {
 	provisions          map[string]*ProvisionRequest
 	deprovisionRetryAt  map[ident.MachineID]clock.Instant
@@ -66,8 +65,7 @@
 	capacityBackoff     time.Duration
 }
 
-// NewTracker returns an empty tracker. An offer that the cloud has no capacity for is
-// blocked for capacityBackoff.
+// NewTracker returns an empty tracker. An offer for which the cloud has no capacity is blocked for capacityBackoff.
 func NewTracker(capacityBackoff time.Duration) *Tracker {
 	return &Tracker{
 		provisions:         map[string]*ProvisionRequest{},
@@ -77,8 +75,7 @@
 	}
 }
 
-// AddProvision adds a recorded provision request. One of an earlier leader may have been
-// executed already.
+// AddProvision adds a recorded provision request. A request of an earlier leader may already have been executed.
 func (t *Tracker) AddProvision(now clock.Instant, name string, offer Offer, count int, ofEarlierLeader bool) {
 	if t.provisions[name] == nil {
 		t.provisions[name] = &ProvisionRequest{Name: name, Offer: offer, Count: count, Since: now, outcomeUnknown: ofEarlierLeader}
@@ -90,7 +87,7 @@
 	return slices.SortedFunc(maps.Values(t.provisions), func(a, b *ProvisionRequest) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// UnknownOutcomeCount counts requests that may or may not have been executed.
+// UnknownOutcomeCount returns the number of requests that may or may not have been executed.
 func (t *Tracker) UnknownOutcomeCount() int {
 	n := 0
 	for _, request := range t.provisions {
@@ -101,12 +98,13 @@
 	return n
 }
 
-// Blocked tells whether the cloud had no capacity for the offer a moment ago.
+// Blocked reports whether the offer must not be requested now, because the cloud has just refused a request for it or
+// granted only a part.
 func (t *Tracker) Blocked(now clock.Instant, offer Offer) bool {
 	return now.Before(t.blockedUntil[offer])
 }
 
-// NextProvision returns a request to send now, marked as in flight, or nil.
+// NextProvision returns a request to send now and marks it as in flight. It returns nil if none is due.
 func (t *Tracker) NextProvision(now clock.Instant) *ProvisionRequest {
 	for _, request := range t.PendingProvisions() {
 		if !request.inFlight && !now.Before(request.retryAt) {
@@ -117,9 +115,8 @@
 	return nil
 }
 
-// FinishProvision applies the answer to a request, with how many machines were granted,
-// and tells whether the request is settled. One of unknown outcome is retried under its
-// name until an answer tells what came of it.
+// FinishProvision applies the result of a request and the number of machines that were granted, and reports whether the
+// request is settled. A request with unknown outcome is retried under its name until a response shows the outcome.
 func (t *Tracker) FinishProvision(now clock.Instant, name string, result ProvisionResult, granted int) (settled bool) {
 	request := t.provisions[name]
 	if request == nil {
@@ -147,7 +144,7 @@
 	return true
 }
 
-// AddDeprovision adds machines that are recorded to be deprovisioned.
+// AddDeprovision adds machines whose deprovisioning is recorded.
 func (t *Tracker) AddDeprovision(ids ...ident.MachineID) {
 	for _, id := range ids {
 		if _, added := t.deprovisionRetryAt[id]; !added {
@@ -174,8 +171,7 @@
 	return due
 }
 
-// FinishDeprovision notes that the machines were deprovisioned, or that they are to be
-// tried again.
+// FinishDeprovision records that the machines were deprovisioned or, if ok is false, that the call is to be retried.
 func (t *Tracker) FinishDeprovision(now clock.Instant, ids []ident.MachineID, ok bool) {
 	t.deprovisionInFlight = false
 	for _, id := range ids {
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// maxCommands bounds the commands in one message, so that it stays well below
-	// MaxMessageBytes.
+	// maxCommands limits the number of commands in one message, so that it stays well below MaxMessageBytes.
 	maxCommands = 400
-	// maxUnansweredCommands is how many commands in a row a machine may leave unanswered
-	// before it gets no task: nothing may reach it although its heartbeats arrive. Guards
-	// against placing on such a machine again in each of its sessions.
+	// maxUnansweredCommands is the number of consecutive unanswered commands after which a machine gets no tasks: it
+	// may be unreachable although its heartbeats arrive. The count is kept across sessions, because tasks would
+	// otherwise be placed on such a machine again in each new session.
 	maxUnansweredCommands = 2
-	// unansweredCommandWindow is how long that counts: the machine may be reached again.
+	// unansweredCommandWindow is the time for which unanswered commands count: afterwards the machine may be reachable
+	// again.
 	unansweredCommandWindow = time.Minute
 )
 
-// ScheduleCommand asks for a direct command to the machine.
+// ScheduleCommand marks a direct command to the machine as due.
 func (f *Fleet) ScheduleCommand(id ident.MachineID) {
 	if m := f.machines[id]; m != nil {
 		f.commandsDue[m] = struct{}{}
 	}
 }
 
-// ClaimDueCommands returns the machines that a direct command is due to, sorted by ID, and
-// marks them as being sent one.
+// ClaimDueCommands returns the machines to which a direct command is due and can be sent, sorted by ID, and marks a
+// command to each of them as in flight.
 func (f *Fleet) ClaimDueCommands() []*Machine {
 	var claimed []*Machine
 	for m := range f.commandsDue {
@@ -42,12 +42,11 @@
 	return sortByID(claimed)
 }
 
-// acceptsCommand tells whether a direct command can be sent to the machine now.
+// acceptsCommand reports whether a direct command can be sent to the machine now.
 func (m *Machine) acceptsCommand() bool { return !m.commandInFlight && m.Addr != "" }
 
-// ClaimProbes returns the machines that have missed a heartbeat, and those not confirmed
-// that have sent one. It marks them as being sent a command: an empty one, whose answer
-// shows that they live.
+// ClaimProbes returns the machines that have missed a heartbeat, and the unconfirmed machines that have sent one. It
+// marks a command to each of them as in flight: an empty one, whose response shows that the machine is alive.
 func (f *Fleet) ClaimProbes(now clock.Instant) []*Machine {
 	var claimed []*Machine
 	for _, m := range f.Machines() {
@@ -63,15 +62,14 @@
 	return claimed
 }
 
-// missedHeartbeat tells whether the machine's last sign of life is older than the interval
-// and what a heartbeat may be late by.
+// missedHeartbeat reports whether the last contact with the machine is older than the heartbeat interval plus 40%, the
+// tolerated delay of a heartbeat.
 func (f *Fleet) missedHeartbeat(now clock.Instant, m *Machine) bool {
 	return now.Sub(m.LastContact) > f.timing.HeartbeatInterval*7/5
 }
 
-// ClaimHeartbeatRequests returns up to limit machines that this leader has not heard from
-// and that were not asked before. It marks them as being sent a command: the answer
-// carries the status of a heartbeat.
+// ClaimHeartbeatRequests returns up to limit machines that are not up, and from which no heartbeat was requested
+// before. It marks a command to each of them as in flight: the response carries the same status as a heartbeat.
 func (f *Fleet) ClaimHeartbeatRequests(limit int) []*Machine {
 	var claimed []*Machine
 	for _, m := range f.Machines() {
@@ -87,7 +85,7 @@
 	return claimed
 }
 
-// FinishCommand notes that a direct command was answered, or given up.
+// FinishCommand records that a direct command was answered or abandoned.
 func (f *Fleet) FinishCommand(now clock.Instant, id ident.MachineID, answered bool) {
 	m := f.machines[id]
 	if m == nil {
@@ -102,10 +100,9 @@
 	m.lastUnansweredAt = now
 }
 
-// Commands returns what the machine is due: stops, then starts, then, if includeForgets is
-// set, exits to forget, each sorted by task. Repeating any command is harmless: starts and
-// stops name an attempt, and an exit is forgotten only when no copy of its start command
-// can still be under way.
+// Commands returns the commands that are due to the machine: stops, then starts, then, if includeForgets is set,
+// forgets, each group sorted by task. Every command can be repeated safely: starts and stops name an attempt, and an
+// exit is forgotten only when no copy of its start command can still be executed.
 func (f *Fleet) Commands(m *Machine, includeForgets bool) []Command {
 	var stops, starts, forgets []Command
 	for _, p := range m.placements {
@@ -143,10 +140,13 @@
 	return commands
 }
 
-// canForget tells whether the worker may forget the exit of an ended placement: its
-// meaning is stored, and the worker has seen a higher fencing token than any start command
-// of the attempt was sent under. Late copies of the command are refused from then on;
-// before, the exit is a tombstone that keeps such a copy from running the task again.
+// canForget reports whether the worker may delete its record of the exit of an ended placement. Two conditions must
+// hold:
+//  1. The result of the exit is stored.
+//  2. The worker has seen a higher fencing token than any under which a start command of the attempt was sent. From
+//     then on, it refuses delayed copies of that command.
+//
+// Until then, the record is a tombstone that prevents such a copy from running the task again.
 func (m *Machine) canForget(p *jobs.Placement) bool {
 	return p.Job.Stored.Seq >= p.EndSeq && m.FencingToken > p.FencingToken
 }
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -9,19 +9,20 @@
 	"badgerbay/internal/ident"
 )
 
-// TestForgetRequiresStoredExitAndHigherFencingToken: an exit is forgotten only once its meaning is
-// stored and the worker has seen a higher fencing token than its start command's.
+// TestForgetRequiresStoredExitAndHigherFencingToken checks that a worker is commanded to forget an exit only when the
+// result of the exit is stored and the worker has seen a higher fencing token than that of the start command. Otherwise
+// a delayed copy of the start command could run the task again.
 func TestForgetRequiresStoredExitAndHigherFencingToken(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
 	f.fleet.Commands(f.machine, true)
 	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 5, TaskExited, ExitStopped))
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); got != nil {
-		t.Fatalf("forgotten before it is stored: %v", got)
+		t.Fatalf("forget command sent before the result of the exit is stored: %v", got)
 	}
 	f.job.Stored.Seq = f.job.ChangeSeq
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); got != nil {
-		t.Fatalf("forgotten while a copy of its start command may come: %v", got)
+		t.Fatalf("forget command sent while a copy of the start command can still be executed: %v", got)
 	}
 	f.fleet.SetEpoch(epoch + 1)
 	f.sendHeartbeat(1, 3, epoch+1, taskStatus(0, 5, TaskExited, ExitStopped))
@@ -30,12 +31,12 @@
 	}
 	f.sendHeartbeat(1, 4, epoch+1)
 	if f.fleet.TombstoneCount() != 0 {
-		t.Error("the tombstone stays after the forget")
+		t.Error("the tombstone remains after the worker has forgotten the exit")
 	}
 }
 
-// TestTombstoneIsKeptWhenNextAttemptIsPlaced: the next attempt on the same machine must not push
-// the tombstone of the last one out.
+// TestTombstoneIsKeptWhenNextAttemptIsPlaced checks that placing the next attempt of a task on the same machine does
+// not replace the tombstone of the last one.
 func TestTombstoneIsKeptWhenNextAttemptIsPlaced(t *testing.T) {
 	f := newFixture(1)
 	f.place(0, 5)
@@ -48,8 +49,8 @@
 	}
 }
 
-// TestMissedHeartbeatIsProbed: a machine that has missed a heartbeat is probed, and its
-// answer shows that it lives without renewing its lease.
+// TestMissedHeartbeatIsProbed checks that a machine that has missed a heartbeat is probed, and that its response counts
+// as contact without renewing its lease.
 func TestMissedHeartbeatIsProbed(t *testing.T) {
 	f := newFixture(1)
 	if got := f.fleet.ClaimProbes(f.now.Add(4 * time.Second)); got != nil {
@@ -57,17 +58,17 @@
 	}
 	f.now = f.now.Add(5 * time.Second)
 	if got := f.fleet.ClaimProbes(f.now); len(got) != 1 || f.fleet.ClaimProbes(f.now) != nil {
-		t.Fatal("not probed, or probed twice at once")
+		t.Fatal("not probed, or probed again while a probe is in flight")
 	}
 	f.fleet.FinishCommand(f.now, "host-1", true)
 	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 9, FencingToken: epoch})
 	if f.machine.LastContact != f.now || f.machine.LastRenewal == f.now {
-		t.Error("the answer must show life, and not count for the lease")
+		t.Error("the response does not count as contact, or it renewed the lease")
 	}
 }
 
-// TestOneCommandInFlightPerMachine: a machine is sent one command at a time, and only when it is
-// up.
+// TestOneCommandInFlightPerMachine checks that a machine is sent one command at a time and only while it is up, and
+// that a command that becomes due in the meantime is sent afterwards.
 func TestOneCommandInFlightPerMachine(t *testing.T) {
 	f := newFixture(1)
 	f.fleet.Ensure(f.now, "host-2").Addr = "10.0.0.2:1"
@@ -82,12 +83,12 @@
 	}
 	f.fleet.FinishCommand(f.now, "host-1", true)
 	if got := f.fleet.ClaimDueCommands(); len(got) != 1 {
-		t.Error("a command that became due in flight is lost")
+		t.Error("a command that became due while another was in flight is lost")
 	}
 }
 
-// TestHeartbeatIsRequestedOnce: after a failover each machine with an address that was not
-// heard from is asked for a heartbeat, once.
+// TestHeartbeatIsRequestedOnce checks that after a failover a heartbeat is requested once from each machine that has an
+// address and has not sent a status.
 func TestHeartbeatIsRequestedOnce(t *testing.T) {
 	f := newFixture(1)
 	for _, id := range []ident.MachineID{"host-2", "host-3", "host-4"} {
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -22,7 +22,7 @@
 	now     clock.Instant
 }
 
-// newFixture returns a fixture whose job has so many tasks.
+// newFixture returns a fixture whose job has the given number of tasks.
 func newFixture(tasks int) *fixture {
 	spec := jobs.Spec{Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 2}
 	f := &fixture{job: jobs.NewJob("wk-000001", jobs.NewRecord(spec, 0), 1, t0), now: t0}
@@ -43,7 +43,7 @@
 	return f.fleet.ApplyHeartbeat(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: session, HeartbeatSeq: seq, FencingToken: token, Tasks: tasks})
 }
 
-// place places a task on host-1, to be started.
+// place adds a placement of a task on host-1, whose start command may be sent.
 func (f *fixture) place(task ident.TaskIndex, attempt ident.Attempt) *jobs.Placement {
 	p := &jobs.Placement{Job: f.job, Task: task, Machine: "host-1", Session: f.machine.Session, Attempt: attempt, StartAllowed: true}
 	f.fleet.Place(f.now, p)
@@ -54,7 +54,7 @@
 	return TaskStatus{Task: ident.TaskID{Job: "wk-000001", Index: index}, Attempt: attempt, State: state, Cause: cause}
 }
 
-// describeCommands returns commands as "kind task/attempt".
+// describeCommands formats each command as "kind index/attempt".
 func describeCommands(commands []Command) []string {
 	var out []string
 	for _, c := range commands {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,7 @@
-// Package fleet keeps what the leader knows of the machines, of their workers' sessions
-// and leases, and of the placements of tasks on them. It is a pure state machine:
-// heartbeats and instants go in, commands and changes come out; wire.go maps the workers'
-// protocol to the types of this package. What to place where is decided by the scheduler,
-// machines are provisioned through package cloud, and sending is left to the node.
+// Package fleet tracks the machines that the leader knows, the sessions and leases of their workers, and the placements
+// of tasks on them. It is a pure state machine: its inputs are heartbeats and instants, its outputs are commands and
+// changes. The file wire.go converts between the workers' protocol and the types of this package. The scheduler decides
+// which task is placed on which machine, package cloud provisions the machines, and the node sends the messages.
 package fleet
 
 import (
@@ -16,34 +15,34 @@
 	"badgerbay/internal/jobs"
 )
 
-// Timing holds the intervals that workers keep to.
+// Timing holds the intervals that govern the workers' heartbeats and leases.
 type Timing struct {
 	HeartbeatInterval time.Duration
 	LeaseTTL          time.Duration
-	// RejoinGrace is how long after a failover a machine that answers commands counts
-	// as one that sends heartbeats: its worker may still wait for the lost leader. 0: it
-	// does not count.
+	// RejoinGrace is the time after a failover during which a machine that responds to commands counts as one that
+	// sends heartbeats: its worker may still be waiting for a response from the previous leader. With 0, only
+	// heartbeats count.
 	RejoinGrace time.Duration
 }
 
-// Fleet holds all machines that a leader knows of.
+// Fleet holds all machines that a leader knows.
 type Fleet struct {
 	timing           Timing
 	machineTypes     map[ident.MachineType]*MachineType
 	machines         map[ident.MachineID]*Machine
-	machinesByID     []*Machine            // sorted; nil: to be sorted anew
-	commandsDue      map[*Machine]struct{} // machines that a direct command is due to
+	machinesByID     []*Machine            // sorted by ID; nil: must be sorted again
+	commandsDue      map[*Machine]struct{} // machines to which a direct command is due
 	findJob          func(ident.JobID) *jobs.Job
 	leaderSince      clock.Instant
 	epoch            ident.Epoch
-	firstEpoch       ident.Epoch // with which the leader began
+	firstEpoch       ident.Epoch // epoch with which this leader began
 	tombstones       int
 	removedAt        map[ident.MachineID]clock.Instant
-	delegatedRenewal func(ident.Zone) (DelegatedRenewal, bool) // nil: nobody else may renew leases
+	delegatedRenewal func(ident.Zone) (DelegatedRenewal, bool) // nil: no other node can renew leases
 }
 
-// New returns an empty fleet of a leader that acquired its epoch at leaderSince. findJob
-// returns the job of an ID, or nil.
+// New returns an empty fleet for a leader that acquired its epoch at leaderSince. The function findJob returns the job
+// with an ID, or nil if there is none.
 func New(timing Timing, epoch ident.Epoch, leaderSince clock.Instant, findJob func(ident.JobID) *jobs.Job) *Fleet {
 	return &Fleet{
 		timing:       timing,
@@ -58,26 +57,25 @@
 	}
 }
 
-// SetMachineTypes adds machine types, or replaces those of the same names.
+// SetMachineTypes adds machine types, and replaces those that have the same name.
 func (f *Fleet) SetMachineTypes(types []*MachineType) {
 	for _, t := range types {
 		f.machineTypes[t.Name] = t
 	}
 }
 
-// MachineType returns a machine type, or nil.
+// MachineType returns the machine type with the name, or nil if it is unknown.
 func (f *Fleet) MachineType(name ident.MachineType) *MachineType { return f.machineTypes[name] }
 
-// SetEpoch sets the fencing token of the commands from now on: the leader has advanced
+// SetEpoch sets the epoch that later commands carry as their fencing token. It is called when the leader has advanced
 // its epoch.
 func (f *Fleet) SetEpoch(epoch ident.Epoch) { f.epoch = epoch }
 
-// Machine returns a machine, or nil.
+// Machine returns the machine with the ID, or nil if it is unknown.
 func (f *Fleet) Machine(id ident.MachineID) *Machine { return f.machines[id] }
 
-// Machines returns all machines sorted by ID. The list is cached until a machine is added
-// or removed: sorting it for each heartbeat took half of a leader's processor time at
-// 1,500 machines. It must not be modified.
+// Machines returns all machines sorted by ID. The caller must not modify the slice: it is cached until a machine is
+// added or removed, because sorting it for each heartbeat took half of a leader's processor time at 1,500 machines.
 func (f *Fleet) Machines() []*Machine {
 	if f.machinesByID == nil {
 		f.machinesByID = sortByID(slices.Collect(maps.Values(f.machines)))
@@ -90,11 +88,11 @@
 	return machines
 }
 
-// Len counts the machines.
+// Len returns the number of machines.
 func (f *Fleet) Len() int { return len(f.machines) }
 
-// ActiveCount counts the machines that are up or may run tasks, without those that have
-// failed or are being deprovisioned.
+// ActiveCount returns the number of machines that are up or may run tasks, without those that have failed or are being
+// deprovisioned.
 func (f *Fleet) ActiveCount() int {
 	n := 0
 	for _, m := range f.machines {
@@ -105,10 +103,10 @@
 	return n
 }
 
-// TombstoneCount counts the ended placements that workers still remember.
+// TombstoneCount returns the number of ended placements that are kept because workers may still remember their exits.
 func (f *Fleet) TombstoneCount() int { return f.tombstones }
 
-// Ensure returns the machine, adding it if it is not known.
+// Ensure returns the machine with the ID, and adds it if it is unknown.
 func (f *Fleet) Ensure(now clock.Instant, id ident.MachineID) *Machine {
 	m := f.machines[id]
 	if m == nil {
@@ -118,7 +116,7 @@
 	return m
 }
 
-// Remove deletes a machine that surely no longer exists, and ends its placements.
+// Remove deletes a machine that is certain to no longer exist, and ends its placements.
 func (f *Fleet) Remove(now clock.Instant, id ident.MachineID) Changes {
 	var changes Changes
 	m := f.machines[id]
@@ -134,7 +132,7 @@
 	return changes
 }
 
-// MarkFailed notes that a machine has stopped by itself, and ends its placements.
+// MarkFailed records that a machine has stopped without a request to do so, and ends its placements.
 func (f *Fleet) MarkFailed(now clock.Instant, m *Machine) Changes {
 	var changes Changes
 	f.endAllPlacements(now, m, &changes)
@@ -142,14 +140,13 @@
 	return changes
 }
 
-// WasRemoved tells whether a machine was removed. Old machine lists and late heartbeats
-// may still name it.
+// WasRemoved reports whether a machine was removed. Outdated machine lists and delayed heartbeats may still name it.
 func (f *Fleet) WasRemoved(id ident.MachineID) bool {
 	_, removed := f.removedAt[id]
 	return removed
 }
 
-// PruneRemoved forgets the machines that were removed more than retention ago.
+// PruneRemoved deletes the entries of machines that were removed more than retention ago.
 func (f *Fleet) PruneRemoved(now clock.Instant, retention time.Duration) {
 	for id, at := range f.removedAt {
 		if now.Sub(at) > retention {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -14,7 +14,8 @@
 	"badgerbay/internal/ident"
 )
 
-// readGoldenMessages reads the recorded messages: a name and the bytes in hexadecimal on each line.
+// readGoldenMessages returns the recorded messages by name. Each line of the file holds a name and the bytes in
+// hexadecimal.
 func readGoldenMessages(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open("testdata/golden/messages.txt")
@@ -42,7 +43,8 @@
 	return ident.TaskID{Job: job, Index: index}
 }
 
-// TestGoldenHeartbeats reads recorded heartbeats.
+// TestGoldenHeartbeats checks that recorded heartbeats are decoded to the expected values, including those with unknown
+// fields or unreadable task entries.
 func TestGoldenHeartbeats(t *testing.T) {
 	messages := readGoldenMessages(t)
 	for name, want := range map[string]*fleet.Heartbeat{
@@ -81,19 +83,19 @@
 	}
 }
 
-// TestGoldenMalformedHeartbeats refuses recorded heartbeats that name no machine, no
-// session or no address, and those with names that are too long.
+// TestGoldenMalformedHeartbeats checks that recorded heartbeats are refused if the machine, the session or the address
+// is missing, if a name is too long, or if the encoded length of a list is beyond the end of the message.
 func TestGoldenMalformedHeartbeats(t *testing.T) {
 	messages := readGoldenMessages(t)
 	for _, name := range []string{"malformed/no-machine", "malformed/no-session", "malformed/no-address",
 		"malformed/long-machine", "malformed/long-type", "malformed/long-zone", "malformed/endless-list"} {
 		if got, err := fleet.DecodeHeartbeat(decodeHex(t, messages[name])); err == nil {
-			t.Errorf("%s: read as %+v", name, got)
+			t.Errorf("%s: decoded as %+v, want an error", name, got)
 		}
 	}
 }
 
-// TestGoldenCommands writes what workers are sent as it was recorded.
+// TestGoldenCommands checks that messages to workers are encoded exactly as recorded.
 func TestGoldenCommands(t *testing.T) {
 	messages := readGoldenMessages(t)
 	commands := []fleet.Command{
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -5,34 +5,34 @@
 	"badgerbay/internal/jobs"
 )
 
-// EndedPlacement is a placement that has ended.
+// EndedPlacement is a placement that has ended, and the cause.
 type EndedPlacement struct {
 	Placement *jobs.Placement
 	Cause     ExitCause
-	// CheckpointStored tells that the task's progress was saved as it stopped.
+	// CheckpointStored means that the task's progress was saved when it stopped.
 	CheckpointStored bool
 }
 
-// StartedPlacement is a placement first seen running.
+// StartedPlacement is a placement whose task was reported as running for the first time.
 type StartedPlacement struct{ Placement *jobs.Placement }
 
-// Changes are what an event brought: a heartbeat, an expired lease, a lost machine.
+// Changes are the effects of an event: a heartbeat, an expired lease or a lost machine.
 type Changes struct {
-	Stale               bool // the heartbeat is older than what is known; nothing was applied
-	HigherFencingToken  bool // the worker has seen a higher fencing token than the leader's
+	Stale               bool // the heartbeat is older than the known status, which was not changed
+	HigherFencingToken  bool // the worker has seen a fencing token above the leader's epoch
 	Ended               []EndedPlacement
 	Started             []StartedPlacement
-	CameUp              bool // the machine is new, or back in a new session
-	InterruptionNoticed bool // the cloud has given notice that it takes the machine back
+	CameUp              bool // the machine is new, or is up again in a new session
+	InterruptionNoticed bool // the cloud has announced that it will reclaim the machine
 }
 
-// ApplyHeartbeat applies a heartbeat whose answer leaves now and renews the worker's lease.
+// ApplyHeartbeat applies a heartbeat. The response to it is sent at now, and renews the worker's lease.
 func (f *Fleet) ApplyHeartbeat(now clock.Instant, h *Heartbeat) Changes {
 	m := f.Ensure(now, h.Machine)
 	if m.isStale(h) {
-		// The answer to an old heartbeat may renew the lease too, but from when the
-		// heartbeat was sent: before the newest that is known. Duplicates of a dead
-		// machine's heartbeats must not keep its lease alive.
+		// The response to a stale heartbeat may renew the lease too, but only from the time at which the heartbeat was
+		// sent, which is before the last contact. LastRenewal is not set to now, because duplicates of heartbeats that
+		// arrive after the machine has failed must not extend its lease.
 		m.LastRenewal = max(m.LastRenewal, m.LastContact)
 		return Changes{Stale: true}
 	}
@@ -40,8 +40,8 @@
 	return f.applyStatus(now, m, h)
 }
 
-// ApplyCommandAnswer applies the status in the answer to a direct command. It shows that
-// the machine exists, and renews no lease.
+// ApplyCommandAnswer applies the status in the response to a direct command. The response proves that the machine
+// exists, but does not renew its lease.
 func (f *Fleet) ApplyCommandAnswer(now clock.Instant, h *Heartbeat) Changes {
 	m := f.Ensure(now, h.Machine)
 	if m.isStale(h) {
@@ -62,14 +62,13 @@
 	return changes
 }
 
-// isStale tells whether a heartbeat is older than what is known of the machine.
+// isStale reports whether a heartbeat is older than the known status of the machine.
 func (m *Machine) isStale(h *Heartbeat) bool {
 	return m.Removed || h.Session < m.Session || h.Session == m.Session && h.HeartbeatSeq <= m.HeartbeatSeq
 }
 
-// beginSession ends what ran in the session before. The lease of the new one counts from
-// its beginning, whether or not any heartbeat of it was answered: the session may have
-// become known by the refusal of a direct command.
+// beginSession ends the placements of the previous session. The lease of the new session counts from now, even if none
+// of its heartbeats was answered: the session may have become known from the refusal of a direct command.
 func (f *Fleet) beginSession(now clock.Instant, m *Machine, changes *Changes) {
 	changes.CameUp = true
 	f.endAllPlacements(now, m, changes)
@@ -88,8 +87,8 @@
 	m.Up, m.LastContact = true, now
 }
 
-// updateInterruption follows the cloud's notice that it takes the machine back, and tells
-// whether it is new.
+// updateInterruption records or clears the cloud's notice that it will reclaim the machine, and reports whether the
+// notice is new.
 func (m *Machine) updateInterruption(now clock.Instant, h *Heartbeat) bool {
 	if !h.InterruptionNoticed {
 		m.InterruptionAt = 0
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestMissingTaskEndsPlacementOnlyUnderHigherFencingToken: a start command may be on its way, so a
-// heartbeat that lacks the task ends the placement only under a higher fencing token.
+// TestMissingTaskEndsPlacementOnlyUnderHigherFencingToken checks that a heartbeat without the task ends the placement
+// only if it reports a higher fencing token than that of the start command, which may otherwise still be in transit.
 func TestMissingTaskEndsPlacementOnlyUnderHigherFencingToken(t *testing.T) {
 	f := newFixture(1)
 	p := f.place(0, 5)
@@ -19,7 +19,7 @@
 	}
 	f.sendHeartbeat(1, 2, epoch)
 	if p.State == jobs.PlacementEnded {
-		t.Fatal("ended by absence under the fencing token of its start command")
+		t.Fatal("the placement ended although its start command was sent under the reported fencing token")
 	}
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); !cmp.Equal(got, []string{"launch 0/5"}) {
 		t.Fatalf("the start command is not repeated: %v", got)
@@ -27,28 +27,30 @@
 	f.fleet.SetEpoch(epoch + 5)
 	c := f.sendHeartbeat(1, 3, epoch+5)
 	if p.State != jobs.PlacementEnded || len(c.Ended) != 1 || !f.job.Queue.Contains(0) {
-		t.Error("absence under a higher fencing token did not end it")
+		t.Error("the placement did not end although the heartbeat reports a higher fencing token")
 	}
 }
 
+// TestOldHeartbeatsAreStale checks that a heartbeat is not applied if a later one of its session, or one of a later
+// session, was applied before.
 func TestOldHeartbeatsAreStale(t *testing.T) {
 	f := newFixture(2)
 	p := f.place(0, 5)
 	f.fleet.Commands(f.machine, true)
 	f.sendHeartbeat(1, 9, epoch, taskStatus(0, 5, TaskRunning, ""))
 	if c := f.sendHeartbeat(1, 8, epoch, taskStatus(0, 5, TaskExited, ExitError)); !c.Stale || p.State != jobs.PlacementRunning {
-		t.Error("an overtaken heartbeat was applied")
+		t.Error("a heartbeat with a lower sequence number was applied")
 	}
 	if c := f.sendHeartbeat(2, 1, epoch); len(c.Ended) != 1 || p.State != jobs.PlacementEnded {
 		t.Error("a later session did not end the placement")
 	}
 	if c := f.sendHeartbeat(1, 10, epoch, taskStatus(0, 5, TaskRunning, "")); !c.Stale {
-		t.Error("a heartbeat of the session before was applied")
+		t.Error("a heartbeat of the previous session was applied")
 	}
 }
 
-// TestOrphanTasksAreAdopted: what runs without a record counts as a placement, so that
-// it is not started elsewhere; what is done counts as done.
+// TestOrphanTasksAreAdopted checks that a running task without a record gets a placement, so that it is not started on
+// another machine, that a completed one counts as completed, and that a task of an unknown job is stopped.
 func TestOrphanTasksAreAdopted(t *testing.T) {
 	f := newFixture(3)
 	f.sendHeartbeat(1, 2, epoch, taskStatus(0, 3, TaskRunning, ""), taskStatus(1, 3, TaskExited, ExitDone))
@@ -60,27 +62,26 @@
 	}
 	f.sendHeartbeat(1, 3, epoch, TaskStatus{Task: ident.TaskID{Job: "wk-999999"}, Attempt: 1, State: TaskRunning})
 	if got := describeCommands(f.fleet.Commands(f.machine, true)); !cmp.Equal(got, []string{"halt 0/1"}) {
-		t.Errorf("commands %v, want a stop of the task of no job", got)
+		t.Errorf("commands %v, want a stop of the task of an unknown job", got)
 	}
 	if f.fleet.Schedulable(f.machine) {
-		t.Error("a machine with a task of no job gets more")
+		t.Error("a machine that runs a task of an unknown job is schedulable")
 	}
 }
 
-// TestTaskNamedOnlyByOldHeartbeatIsEnded: a copy of a heartbeat of before the failover names a task that
-// ended long ago. The next heartbeat, under this leader's fencing token, proves it gone;
-// with the leader's own token on it, its task waited until the epoch was advanced for
-// something else.
+// TestTaskNamedOnlyByOldHeartbeatIsEnded checks that a task is ended if only a delayed copy of a heartbeat from before
+// the failover names it. The next heartbeat with this leader's fencing token proves it gone. Guards against giving the
+// adopted placement the leader's own token: the task then had to wait until the epoch was advanced for another reason.
 func TestTaskNamedOnlyByOldHeartbeatIsEnded(t *testing.T) {
 	f := newFixture(1)
-	f.machine.HeartbeatSeq = 0 // a leader that knows nothing newer
+	f.machine.HeartbeatSeq = 0 // as for a leader that knows no newer heartbeat
 	f.sendHeartbeat(1, 1, epoch-3, taskStatus(0, 5, TaskRunning, ""))
 	if f.job.Placements[0] == nil {
-		t.Fatal("what may run does not count")
+		t.Fatal("a task that may be running has no placement")
 	}
 	f.sendHeartbeat(1, 9, epoch-1)
 	f.sendHeartbeat(1, 10, epoch)
 	if f.job.Placements[0] != nil || !f.job.Queue.Contains(0) {
-		t.Error("a task that no newer heartbeat names still counts")
+		t.Error("a task that newer heartbeats do not report still has a placement, or is not queued")
 	}
 }
--- a/internal/fleet/image_cache.go
+++ b/internal/fleet/image_cache.go
@@ -5,8 +5,8 @@
 	"badgerbay/internal/ident"
 )
 
-// imageCache estimates which images a machine holds: workers don't report it. It evicts
-// the least recently used image, as workers do.
+// imageCache estimates which images are cached on a machine, because workers do not report them. It evicts the least
+// recently used image, as workers do.
 type imageCache map[ident.Image]cachedImage
 
 type cachedImage struct {
@@ -14,8 +14,8 @@
 	lastUsed clock.Instant
 }
 
-// use notes that a task with the image runs. A capacity of 0 GB is not known and evicts
-// nothing; the image in use is kept whatever its size.
+// use records that a task with the image runs. A capacity of 0 GB means that the capacity is unknown, and evicts
+// nothing. The image in use is kept whatever its size.
 func (c imageCache) use(now clock.Instant, image ident.Image, sizeGB, capacityGB float64) {
 	c[image] = cachedImage{sizeGB: sizeGB, lastUsed: now}
 	if capacityGB <= 0 {
@@ -34,7 +34,7 @@
 	return sum
 }
 
-// leastRecentlyUsed returns the image unused for longest; of several the first by name.
+// leastRecentlyUsed returns the image with the oldest use, or the first by name if several have the same.
 func (c imageCache) leastRecentlyUsed() ident.Image {
 	var oldest ident.Image
 	first := true
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,38 +7,39 @@
 	"badgerbay/internal/ident"
 )
 
-// DelegatedRenewal says what nodes other than the leader may have done to renew the leases
-// of a zone's workers under grants of this leader or an earlier one.
+// DelegatedRenewal bounds the times at which nodes other than the leader may have renewed the leases of a zone's
+// workers under grants of this leader or an earlier one.
 type DelegatedRenewal struct {
-	LastRenewal    clock.Instant // the latest at which one may have renewed a lease
-	NoneUntil      clock.Instant // from LastRenewal until then surely none did
-	GrantsExpireAt clock.Instant // after that none can
+	LastRenewal    clock.Instant // latest time, up to NoneUntil, at which a node may have renewed a lease
+	NoneUntil      clock.Instant // no node renewed a lease between LastRenewal and this time
+	GrantsExpireAt clock.Instant // no node can renew a lease after this time
 }
 
-// SetDelegatedRenewals sets the source of what other nodes may have done in a zone; it
-// returns false where no other node can have renewed a lease.
+// SetDelegatedRenewals sets the function that returns the delegated renewals of a zone. Its second result is false if
+// no other node can have renewed a lease in the zone.
 func (f *Fleet) SetDelegatedRenewals(renewalIn func(ident.Zone) (DelegatedRenewal, bool)) {
 	f.delegatedRenewal = renewalIn
 }
 
 const (
-	// leaseMargin is added to a lease for timers that fire late.
+	// leaseMargin is added to the duration of a lease to allow for timers that fire late.
 	leaseMargin = 500 * time.Millisecond
-	// MaxClockDrift is the part by which a steady clock may run fast or slow.
+	// MaxClockDrift is the maximum error in the rate of a monotonic clock, as a fraction of elapsed time.
 	MaxClockDrift = 0.0005
 )
 
-// LeaseExpired tells whether the machine's worker has surely lost its lease: it counts
-// from the last answer that any entitled node can have given, a node that renews leases
-// under a grant included.
+// LeaseExpired reports whether the lease of the machine's worker is certain to have expired. The lease counts from the
+// latest time at which any entitled node may have renewed it: this leader, an earlier leader until leaderSince, or a
+// node that renews leases under a grant.
 func (f *Fleet) LeaseExpired(now clock.Instant, m *Machine) bool {
 	lastRenewal := max(m.LastRenewal, f.leaderSince)
 	ttl := f.maxLeaseTTL()
 	if f.delegatedRenewal != nil {
 		if delegated, ok := f.delegatedRenewal(m.Zone); ok {
 			lastRenewal = max(lastRenewal, delegated.LastRenewal)
-			// It expired while surely no node renewed it, or has expired since no
-			// node can renew it any more.
+			// The lease has expired if its TTL passed
+			//  1. before NoneUntil, while no other node renewed it, or
+			//  2. after GrantsExpireAt, since when no other node can renew it.
 			return min(now, delegated.NoneUntil).Sub(lastRenewal) > ttl ||
 				now.Sub(max(lastRenewal, delegated.GrantsExpireAt)) > ttl
 		}
@@ -46,14 +47,14 @@
 	return now.Sub(lastRenewal) > ttl
 }
 
-// maxLeaseTTL is how long a lease lasts by a leader's clock that is fast, and a worker's
-// that is slow.
+// maxLeaseTTL returns the longest time for which a worker can hold a lease, as measured by the leader: the leader's
+// clock runs fast and the worker's runs slow.
 func (f *Fleet) maxLeaseTTL() time.Duration {
 	return time.Duration(float64(f.timing.LeaseTTL)*(1+2*MaxClockDrift)) + leaseMargin
 }
 
-// ExpireLeases ends the placements of machines whose lease has surely expired. Their
-// session is over, so whatever comes of it from now on is stale.
+// ExpireLeases ends the placements of machines whose lease is certain to have expired. Their session has ended too: its
+// number is advanced, so that later messages of the old session are stale.
 func (f *Fleet) ExpireLeases(now clock.Instant) Changes {
 	var changes Changes
 	for _, m := range f.Machines() {
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -2,19 +2,19 @@
 
 import "badgerbay/internal/jobs"
 
-// Load counts the placements that may exist on a machine, so that a scheduling round need
-// not look at each.
+// Load counts the placements that may exist on a machine, so that a scheduling round does not have to iterate over
+// them.
 type Load struct {
 	Tasks    int
 	Services int
 	Stopping int
-	// ServiceResources is what the service replicas hold.
+	// ServiceResources is the sum of the resources of the service replicas.
 	ServiceResources jobs.Resources
 	// TasksByPriority counts the placements by the priority of their jobs.
 	TasksByPriority [jobs.PriorityProd + 1]int
 }
 
-// add counts a placement n times; -1 takes it out.
+// add adds a placement to the counts n times; an n of -1 removes it.
 func (l *Load) add(p *jobs.Placement, n int) {
 	l.Tasks += n
 	l.TasksByPriority[p.Job.Spec.Priority] += n
@@ -27,7 +27,7 @@
 	}
 }
 
-// TasksBelow counts the placements of a lower priority.
+// TasksBelow returns the number of placements with a lower priority.
 func (l *Load) TasksBelow(priority jobs.Priority) int {
 	sum := 0
 	for _, n := range l.TasksByPriority[:priority] {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,46 +9,46 @@
 	"badgerbay/internal/jobs"
 )
 
-// Machine is one machine as the leader knows it. Instants of 0 mean never.
+// Machine is the leader's view of one machine. An instant of 0 means never.
 type Machine struct {
 	ID           ident.MachineID
-	Addr         string // of its worker, host and port; empty: not known yet
+	Addr         string // host and port of its worker; empty: not known yet
 	Type         ident.MachineType
 	Zone         ident.Zone
 	Spot         bool
 	Session      ident.Session
-	HeartbeatSeq ident.HeartbeatSeq // of the newest heartbeat in the session
-	FencingToken ident.Epoch        // the highest that the worker has reported
+	HeartbeatSeq ident.HeartbeatSeq // of the newest heartbeat or command response in the session
+	FencingToken ident.Epoch        // highest token that the worker has reported
 
-	Up             bool          // heard from in its present session, and not lost since
+	Up             bool          // has sent a status in its current session, and was not lost since
 	ListedAt       clock.Instant // when the cloud first listed it
 	Failed         bool          // the cloud lists it as failed
-	KnownSince     clock.Instant // when this leader learned of it
-	ProvisionedAt  clock.Instant // about when the cloud began to provide it
-	LastContact    clock.Instant // last heartbeat or answer to a command
-	LastHeartbeat  clock.Instant // last heartbeat sent by itself, not in answer to a command
-	LastRenewal    clock.Instant // the latest that its lease may have been renewed
+	KnownSince     clock.Instant // when this leader first learned of it
+	ProvisionedAt  clock.Instant // approximate time at which the cloud began to provision it
+	LastContact    clock.Instant // last heartbeat or response to a command
+	LastHeartbeat  clock.Instant // last heartbeat, without responses to commands
+	LastRenewal    clock.Instant // latest time at which its lease may have been renewed
 	IdleSince      clock.Instant
-	InterruptionAt clock.Instant // when the cloud takes it back; 0: no notice
-	Deprovisioning bool          // recorded to be deprovisioned: gets no task again
+	InterruptionAt clock.Instant // when the cloud will reclaim it; 0: no interruption notice
+	Deprovisioning bool          // its deprovisioning is recorded; it gets no more tasks
 	Removed        bool
-	// ConsecutiveFailures counts the tasks that failed here in a row.
+	// ConsecutiveFailures is the number of consecutive tasks that failed on the machine.
 	ConsecutiveFailures int
-	Quarantined         bool // gets no task because tasks fail on it
-	Draining            bool // is being emptied, to be deprovisioned
-	// Confirmed tells that the machine surely exists: a record or a provision answer
-	// names it, it has answered a command, or has reported the fencing token of this
-	// leader. Until then a heartbeat may be a copy that was long on its way.
+	Quarantined         bool // gets no tasks because tasks fail on it
+	Draining            bool // is being drained before it is deprovisioned
+	// Confirmed means that the machine is certain to exist: a record or the response to a provision request names it,
+	// it has responded to a command, or it has reported a fencing token of this leader. Until then, its heartbeats may
+	// be copies that were delayed in transit for a long time.
 	Confirmed bool
 
-	unansweredCommands int // in a row
+	unansweredCommands int // consecutive
 	lastUnansweredAt   clock.Instant
 	commandInFlight    bool
-	lastProbeAt        clock.Instant // when it was last sent an empty command
+	lastProbeAt        clock.Instant // when the last empty command was sent to it
 	heartbeatRequested bool          // see Fleet.ClaimHeartbeatRequests
 
 	placements map[placementKey]*jobs.Placement
-	orphans    map[placementKey]TaskStatus // tasks of unknown jobs, or further copies of a task
+	orphans    map[placementKey]TaskStatus // tasks of unknown jobs, and additional copies of tasks that have a placement
 	load       Load
 	used       jobs.Resources
 	images     imageCache
@@ -66,8 +66,7 @@
 	}
 }
 
-// placementKey tells the attempts of a task apart: the tombstone of one must stay while
-// the next runs.
+// placementKey identifies one attempt of a task: the tombstone of an attempt must be kept while the next attempt runs.
 type placementKey struct {
 	task    ident.TaskID
 	attempt ident.Attempt
@@ -75,7 +74,7 @@
 
 func keyOf(p *jobs.Placement) placementKey { return placementKey{p.ID(), p.Attempt} }
 
-// compare orders keys by task, then attempt.
+// compare orders keys by task, then by attempt.
 func (k placementKey) compare(other placementKey) int {
 	return cmp.Or(
 		cmp.Compare(k.task.Job, other.task.Job),
@@ -88,17 +87,17 @@
 	slices.SortFunc(placements, func(a, b *jobs.Placement) int { return keyOf(a).compare(keyOf(b)) })
 }
 
-// HeartbeatRequested tells whether the machine was asked for a heartbeat after a failover.
+// HeartbeatRequested reports whether a heartbeat was requested from the machine after a failover.
 func (m *Machine) HeartbeatRequested() bool { return m.heartbeatRequested }
 
-// HasImage tells whether the image is probably on the machine.
+// HasImage reports whether the image is probably cached on the machine.
 func (m *Machine) HasImage(image ident.Image) bool {
 	_, cached := m.images[image]
 	return cached
 }
 
-// HasAttempt tells whether a task of the job was placed here in the attempt, and the
-// worker may still remember its exit.
+// HasAttempt reports whether a task of the job was placed on the machine in the attempt, and either has not ended or
+// its exit may still be remembered by the worker.
 func (m *Machine) HasAttempt(job ident.JobID, attempt ident.Attempt) bool {
 	for key := range m.placements {
 		if key.task.Job == job && key.attempt == attempt {
@@ -126,14 +125,13 @@
 	return live
 }
 
-// Busy tells whether any task may run on the machine.
+// Busy reports whether any task may be running on the machine.
 func (m *Machine) Busy() bool { return m.load.Tasks > 0 || m.HasRunningStray() }
 
-// RunsService tells whether a service runs on the machine, so that it won't be
-// deprovisioned soon.
+// RunsService reports whether a service runs on the machine, in which case it will not be deprovisioned soon.
 func (m *Machine) RunsService() bool { return m.load.Services > 0 }
 
-// HasRunningStray tells whether a task that no placement names may run here.
+// HasRunningStray reports whether a task without a placement may be running on the machine.
 func (m *Machine) HasRunningStray() bool {
 	for _, status := range m.orphans {
 		if status.State != TaskExited {
@@ -143,14 +141,14 @@
 	return false
 }
 
-// SetAttributes describes a machine that has sent no heartbeat yet.
+// SetAttributes sets the type, zone and spot flag of a machine that has not sent a heartbeat yet.
 func (m *Machine) SetAttributes(machineType ident.MachineType, zone ident.Zone, spot bool) {
 	m.setZone(zone)
 	m.Type, m.Spot = machineType, spot
 }
 
-// setZone corrects the zone counts of jobs whose placements were restored before the
-// machine's zone was known.
+// setZone sets the machine's zone and corrects the zone counts of jobs whose placements were restored before the zone
+// was known.
 func (m *Machine) setZone(zone ident.Zone) {
 	if m.Zone == zone {
 		return
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -8,8 +8,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestRemovedMachinesAreRemembered: what ran on a removed machine has ended, and old lists
-// that name it are told apart from new machines for a while.
+// TestRemovedMachinesAreRemembered checks that the placements of a removed machine end, and that the machine counts as
+// removed for the retention time, so that an outdated list that names it is not mistaken for a new machine.
 func TestRemovedMachinesAreRemembered(t *testing.T) {
 	const retention = time.Minute
 	f := newFixture(1)
@@ -19,23 +19,23 @@
 		t.Errorf("changes %+v", changes)
 	}
 	if f.fleet.Len() != 0 || f.fleet.TombstoneCount() != 0 || !f.fleet.WasRemoved("host-1") || !f.machine.Removed {
-		t.Error("not removed, or not remembered")
+		t.Error("not removed, or not recorded as removed")
 	}
 	if changes := f.fleet.Remove(f.now, "host-1"); len(changes.Ended) != 0 {
 		t.Errorf("removed twice: %+v", changes)
 	}
 	f.fleet.PruneRemoved(f.now.Add(retention), retention)
 	if !f.fleet.WasRemoved("host-1") {
-		t.Error("forgotten before its time")
+		t.Error("pruned before the retention time has passed")
 	}
 	f.fleet.PruneRemoved(f.now.Add(retention+1), retention)
 	if f.fleet.WasRemoved("host-1") {
-		t.Error("never forgotten")
+		t.Error("not pruned after the retention time")
 	}
 }
 
-// TestFailedMachinesAreNotActive: what ran on a failed machine has ended, and it gets no
-// task; a machine that is being deprovisioned is not active either.
+// TestFailedMachinesAreNotActive checks that the placements of a failed machine end and that it gets no tasks, and that
+// neither a failed machine nor one that is being deprovisioned counts as active.
 func TestFailedMachinesAreNotActive(t *testing.T) {
 	f := newFixture(1)
 	f.fleet.Ensure(f.now, "host-2").Up = true
@@ -53,12 +53,12 @@
 	}
 }
 
-// TestZoneCountsFollowMachineZone: a placement that was restored before the zone of its
-// machine was known counts in the right zone once it is.
+// TestZoneCountsFollowMachineZone checks that a placement that was restored before the zone of its machine was known is
+// counted in that zone as soon as it is known.
 func TestZoneCountsFollowMachineZone(t *testing.T) {
 	f := newFixture(1)
 	m := f.fleet.Ensure(f.now, "host-2")
-	m.Session = 1 // as the record has it
+	m.Session = 1 // as in the record
 	f.fleet.Place(f.now, &jobs.Placement{Job: f.job, Task: 0, Machine: m.ID, Session: 1, Attempt: 5})
 	m.SetAttributes("m", "b", true)
 	if f.job.PlacementsByZone[""] != 0 || f.job.PlacementsByZone["b"] != 1 || !m.Spot || m.Type != "m" {
@@ -70,8 +70,7 @@
 	}
 }
 
-// TestLoadFollowsPlacements: the counts of a machine and its free capacity follow its
-// placements.
+// TestLoadFollowsPlacements checks that the load and the free capacity of a machine are updated with its placements.
 func TestLoadFollowsPlacements(t *testing.T) {
 	f := newFixture(2)
 	f.place(0, 5)
@@ -83,7 +82,7 @@
 	if free := f.fleet.FreeCapacity(f.machine); free.CPUs != 2 || free.MemoryGB != 6 {
 		t.Errorf("free %+v", free)
 	}
-	f.fleet.Commands(f.machine, false) // sends the starts
+	f.fleet.Commands(f.machine, false) // marks the start commands as sent
 	f.fleet.StopPlacement(f.now, q, time.Second)
 	if load.Stopping != 1 || !f.machine.HasAttempt(f.job.ID, 6) || f.machine.HasAttempt(f.job.ID, 7) {
 		t.Errorf("load %+v", load)
@@ -94,8 +93,8 @@
 	}
 }
 
-// TestInterruptionNoticeIsReportedOnce: a machine that the cloud takes back gets no tasks until
-// the notice is withdrawn.
+// TestInterruptionNoticeIsReportedOnce checks that an interruption notice is reported as new only once, and that a
+// machine that the cloud will reclaim gets no tasks until the notice is withdrawn.
 func TestInterruptionNoticeIsReportedOnce(t *testing.T) {
 	f := newFixture(1)
 	seq := ident.HeartbeatSeq(1)
@@ -108,9 +107,9 @@
 		t.Errorf("interrupted at %v", f.machine.InterruptionAt)
 	}
 	if heartbeat(true).InterruptionNoticed {
-		t.Error("told twice")
+		t.Error("the notice was reported twice")
 	}
 	if heartbeat(false).InterruptionNoticed || f.machine.InterruptionAt != 0 || !f.fleet.Schedulable(f.machine) {
-		t.Error("the notice was withdrawn, and still counts")
+		t.Error("the notice still applies after it was withdrawn")
 	}
 }
--- a/internal/fleet/machine_type.go
+++ b/internal/fleet/machine_type.go
@@ -11,16 +11,16 @@
 type MachineType struct {
 	Name            ident.MachineType
 	Capacity        jobs.Resources
-	CacheGB         float64 // of the local image cache; 0: not known
-	FetchGBps       float64 // gigabytes a second at which images are fetched
+	CacheGB         float64 // size of the local image cache; 0: not known
+	FetchGBps       float64 // rate at which images are fetched, in gigabytes per second
 	HourlyPrice     float64
 	HourlySpotPrice float64
 	BootTime        time.Duration
-	Zones           []ident.Zone // empty: all
+	Zones           []ident.Zone // empty: all zones of the deployment
 }
 
-// AvailableZones returns those of the deployment's zones in which the cloud has the type:
-// all if the cloud names none.
+// AvailableZones returns the zones in which the cloud offers the type, or all, the zones of the deployment, if the
+// cloud names none.
 func (t *MachineType) AvailableZones(all []ident.Zone) []ident.Zone {
 	if len(t.Zones) > 0 {
 		return t.Zones
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -7,7 +7,7 @@
 	"badgerbay/internal/jobs"
 )
 
-// Place puts a placement on its machine.
+// Place adds a placement to its machine and its job.
 func (f *Fleet) Place(now clock.Instant, p *jobs.Placement) {
 	m := f.Ensure(now, p.Machine)
 	m.placements[keyOf(p)] = p
@@ -16,14 +16,14 @@
 	p.Job.AddPlacement(p, m.Zone)
 }
 
-// Retract takes back a placement whose start command was never sent and never will be.
+// Retract removes a placement whose start command was never sent and never will be.
 func (f *Fleet) Retract(now clock.Instant, p *jobs.Placement) {
 	f.endPlacement(now, p, true)
 	f.dropPlacement(p)
 }
 
-// StopPlacement stops a task, which may save a checkpoint for the grace period. A
-// placement whose start command was never sent ends at once: it is never sent any more.
+// StopPlacement stops a task, which may save a checkpoint within the grace period. A placement whose start command was
+// never sent ends at once, and the command will not be sent.
 func (f *Fleet) StopPlacement(now clock.Instant, p *jobs.Placement, gracePeriod time.Duration) {
 	if p.State == jobs.PlacementEnded || p.Stopping && gracePeriod >= p.GracePeriod {
 		return
@@ -42,7 +42,7 @@
 	f.ScheduleCommand(p.Machine)
 }
 
-// endPlacement notes that a placement has ended; it stays as a tombstone.
+// endPlacement marks a placement as ended and keeps it as a tombstone.
 func (f *Fleet) endPlacement(now clock.Instant, p *jobs.Placement, requeue bool) {
 	if p.State == jobs.PlacementEnded {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// dropPlacement forgets a placement that has ended and can't be started any more.
+// dropPlacement deletes an ended placement that can no longer be started.
 func (f *Fleet) dropPlacement(p *jobs.Placement) {
 	m := f.machines[p.Machine]
 	if m != nil && m.placements[keyOf(p)] == p {
@@ -68,7 +68,7 @@
 	}
 }
 
-// endAllPlacements ends and forgets every placement of a machine that surely runs none.
+// endAllPlacements ends and deletes every placement of a machine that is certain to run none of them.
 func (f *Fleet) endAllPlacements(now clock.Instant, m *Machine, changes *Changes) {
 	for _, p := range m.LivePlacements() {
 		f.endPlacement(now, p, true)
@@ -80,8 +80,8 @@
 	m.used = jobs.Resources{}
 }
 
-// FreeCapacity is what all placements that may exist leave of the machine; nothing if its
-// type is not known.
+// FreeCapacity returns the machine's capacity minus the resources of all placements that may exist on it, or no
+// capacity if its type is unknown.
 func (f *Fleet) FreeCapacity(m *Machine) jobs.Resources {
 	t := f.machineTypes[m.Type]
 	if t == nil {
@@ -90,16 +90,16 @@
 	return t.Capacity.Sub(m.used)
 }
 
-// Schedulable tells whether the machine may get tasks.
+// Schedulable reports whether the machine may get tasks.
 func (f *Fleet) Schedulable(m *Machine) bool {
 	reachable := m.Up && m.Confirmed && m.unansweredCommands < maxUnansweredCommands
 	leaving := m.Deprovisioning || m.Removed || m.Failed || m.InterruptionAt != 0 || m.Draining
 	return reachable && !leaving && !m.Quarantined && !m.HasRunningStray() && f.machineTypes[m.Type] != nil
 }
 
-// HeartbeatOverdue tells whether the machine has missed heartbeats, so that a start
-// command sent to it would probably hang. Answers to commands don't count: a machine that
-// takes commands but reaches no node loses all it has with its lease.
+// HeartbeatOverdue reports whether the machine has missed heartbeats, so that a start command sent to it would probably
+// hang. Responses to commands do not count, except during Timing.RejoinGrace: a machine that accepts commands but
+// cannot reach any node loses its lease, and with it all its tasks.
 func (f *Fleet) HeartbeatOverdue(now clock.Instant, m *Machine) bool {
 	if m.Up && now.Sub(f.leaderSince) < f.timing.RejoinGrace {
 		return false
--- a/internal/fleet/placement_test.go
+++ b/internal/fleet/placement_test.go
@@ -10,76 +10,77 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestStopBeforeStartIsSent: a start that was never sent ends at once when it is stopped;
-// one that may have been sent is stopped until it surely has ended.
+// TestStopBeforeStartIsSent checks that a placement whose start command was never sent ends at once when it is stopped,
+// and that a placement whose start command may have been sent gets a stop command and does not end before it is certain
+// that the task has ended.
 func TestStopBeforeStartIsSent(t *testing.T) {
 	f := newFixture(2)
 	p, q := f.place(0, 5), f.place(1, 5)
 	f.fleet.StopPlacement(f.now, p, 0)
 	if p.State != jobs.PlacementEnded {
-		t.Error("the start that was never sent is still pending")
+		t.Error("the placement whose start command was never sent has not ended")
 	}
 	f.fleet.Commands(f.machine, false)
 	f.fleet.StopPlacement(f.now, q, 0)
 	if q.State == jobs.PlacementEnded {
-		t.Error("the start that was sent is taken for ended")
+		t.Error("the placement whose start command was sent has ended without a report of its worker")
 	}
 	if got := describeCommands(f.fleet.Commands(f.machine, false)); !cmp.Equal(got, []string{"halt 1/5"}) {
 		t.Errorf("commands %v", got)
 	}
 }
 
-// TestUnconfirmedMachinesGetNoTasks: the heartbeat of an unconfirmed machine may be a copy,
-// long after an earlier leader deprovisioned the machine.
+// TestUnconfirmedMachinesGetNoTasks checks that an unconfirmed machine is probed and gets no tasks before it responds:
+// its heartbeat may be a delayed copy that arrives long after an earlier leader deprovisioned the machine.
 func TestUnconfirmedMachinesGetNoTasks(t *testing.T) {
 	f := newFixture(1)
 	staleHeartbeat := &Heartbeat{Machine: "host-9", Addr: "10.0.0.9:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 70, FencingToken: epoch - 3}
 	f.fleet.ApplyHeartbeat(f.now, staleHeartbeat)
 	m := f.fleet.Machine("host-9")
 	if f.fleet.Schedulable(m) {
-		t.Fatal("a machine known by one old heartbeat may get tasks")
+		t.Fatal("a machine that is known only from an old heartbeat is schedulable")
 	}
 	if got := f.fleet.ClaimProbes(f.now); len(got) != 1 || got[0] != m || f.fleet.ClaimProbes(f.now) != nil {
-		t.Fatalf("probed: %v, want the unconfirmed machine once", got)
+		t.Fatalf("probed %v, want the unconfirmed machine once", got)
 	}
 	f.fleet.FinishCommand(f.now, m.ID, false)
 	if f.fleet.Schedulable(m) {
-		t.Error("it did not answer and may get tasks")
+		t.Error("a machine that did not respond is schedulable")
 	}
 	response := *staleHeartbeat
 	response.HeartbeatSeq++
 	f.fleet.FinishCommand(f.now, m.ID, true)
 	f.fleet.ApplyCommandAnswer(f.now, &response)
 	if !f.fleet.Schedulable(m) {
-		t.Error("it has answered and gets no tasks")
+		t.Error("a machine that has responded is not schedulable")
 	}
 	if !f.fleet.Schedulable(f.machine) {
-		t.Error("one that has reported this leader's fencing token gets no tasks")
+		t.Error("a machine that has reported this leader's fencing token is not schedulable")
 	}
 }
 
-// TestUnreachableMachinesGetNoTasks: where heartbeats arrive and no command does, no task is
-// placed, in a later session either; after a while it is tried again.
+// TestUnreachableMachinesGetNoTasks checks that a machine whose heartbeats arrive, but which does not respond to
+// commands, gets no tasks, not even in its next session, until unansweredCommandWindow has passed.
 func TestUnreachableMachinesGetNoTasks(t *testing.T) {
 	f := newFixture(1)
 	f.fleet.FinishCommand(f.now, f.machine.ID, false)
 	if !f.fleet.Schedulable(f.machine) {
-		t.Fatal("one lost command takes a machine out")
+		t.Fatal("a machine is not schedulable after one unanswered command")
 	}
 	f.fleet.FinishCommand(f.now, f.machine.ID, false)
 	f.sendHeartbeat(2, 1, epoch)
 	if f.fleet.Schedulable(f.machine) {
-		t.Error("a machine that hears nothing may get tasks in its next session")
+		t.Error("a machine that does not respond to commands is schedulable in its next session")
 	}
 	f.now = f.now.Add(unansweredCommandWindow + time.Second)
 	f.sendHeartbeat(2, 9, epoch)
 	if !f.fleet.Schedulable(f.machine) {
-		t.Error("never tried again")
+		t.Error("not schedulable after unansweredCommandWindow")
 	}
 }
 
-// TestMachineWithoutHeartbeatsGetsNoTasks: a machine whose heartbeats no longer come
-// gets no task, though it answers commands: its lease expires all the same.
+// TestMachineWithoutHeartbeatsGetsNoTasks checks that a machine whose heartbeats no longer arrive gets no tasks
+// although it responds to commands, because its lease expires nevertheless.
 func TestMachineWithoutHeartbeatsGetsNoTasks(t *testing.T) {
 	f := newFixture(1)
 	for range 4 {
@@ -87,29 +88,28 @@
 		f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch})
 	}
 	if !f.fleet.HeartbeatOverdue(f.now, f.machine) {
-		t.Error("a machine that only answers commands may get tasks")
+		t.Error("the heartbeats of a machine that only responds to commands are not overdue")
 	}
 	f.sendHeartbeat(1, f.machine.HeartbeatSeq+1, epoch)
 	if f.fleet.HeartbeatOverdue(f.now, f.machine) {
-		t.Error("a machine that sends heartbeats again gets nothing")
+		t.Error("the heartbeats of a machine that sends them again are overdue")
 	}
 }
 
-// TestCommandResponsesCountDuringRejoinGrace: a machine that answers a command may get tasks
-// for as long as its worker may still wait for the lost leader, and no longer without a
-// heartbeat.
+// TestCommandResponsesCountDuringRejoinGrace checks that a machine that responds to a command may get tasks while its
+// worker may still be waiting for the previous leader, but not afterwards unless it sends a heartbeat.
 func TestCommandResponsesCountDuringRejoinGrace(t *testing.T) {
 	const rejoinGrace = 8 * time.Second
 	f := New(Timing{HeartbeatInterval: time.Second, LeaseTTL: 27 * time.Second, RejoinGrace: rejoinGrace}, epoch, t0, func(ident.JobID) *jobs.Job { return nil })
 	m := f.Ensure(t0, "host-1")
 	if !f.HeartbeatOverdue(t0, m) {
-		t.Error("a machine that nothing was heard of")
+		t.Error("the heartbeats of a machine that has sent no status are not overdue")
 	}
 	f.ApplyCommandAnswer(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1})
 	if f.HeartbeatOverdue(t0.Add(rejoinGrace-time.Second), m) {
-		t.Error("its worker may still be waiting for the lost leader")
+		t.Error("heartbeats are overdue although the worker may still be waiting for the previous leader")
 	}
 	if !f.HeartbeatOverdue(t0.Add(rejoinGrace), m) {
-		t.Error("it answers commands, and has sent no heartbeat")
+		t.Error("heartbeats are not overdue although the grace period has passed without one")
 	}
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -6,7 +6,7 @@
 	"badgerbay/internal/jobs"
 )
 
-// reconcilePlacements compares the tasks in a heartbeat with the placements.
+// reconcilePlacements reconciles the machine's placements with the tasks in a heartbeat.
 func (f *Fleet) reconcilePlacements(now clock.Instant, m *Machine, h *Heartbeat, changes *Changes) {
 	reported := make(map[placementKey]bool, len(h.Tasks))
 	m.orphans = map[placementKey]TaskStatus{}
@@ -26,7 +26,7 @@
 	}
 }
 
-// missingPlacements returns the placements that a heartbeat lacks, sorted by task.
+// missingPlacements returns the placements that a heartbeat does not report, sorted by task.
 func (m *Machine) missingPlacements(reported map[placementKey]bool) []*jobs.Placement {
 	var missing []*jobs.Placement
 	for key, p := range m.placements {
@@ -38,14 +38,14 @@
 	return missing
 }
 
-// adoptOrphan makes a placement for a task that none names, so that it counts like any
-// other: what may run must not be started elsewhere. If the job is not known, or the task
-// has a placement already, it returns nil, the worker is told to stop the task, and the
-// machine gets nothing until it is gone.
+// adoptOrphan creates a placement for a reported task that has none, because a task that may be running must not be
+// started on another machine. If the job is unknown or does not contain the task, or if the task already has a
+// placement, adoptOrphan returns nil. The worker is then commanded to stop the task, and the machine gets no tasks
+// until the orphan has stopped.
 //
-// The start command was sent under the fencing token that the worker had seen, at most.
-// With this leader's own token a task that only an old copy of a heartbeat named could not
-// be proven gone.
+// The placement gets the fencing token from the heartbeat, because the start command cannot have been sent under a
+// higher token. With this leader's own token, a task that only a delayed copy of an old heartbeat names could not be
+// proven gone by the next heartbeats.
 func (f *Fleet) adoptOrphan(now clock.Instant, m *Machine, status TaskStatus, token ident.Epoch) *jobs.Placement {
 	job := f.findJob(status.Task.Job)
 	if job == nil || !canAdopt(job, status) {
@@ -67,7 +67,7 @@
 	return p
 }
 
-// canAdopt tells whether the job has the task, and no other placement of it if it runs.
+// canAdopt reports whether the job contains the task and, unless the task has exited, has no other placement of it.
 func canAdopt(job *jobs.Job, status TaskStatus) bool {
 	if int(status.Task.Index) >= job.Spec.Tasks {
 		return false
@@ -75,7 +75,7 @@
 	return status.State == TaskExited || job.Placements[status.Task.Index] == nil
 }
 
-// adoptExited adds the tombstone of a task that exited without a placement.
+// adoptExited adds a tombstone for a task that exited without a placement.
 func (f *Fleet) adoptExited(now clock.Instant, m *Machine, p *jobs.Placement, cause ExitCause) {
 	if cause == ExitDone {
 		p.Job.CompleteTask(now, p.Task)
@@ -110,19 +110,19 @@
 	}
 }
 
-// handleMissing handles a placement that a heartbeat lacks. Its start command may be on
-// the way, so absence proves something only if the worker has seen a higher fencing token
-// than any that the command was sent under: then it will never be executed.
+// handleMissing handles a placement that a heartbeat does not report. Its start command may still be in transit, so the
+// absence is conclusive only if the worker has seen a higher fencing token than any under which the command was sent:
+// then the command will never be executed.
 func (f *Fleet) handleMissing(now clock.Instant, p *jobs.Placement, h *Heartbeat, changes *Changes) {
 	if h.FencingToken <= p.FencingToken {
 		return
 	}
 	if p.State == jobs.PlacementEnded {
-		f.dropPlacement(p) // forgotten by the worker
+		f.dropPlacement(p) // the worker has deleted its record of the exit
 		return
 	}
 	if p.StartAllowed && p.FencingToken == 0 {
-		return // committed under this epoch and not sent yet
+		return // committed under this epoch, but not sent yet
 	}
 	f.endPlacement(now, p, true)
 	f.dropPlacement(p)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -12,12 +12,12 @@
 	"badgerbay/internal/wire"
 )
 
-// MaxMessageBytes bounds the bodies that are exchanged with workers.
+// MaxMessageBytes limits the size of the bodies that are exchanged with workers.
 const MaxMessageBytes = 64 << 10
 
 const maxNameBytes = 128
 
-// ErrMalformedHeartbeat says that a heartbeat can't be used whatever its task entries say.
+// ErrMalformedHeartbeat is returned when a heartbeat cannot be used, whatever its task entries contain.
 var ErrMalformedHeartbeat = errors.New("malformed heartbeat")
 
 type wireTask struct {
@@ -63,9 +63,8 @@
 	Leader string `msgpack:"clerk,omitempty"`
 }
 
-// DecodeHeartbeat decodes a heartbeat. Task entries that make no sense are left out and
-// counted: one strange task must not hide the machine's others. Errors wrap
-// ErrMalformedHeartbeat.
+// DecodeHeartbeat decodes a heartbeat. Invalid task entries are skipped and counted, because one invalid entry must not
+// hide the machine's other tasks. Errors wrap ErrMalformedHeartbeat.
 func DecodeHeartbeat(data []byte) (*Heartbeat, error) {
 	var w wireHeartbeat
 	if err := msgpack.Unmarshal(data, &w); err != nil {
@@ -93,13 +92,13 @@
 
 func (w *wireHeartbeat) validate() error {
 	if w.Machine == "" || w.Session == 0 {
-		return errors.New("no machine or session")
+		return errors.New("machine ID or session is missing")
 	}
 	if max(len(w.Machine), len(w.MachineType), len(w.Zone)) > maxNameBytes {
-		return fmt.Errorf("name longer than %d bytes", maxNameBytes)
+		return fmt.Errorf("machine ID, machine type or zone is longer than %d bytes", maxNameBytes)
 	}
 	if _, err := netip.ParseAddrPort(w.Addr); err != nil {
-		return fmt.Errorf("address: %w", err)
+		return fmt.Errorf("parsing worker address: %w", err)
 	}
 	return nil
 }
@@ -136,18 +135,18 @@
 	return out
 }
 
-// EncodeHeartbeatAnswer encodes the answer to a heartbeat: the body of a 200.
+// EncodeHeartbeatAnswer encodes the response to a heartbeat, which is sent with status 200.
 func EncodeHeartbeatAnswer(token ident.Epoch, commands []Command) ([]byte, error) {
 	return msgpack.Marshal(wireHeartbeatResponse{FencingToken: token, Commands: wireCommands(commands)})
 }
 
-// EncodeDirectCommands encodes commands that a worker is sent outside the answer to a
-// heartbeat; it refuses them in any other session.
+// EncodeDirectCommands encodes commands that are sent to a worker outside the response to a heartbeat. The worker
+// refuses them if it is in another session.
 func EncodeDirectCommands(token ident.Epoch, session ident.Session, commands []Command) ([]byte, error) {
 	return msgpack.Marshal(wireDirectCommands{FencingToken: token, Session: session, Commands: wireCommands(commands)})
 }
 
-// EncodeRedirect encodes the body of a 421, with the leader's label or without.
+// EncodeRedirect encodes the body of a response with status 421. The leader's label is omitted if it is empty.
 func EncodeRedirect(leader string) ([]byte, error) {
 	return msgpack.Marshal(wireRedirect{Leader: leader})
 }
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -6,6 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// FuzzDecodeHeartbeat checks that decoding does not panic, and that every decoded heartbeat has a machine and a
+// session.
 func FuzzDecodeHeartbeat(f *testing.F) {
 	seed, err := msgpack.Marshal(map[string]any{"shamba": "host-1", "addr": "10.0.0.1:9000", "frame": "m", "hall": "a",
 		"loaner": false, "shift": 1, "tally": 2, "seal": 3, "recallS": nil,
