--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// scriptedTransport answers every request alike; status 0 is a lost connection.
+// scriptedTransport returns the same response to every request. A status of 0 simulates a lost connection.
 type scriptedTransport struct {
 	status int
 	body   []byte
@@ -23,8 +23,9 @@
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(bytes.NewReader(s.body))}, nil
 }
 
-// TestErrorsOfCloudAnswers: callers can tell the answers apart by their errors.
-func TestErrorsOfCloudAnswers(t *testing.T) {
+// TestErrorsDistinguishCloudResponses checks that each kind of response results in the error by which callers
+// distinguish it.
+func TestErrorsDistinguishCloudResponses(t *testing.T) {
 	transport := &scriptedTransport{}
 	client := NewClient("10.2.0.2:1", transport)
 	for _, s := range []struct {
@@ -50,7 +51,8 @@
 	}
 }
 
-func FuzzCloudAnswers(f *testing.F) {
+// FuzzCloudResponses checks that no response causes a panic, and that an empty list of machine types is an error.
+func FuzzCloudResponses(f *testing.F) {
 	f.Add(200, []byte("\x81\xa7shambas\x91\xa6host-1"))
 	f.Add(200, []byte("\x81\xa6frames\xdd\xff\xff\xff\xff"))
 	transport := &scriptedTransport{}
