--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -20,8 +20,8 @@
 // relayServeTimeout bounds the leader's wait for the core to answer a batch.
 const relayServeTimeout = 400 * time.Millisecond
 
-// unknownNode stands for a node that does not say its name.
-const unknownNode = "?"
+// unnamedNode stands for a node that does not say its name.
+const unnamedNode = "?"
 
 // batchServer lets the core answer what other nodes relay, directly or through the state
 // service.
@@ -31,17 +31,17 @@
 	store *stateService
 }
 
-// serveStored serves the batches that nodes write to the state service, from a revision
+// serveStoredBatches serves the batches that nodes write to the state service, from a revision
 // on, until the term that began with the epoch ends.
-func (s *batchServer) serveStored(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
+func (s *batchServer) serveStoredBatches(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	answered := relay.AnsweredBatches{}
 	for s.core.leadsInTerm(epoch) && ctx.Err() == nil {
-		events, revision, err := s.store.client.Watch(ctx, peer.BatchKeyPrefix, since, watchHoldTime)
+		events, revision, err := s.store.client.Watch(ctx, peer.BatchKeyPrefix, since, longPollTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			events, revision, err = s.readStored(ctx)
+			events, revision, err = s.listStoredBatches(ctx)
 		}
 		if err != nil {
-			sleep(ctx, watchPause)
+			sleep(ctx, longPollInterval)
 			continue
 		}
 		since = max(since, revision)
@@ -57,9 +57,9 @@
 	}
 }
 
-// readStored reads the batches that are stored, when the changes since the last look are
+// listStoredBatches reads the batches that are stored, when the changes since the last look are
 // not kept any more, and returns the revision to go on from.
-func (s *batchServer) readStored(ctx context.Context) ([]kvstore.WatchEvent, ident.Revision, error) {
+func (s *batchServer) listStoredBatches(ctx context.Context) ([]kvstore.WatchEvent, ident.Revision, error) {
 	items, revision, err := s.store.client.List(ctx, peer.BatchKeyPrefix)
 	events := make([]kvstore.WatchEvent, 0, len(items))
 	for _, item := range items {
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(ctx, relayServeTimeout)
 	defer cancel()
 	if batch.Node == "" {
-		batch.Node = unknownNode
+		batch.Node = unnamedNode
 	}
 	heartbeats := make([]<-chan controller.HeartbeatReply, len(batch.Heartbeats))
 	for i := range batch.Heartbeats {
--- a/internal/node/batchserver_test.go
+++ b/internal/node/batchserver_test.go
@@ -23,10 +23,10 @@
 func TestLeaderAnswersRelayedBatch(t *testing.T) {
 	f := newNodeFixture(t)
 	f.becomeLeader(t)
-	holder := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
+	leaderTxn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	for v := ident.Revision(0); v < 77; { // the epoch that this node leads with
 		var err error
-		if v, err = f.node.store.client.Commit(context.Background(), holder); err != nil {
+		if v, err = f.node.store.client.Commit(context.Background(), leaderTxn); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -57,7 +57,7 @@
 		t.Error("a batch that can't be read was answered")
 	}
 	// Once another leads, nothing more is written.
-	f.node.store.client.Commit(context.Background(), holder)
+	f.node.store.client.Commit(context.Background(), leaderTxn)
 	before := item.ModRevision
 	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: data}, relay.AnsweredBatches{})
 	if item, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1"); item.ModRevision != before {
@@ -65,10 +65,10 @@
 	}
 }
 
-// TestRelayedNodesReportDelegationUse: what a node says of its lease delegation through the state
+// TestAttestationCountsFromReplyTime: what a node says of its lease delegation through the state
 // service counts from when the answers left that it has seen, never from when
 // it arrives; without a known answer it counts for nothing.
-func TestRelayedNodesReportDelegationUse(t *testing.T) {
+func TestAttestationCountsFromReplyTime(t *testing.T) {
 	f := newNodeFixture(t)
 	answered := relay.AnsweredBatches{}
 	data, err := wire.CompressMessage(peer.Batch{ID: "x", Node: "n1"})
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	left := f.clock.now
+	repliedAt := f.clock.now
 	f.node.batches.serveStoredBatch(context.Background(), "n1", kvstore.WatchEvent{SetKey: peer.BatchKeyPrefix + "n1", Value: value}, answered)
 	f.clock.now = f.clock.now.Add(20 * time.Second)
 	for _, bad := range []peer.Batch{{Node: "n1"}, {Node: "n1", AckedBatchID: "y"}, {Node: "n2", AckedBatchID: "x"}, {Node: "n1", AckedBatchID: "x", IdleMs: -1}, {Node: "n1", AckedBatchID: "x", IdleMs: 1 << 60}} {
@@ -89,7 +89,7 @@
 		t.Fatalf("%v was posted", <-f.node.core.inbox)
 	}
 	f.node.batches.postAttestation(context.Background(), answered, &peer.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
-	if in, ok := (<-f.node.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != left || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
+	if in, ok := (<-f.node.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != repliedAt || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
 		t.Errorf("posted as %+v", in)
 	}
 }
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -35,12 +35,12 @@
 	case election.RewriteLeaderKey:
 		c.advanceEpoch(ctx, e)
 	case election.TransferLeadership:
-		c.transfer(ctx, e)
+		c.transferLeadership(ctx, e)
 	case election.WriteHeartbeat:
 		_, err := c.store.commit(ctx, e.Txn())
 		c.post(ctx, election.HeartbeatWritten{Epoch: e.Epoch, Outcome: election.HeartbeatOutcomeOf(err), SentAt: sentAt})
 	case election.RevokeLease:
-		c.revoke(ctx, e.LeaseID)
+		c.revokeLease(ctx, e.LeaseID)
 	}
 }
 
@@ -48,17 +48,17 @@
 	c.core.post(ctx, controller.ElectionInput{Input: in})
 }
 
-// transfer names the next leader. If that fails, or nobody knows, the lease is revoked,
+// transferLeadership names the next leader. If that fails, or nobody knows, the lease is revoked,
 // so that any node may stand.
-func (c *electionCalls) transfer(ctx context.Context, e election.TransferLeadership) {
+func (c *electionCalls) transferLeadership(ctx context.Context, e election.TransferLeadership) {
 	if _, err := c.store.commit(ctx, e.Txn()); err != nil {
 		c.log.Debug("leadership transfer failed", "transferee", e.Transferee.Node, "err", err)
-		c.revoke(ctx, e.LeaseID)
+		c.revokeLease(ctx, e.LeaseID)
 	}
 }
 
-// revoke ends a lease. One that can't be revoked expires.
-func (c *electionCalls) revoke(ctx context.Context, id ident.LeaseID) {
+// revokeLease ends a lease. One that can't be revoked expires.
+func (c *electionCalls) revokeLease(ctx context.Context, id ident.LeaseID) {
 	if err := c.store.revokeLease(ctx, id); err != nil {
 		c.log.Debug("lease not revoked", "lease", id, "err", err)
 	}
@@ -103,7 +103,7 @@
 		c.post(ctx, election.LeaderKeyRewritten{PrevEpoch: e.PrevEpoch, Outcome: election.OutcomeOK, Epoch: ident.Epoch(revision)})
 		return
 	}
-	for sleep(ctx, uncertainRetryInterval) {
+	for sleep(ctx, unknownOutcomeRetryInterval) {
 		leader, epoch, err := c.readLeader(ctx)
 		switch {
 		case err != nil && c.core.view().epoch != e.PrevEpoch:
--- a/internal/node/httpserver_test.go
+++ b/internal/node/httpserver_test.go
@@ -13,7 +13,7 @@
 	return len(p), nil
 }
 
-func TestBodyOverTheLimit(t *testing.T) {
+func TestOversizedOrMalformedBodyIsRejected(t *testing.T) {
 	f := newNodeFixture(t)
 	body := &endlessReader{}
 	if w := f.call("POST", "/submissions", body); w.Code != 400 {
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -33,7 +33,7 @@
 	stored, since, err := l.currentRecords(ctx, epoch)
 	if l.store.record(err) != nil {
 		l.log.Warn("reading records failed", "epoch", epoch, "err", err)
-		sleep(ctx, uncertainRetryInterval)
+		sleep(ctx, unknownOutcomeRetryInterval)
 	}
 	l.core.post(ctx, controller.RecordsRead{Epoch: epoch, OK: err == nil, Stored: stored, KnownMachines: l.standby.knownMachines()})
 	if err != nil {
@@ -42,7 +42,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		l.batches.serveStored(ctx, epoch, since)
+		l.batches.serveStoredBatches(ctx, epoch, since)
 	}()
 	l.watchJobs(ctx, epoch, since)
 	<-served
@@ -55,14 +55,14 @@
 	if l.standby == nil {
 		return l.readRecords(ctx)
 	}
-	begun := l.clock.Now()
+	startedAt := l.clock.Now()
 	stored, since, err := l.catchUpReplica(ctx, epoch)
 	if err != nil {
 		l.log.Info("replica unusable, reading all records", "epoch", epoch, "err", err)
 		l.metrics.ColdFailovers.Inc()
 		return l.readRecords(ctx)
 	}
-	l.log.Info("replica caught up", "epoch", epoch, "records", len(stored.Jobs)+len(stored.Rounds)+len(stored.Chunks), "took", l.clock.Now().Sub(begun))
+	l.log.Info("replica caught up", "epoch", epoch, "records", len(stored.Jobs)+len(stored.Rounds)+len(stored.Chunks), "took", l.clock.Now().Sub(startedAt))
 	l.metrics.WarmFailovers.Inc()
 	return stored, since, nil
 }
@@ -100,7 +100,7 @@
 // watchJobs finds the jobs of which no notification came, while this node leads.
 func (l *recordLoader) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	for l.core.leadsInTerm(epoch) {
-		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, watchHoldTime)
+		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, longPollTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			since = l.relistJobs(ctx, since)
@@ -112,7 +112,7 @@
 				}
 			}
 		}
-		if !sleep(ctx, watchPause) {
+		if !sleep(ctx, longPollInterval) {
 			return
 		}
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	leader.becomeLeader(t)
-	go leader.node.batches.serveStored(t.Context(), epoch, epoch)
+	go leader.node.batches.serveStoredBatches(t.Context(), epoch, epoch)
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,10 +61,10 @@
 	return leader, follower, stop
 }
 
-// TestFollowerRelaysHeartbeats: a follower sends a worker to the leader. One that comes
+// TestFollowerRedirectsThenRelaysHeartbeats: a follower sends a worker to the leader. One that comes
 // back has not reached it, and is relayed: directly or, when the leader does not answer
 // this node either, through the state service.
-func TestFollowerRelaysHeartbeats(t *testing.T) {
+func TestFollowerRedirectsThenRelaysHeartbeats(t *testing.T) {
 	leader, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
 	sequence := 0
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestFollowerQueriesTheLeader: a follower has the leader answer for a job and, when that
+// TestFollowerForwardsJobRequestsToLeader: a follower has the leader answer for a job and, when that
 // does not answer, a cancel request goes through the state service.
-func TestFollowerQueriesTheLeader(t *testing.T) {
+func TestFollowerForwardsJobRequestsToLeader(t *testing.T) {
 	_, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
 	if w := follower.call(http.MethodGet, "/submissions/wk-000001", nil); w.Code != http.StatusNotFound {
--- a/internal/node/relayuplink.go
+++ b/internal/node/relayuplink.go
@@ -20,8 +20,8 @@
 	relayBatchInterval = 500 * time.Millisecond
 	// relayCollectTime is how long the first request of a batch waits for others to join.
 	relayCollectTime = relayBatchInterval / 4
-	// relayAnswerTimeout bounds the wait for the reply to a batch.
-	relayAnswerTimeout = 2 * time.Second
+	// relayReplyTimeout bounds the wait for the reply to a batch.
+	relayReplyTimeout = 2 * time.Second
 )
 
 // relayUplink carries heartbeats and cancel requests to a leader that this node does not
@@ -64,19 +64,19 @@
 
 // cancel brings a cancel request to the leader.
 func (u *relayUplink) cancel(ctx context.Context, id ident.JobID) api.LeaderReplied {
-	unknown := api.LeaderReplied{Outcome: api.NoLeader}
+	noLeader := api.LeaderReplied{Outcome: api.NoLeader}
 	pending := relay.NewCancelRequest(id, u.clock.Now().Add(heartbeatBudget))
 	if !u.tryEnqueue(pending) {
-		return unknown
+		return noLeader
 	}
 	select {
 	case reply := <-pending.CancelReply:
 		if reply.State == "" {
-			return unknown
+			return noLeader
 		}
 		return api.LeaderReplied{Outcome: api.JobFound, Status: api.Status{State: api.JobState(reply.State), DoneTasks: reply.DoneTasks}}
 	case <-ctx.Done():
-		return unknown
+		return noLeader
 	}
 }
 
@@ -84,8 +84,8 @@
 func (u *relayUplink) run(ctx context.Context) {
 	var waiting []relay.PendingRequest
 	nonce := strconv.FormatInt(time.Now().UnixNano(), 36)
-	acked := "" // the last batch that was answered
-	for number := 1; ; number++ {
+	lastAckedID := "" // the last batch that was answered
+	for sequence := 1; ; sequence++ {
 		if len(waiting) == 0 {
 			select {
 			case pending := <-u.queue:
@@ -94,17 +94,17 @@
 				return
 			}
 		}
-		begun := u.clock.Now()
+		startedAt := u.clock.Now()
 		if !sleep(ctx, relayCollectTime) {
 			return
 		}
-		id := nonce + "-" + strconv.Itoa(number)
-		batch := u.nextBatch(id, acked, u.drainQueue(waiting))
+		id := nonce + "-" + strconv.Itoa(sequence)
+		batch := u.nextBatch(id, lastAckedID, u.drainQueue(waiting))
 		waiting = batch.Remaining
 		if len(batch.Sent) > 0 && u.exchange(ctx, id, batch) {
-			acked = id
+			lastAckedID = id
 		}
-		if left := relayBatchInterval - u.clock.Now().Sub(begun); left > 0 && !sleep(ctx, left) {
+		if remaining := relayBatchInterval - u.clock.Now().Sub(startedAt); remaining > 0 && !sleep(ctx, remaining) {
 			return
 		}
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return false
 	}
-	deadline := u.clock.Now().Add(relayAnswerTimeout)
+	deadline := u.clock.Now().Add(relayReplyTimeout)
 	for u.clock.Now().Before(deadline) && ctx.Err() == nil {
 		events, revision, err := u.store.watch(ctx, peer.ReplyKeyPrefix+u.settings.NodeName, since, deadline.Sub(u.clock.Now()))
 		if err != nil {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// uncertainRetryInterval is the pause before a request whose outcome is unknown is
+	// unknownOutcomeRetryInterval is the pause before a request whose outcome is unknown is
 	// repeated or read back.
-	uncertainRetryInterval = 150 * time.Millisecond
-	// watchHoldTime is how long the state service may hold a long poll.
-	watchHoldTime = 5 * time.Second
-	// watchPause is the pause between two long polls, so that the leader's own writes do
+	unknownOutcomeRetryInterval = 150 * time.Millisecond
+	// longPollTimeout is how long the state service may hold a long poll.
+	longPollTimeout = 5 * time.Second
+	// longPollInterval is the pause between two long polls, so that the leader's own writes do
 	// not come back one by one.
-	watchPause = 250 * time.Millisecond
+	longPollInterval = 250 * time.Millisecond
 )
 
 // errOutcomeAbandoned says that a transaction may have been applied or not, and that
@@ -80,8 +80,8 @@
 // watch waits for changes after a revision, for at most hold. The leader's long polls use
 // the client itself: they count neither as answers nor as failures of the service.
 func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision,
-	hold time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
-	events, revision, err := s.client.Watch(ctx, prefix, since, hold)
+	timeout time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
+	events, revision, err := s.client.Watch(ctx, prefix, since, timeout)
 	return events, revision, s.record(err)
 }
 
@@ -109,8 +109,8 @@
 	// fenceKey is the key whose failed condition decides at once that the transaction
 	// was not applied; "": there is none.
 	fenceKey string
-	// wanted tells whether the outcome still matters; nil: always.
-	wanted func() bool
+	// stillNeeded tells whether the outcome still matters; nil: always.
+	stillNeeded func() bool
 }
 
 // commitAndConfirm applies a transaction and finds out what became of it. A try without
@@ -121,8 +121,8 @@
 // The error is a *kvstore.ConflictError or another error of kvstore if the transaction
 // was surely not applied, and errOutcomeAbandoned if ctx ended, or the outcome was no
 // longer wanted, before it was known.
-func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, how confirmation) (ident.Revision, error) {
-	uncertain := false
+func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmation) (ident.Revision, error) {
+	outcomeUnknown := false
 	for {
 		revision, err := s.commit(ctx, txn)
 		var conflict *kvstore.ConflictError
@@ -130,31 +130,31 @@
 		case err == nil:
 			return revision, nil
 		case errors.As(err, &conflict):
-			if !uncertain || slices.Contains(conflict.FailedKeys, how.fenceKey) {
+			if !outcomeUnknown || slices.Contains(conflict.FailedKeys, opts.fenceKey) {
 				return 0, conflict
 			}
-			return s.settleConflict(ctx, txn, conflict, how)
-		case errors.Is(err, kvstore.ErrOutcomeUnknown) || uncertain:
-			uncertain = true
+			return s.resolveConflict(ctx, txn, conflict, opts)
+		case errors.Is(err, kvstore.ErrOutcomeUnknown) || outcomeUnknown:
+			outcomeUnknown = true
 		default:
 			return 0, err
 		}
-		if !how.retry(ctx) {
+		if !opts.retry(ctx) {
 			return 0, errOutcomeAbandoned
 		}
 	}
 }
 
-// settleConflict judges a conflict that follows an unanswered try: a key that has moved
+// resolveConflict judges a conflict that follows an unanswered try: a key that has moved
 // on was moved by that try.
-func (s *stateService) settleConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError,
-	how confirmation) (ident.Revision, error) {
+func (s *stateService) resolveConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError,
+	opts confirmation) (ident.Revision, error) {
 	for {
 		item, err := s.get(ctx, txn.OutcomeKey())
 		switch {
 		case err == nil && txn.WasApplied(item):
 			return item.ModRevision, nil
-		case err == nil, !how.retry(ctx):
+		case err == nil, !opts.retry(ctx):
 			return 0, conflict
 		}
 	}
@@ -162,7 +162,7 @@
 
 // retry waits for the next try, and tells whether there is to be one.
 func (c confirmation) retry(ctx context.Context) bool {
-	return (c.wanted == nil || c.wanted()) && sleep(ctx, uncertainRetryInterval)
+	return (c.stillNeeded == nil || c.stillNeeded()) && sleep(ctx, unknownOutcomeRetryInterval)
 }
 
 // sleep waits for d, and tells whether it has passed before ctx ended.
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -14,35 +14,35 @@
 	"badgerbay/internal/kvstore"
 )
 
-// fate is what happens to a transaction on its way.
-type fate int
+// transactionFault is what happens to a transaction on its way.
+type transactionFault int
 
 const (
-	lost      fate = iota // neither applied nor answered
-	applied               // applied, and not answered
-	throttled             // refused for want of rate
-	rejected              // refused as malformed
+	requestLost  transactionFault = iota // neither applied nor answered
+	responseLost                         // applied, and not answered
+	throttled                            // refused for want of rate
+	rejected                             // refused as malformed
 )
 
-// lossyTransport lets the first transactions meet their fates, and passes on what comes
+// faultyTransport lets the first transactions meet their faults, and passes on what comes
 // after.
-type lossyTransport struct {
-	next  http.RoundTripper
-	fates []fate
+type faultyTransport struct {
+	next   http.RoundTripper
+	faults []transactionFault
 }
 
-func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.URL.Path != "/multi" || len(l.fates) == 0 {
+func (l *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.URL.Path != "/multi" || len(l.faults) == 0 {
 		return l.next.RoundTrip(r)
 	}
-	now := l.fates[0]
-	l.fates = l.fates[1:]
-	switch now {
+	fault := l.faults[0]
+	l.faults = l.faults[1:]
+	switch fault {
 	case throttled:
 		return emptyResponse(http.StatusTooManyRequests), nil
 	case rejected:
 		return emptyResponse(http.StatusBadRequest), nil
-	case applied:
+	case responseLost:
 		if _, err := l.next.RoundTrip(r); err != nil {
 			return nil, err
 		}
@@ -54,13 +54,13 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-// meetFates lets the node's next transactions meet fates.
-func (f *nodeFixture) meetFates(fates ...fate) {
-	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &lossyTransport{next: f.kv, fates: fates})
+// injectFaults lets the node's next transactions meet faults.
+func (f *nodeFixture) injectFaults(faults ...transactionFault) {
+	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &faultyTransport{next: f.kv, faults: faults})
 }
 
-// put stores a value whatever is there.
-func (f *nodeFixture) put(t *testing.T, key string) ident.Revision {
+// putOldValue stores a value whatever is there.
+func (f *nodeFixture) putOldValue(t *testing.T, key string) ident.Revision {
 	t.Helper()
 	revision, err := f.kv.Store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: "old"}}})
 	if err != nil {
@@ -73,44 +73,47 @@
 // lost, and it is never applied twice.
 func TestCommitAndConfirm(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		fates   []fate
-		fence   string           // the key that decides at once
-		before  string           // the key that somebody else changes before the first try
-		after   string           // the key that somebody else changes once it is applied
-		refused func(error) bool // nil: it is applied
+		name     string
+		faults   []transactionFault
+		fenceKey string
+		// changedBefore is the key that another writer changes before the first attempt.
+		changedBefore string
+		// changedAfter is the key that another writer changes once the transaction is applied.
+		changedAfter string
+		// wantErr reports whether the error is the expected one; nil: the transaction must be applied.
+		wantErr func(error) bool
 	}{
 		{name: "answered"},
-		{name: "lost once", fates: []fate{lost}},
-		{name: "applied and not answered", fates: []fate{applied}},
-		{name: "applied, then lost", fates: []fate{applied, lost, lost}},
-		{name: "lost, then throttled", fates: []fate{lost, throttled}},
-		{name: "lost, then rejected", fates: []fate{lost, rejected}},
-		{name: "throttled", fates: []fate{throttled}, refused: isError(kvstore.ErrThrottled)},
-		{name: "rejected", fates: []fate{rejected}, refused: isError(kvstore.ErrRejected)},
-		{name: "conflict", before: "job/1", refused: isConflict("job/1")},
-		{name: "lost, then a conflict of the fence", fates: []fate{lost}, before: election.LeaderKey, fence: election.LeaderKey, refused: isConflict(election.LeaderKey)},
-		{name: "lost, then another conflict", fates: []fate{lost}, before: election.LeaderKey, refused: isConflict(election.LeaderKey)},
-		{name: "applied, then a conflict of the fence", fates: []fate{applied}, after: election.LeaderKey, fence: election.LeaderKey,
-			refused: isConflict(election.LeaderKey, "job/1")},
-		{name: "applied, then another conflict", fates: []fate{applied}, after: election.LeaderKey},
+		{name: "lost once", faults: []transactionFault{requestLost}},
+		{name: "applied and not answered", faults: []transactionFault{responseLost}},
+		{name: "applied, then lost", faults: []transactionFault{responseLost, requestLost, requestLost}},
+		{name: "lost, then throttled", faults: []transactionFault{requestLost, throttled}},
+		{name: "lost, then rejected", faults: []transactionFault{requestLost, rejected}},
+		{name: "throttled", faults: []transactionFault{throttled}, wantErr: matchesError(kvstore.ErrThrottled)},
+		{name: "rejected", faults: []transactionFault{rejected}, wantErr: matchesError(kvstore.ErrRejected)},
+		{name: "conflict", changedBefore: "job/1", wantErr: matchesConflict("job/1")},
+		{name: "lost, then a conflict of the fence", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, fenceKey: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "lost, then another conflict", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "applied, then a conflict of the fence", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey, fenceKey: election.LeaderKey,
+			wantErr: matchesConflict(election.LeaderKey, "job/1")},
+		{name: "applied, then another conflict", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newNodeFixture(t)
-			leader, job := f.put(t, election.LeaderKey), f.put(t, "job/1")
-			if c.before != "" {
-				f.put(t, c.before)
+			leader, job := f.putOldValue(t, election.LeaderKey), f.putOldValue(t, "job/1")
+			if c.changedBefore != "" {
+				f.putOldValue(t, c.changedBefore)
 			}
-			if c.after != "" {
-				f.kv.OnCommit = func(kvstore.Txn) { f.put(t, c.after) }
+			if c.changedAfter != "" {
+				f.kv.OnCommit = func(kvstore.Txn) { f.putOldValue(t, c.changedAfter) }
 			}
-			f.meetFates(c.fates...)
+			f.injectFaults(c.faults...)
 			revision, err := f.node.store.commitAndConfirm(context.Background(), kvstore.Txn{
 				Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: leader}, {Key: "job/1", ModRevision: job}},
 				Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}},
-			}, confirmation{fenceKey: c.fence})
-			if c.refused != nil {
-				if !c.refused(err) {
+			}, confirmation{fenceKey: c.fenceKey})
+			if c.wantErr != nil {
+				if !c.wantErr(err) {
 					t.Errorf("error %v", err)
 				}
 				return
@@ -122,23 +125,23 @@
 	}
 }
 
-func isError(target error) func(error) bool {
+func matchesError(target error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, target) }
 }
 
-func isConflict(keys ...string) func(error) bool {
+func matchesConflict(keys ...string) func(error) bool {
 	return func(err error) bool {
 		var conflict *kvstore.ConflictError
 		return errors.As(err, &conflict) && slices.Equal(conflict.FailedKeys, keys)
 	}
 }
 
-// TestAbandonedOutcome: nobody goes on for an outcome that is not wanted any more.
-func TestAbandonedOutcome(t *testing.T) {
+// TestCommitAndConfirmAbandonsUnneededOutcome: nobody goes on for an outcome that is not wanted any more.
+func TestCommitAndConfirmAbandonsUnneededOutcome(t *testing.T) {
 	f := newNodeFixture(t)
 	txn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}}}
-	f.meetFates(lost, lost, lost)
-	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{wanted: func() bool { return false }})
+	f.injectFaults(requestLost, requestLost, requestLost)
+	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{stillNeeded: func() bool { return false }})
 	if !errors.Is(err, errOutcomeAbandoned) {
 		t.Errorf("error %v", err)
 	}
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -19,9 +19,9 @@
 	// hedgeDelay is how long a submission waits for the state service before
 	// another node is asked to store it as well.
 	hedgeDelay = 250 * time.Millisecond
-	// hedgeRefusalDelay is how long a submission that this node refuses waits for another
+	// hedgeRefusalTimeout is how long a submission that this node refuses waits for another
 	// to accept it, at most: a refusal must come at once.
-	hedgeRefusalDelay = 400 * time.Millisecond
+	hedgeRefusalTimeout = 400 * time.Millisecond
 	// slowSubmissionThreshold is how long a submission may take without being logged.
 	slowSubmissionThreshold = 500 * time.Millisecond
 	// maxForwardTargets bounds how many other nodes are asked to store a submission.
@@ -38,10 +38,10 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitBudget)
 	defer cancel()
-	begun := u.clock.Now()
+	startedAt := u.clock.Now()
 	id, response := u.submit(ctx, data)
-	if took := u.clock.Now().Sub(begun); response.Code >= http.StatusTooManyRequests || took > slowSubmissionThreshold {
-		u.log.Debug("submission delayed or refused", "job", id, "status", response.Code, "took", took, "retry_after", response.RetryAfter,
+	if duration := u.clock.Now().Sub(startedAt); response.Code >= http.StatusTooManyRequests || duration > slowSubmissionThreshold {
+		u.log.Debug("submission delayed or refused", "job", id, "status", response.Code, "took", duration, "retry_after", response.RetryAfter,
 			"state_reached", u.store.answeredWithin(storeFreshness))
 	}
 	u.writeResponse(w, id, response)
@@ -65,21 +65,21 @@
 	if err != nil {
 		return "", api.Response{Code: http.StatusBadRequest}
 	}
-	own := make(chan api.Response, 1)
-	go func() { own <- u.storeSubmission(ctx, submission) }()
+	local := make(chan api.Response, 1)
+	go func() { local <- u.storeSubmission(ctx, submission) }()
 	delay := hedgeDelay
 	if !u.store.answeredWithin(storeFreshness) {
 		delay = 0
 	}
 	select {
-	case response := <-own:
+	case response := <-local:
 		if response.Code != http.StatusServiceUnavailable {
 			return submission.ID, response
 		}
-		own <- response // for hedge to count
+		local <- response // for hedge to count
 	case <-time.After(delay):
 	}
-	return submission.ID, u.hedge(ctx, data, own)
+	return submission.ID, u.hedge(ctx, data, local)
 }
 
 func (u *userAPI) decodeSubmission(data []byte) (*api.Submission, error) {
@@ -102,23 +102,23 @@
 
 // hedge forwards a submission to other nodes, and answers with the first response that
 // accepts it; a refusal counts only once nobody is left to ask.
-func (u *userAPI) hedge(ctx context.Context, data []byte, own <-chan api.Response) api.Response {
+func (u *userAPI) hedge(ctx context.Context, data []byte, local <-chan api.Response) api.Response {
 	forwarded := make(chan api.Response, 1)
 	go func() { forwarded <- u.forward(ctx, data) }()
-	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: retryDelay}
-	var refusalDue <-chan time.Time // nil until this node has refused
+	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
+	var refusalDeadline <-chan time.Time // nil until this node has refused
 	for range 2 {
 		select {
-		case response := <-own:
+		case response := <-local:
 			if response.Code != http.StatusServiceUnavailable {
 				return response
 			}
-			refusal, refusalDue = response, time.After(hedgeRefusalDelay)
+			refusal, refusalDeadline = response, time.After(hedgeRefusalTimeout)
 		case response := <-forwarded:
 			if isSuccess(response.Code) {
 				return response
 			}
-		case <-refusalDue:
+		case <-refusalDeadline:
 			return refusal
 		case <-ctx.Done():
 			return refusal
@@ -129,15 +129,15 @@
 
 // forward asks other nodes that are reached to store a submission.
 func (u *userAPI) forward(ctx context.Context, data []byte) api.Response {
-	asked := 0
+	attempts := 0
 	for _, name := range u.forwardTargets() {
-		if asked == maxForwardTargets {
+		if attempts == maxForwardTargets {
 			break
 		}
 		if !u.peers.reachable(name) {
 			continue
 		}
-		asked++
+		attempts++
 		reply, err := u.peers.ForwardSubmission(ctx, name, data)
 		if ctx.Err() == nil { // else the user's time is over, which is not the peer's fault
 			u.peers.record(name, err)
--- a/internal/node/transactions.go
+++ b/internal/node/transactions.go
@@ -14,8 +14,8 @@
 // core. Only the leader of this epoch writes the keys that it changes.
 func (n *Node) commit(ctx context.Context, e controller.CommitTransaction) {
 	revision, err := n.store.commitAndConfirm(ctx, e.Txn, confirmation{
-		fenceKey: election.LeaderKey,
-		wanted:   func() bool { return n.core.leadsInTerm(e.Epoch) },
+		fenceKey:    election.LeaderKey,
+		stillNeeded: func() bool { return n.core.leadsInTerm(e.Epoch) },
 	})
 	if errors.Is(err, errOutcomeAbandoned) {
 		return
--- a/internal/node/userapi.go
+++ b/internal/node/userapi.go
@@ -24,8 +24,8 @@
 	// request has that of a submission.
 	statusBudget = 1800 * time.Millisecond
 	submitBudget = 4 * time.Second
-	// retryDelay is the least Retry-After.
-	retryDelay = time.Second
+	// minRetryAfter is the least Retry-After.
+	minRetryAfter = time.Second
 )
 
 // userAPI answers users: it submits, queries and cancels jobs.
@@ -57,12 +57,12 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), budget)
 		defer cancel()
-		begun := u.clock.Now()
+		startedAt := u.clock.Now()
 		response := u.runRequest(ctx, id, api.NewJobRequest(kind))
 		// A node that stalled meanwhile may hold an answer that is older than what
 		// another node has said since.
-		if u.clock.Now().Sub(begun) > budget {
-			response = api.Response{Code: http.StatusServiceUnavailable, RetryAfter: retryDelay}
+		if u.clock.Now().Sub(startedAt) > budget {
+			response = api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
 		}
 		u.writeResponse(w, id, response)
 	}
--- a/internal/node/userapi_test.go
+++ b/internal/node/userapi_test.go
@@ -41,9 +41,9 @@
 	want(503, f.call("GET", "/submissions/wk-000002", nil))
 }
 
-// TestSubmissionsBeyondTheBudget are refused at once, with the time to come
+// TestSubmissionsBeyondWriteBudgetAreRejected are refused at once, with the time to come
 // back, and never held.
-func TestSubmissionsBeyondTheBudget(t *testing.T) {
+func TestSubmissionsBeyondWriteBudgetAreRejected(t *testing.T) {
 	f := newNodeFixture(t)
 	codes := map[int]int{}
 	for i := range 40 {
@@ -76,11 +76,11 @@
 	hangs := make(chan struct{})
 	t.Cleanup(func() { close(hangs) })
 	f.kv.Override = func(*http.Request) (*http.Response, error) { <-hangs; return nil, io.EOF }
-	begun := time.Now()
+	startedAt := time.Now()
 	if w := f.call("POST", "/submissions", submissionBody("wk-000001")); w.Code != 201 {
 		t.Errorf("%d although another node can store it", w.Code)
 	}
-	if took := time.Since(begun); took > 2*time.Second {
+	if took := time.Since(startedAt); took > 2*time.Second {
 		t.Errorf("taken after %v", took)
 	}
 	if item, err := other.kv.Store.Get(jobs.Key("wk-000001")); err != nil || item.ModRevision == 0 {
