--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -17,22 +17,23 @@
 	"badgerbay/internal/relay"
 )
 
-// relayServeTimeout bounds the leader's wait for the core to answer a batch.
+// relayServeTimeout bounds how long the leader waits for its core to answer a batch.
 const relayServeTimeout = 400 * time.Millisecond
 
-// unnamedNode stands for a node that does not say its name.
+// unnamedNode replaces the node name in a batch that has none.
 const unnamedNode = "?"
 
-// batchServer lets the core answer what other nodes relay, directly or through the state
-// service.
+// batchServer passes the heartbeats and cancel requests that other nodes relay, over gRPC or through the state
+// service, to the core and returns its replies.
 type batchServer struct {
 	*environment
 	core  *coreActor
 	store *stateService
 }
 
-// serveStoredBatches serves the batches that nodes write to the state service, from a revision
-// on, until the term that began with the epoch ends.
+// serveStoredBatches answers the batches that other nodes write to the state service after revision since, until the
+// term that began with the epoch ends. Of several batches of one node in the same response, only the latest is
+// answered.
 func (s *batchServer) serveStoredBatches(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	answered := relay.AnsweredBatches{}
 	for s.core.leadsInTerm(epoch) && ctx.Err() == nil {
@@ -57,8 +58,8 @@
 	}
 }
 
-// listStoredBatches reads the batches that are stored, when the changes since the last look are
-// not kept any more, and returns the revision to go on from.
+// listStoredBatches lists the stored batches and returns the revision from which to continue watching. It is used when
+// the state service has compacted the changes since the last watch.
 func (s *batchServer) listStoredBatches(ctx context.Context) ([]kvstore.WatchEvent, ident.Revision, error) {
 	items, revision, err := s.store.client.List(ctx, peer.BatchKeyPrefix)
 	events := make([]kvstore.WatchEvent, 0, len(items))
@@ -68,8 +69,7 @@
 	return events, revision, err
 }
 
-// serveStoredBatch answers one stored batch. Like every write of the leader, the reply is
-// conditioned on the epoch.
+// serveStoredBatch answers one stored batch. Like every write of the leader, the reply is conditional on the epoch.
 func (s *batchServer) serveStoredBatch(ctx context.Context, node string, e kvstore.WatchEvent, answered relay.AnsweredBatches) {
 	if node == s.settings.NodeName {
 		return
@@ -77,7 +77,7 @@
 	batch, err := peer.DecompressBatch(e.Value)
 	if err != nil {
 		s.metrics.MalformedBatches.Inc()
-		s.log.Warn("relay batch unreadable", "node", node, "err", err)
+		s.log.Warn("decoding a relay batch failed", "node", node, "err", err)
 		return
 	}
 	batch.Node = node
@@ -90,17 +90,19 @@
 	}
 	s.metrics.RelayedHeartbeats.Add(float64(len(reply.Heartbeats)))
 	answered.Record(node, batch.ID, s.clock.Now())
-	s.store.takeWrite(kvstore.PurposeLeadership) // written even if there is none: a worker's lease waits for it
+	// The reply is written even if the write budget is exhausted: the renewal of a worker's lease depends on it.
+	s.store.takeWrite(kvstore.PurposeLeadership)
 	_, err = s.store.commit(ctx, kvstore.Txn{
 		Conditions: []kvstore.Condition{election.EpochCondition(s.core.view().epoch)},
 		Operations: []kvstore.Operation{{SetKey: peer.ReplyKeyPrefix + node, Value: value}},
 	})
 	if err != nil {
-		s.log.Debug("reply to a relay batch not stored", "node", node, "err", err)
+		s.log.Debug("storing the reply to a relay batch failed", "node", node, "err", err)
 	}
 }
 
-// postAttestation tells the core what a node that is not reached says of its use of a lease delegation.
+// postAttestation posts to the core what a node that this one can't reach directly attests, in a relayed batch, about
+// its use of a lease delegation.
 func (s *batchServer) postAttestation(ctx context.Context, answered relay.AnsweredBatches, batch *peer.Batch) {
 	attestation, ok := answered.Attestation(batch)
 	if !ok {
@@ -110,9 +112,8 @@
 		Status: leasedelegation.Status{IdleFor: attestation.IdleFor}, SchemaVersion: batch.SchemaVersion})
 }
 
-// serve lets the core answer what another node hands over. An answer may
-// reach its worker late; that is safe, since a lease counts from when the
-// heartbeat was sent, and that was before the core took it in.
+// serve passes the requests of a batch to the core and returns the replies. A reply may reach its worker late. That is
+// safe: a worker's lease counts from when the worker sent the heartbeat, which was before the core received it.
 func (s *batchServer) serve(ctx context.Context, batch *peer.Batch) *peer.BatchReply {
 	ctx, cancel := context.WithTimeout(ctx, relayServeTimeout)
 	defer cancel()
@@ -137,7 +138,8 @@
 	return reply
 }
 
-// startHeartbeat hands a relayed heartbeat to the core; nil: it can't be answered.
+// startHeartbeat passes a relayed heartbeat to the core and returns the channel for the reply, or nil if the heartbeat
+// is malformed or the core is overloaded.
 func (s *batchServer) startHeartbeat(node string, packed *peer.Heartbeat) <-chan controller.HeartbeatReply {
 	heartbeat, err := packed.Unpack()
 	if err != nil {
@@ -152,7 +154,8 @@
 	return pending
 }
 
-// awaitHeartbeat waits for the core's answer to a relayed heartbeat.
+// awaitHeartbeat waits for the core's reply to a relayed heartbeat. It returns status 503 if there is no reply in
+// time, or the reply is not an acceptance that is still valid.
 func (s *batchServer) awaitHeartbeat(ctx context.Context, machine ident.MachineID,
 	pending <-chan controller.HeartbeatReply) peer.HeartbeatReply {
 	out := peer.HeartbeatReply{Machine: machine, Code: http.StatusServiceUnavailable}
@@ -169,7 +172,8 @@
 	return out
 }
 
-// startCancel cancels a job; the reply comes when the core has answered or ctx ends.
+// startCancel starts to cancel a job and returns the channel for the reply, which is sent when the core has answered
+// or ctx ends.
 func (s *batchServer) startCancel(ctx context.Context, id ident.JobID) <-chan peer.CancelReply {
 	pending := make(chan peer.CancelReply, 1)
 	go func() {
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -8,16 +8,16 @@
 	"badgerbay/internal/ident"
 )
 
-// electionCalls carries out what the election asks of the state service.
+// electionCalls executes the requests of the elector to the state service and posts the results to the core.
 type electionCalls struct {
 	*environment
 	core  *coreActor
 	store *stateService
-	// readsHeartbeat: the leader's heartbeat is read together with its key.
+	// readsHeartbeat is set if the leader's heartbeat is read together with the leader key.
 	readsHeartbeat bool
 }
 
-// execute carries out an effect and posts what came of it.
+// execute executes an effect of the elector and posts its result, if it has one, to the core.
 func (c *electionCalls) execute(ctx context.Context, e election.Effect) {
 	sentAt := c.clock.Now()
 	switch e := e.(type) {
@@ -48,8 +48,8 @@
 	c.core.post(ctx, controller.ElectionInput{Input: in})
 }
 
-// transferLeadership names the next leader. If that fails, or nobody knows, the lease is revoked,
-// so that any node may stand.
+// transferLeadership sets the leader key to the node that is to lead next. If that fails or its outcome is unknown,
+// it revokes the lease, so that any node may campaign for leadership.
 func (c *electionCalls) transferLeadership(ctx context.Context, e election.TransferLeadership) {
 	if _, err := c.store.commit(ctx, e.Txn()); err != nil {
 		c.log.Debug("leadership transfer failed", "transferee", e.Transferee.Node, "err", err)
@@ -57,15 +57,14 @@
 	}
 }
 
-// revokeLease ends a lease. One that can't be revoked expires.
+// revokeLease revokes a lease. If that fails, the lease ends when its time to live expires.
 func (c *electionCalls) revokeLease(ctx context.Context, id ident.LeaseID) {
 	if err := c.store.revokeLease(ctx, id); err != nil {
-		c.log.Debug("lease not revoked", "lease", id, "err", err)
+		c.log.Debug("revoking lease failed", "lease", id, "err", err)
 	}
 }
 
-// readKeys reads the leader key, and the heartbeat if there is a warm standby; one
-// request reads both.
+// readKeys reads the leader key, and the leader's heartbeat if there is a warm standby. One request reads both.
 func (c *electionCalls) readKeys(ctx context.Context) election.LeaderKeysRead {
 	if !c.readsHeartbeat {
 		leader, epoch, err := c.readLeader(ctx)
@@ -77,12 +76,12 @@
 	}
 	keys, err := election.DecodeLeaderKeys(items)
 	if err != nil {
-		c.log.Error("leader keys unreadable", "err", err)
+		c.log.Error("decoding leader keys failed", "err", err)
 	}
 	return keys
 }
 
-// readLeader reads the leader key alone; epoch 0: there is no leader.
+// readLeader reads the leader key without the heartbeat. It returns epoch 0 if there is no leader.
 func (c *electionCalls) readLeader(ctx context.Context) (election.LeaderRecord, ident.Epoch, error) {
 	item, err := c.store.get(ctx, election.LeaderKey)
 	if err != nil {
@@ -95,8 +94,13 @@
 	return leader, ident.Epoch(item.ModRevision), nil
 }
 
-// advanceEpoch rewrites the leader key, and reads it back until the outcome is known:
-// the leader's writes wait for it.
+// advanceEpoch rewrites the leader key to obtain a higher epoch. The leader's writes wait until the outcome is
+// known, so if the transaction fails, advanceEpoch reads the key back at intervals:
+//
+//  1. If the read fails, it is repeated until this node no longer leads with the previous epoch.
+//  2. If the key names another leader, leadership is lost.
+//  3. If the key has a higher epoch, the rewrite was applied.
+//  4. Otherwise the rewrite counts as refused.
 func (c *electionCalls) advanceEpoch(ctx context.Context, e election.RewriteLeaderKey) {
 	revision, err := c.store.commit(ctx, e.Txn())
 	if err == nil {
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -22,12 +22,12 @@
 	writeTimeout      = 10 * time.Second
 	keepAliveTimeout  = 2 * time.Minute
 	maxHeaderBytes    = 8 << 10
-	// maxMetricsRequests bounds the scrapes that are answered at the same time.
+	// maxMetricsRequests bounds the number of concurrent metrics scrapes.
 	maxMetricsRequests = 2
 )
 
-// errBodyTooLarge says that the body of a request exceeds its limit.
-var errBodyTooLarge = errors.New("body too large")
+// errBodyTooLarge is returned when the Content-Length of a request exceeds the limit for its body.
+var errBodyTooLarge = errors.New("request body exceeds the size limit")
 
 func (n *Node) newHTTPServer(limited *connlimit.Listener) *http.Server {
 	return &http.Server{
@@ -42,7 +42,7 @@
 	}
 }
 
-// clientKind tells who makes a request.
+// clientKind returns whether a request comes from a worker or a user, judged by its path.
 func clientKind(r *http.Request) connlimit.ClientKind {
 	if r.URL.Path == heartbeatPath {
 		return connlimit.Worker
@@ -50,7 +50,7 @@
 	return connlimit.User
 }
 
-// routes serves workers, users, operators and the load balancer.
+// routes returns the handler for the requests of workers, users, operators and the load balancer.
 func (n *Node) routes() http.Handler {
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
@@ -70,8 +70,9 @@
 	return r
 }
 
-// handleUp answers the load balancer. In an outage of the state service all nodes stay
-// up: users get their 503 at once, and no node needs to become healthy again after it.
+// handleUp answers the health check of the load balancer. A node is healthy once the state service has answered it and
+// it knows the machine types, unless it is isolated. During an outage of the state service all nodes stay healthy:
+// users get status 503 from them at once, and no node has to pass the health check again after the outage.
 func (n *Node) handleUp(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !n.store.everAnswered() || n.reach.isolated.Load() || n.core.view().machineTypes == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -80,8 +81,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// readBody reads a body of at most limit bytes. The error is errBodyTooLarge, a
-// *http.MaxBytesError, or that of the connection.
+// readBody reads a request body of at most limit bytes. The error is errBodyTooLarge if the declared length exceeds
+// the limit, a *http.MaxBytesError if the body itself does, or an error of the connection.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errBodyTooLarge
@@ -89,7 +90,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// writeMsgpack answers with a value in MessagePack.
+// writeMsgpack writes a value to the response in MessagePack encoding.
 func writeMsgpack(w http.ResponseWriter, value any) {
 	data, err := msgpack.Marshal(value)
 	if err != nil {
@@ -97,5 +98,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", wire.ContentType)
-	w.Write(data) // a client that has gone needs no answer
+	w.Write(data) // an error means that the client has disconnected and needs no response
 }
--- a/internal/node/httpserver_test.go
+++ b/internal/node/httpserver_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// endlessReader is a body that never ends; reading much of it is an error.
+// endlessReader is a request body that never ends. It counts the bytes that are read.
 type endlessReader struct{ read int }
 
 func (e *endlessReader) Read(p []byte) (int, error) {
@@ -13,30 +13,34 @@
 	return len(p), nil
 }
 
+// TestOversizedOrMalformedBodyIsRejected checks that a body over the limit is rejected without reading much of it, and
+// that a heartbeat that can't be decoded is rejected.
 func TestOversizedOrMalformedBodyIsRejected(t *testing.T) {
 	f := newNodeFixture(t)
 	body := &endlessReader{}
 	if w := f.call("POST", "/submissions", body); w.Code != 400 {
-		t.Errorf("%d, want 400", w.Code)
+		t.Errorf("status %d, want 400", w.Code)
 	}
 	if body.read > 256<<10 {
-		t.Errorf("%d bytes were read of a body over 64 KiB", body.read)
+		t.Errorf("%d bytes were read of an endless body, whose limit is 64 KiB", body.read)
 	}
 	if w := f.call("POST", "/agent/beat", strings.NewReader("garbage")); w.Code != 400 {
-		t.Errorf("garbage heartbeat: %d, want 400", w.Code)
+		t.Errorf("malformed heartbeat: status %d, want 400", w.Code)
 	}
 }
 
+// TestHealthEndpoint checks that a node fails the health check until the state service has answered it, and that the
+// metrics are served.
 func TestHealthEndpoint(t *testing.T) {
 	f := newNodeFixture(t)
 	if w := f.call("GET", "/up", nil); w.Code != 503 {
-		t.Errorf("%d before the state service was reached", w.Code)
+		t.Errorf("status %d before the state service has answered, want 503", w.Code)
 	}
 	f.node.store.record(nil)
 	if w := f.call("GET", "/up", nil); w.Code != 200 {
-		t.Errorf("%d, want 200", w.Code)
+		t.Errorf("status %d after the state service has answered, want 200", w.Code)
 	}
 	if w := f.call("GET", "/metrics", nil); w.Code != 200 || !strings.Contains(w.Body.String(), "badgerbay_epoch_changes_total") {
-		t.Errorf("metrics: %d", w.Code)
+		t.Errorf("metrics: status %d, or the epoch change counter is missing", w.Code)
 	}
 }
--- a/internal/node/jobqueries.go
+++ b/internal/node/jobqueries.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// statusQueryTimeout bounds the time a status query waits for the leader, so that
-	// enough of the user's two seconds is left to read the record instead.
+	// statusQueryTimeout bounds how long a status query waits for the leader, so that
+	// enough of the user's two seconds remains to read the job record instead.
 	statusQueryTimeout   = 500 * time.Millisecond
 	cancelRequestTimeout = 2 * time.Second
 )
 
-// queryJob asks the core of this node for a job's state, or cancels the job. What it
-// answers counts only as long as the node is entitled, so that is checked once more as
-// the answer leaves.
+// queryJob asks the core of this node for the status of a job, or cancels the job. A status is valid only while this
+// node is entitled to answer as the leader, so its validity is checked again just before it is returned.
 func (a *coreActor) queryJob(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
 	reply, err := request(ctx, a, func(to controller.Responder[controller.JobReply]) controller.Input {
 		return controller.JobRequest{Responder: to, Job: id, Cancel: cancelJob}
@@ -34,7 +33,9 @@
 	return api.LeaderReplied{Outcome: reply.Outcome, Status: reply.Status}
 }
 
-// queryLeader asks the core if this node leads, and the leader's node otherwise.
+// queryLeader asks the core of this node for the status of a job, or to cancel it, if this node leads. Otherwise, or
+// if the core no longer leads, it asks the node that leads. A cancel request that can't be delivered to that node
+// directly is relayed through the state service.
 func (u *userAPI) queryLeader(ctx context.Context, id ident.JobID, cancelJob bool) api.LeaderReplied {
 	if u.core.view().leads() {
 		if reply := u.core.queryJob(ctx, id, cancelJob); reply.Outcome != api.NoLeader {
@@ -58,7 +59,8 @@
 	return api.LeaderReplied{Outcome: api.NoLeader}
 }
 
-// queryPeer asks the leader's node. The error is errPeerUnreachable if it was not tried.
+// queryPeer sends a status query or a cancel request to the leader's node. It returns errPeerUnreachable, without
+// sending anything, if that node did not answer recently.
 func (u *userAPI) queryPeer(ctx context.Context, leader string, id ident.JobID, cancelJob bool) (api.LeaderReplied, error) {
 	if !u.peers.reachable(leader) {
 		return api.LeaderReplied{}, errPeerUnreachable
@@ -75,8 +77,7 @@
 	return decodeJobReply(reply), nil
 }
 
-// decodeJobReply maps a peer's reply. An outcome of a later version counts as that
-// nobody leads.
+// decodeJobReply converts a peer's reply. An outcome that only a later version defines is treated as NoLeader.
 func decodeJobReply(r *meshpb.AskReply) api.LeaderReplied {
 	switch r.Outcome {
 	case meshpb.Outcome_OUTCOME_KNOWN:
@@ -90,7 +91,7 @@
 	return api.LeaderReplied{Outcome: api.NoLeader}
 }
 
-// encodeJobReply maps the core's reply for a peer.
+// encodeJobReply converts the core's reply to the message for a peer.
 func encodeJobReply(r api.LeaderReplied) *meshpb.AskReply {
 	reply := &meshpb.AskReply{
 		Standing: string(r.Status.State),
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -17,18 +17,18 @@
 	"badgerbay/internal/standby"
 )
 
-// recordLoader reads the stored records for a leader, and watches for jobs that other
-// nodes store.
+// recordLoader reads the stored records for the core when this node becomes the leader, and watches for jobs that
+// other nodes store.
 type recordLoader struct {
 	*environment
 	core    *coreActor
 	store   *stateService
 	batches *batchServer
-	standby *standbyActor // nil: there is no replica
+	standby *standbyActor // nil if this node keeps no replica
 }
 
-// load reads all records for the term that began with the epoch. Once they are read, it
-// watches the jobs and serves relayed batches until the term ends.
+// load reads all records for the term that began with the epoch and posts them to the core. If that succeeds, it
+// watches for changed jobs and serves relayed batches until the term ends.
 func (l *recordLoader) load(ctx context.Context, epoch ident.Epoch) {
 	stored, since, err := l.currentRecords(ctx, epoch)
 	if l.store.record(err) != nil {
@@ -48,9 +48,9 @@
 	<-served
 }
 
-// currentRecords returns all records as of the epoch, and the revision from which their
-// changes are to be watched: those of the replica, brought up to date, or as they are
-// read.
+// currentRecords returns all records as of the epoch, and the revision from which to watch for changes. It brings the
+// replica of a warm standby up to date, and reads all records from the state service if there is no replica or it is
+// unusable.
 func (l *recordLoader) currentRecords(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
 	if l.standby == nil {
 		return l.readRecords(ctx)
@@ -67,7 +67,8 @@
 	return stored, since, nil
 }
 
-// catchUpReplica brings the standby's replica up to the epoch.
+// catchUpReplica applies the changes up to the epoch to the standby's replica, and returns its records and the
+// revision from which to watch for further changes.
 func (l *recordLoader) catchUpReplica(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
 	changes := func(prefix string, since ident.Revision) ([]kvstore.WatchEvent, ident.Revision, error) {
 		return l.store.client.Watch(ctx, prefix, since, 0)
@@ -80,8 +81,8 @@
 	return stored, since, err
 }
 
-// readRecords reads all records, and returns the revision from which changes of jobs are
-// to be watched. For the counters its requests are one, whose result load records.
+// readRecords reads all records from the state service, and returns the revision from which to watch for changed jobs.
+// Its requests count as a single one in the counters of stateService: load records the result.
 func (l *recordLoader) readRecords(ctx context.Context) (s recovery.StoredRecords, since ident.Revision, err error) {
 	client := l.store.client
 	if s.Jobs, since, err = client.List(ctx, jobs.KeyPrefix); err != nil {
@@ -97,7 +98,8 @@
 	return s, since, err
 }
 
-// watchJobs finds the jobs of which no notification came, while this node leads.
+// watchJobs watches for stored jobs while this node leads in the term that began with the epoch, and posts them to the
+// core. It finds the jobs whose notification was lost.
 func (l *recordLoader) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	for l.core.leadsInTerm(epoch) {
 		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, longPollTimeout)
@@ -118,8 +120,8 @@
 	}
 }
 
-// relistJobs lists all jobs when the changes since a revision are not kept any more, and
-// returns the revision to go on from.
+// relistJobs lists all jobs and posts them to the core, and returns the revision from which to continue watching. It
+// is used when the state service has compacted the changes after revision since, which is returned if listing fails.
 func (l *recordLoader) relistJobs(ctx context.Context, since ident.Revision) ident.Revision {
 	items, revision, err := l.store.list(ctx, jobs.KeyPrefix)
 	if err != nil {
@@ -136,7 +138,7 @@
 	l.core.post(ctx, controller.JobChanged{Job: id, ModRevision: revision})
 }
 
-// readJob reads one job's record with its chunks.
+// readJob reads the record of a job with its chunks and posts it to the core.
 func (l *recordLoader) readJob(ctx context.Context, id ident.JobID) {
 	item, chunks, err := l.readJobRecord(ctx, id)
 	l.core.post(ctx, controller.JobRecordRead{Job: id, OK: err == nil, Item: item, Chunks: chunks})
@@ -158,7 +160,7 @@
 	return item, chunks, nil
 }
 
-// readQuotas reads all records of quotas.
+// readQuotas reads all quota records and posts them to the core.
 func (l *recordLoader) readQuotas(ctx context.Context, epoch ident.Epoch) {
 	items, _, err := l.store.list(ctx, quota.KeyPrefix)
 	if err != nil {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -15,13 +15,12 @@
 	"badgerbay/internal/peer"
 )
 
-// newLeaderAndFollower returns a leader n0 with a server for its peers, a follower n1 of
-// it, and a function that stops the server. Both reach the same state service, and the leader serves what
-// is relayed through it.
+// newLeaderAndFollower returns a leader n0 with a gRPC server for its peers, its follower n1, and a function that
+// stops that server. Both use the same state service, and the leader serves the batches that are relayed through it.
 func newLeaderAndFollower(t *testing.T) (*nodeFixture, *nodeFixture, func()) {
 	t.Helper()
 	leader, follower := newNodeFixture(t), newNodeFixture(t)
-	const epoch = 77 // of becomeLeader
+	const epoch = 77 // as set by becomeLeader
 	key := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	for revision := ident.Revision(0); revision < epoch; {
 		var err error
@@ -61,9 +60,9 @@
 	return leader, follower, stop
 }
 
-// TestFollowerRedirectsThenRelaysHeartbeats: a follower sends a worker to the leader. One that comes
-// back has not reached it, and is relayed: directly or, when the leader does not answer
-// this node either, through the state service.
+// TestFollowerRedirectsThenRelaysHeartbeats checks that a follower redirects a worker to the leader, and relays the
+// heartbeat if the worker comes back, since it then could not reach the leader itself. The heartbeat is relayed
+// directly or, if the leader does not answer the follower either, through the state service.
 func TestFollowerRedirectsThenRelaysHeartbeats(t *testing.T) {
 	leader, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
@@ -75,36 +74,37 @@
 		return follower.call(http.MethodPost, heartbeatPath, body).Code
 	}
 	if code := send(); code != http.StatusMisdirectedRequest {
-		t.Errorf("first heartbeat: status %d, want a redirect", code)
+		t.Errorf("first heartbeat: status %d, want 421 (a redirect to the leader)", code)
 	}
 	if code := send(); code != http.StatusOK {
-		t.Errorf("heartbeat relayed directly: status %d", code)
+		t.Errorf("heartbeat relayed directly: status %d, want 200", code)
 	}
 	if item, _ := leader.kv.Store.Get(peer.BatchKeyPrefix + "n1"); item.ModRevision != 0 {
-		t.Error("a batch was written although the leader answers")
+		t.Error("a batch was written to the state service although the leader answers directly")
 	}
 	stopPeerServer()
 	if code := send(); code != http.StatusOK {
-		t.Errorf("heartbeat relayed through the state service: status %d", code)
+		t.Errorf("heartbeat relayed through the state service: status %d, want 200", code)
 	}
 	if item, _ := leader.kv.Store.Get(peer.BatchKeyPrefix + "n1"); item.ModRevision == 0 {
-		t.Error("no batch was written")
+		t.Error("no batch was written to the state service")
 	}
 }
 
-// TestFollowerForwardsJobRequestsToLeader: a follower has the leader answer for a job and, when that
-// does not answer, a cancel request goes through the state service.
+// TestFollowerForwardsJobRequestsToLeader checks that a follower forwards a status query to the leader, and that a
+// cancel request for an unknown job fails when it is relayed through the state service because the leader does not
+// answer.
 func TestFollowerForwardsJobRequestsToLeader(t *testing.T) {
 	_, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
 	if w := follower.call(http.MethodGet, "/submissions/wk-000001", nil); w.Code != http.StatusNotFound {
-		t.Errorf("unknown job: status %d", w.Code)
+		t.Errorf("status query for an unknown job: status %d, want 404", w.Code)
 	}
 	if !follower.node.peers.reachable("n0") {
-		t.Error("the leader was not asked, or did not answer")
+		t.Error("the leader was not queried, or did not answer")
 	}
 	stopPeerServer()
 	if w := follower.call(http.MethodPost, "/submissions/wk-000001/withdraw", nil); w.Code == http.StatusOK {
-		t.Errorf("unknown job cancelled: status %d", w.Code)
+		t.Errorf("cancel request for an unknown job: status %d, want any status but 200", w.Code)
 	}
 }
--- a/internal/node/relayuplink.go
+++ b/internal/node/relayuplink.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// relayBatchInterval is the least time between two batches through the state service.
+	// relayBatchInterval is the minimum time between the starts of two batches through the state service.
 	relayBatchInterval = 500 * time.Millisecond
-	// relayCollectTime is how long the first request of a batch waits for others to join.
+	// relayCollectTime is how long the first request of a batch waits for others to join the batch.
 	relayCollectTime = relayBatchInterval / 4
-	// relayReplyTimeout bounds the wait for the reply to a batch.
+	// relayReplyTimeout bounds how long a batch waits for the leader's reply.
 	relayReplyTimeout = 2 * time.Second
 )
 
-// relayUplink carries heartbeats and cancel requests to a leader that this node does not
-// reach, through the state service, one batch at a time.
+// relayUplink relays heartbeats and cancel requests through the state service to a leader that this node can't reach
+// directly. It sends one batch at a time.
 type relayUplink struct {
 	*environment
 	core  *coreActor
@@ -38,7 +38,7 @@
 	return &relayUplink{environment: env, core: core, store: store, queue: queue}
 }
 
-// tryEnqueue hands a request to the actor, unless too many wait.
+// tryEnqueue adds a request to the queue and reports whether the queue had room for it.
 func (u *relayUplink) tryEnqueue(pending relay.PendingRequest) bool {
 	select {
 	case u.queue <- pending:
@@ -48,7 +48,8 @@
 	}
 }
 
-// relayHeartbeat brings a heartbeat to the leader.
+// relayHeartbeat relays a heartbeat to the leader and waits for the reply. It returns unavailableReply if the queue is
+// full or ctx ends first.
 func (u *relayUplink) relayHeartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
 	pending := relay.NewHeartbeatRequest(heartbeat, u.clock.Now().Add(heartbeatBudget))
 	if !u.tryEnqueue(pending) {
@@ -62,7 +63,8 @@
 	}
 }
 
-// cancel brings a cancel request to the leader.
+// cancel relays a cancel request to the leader and waits for the reply. It returns NoLeader if the queue is full, ctx
+// ends first, or the reply does not contain the state of the job.
 func (u *relayUplink) cancel(ctx context.Context, id ident.JobID) api.LeaderReplied {
 	noLeader := api.LeaderReplied{Outcome: api.NoLeader}
 	pending := relay.NewCancelRequest(id, u.clock.Now().Add(heartbeatBudget))
@@ -83,8 +85,9 @@
 // run sends batches until ctx ends.
 func (u *relayUplink) run(ctx context.Context) {
 	var waiting []relay.PendingRequest
+	// The nonce keeps batch IDs distinct from those before a restart of this node.
 	nonce := strconv.FormatInt(time.Now().UnixNano(), 36)
-	lastAckedID := "" // the last batch that was answered
+	lastAckedID := "" // ID of the last batch that was answered
 	for sequence := 1; ; sequence++ {
 		if len(waiting) == 0 {
 			select {
@@ -110,7 +113,7 @@
 	}
 }
 
-// drainQueue appends what waits in the queue.
+// drainQueue appends the requests in the queue to those that wait, and returns them all.
 func (u *relayUplink) drainQueue(waiting []relay.PendingRequest) []relay.PendingRequest {
 	for {
 		select {
@@ -122,7 +125,8 @@
 	}
 }
 
-// nextBatch makes a batch of the requests that wait.
+// nextBatch returns a batch of the waiting requests, whose header also attests how long this node has renewed no lease
+// under a delegation.
 func (u *relayUplink) nextBatch(id, acked string, waiting []relay.PendingRequest) relay.Batch {
 	now := u.clock.Now()
 	idleSince := clock.Instant(u.core.delegateIdleSince.Load())
@@ -134,8 +138,8 @@
 	return batch
 }
 
-// exchange writes a batch and waits for the leader's reply to it; it tells whether that
-// came.
+// exchange writes a batch to the state service, waits for the leader's reply and delivers it to the requests. It
+// reports whether a reply arrived.
 func (u *relayUplink) exchange(ctx context.Context, id string, batch relay.Batch) bool {
 	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		return false
@@ -160,8 +164,8 @@
 	return false
 }
 
-// findReply returns the reply to a batch among the changes of this node's reply key, or
-// nil.
+// findReply returns the reply to the batch with the given ID among the changes of this node's reply key, or nil if
+// there is none.
 func (u *relayUplink) findReply(events []kvstore.WatchEvent, id string) *peer.BatchReply {
 	for _, e := range events {
 		reply, err := peer.DecompressReply(e.Value)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// unknownOutcomeRetryInterval is the pause before a request whose outcome is unknown is
-	// repeated or read back.
+	// unknownOutcomeRetryInterval is the pause before a request that failed or was not answered is repeated, or its
+	// outcome read back.
 	unknownOutcomeRetryInterval = 150 * time.Millisecond
-	// longPollTimeout is how long the state service may hold a long poll.
+	// longPollTimeout is how long the state service may keep a watch request open.
 	longPollTimeout = 5 * time.Second
-	// longPollInterval is the pause between two long polls, so that the leader's own writes do
-	// not come back one by one.
+	// longPollInterval is the pause between two watch requests, so that the leader's own writes
+	// are returned in groups instead of one per request.
 	longPollInterval = 250 * time.Millisecond
 )
 
-// errOutcomeAbandoned says that a transaction may have been applied or not, and that
-// nobody tries to find out any longer.
-var errOutcomeAbandoned = errors.New("outcome of the transaction not found out")
+// errOutcomeAbandoned is returned when commitAndConfirm gives up before the outcome of a transaction is known: it may
+// have been applied or not.
+var errOutcomeAbandoned = errors.New("confirmation abandoned: transaction outcome unknown")
 
-// stateService is the node's access to the state service. It counts failures and
-// remembers when the service last answered. It is safe for concurrent use.
+// stateService is the node's client of the state service. It counts throttled requests and unknown outcomes, and
+// records when the service last answered. It is safe for concurrent use.
 type stateService struct {
 	*environment
 	client     *kvstore.Client
 	budget     *kvstore.Budget
-	lastAnswer atomic.Int64 // clock.Instant; 0: none yet
+	lastAnswer atomic.Int64 // clock.Instant; 0 if there was no answer yet
 }
 
-// record takes in the result of a request, and returns it.
+// record updates the counters and the time of the last answer from the error of a request, and returns that error.
 func (s *stateService) record(err error) error {
 	var conflict *kvstore.ConflictError
 	switch {
@@ -51,20 +51,20 @@
 	return err
 }
 
-// everAnswered tells whether the service has answered since the start.
+// everAnswered reports whether the service has answered since this node started.
 func (s *stateService) everAnswered() bool { return s.lastAnswer.Load() != 0 }
 
-// answeredWithin tells whether the service has answered within the last d.
+// answeredWithin reports whether the service has answered within the last d.
 func (s *stateService) answeredWithin(d time.Duration) bool {
 	return s.clock.Now().Sub(clock.Instant(s.lastAnswer.Load())) < d
 }
 
-// takeWrite takes one write from the node's share of the write rate.
+// takeWrite takes one write from the node's share of the write rate, and reports whether the share allowed it.
 func (s *stateService) takeWrite(purpose kvstore.Purpose) bool {
 	return s.budget.TakeWrites(s.clock.Now(), purpose, 1)
 }
 
-// takeRequest takes one request from the node's share of the request rate.
+// takeRequest takes one request from the node's share of the request rate, and reports whether the share allowed it.
 func (s *stateService) takeRequest() bool { return s.budget.TakeRequest(s.clock.Now()) }
 
 func (s *stateService) get(ctx context.Context, key string) (kvstore.KeyValue, error) {
@@ -77,8 +77,8 @@
 	return items, revision, s.record(err)
 }
 
-// watch waits for changes after a revision, for at most hold. The leader's long polls use
-// the client itself: they count neither as answers nor as failures of the service.
+// watch waits up to timeout for changes after a revision. The leader's long polls call the client directly instead:
+// they count neither as answers nor as failures of the service.
 func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision,
 	timeout time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
 	events, revision, err := s.client.Watch(ctx, prefix, since, timeout)
@@ -90,7 +90,7 @@
 	return revision, s.record(err)
 }
 
-// grantLease asks for a lease of the given time to live.
+// grantLease requests a lease with the given time to live.
 func (s *stateService) grantLease(ctx context.Context, ttl time.Duration) (ident.LeaseID, error) {
 	lease, err := s.client.GrantLease(ctx, ttl)
 	return lease, s.record(err)
@@ -104,23 +104,27 @@
 	return s.record(s.client.RevokeLease(ctx, id))
 }
 
-// confirmation says how commitAndConfirm finds out what became of a transaction.
+// confirmation controls how commitAndConfirm determines the outcome of a transaction.
 type confirmation struct {
-	// fenceKey is the key whose failed condition decides at once that the transaction
-	// was not applied; "": there is none.
+	// fenceKey is the key whose failed condition makes commitAndConfirm return the conflict
+	// at once, without reading the outcome back; "" if there is none.
 	fenceKey string
-	// stillNeeded tells whether the outcome still matters; nil: always.
+	// stillNeeded reports whether the outcome still matters. If it is nil, the outcome always matters.
 	stillNeeded func() bool
 }
 
-// commitAndConfirm applies a transaction and finds out what became of it. A try without
-// an answer is repeated: the conditions name the revisions that the transaction changes,
-// so it is applied at most once, and a conflict after an unanswered try is settled by
-// reading the first changed key back. Nobody but the caller may write that key.
+// commitAndConfirm applies a transaction and determines its outcome even if responses are lost:
 //
-// The error is a *kvstore.ConflictError or another error of kvstore if the transaction
-// was surely not applied, and errOutcomeAbandoned if ctx ended, or the outcome was no
-// longer wanted, before it was known.
+//  1. An attempt without an answer is repeated until one succeeds or conflicts. The conditions name the revisions
+//     that the transaction changes, so it is applied at most once.
+//  2. A conflict on the first attempt, or on opts.fenceKey, is returned.
+//  3. Any other conflict may stem from an earlier attempt that was applied. It is resolved by reading back the first
+//     key that the transaction changes, so only the caller may write that key.
+//
+// The error is a *kvstore.ConflictError or another error of kvstore if the transaction was certainly not applied, and
+// errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. Two cases return a
+// *kvstore.ConflictError although an earlier, unanswered attempt may have been applied: a conflict on opts.fenceKey,
+// and a read-back that is abandoned.
 func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmation) (ident.Revision, error) {
 	outcomeUnknown := false
 	for {
@@ -145,8 +149,9 @@
 	}
 }
 
-// resolveConflict judges a conflict that follows an unanswered try: a key that has moved
-// on was moved by that try.
+// resolveConflict determines whether a conflict that follows an unanswered attempt was caused by that attempt: since
+// only the caller writes the key, a changed revision shows that the attempt was applied. It returns the conflict if
+// the transaction was not applied, or if the key can't be read before the confirmation is abandoned.
 func (s *stateService) resolveConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError,
 	opts confirmation) (ident.Revision, error) {
 	for {
@@ -160,12 +165,12 @@
 	}
 }
 
-// retry waits for the next try, and tells whether there is to be one.
+// retry waits until the next attempt is due, and reports whether to make it.
 func (c confirmation) retry(ctx context.Context) bool {
 	return (c.stillNeeded == nil || c.stillNeeded()) && sleep(ctx, unknownOutcomeRetryInterval)
 }
 
-// sleep waits for d, and tells whether it has passed before ctx ended.
+// sleep waits for d, and reports whether d has passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -14,18 +14,17 @@
 	"badgerbay/internal/kvstore"
 )
 
-// transactionFault is what happens to a transaction on its way.
+// transactionFault is a fault that faultyTransport injects into a transaction.
 type transactionFault int
 
 const (
-	requestLost  transactionFault = iota // neither applied nor answered
-	responseLost                         // applied, and not answered
-	throttled                            // refused for want of rate
-	rejected                             // refused as malformed
+	requestLost  transactionFault = iota // the transaction is neither applied nor answered
+	responseLost                         // the transaction is applied but not answered
+	throttled                            // the request is refused because it exceeds the rate limit
+	rejected                             // the request is refused as malformed
 )
 
-// faultyTransport lets the first transactions meet their faults, and passes on what comes
-// after.
+// faultyTransport injects one fault each into the first transactions, and passes all other requests on.
 type faultyTransport struct {
 	next   http.RoundTripper
 	faults []transactionFault
@@ -54,12 +53,12 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-// injectFaults lets the node's next transactions meet faults.
+// injectFaults injects one fault each into the node's next transactions.
 func (f *nodeFixture) injectFaults(faults ...transactionFault) {
 	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &faultyTransport{next: f.kv, faults: faults})
 }
 
-// putOldValue stores a value whatever is there.
+// putOldValue stores the value "old" under a key unconditionally, and returns the revision.
 func (f *nodeFixture) putOldValue(t *testing.T, key string) ident.Revision {
 	t.Helper()
 	revision, err := f.kv.Store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: "old"}}})
@@ -69,12 +68,13 @@
 	return revision
 }
 
-// TestCommitAndConfirm: what became of a transaction is found out, whichever answers are
-// lost, and it is never applied twice.
+// TestCommitAndConfirm checks that the outcome of a transaction is determined whichever requests or responses are
+// lost, and that the transaction is never applied twice.
 func TestCommitAndConfirm(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		faults   []transactionFault
+		name   string
+		faults []transactionFault
+		// fenceKey is the key whose conflict is returned without reading the outcome back.
 		fenceKey string
 		// changedBefore is the key that another writer changes before the first attempt.
 		changedBefore string
@@ -84,19 +84,19 @@
 		wantErr func(error) bool
 	}{
 		{name: "answered"},
-		{name: "lost once", faults: []transactionFault{requestLost}},
-		{name: "applied and not answered", faults: []transactionFault{responseLost}},
-		{name: "applied, then lost", faults: []transactionFault{responseLost, requestLost, requestLost}},
-		{name: "lost, then throttled", faults: []transactionFault{requestLost, throttled}},
-		{name: "lost, then rejected", faults: []transactionFault{requestLost, rejected}},
+		{name: "request lost once", faults: []transactionFault{requestLost}},
+		{name: "response lost", faults: []transactionFault{responseLost}},
+		{name: "response lost, then requests lost", faults: []transactionFault{responseLost, requestLost, requestLost}},
+		{name: "request lost, then throttled", faults: []transactionFault{requestLost, throttled}},
+		{name: "request lost, then rejected", faults: []transactionFault{requestLost, rejected}},
 		{name: "throttled", faults: []transactionFault{throttled}, wantErr: matchesError(kvstore.ErrThrottled)},
 		{name: "rejected", faults: []transactionFault{rejected}, wantErr: matchesError(kvstore.ErrRejected)},
 		{name: "conflict", changedBefore: "job/1", wantErr: matchesConflict("job/1")},
-		{name: "lost, then a conflict of the fence", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, fenceKey: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
-		{name: "lost, then another conflict", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
-		{name: "applied, then a conflict of the fence", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey, fenceKey: election.LeaderKey,
+		{name: "request lost, then conflict on the fence key", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, fenceKey: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "request lost, then conflict without a fence key", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "response lost, then conflict on the fence key", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey, fenceKey: election.LeaderKey,
 			wantErr: matchesConflict(election.LeaderKey, "job/1")},
-		{name: "applied, then another conflict", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey},
+		{name: "response lost, then conflict without a fence key", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newNodeFixture(t)
@@ -114,12 +114,12 @@
 			}, confirmation{fenceKey: c.fenceKey})
 			if c.wantErr != nil {
 				if !c.wantErr(err) {
-					t.Errorf("error %v", err)
+					t.Errorf("error %v, want another outcome", err)
 				}
 				return
 			}
 			if item, _ := f.kv.Store.Get("job/1"); err != nil || revision != item.ModRevision || revision == job {
-				t.Errorf("revision %d, %v; stored is %d, before it was %d", revision, err, item.ModRevision, job)
+				t.Errorf("revision %d, error %v; stored revision is %d, was %d before", revision, err, item.ModRevision, job)
 			}
 		})
 	}
@@ -136,18 +136,19 @@
 	}
 }
 
-// TestCommitAndConfirmAbandonsUnneededOutcome: nobody goes on for an outcome that is not wanted any more.
+// TestCommitAndConfirmAbandonsUnneededOutcome checks that commitAndConfirm stops retrying once the outcome is no
+// longer needed or the context has ended.
 func TestCommitAndConfirmAbandonsUnneededOutcome(t *testing.T) {
 	f := newNodeFixture(t)
 	txn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}}}
 	f.injectFaults(requestLost, requestLost, requestLost)
 	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{stillNeeded: func() bool { return false }})
 	if !errors.Is(err, errOutcomeAbandoned) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v although the outcome is no longer needed, want %v", err, errOutcomeAbandoned)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := f.node.store.commitAndConfirm(ctx, txn, confirmation{}); !errors.Is(err, errOutcomeAbandoned) {
-		t.Errorf("error %v after the context ended", err)
+		t.Errorf("error %v after the context ended, want %v", err, errOutcomeAbandoned)
 	}
 }
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// storeFreshness is how recently the state service must have answered for a submission
-	// to wait for it before another node is asked.
+	// storeFreshness is how recently the state service must have answered this node for a submission to wait
+	// hedgeDelay before it is forwarded to another node; otherwise it is forwarded at once.
 	storeFreshness = time.Second
-	// hedgeDelay is how long a submission waits for the state service before
-	// another node is asked to store it as well.
+	// hedgeDelay is how long a submission waits for the state service before it is forwarded to another node, which
+	// then tries to store it as well.
 	hedgeDelay = 250 * time.Millisecond
-	// hedgeRefusalTimeout is how long a submission that this node refuses waits for another
-	// to accept it, at most: a refusal must come at once.
+	// hedgeRefusalTimeout bounds how long a submission that this node has refused waits for another node to accept
+	// it: a refusal must reach the user promptly.
 	hedgeRefusalTimeout = 400 * time.Millisecond
-	// slowSubmissionThreshold is how long a submission may take without being logged.
+	// slowSubmissionThreshold is the duration above which a submission is logged.
 	slowSubmissionThreshold = 500 * time.Millisecond
-	// maxForwardTargets bounds how many other nodes are asked to store a submission.
+	// maxForwardTargets bounds the number of nodes to which a submission is forwarded.
 	maxForwardTargets = 2
 )
 
-// handleSubmit answers a submission.
+// handleSubmit handles the submission of a job.
 func (u *userAPI) handleSubmit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := readBody(w, r, api.MaxBodyBytes)
 	if err != nil {
@@ -47,7 +47,7 @@
 	u.writeResponse(w, id, response)
 }
 
-// submitHere decides a submission without the help of other nodes.
+// submitHere stores a submission, or refuses it, without forwarding it to other nodes.
 func (u *userAPI) submitHere(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
@@ -56,10 +56,9 @@
 	return submission.ID, u.storeSubmission(ctx, submission)
 }
 
-// submit decides a submission. One that this node can't store at once, for
-// want of the state service or of its share of the writes, is forwarded to the
-// others too: a job is stored only if it does not exist, so whichever node
-// comes first stores it, and the rest find it there.
+// submit stores a submission or refuses it. If this node can't store it promptly, because the state service does not
+// answer or the node's share of the write rate is used up, other nodes are asked to store it as well. That is safe: a
+// job is stored only if it does not exist, so the first node to write stores it and the others find it stored.
 func (u *userAPI) submit(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
@@ -76,7 +75,7 @@
 		if response.Code != http.StatusServiceUnavailable {
 			return submission.ID, response
 		}
-		local <- response // for hedge to count
+		local <- response // returned to the channel, for hedge to read again
 	case <-time.After(delay):
 	}
 	return submission.ID, u.hedge(ctx, data, local)
@@ -85,7 +84,7 @@
 func (u *userAPI) decodeSubmission(data []byte) (*api.Submission, error) {
 	submission, err := api.DecodeSubmission(data)
 	if err != nil {
-		u.log.Debug("submission malformed", "err", err)
+		u.log.Debug("decoding submission failed", "err", err)
 	}
 	return submission, err
 }
@@ -100,13 +99,17 @@
 	return u.runRequest(ctx, submission.ID, api.NewSubmitRequest(submission, rules, u.clock.Wall().UnixMilli()))
 }
 
-// hedge forwards a submission to other nodes, and answers with the first response that
-// accepts it; a refusal counts only once nobody is left to ask.
+// hedge forwards a submission to other nodes while this node may still be storing it. It returns the first of:
+//
+//  1. this node's response, if that is not status 503;
+//  2. a response of another node, if that accepts the submission;
+//  3. a refusal, once both this node and the others have refused, hedgeRefusalTimeout has passed since this node
+//     refused, or ctx has ended.
 func (u *userAPI) hedge(ctx context.Context, data []byte, local <-chan api.Response) api.Response {
 	forwarded := make(chan api.Response, 1)
 	go func() { forwarded <- u.forward(ctx, data) }()
 	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
-	var refusalDeadline <-chan time.Time // nil until this node has refused
+	var refusalDeadline <-chan time.Time // nil until this node has refused the submission
 	for range 2 {
 		select {
 		case response := <-local:
@@ -127,7 +130,8 @@
 	return refusal
 }
 
-// forward asks other nodes that are reached to store a submission.
+// forward asks reachable nodes, one after the other, to store a submission. It returns the first response that accepts
+// it, or status 503.
 func (u *userAPI) forward(ctx context.Context, data []byte) api.Response {
 	attempts := 0
 	for _, name := range u.forwardTargets() {
@@ -139,7 +143,7 @@
 		}
 		attempts++
 		reply, err := u.peers.ForwardSubmission(ctx, name, data)
-		if ctx.Err() == nil { // else the user's time is over, which is not the peer's fault
+		if ctx.Err() == nil { // otherwise the user's deadline has passed, which is no failure of the peer
 			u.peers.record(name, err)
 		}
 		if err == nil && isSuccess(int(reply.Status)) {
@@ -149,11 +153,12 @@
 	return api.Response{Code: http.StatusServiceUnavailable}
 }
 
-// forwardTargets are the nodes that may store a submission that this one can't: the
-// others, beginning with a different one each time, so that none gets them all.
-// In a flood only one is asked. All users may have come to one node, and what is
-// left at the others must not go to waste: some ran out of the minute for which
-// they try.
+// forwardTargets returns the other nodes, to which a submission that this node can't store may be forwarded, in the
+// order in which to ask them. The order starts with a different node each time, so that no node gets all submissions.
+//
+// While this node is overloaded, it returns only one node. Forwarding does not stop altogether, because all users may
+// be connected to this node: when the write budget of the others went unused, some users were still refused at the end
+// of the minute for which they retry.
 func (u *userAPI) forwardTargets() []string {
 	names := u.peers.Names()
 	if len(names) == 0 {
--- a/internal/node/transactions.go
+++ b/internal/node/transactions.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/kvstore"
 )
 
-// commit applies a transaction of the leader, finds out what became of it, and tells the
-// core. Only the leader of this epoch writes the keys that it changes.
+// commit applies a transaction of the leader, determines its outcome and posts that to the core. As commitAndConfirm
+// requires, no other node writes the keys that the transaction changes: only the leader of this epoch does.
 func (n *Node) commit(ctx context.Context, e controller.CommitTransaction) {
 	revision, err := n.store.commitAndConfirm(ctx, e.Txn, confirmation{
 		fenceKey:    election.LeaderKey,
--- a/internal/node/userapi.go
+++ b/internal/node/userapi.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// statusBudget and submitBudget bound the time until a user is answered; a cancel
-	// request has that of a submission.
+	// statusBudget bounds the time until a status query is answered, and submitBudget the time until a submission or a
+	// cancel request is answered.
 	statusBudget = 1800 * time.Millisecond
 	submitBudget = 4 * time.Second
-	// minRetryAfter is the least Retry-After.
+	// minRetryAfter is the minimum Retry-After.
 	minRetryAfter = time.Second
 )
 
-// userAPI answers users: it submits, queries and cancels jobs.
+// userAPI handles the requests of users: it submits, queries and cancels jobs.
 type userAPI struct {
 	*environment
 	core        *coreActor
@@ -36,14 +36,14 @@
 	peers       *peerNetwork
 	reach       *reachability
 	uplink      *relayUplink
-	quotaHolder *quotaHolderActor // nil: there are no team quotas
+	quotaHolder *quotaHolderActor // nil if team quotas are disabled
 	teams       map[ident.Team]config.Team
 	retryPacer  *api.RetryPacer
 
-	forwardCount atomic.Uint32 // submissions that other nodes were asked to store
+	forwardCount atomic.Uint32 // counts forwarded submissions, to rotate the node that is asked first
 }
 
-// handleJobRequest answers a status query or a cancel request.
+// handleJobRequest returns the handler for status queries or for cancel requests.
 func (u *userAPI) handleJobRequest(kind api.RequestKind) httprouter.Handle {
 	budget := statusBudget
 	if kind == api.Cancel {
@@ -59,8 +59,8 @@
 		defer cancel()
 		startedAt := u.clock.Now()
 		response := u.runRequest(ctx, id, api.NewJobRequest(kind))
-		// A node that stalled meanwhile may hold an answer that is older than what
-		// another node has said since.
+		// If this node stalled for longer than the budget, its answer may be older
+		// than one that another node has given since.
 		if u.clock.Now().Sub(startedAt) > budget {
 			response = api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// runRequest carries out what a request's state machine asks for until it responds.
+// runRequest executes the actions that the state machine of a request asks for, until that returns a response.
 func (u *userAPI) runRequest(ctx context.Context, id ident.JobID, req *api.Request) api.Response {
 	var in api.Input = api.Begin{}
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// createJob stores a job if it does not exist. Only refusals for want of writes count
-// for the pace: others may store what the state service refuses this node.
+// createJob stores a job if it does not exist. Only rejections because this node's write budget is used up count for
+// retryPacer: if the state service refuses the write of this node, another node may still store the job.
 func (u *userAPI) createJob(ctx context.Context, id ident.JobID, req *api.Request, record *jobs.Record) api.CreateResult {
 	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		delay := u.store.budget.WriteDelay(u.clock.Now(), kvstore.PurposeSubmission)
@@ -113,8 +113,8 @@
 	return api.Rejected
 }
 
-// notifyLeader tells the leader of a new job; the call to a peer ends by its own
-// timeout. If the notification is lost, the leader's watch finds the job a moment later.
+// notifyLeader notifies the leader of a new job. The call to a peer has its own timeout. If the notification is lost,
+// the leader's watch finds the job shortly afterwards.
 func (u *userAPI) notifyLeader(ctx context.Context, id ident.JobID) {
 	view := u.core.view()
 	if view.leads() {
@@ -125,11 +125,12 @@
 		return
 	}
 	if err := u.peers.NotifyJobChanged(ctx, view.leader, string(id)); err != nil {
-		u.log.Debug("job notification lost", "job", id, "err", err)
+		u.log.Debug("notifying the leader of a job failed", "job", id, "err", err)
 	}
 }
 
-// loadJob reads a job's record.
+// loadJob reads the record of a job. The result has no record if the job does not exist, and is not OK if the request
+// budget is used up or the record can't be read.
 func (u *userAPI) loadJob(ctx context.Context, id ident.JobID) api.RecordLoaded {
 	if !u.store.takeRequest() {
 		return api.RecordLoaded{}
@@ -149,7 +150,7 @@
 	return api.RecordLoaded{OK: true, Record: record}
 }
 
-// writeResponse answers a user.
+// writeResponse writes the response to a user's request and counts it by its status code.
 func (u *userAPI) writeResponse(w http.ResponseWriter, id ident.JobID, response api.Response) {
 	u.metrics.UserResponses.WithLabelValues(strconv.Itoa(response.Code)).Inc()
 	if response.RetryAfter > 0 {
@@ -166,8 +167,8 @@
 	}
 	w.Header().Set("Content-Type", wire.ContentType)
 	w.WriteHeader(response.Code)
-	w.Write(body) // a user who has gone needs no answer
+	w.Write(body) // an error means that the user has disconnected and needs no response
 }
 
-// isSuccess tells whether a job was stored or found.
+// isSuccess reports whether a status code means that the job was stored or found.
 func isSuccess(code int) bool { return code == http.StatusOK || code == http.StatusCreated }
