--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -14,35 +14,34 @@
 	"badgerbay/internal/kvstore"
 )
 
-// fate is what happens to a transaction on its way.
-type fate int
+// transactionFault is a fault that faultyTransport injects into a transaction.
+type transactionFault int
 
 const (
-	lost      fate = iota // neither applied nor answered
-	applied               // applied, and not answered
-	throttled             // refused for want of rate
-	rejected              // refused as malformed
+	requestLost  transactionFault = iota // the transaction is neither applied nor answered
+	responseLost                         // the transaction is applied but not answered
+	throttled                            // the request is refused because it exceeds the rate limit
+	rejected                             // the request is refused as malformed
 )
 
-// lossyTransport lets the first transactions meet their fates, and passes on what comes
-// after.
-type lossyTransport struct {
-	next  http.RoundTripper
-	fates []fate
+// faultyTransport injects one fault each into the first transactions, and passes all other requests on.
+type faultyTransport struct {
+	next   http.RoundTripper
+	faults []transactionFault
 }
 
-func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.URL.Path != "/multi" || len(l.fates) == 0 {
+func (l *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.URL.Path != "/multi" || len(l.faults) == 0 {
 		return l.next.RoundTrip(r)
 	}
-	now := l.fates[0]
-	l.fates = l.fates[1:]
-	switch now {
+	fault := l.faults[0]
+	l.faults = l.faults[1:]
+	switch fault {
 	case throttled:
 		return emptyResponse(http.StatusTooManyRequests), nil
 	case rejected:
 		return emptyResponse(http.StatusBadRequest), nil
-	case applied:
+	case responseLost:
 		if _, err := l.next.RoundTrip(r); err != nil {
 			return nil, err
 		}
@@ -54,13 +53,13 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-// meetFates lets the node's next transactions meet fates.
-func (f *nodeFixture) meetFates(fates ...fate) {
-	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &lossyTransport{next: f.kv, fates: fates})
+// injectFaults injects one fault each into the node's next transactions.
+func (f *nodeFixture) injectFaults(faults ...transactionFault) {
+	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &faultyTransport{next: f.kv, faults: faults})
 }
 
-// put stores a value whatever is there.
-func (f *nodeFixture) put(t *testing.T, key string) ident.Revision {
+// putOldValue stores the value "old" under a key unconditionally, and returns the revision.
+func (f *nodeFixture) putOldValue(t *testing.T, key string) ident.Revision {
 	t.Helper()
 	revision, err := f.kv.Store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: "old"}}})
 	if err != nil {
@@ -69,82 +68,87 @@
 	return revision
 }
 
-// TestCommitAndConfirm: what became of a transaction is found out, whichever answers are
-// lost, and it is never applied twice.
+// TestCommitAndConfirm checks that the outcome of a transaction is determined whichever requests or responses are
+// lost, and that the transaction is never applied twice.
 func TestCommitAndConfirm(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		fates   []fate
-		fence   string           // the key that decides at once
-		before  string           // the key that somebody else changes before the first try
-		after   string           // the key that somebody else changes once it is applied
-		refused func(error) bool // nil: it is applied
+		name   string
+		faults []transactionFault
+		// fenceKey is the key whose conflict is returned without reading the outcome back.
+		fenceKey string
+		// changedBefore is the key that another writer changes before the first attempt.
+		changedBefore string
+		// changedAfter is the key that another writer changes once the transaction is applied.
+		changedAfter string
+		// wantErr reports whether the error is the expected one; nil: the transaction must be applied.
+		wantErr func(error) bool
 	}{
 		{name: "answered"},
-		{name: "lost once", fates: []fate{lost}},
-		{name: "applied and not answered", fates: []fate{applied}},
-		{name: "applied, then lost", fates: []fate{applied, lost, lost}},
-		{name: "lost, then throttled", fates: []fate{lost, throttled}},
-		{name: "lost, then rejected", fates: []fate{lost, rejected}},
-		{name: "throttled", fates: []fate{throttled}, refused: isError(kvstore.ErrThrottled)},
-		{name: "rejected", fates: []fate{rejected}, refused: isError(kvstore.ErrRejected)},
-		{name: "conflict", before: "job/1", refused: isConflict("job/1")},
-		{name: "lost, then a conflict of the fence", fates: []fate{lost}, before: election.LeaderKey, fence: election.LeaderKey, refused: isConflict(election.LeaderKey)},
-		{name: "lost, then another conflict", fates: []fate{lost}, before: election.LeaderKey, refused: isConflict(election.LeaderKey)},
-		{name: "applied, then a conflict of the fence", fates: []fate{applied}, after: election.LeaderKey, fence: election.LeaderKey,
-			refused: isConflict(election.LeaderKey, "job/1")},
-		{name: "applied, then another conflict", fates: []fate{applied}, after: election.LeaderKey},
+		{name: "request lost once", faults: []transactionFault{requestLost}},
+		{name: "response lost", faults: []transactionFault{responseLost}},
+		{name: "response lost, then requests lost", faults: []transactionFault{responseLost, requestLost, requestLost}},
+		{name: "request lost, then throttled", faults: []transactionFault{requestLost, throttled}},
+		{name: "request lost, then rejected", faults: []transactionFault{requestLost, rejected}},
+		{name: "throttled", faults: []transactionFault{throttled}, wantErr: matchesError(kvstore.ErrThrottled)},
+		{name: "rejected", faults: []transactionFault{rejected}, wantErr: matchesError(kvstore.ErrRejected)},
+		{name: "conflict", changedBefore: "job/1", wantErr: matchesConflict("job/1")},
+		{name: "request lost, then conflict on the fence key", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, fenceKey: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "request lost, then conflict without a fence key", faults: []transactionFault{requestLost}, changedBefore: election.LeaderKey, wantErr: matchesConflict(election.LeaderKey)},
+		{name: "response lost, then conflict on the fence key", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey, fenceKey: election.LeaderKey,
+			wantErr: matchesConflict(election.LeaderKey, "job/1")},
+		{name: "response lost, then conflict without a fence key", faults: []transactionFault{responseLost}, changedAfter: election.LeaderKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newNodeFixture(t)
-			leader, job := f.put(t, election.LeaderKey), f.put(t, "job/1")
-			if c.before != "" {
-				f.put(t, c.before)
+			leader, job := f.putOldValue(t, election.LeaderKey), f.putOldValue(t, "job/1")
+			if c.changedBefore != "" {
+				f.putOldValue(t, c.changedBefore)
 			}
-			if c.after != "" {
-				f.kv.OnCommit = func(kvstore.Txn) { f.put(t, c.after) }
+			if c.changedAfter != "" {
+				f.kv.OnCommit = func(kvstore.Txn) { f.putOldValue(t, c.changedAfter) }
 			}
-			f.meetFates(c.fates...)
+			f.injectFaults(c.faults...)
 			revision, err := f.node.store.commitAndConfirm(context.Background(), kvstore.Txn{
 				Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: leader}, {Key: "job/1", ModRevision: job}},
 				Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}},
-			}, confirmation{fenceKey: c.fence})
-			if c.refused != nil {
-				if !c.refused(err) {
-					t.Errorf("error %v", err)
+			}, confirmation{fenceKey: c.fenceKey})
+			if c.wantErr != nil {
+				if !c.wantErr(err) {
+					t.Errorf("error %v, want another outcome", err)
 				}
 				return
 			}
 			if item, _ := f.kv.Store.Get("job/1"); err != nil || revision != item.ModRevision || revision == job {
-				t.Errorf("revision %d, %v; stored is %d, before it was %d", revision, err, item.ModRevision, job)
+				t.Errorf("revision %d, error %v; stored revision is %d, was %d before", revision, err, item.ModRevision, job)
 			}
 		})
 	}
 }
 
-func isError(target error) func(error) bool {
+func matchesError(target error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, target) }
 }
 
-func isConflict(keys ...string) func(error) bool {
+func matchesConflict(keys ...string) func(error) bool {
 	return func(err error) bool {
 		var conflict *kvstore.ConflictError
 		return errors.As(err, &conflict) && slices.Equal(conflict.FailedKeys, keys)
 	}
 }
 
-// TestAbandonedOutcome: nobody goes on for an outcome that is not wanted any more.
-func TestAbandonedOutcome(t *testing.T) {
+// TestCommitAndConfirmAbandonsUnneededOutcome checks that commitAndConfirm stops retrying once the outcome is no
+// longer needed or the context has ended.
+func TestCommitAndConfirmAbandonsUnneededOutcome(t *testing.T) {
 	f := newNodeFixture(t)
 	txn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}}}
-	f.meetFates(lost, lost, lost)
-	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{wanted: func() bool { return false }})
+	f.injectFaults(requestLost, requestLost, requestLost)
+	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{stillNeeded: func() bool { return false }})
 	if !errors.Is(err, errOutcomeAbandoned) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v although the outcome is no longer needed, want %v", err, errOutcomeAbandoned)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := f.node.store.commitAndConfirm(ctx, txn, confirmation{}); !errors.Is(err, errOutcomeAbandoned) {
-		t.Errorf("error %v after the context ended", err)
+		t.Errorf("error %v after the context ended, want %v", err, errOutcomeAbandoned)
 	}
 }
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// storeFreshness is how recently the state service must have answered for a submission
-	// to wait for it before another node is asked.
+	// storeFreshness is how recently the state service must have answered this node for a submission to wait
+	// hedgeDelay before it is forwarded to another node; otherwise it is forwarded at once.
 	storeFreshness = time.Second
-	// hedgeDelay is how long a submission waits for the state service before
-	// another node is asked to store it as well.
+	// hedgeDelay is how long a submission waits for the state service before it is forwarded to another node, which
+	// then tries to store it as well.
 	hedgeDelay = 250 * time.Millisecond
-	// hedgeRefusalDelay is how long a submission that this node refuses waits for another
-	// to accept it, at most: a refusal must come at once.
-	hedgeRefusalDelay = 400 * time.Millisecond
-	// slowSubmissionThreshold is how long a submission may take without being logged.
+	// hedgeRefusalTimeout bounds how long a submission that this node has refused waits for another node to accept
+	// it: a refusal must reach the user promptly.
+	hedgeRefusalTimeout = 400 * time.Millisecond
+	// slowSubmissionThreshold is the duration above which a submission is logged.
 	slowSubmissionThreshold = 500 * time.Millisecond
-	// maxForwardTargets bounds how many other nodes are asked to store a submission.
+	// maxForwardTargets bounds the number of nodes to which a submission is forwarded.
 	maxForwardTargets = 2
 )
 
-// handleSubmit answers a submission.
+// handleSubmit handles the submission of a job.
 func (u *userAPI) handleSubmit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := readBody(w, r, api.MaxBodyBytes)
 	if err != nil {
@@ -38,16 +38,16 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitBudget)
 	defer cancel()
-	begun := u.clock.Now()
+	startedAt := u.clock.Now()
 	id, response := u.submit(ctx, data)
-	if took := u.clock.Now().Sub(begun); response.Code >= http.StatusTooManyRequests || took > slowSubmissionThreshold {
-		u.log.Debug("submission delayed or refused", "job", id, "status", response.Code, "took", took, "retry_after", response.RetryAfter,
+	if duration := u.clock.Now().Sub(startedAt); response.Code >= http.StatusTooManyRequests || duration > slowSubmissionThreshold {
+		u.log.Debug("submission delayed or refused", "job", id, "status", response.Code, "took", duration, "retry_after", response.RetryAfter,
 			"state_reached", u.store.answeredWithin(storeFreshness))
 	}
 	u.writeResponse(w, id, response)
 }
 
-// submitHere decides a submission without the help of other nodes.
+// submitHere stores a submission, or refuses it, without forwarding it to other nodes.
 func (u *userAPI) submitHere(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
@@ -56,36 +56,35 @@
 	return submission.ID, u.storeSubmission(ctx, submission)
 }
 
-// submit decides a submission. One that this node can't store at once, for
-// want of the state service or of its share of the writes, is forwarded to the
-// others too: a job is stored only if it does not exist, so whichever node
-// comes first stores it, and the rest find it there.
+// submit stores a submission or refuses it. If this node can't store it promptly, because the state service does not
+// answer or the node's share of the write rate is used up, other nodes are asked to store it as well. That is safe: a
+// job is stored only if it does not exist, so the first node to write stores it and the others find it stored.
 func (u *userAPI) submit(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
 		return "", api.Response{Code: http.StatusBadRequest}
 	}
-	own := make(chan api.Response, 1)
-	go func() { own <- u.storeSubmission(ctx, submission) }()
+	local := make(chan api.Response, 1)
+	go func() { local <- u.storeSubmission(ctx, submission) }()
 	delay := hedgeDelay
 	if !u.store.answeredWithin(storeFreshness) {
 		delay = 0
 	}
 	select {
-	case response := <-own:
+	case response := <-local:
 		if response.Code != http.StatusServiceUnavailable {
 			return submission.ID, response
 		}
-		own <- response // for hedge to count
+		local <- response // returned to the channel, for hedge to read again
 	case <-time.After(delay):
 	}
-	return submission.ID, u.hedge(ctx, data, own)
+	return submission.ID, u.hedge(ctx, data, local)
 }
 
 func (u *userAPI) decodeSubmission(data []byte) (*api.Submission, error) {
 	submission, err := api.DecodeSubmission(data)
 	if err != nil {
-		u.log.Debug("submission malformed", "err", err)
+		u.log.Debug("decoding submission failed", "err", err)
 	}
 	return submission, err
 }
@@ -100,25 +99,29 @@
 	return u.runRequest(ctx, submission.ID, api.NewSubmitRequest(submission, rules, u.clock.Wall().UnixMilli()))
 }
 
-// hedge forwards a submission to other nodes, and answers with the first response that
-// accepts it; a refusal counts only once nobody is left to ask.
-func (u *userAPI) hedge(ctx context.Context, data []byte, own <-chan api.Response) api.Response {
+// hedge forwards a submission to other nodes while this node may still be storing it. It returns the first of:
+//
+//  1. this node's response, if that is not status 503;
+//  2. a response of another node, if that accepts the submission;
+//  3. a refusal, once both this node and the others have refused, hedgeRefusalTimeout has passed since this node
+//     refused, or ctx has ended.
+func (u *userAPI) hedge(ctx context.Context, data []byte, local <-chan api.Response) api.Response {
 	forwarded := make(chan api.Response, 1)
 	go func() { forwarded <- u.forward(ctx, data) }()
-	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: retryDelay}
-	var refusalDue <-chan time.Time // nil until this node has refused
+	refusal := api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
+	var refusalDeadline <-chan time.Time // nil until this node has refused the submission
 	for range 2 {
 		select {
-		case response := <-own:
+		case response := <-local:
 			if response.Code != http.StatusServiceUnavailable {
 				return response
 			}
-			refusal, refusalDue = response, time.After(hedgeRefusalDelay)
+			refusal, refusalDeadline = response, time.After(hedgeRefusalTimeout)
 		case response := <-forwarded:
 			if isSuccess(response.Code) {
 				return response
 			}
-		case <-refusalDue:
+		case <-refusalDeadline:
 			return refusal
 		case <-ctx.Done():
 			return refusal
@@ -127,19 +130,20 @@
 	return refusal
 }
 
-// forward asks other nodes that are reached to store a submission.
+// forward asks reachable nodes, one after the other, to store a submission. It returns the first response that accepts
+// it, or status 503.
 func (u *userAPI) forward(ctx context.Context, data []byte) api.Response {
-	asked := 0
+	attempts := 0
 	for _, name := range u.forwardTargets() {
-		if asked == maxForwardTargets {
+		if attempts == maxForwardTargets {
 			break
 		}
 		if !u.peers.reachable(name) {
 			continue
 		}
-		asked++
+		attempts++
 		reply, err := u.peers.ForwardSubmission(ctx, name, data)
-		if ctx.Err() == nil { // else the user's time is over, which is not the peer's fault
+		if ctx.Err() == nil { // otherwise the user's deadline has passed, which is no failure of the peer
 			u.peers.record(name, err)
 		}
 		if err == nil && isSuccess(int(reply.Status)) {
@@ -149,11 +153,12 @@
 	return api.Response{Code: http.StatusServiceUnavailable}
 }
 
-// forwardTargets are the nodes that may store a submission that this one can't: the
-// others, beginning with a different one each time, so that none gets them all.
-// In a flood only one is asked. All users may have come to one node, and what is
-// left at the others must not go to waste: some ran out of the minute for which
-// they try.
+// forwardTargets returns the other nodes, to which a submission that this node can't store may be forwarded, in the
+// order in which to ask them. The order starts with a different node each time, so that no node gets all submissions.
+//
+// While this node is overloaded, it returns only one node. Forwarding does not stop altogether, because all users may
+// be connected to this node: when the write budget of the others went unused, some users were still refused at the end
+// of the minute for which they retry.
 func (u *userAPI) forwardTargets() []string {
 	names := u.peers.Names()
 	if len(names) == 0 {
