--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -37,7 +37,7 @@
 		return
 	}
 	t.monitor.recordReconnect(now, t.acquiredAt, t.fleet.Machine(in.Machine))
-	changes := t.fleet.ApplyCommandAnswer(now, in.Heartbeat)
+	changes := t.fleet.ApplyCommandResponse(now, in.Heartbeat)
 	if !changes.Stale {
 		t.applyChanges(now, t.fleet.Machine(in.Machine), changes)
 	}
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -80,7 +80,7 @@
 		c.metrics.DelegatedRenewals.Inc()
 		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatAccepted, Epoch: c.delegate.GrantEpoch(),
 			ValidUntil: c.delegate.GrantExpiresAt(), Final: true})
-	case leasedelegation.RedirectOutside:
+	case leasedelegation.RedirectToOtherZone:
 		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Leader: c.probeNode, Final: true})
 	case leasedelegation.RefuseHeartbeat:
 		c.emit(HeartbeatReply{Responder: in.Responder, Outcome: HeartbeatRedirected, Final: true})
@@ -155,7 +155,7 @@
 		}
 	}
 	for _, m := range t.fleet.Machines() {
-		if m.HasRunningStray() {
+		if m.HasRunningOrphan() {
 			// A stray task has no placement, so its job is unknown and may be cancelled.
 			excluded[m.ID] = true
 		}
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -50,7 +50,7 @@
 }
 
 func newFoldedJob(j *jobs.Job, record *jobs.Record) foldedJob {
-	return foldedJob{job: j, stored: j.StateOnceStored(record)}
+	return foldedJob{job: j, stored: j.StateAfterWrite(record)}
 }
 
 func newCheckpointWriter(env *environment) *checkpointWriter {
@@ -104,7 +104,7 @@
 		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: operations[0].SetKey, ModRevision: j.Stored.ModRevision})
 		txn.Operations = append(txn.Operations, operations...)
 		fold.jobs = append(fold.jobs, folded)
-		j.FoldInFlight = true
+		j.WriteInFlight = true
 	}
 	return fold, txn
 }
@@ -134,10 +134,10 @@
 func (w *checkpointWriter) candidates(now clock.Instant, table *jobTable, rounds *schedulingLoop) (urgent, late []*jobs.Job) {
 	blocking := rounds.jobsBlockingRing()
 	for j := range table.all() {
-		if !j.Dirty() || j.FoldInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.startsTasksOf(j.ID) {
+		if !j.Dirty() || j.WriteInFlight || now.Before(w.oversizedUntil[j.ID]) || rounds.startsTasksOf(j.ID) {
 			continue
 		}
-		if j.NeedsUrgentFold() || blocking[j.ID] || table.hasPendingCancels(j.ID) {
+		if j.NeedsUrgentWrite() || blocking[j.ID] || table.hasPendingCancels(j.ID) {
 			urgent = append(urgent, j)
 		} else if now.Sub(j.DirtySince) >= w.policy.MaxFoldDelay {
 			late = append(late, j)
@@ -162,7 +162,7 @@
 	}
 	w.inFlight = nil
 	for _, folded := range fold.jobs {
-		folded.job.FoldInFlight = false
+		folded.job.WriteInFlight = false
 	}
 	if in.Outcome != election.OutcomeOK {
 		w.retryAt = now.Add(foldRetryDelay)
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -76,7 +76,7 @@
 		t.acceptJob(now, in)
 		return
 	}
-	if j.FoldInFlight || in.Item.ModRevision <= j.Stored.ModRevision {
+	if j.WriteInFlight || in.Item.ModRevision <= j.Stored.ModRevision {
 		return
 	}
 	// Only this leader changes job records, since each of its writes is conditional on its epoch. A newer record was
@@ -161,7 +161,7 @@
 // answer to the write is late or lost, another node may have read the phase and reported it to a user. Until the write
 // completes, only the stored record shows which phase is valid.
 func isFinalPhaseInFlight(j *jobs.Job) bool {
-	return j.FoldInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
+	return j.WriteInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
 }
 
 // stopCancelledTasks stops the tasks of a cancelled job, except those whose start is being recorded.
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -71,7 +71,7 @@
 // readIfOutdated reads a job's record, unless the revision is already known or this leader is writing the record.
 func (t *jobTable) readIfOutdated(id ident.JobID, revision ident.Revision) {
 	j := t.byID[id]
-	known := j != nil && (revision <= j.Stored.ModRevision || j.FoldInFlight)
+	known := j != nil && (revision <= j.Stored.ModRevision || j.WriteInFlight)
 	if !known {
 		t.read(id)
 	}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -123,7 +123,7 @@
 	fixture.core.term.jobs.byID[job.ID] = job
 	for i := range fixture.machines {
 		p := &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: fixture.machines[i].Machine, Session: 1, Attempt: 1}
-		fixture.core.term.fleet.Place(fixture.now, p)
+		fixture.core.term.fleet.AddPlacement(fixture.now, p)
 	}
 	status := fixture.core.term.delegationGrant(10)
 	if status.GrantDuration == 0 || len(status.ExcludedMachines) != largeFleetMachines {
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -40,8 +40,8 @@
 		if seen[m.ID] {
 			continue
 		}
-		gone := m.ListedAt != 0 && list.RequestedAt.Sub(m.ListedAt) > 2*lag+unlistedMargin
-		never := m.ListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+neverListedMargin
+		gone := m.FirstListedAt != 0 && list.RequestedAt.Sub(m.FirstListedAt) > 2*lag+unlistedMargin
+		never := m.FirstListedAt == 0 && m.Session == 0 && now.Sub(m.KnownSince) > 4*lag+neverListedMargin
 		if gone || never {
 			t.log.Info("machine disappeared", "machine", m.ID, "epoch", t.epoch)
 			t.removeMachine(now, m)
@@ -59,8 +59,8 @@
 func (t *term) applyListedMachine(now, requestedAt clock.Instant, l cloud.Machine) {
 	known := t.fleet.Machine(l.ID) != nil
 	m := t.fleet.Ensure(now, l.ID)
-	if m.ListedAt == 0 {
-		m.ListedAt = now
+	if m.FirstListedAt == 0 {
+		m.FirstListedAt = now
 	}
 	if m.Addr == "" && l.State == cloud.MachineRunning {
 		m.Addr = l.Addr
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -143,7 +143,7 @@
 	if len(guards) < 2 {
 		t.Errorf("%d transactions with parts", len(guards))
 	}
-	if !tm.jobs.get("wk-000001").FoldInFlight {
+	if !tm.jobs.get("wk-000001").WriteInFlight {
 		t.Error("the record itself is not being written")
 	}
 	if chunk.Key("stage", 1) == stagingKey {
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -75,7 +75,7 @@
 		for i := range start.Tasks.All() {
 			p := &jobs.Placement{Job: j, Task: i, Machine: start.Machine, Session: start.Session,
 				Attempt: start.AttemptInRound(record.RoundNo), RoundNo: record.RoundNo, PlacedAt: now}
-			t.fleet.Place(now, p)
+			t.fleet.AddPlacement(now, p)
 			round.placements = append(round.placements, p)
 		}
 	}
@@ -85,7 +85,7 @@
 // abortRound reverts a round whose record is known not to be stored.
 func (t *term) abortRound(now clock.Instant, round *roundInFlight) {
 	for _, p := range round.placements {
-		t.fleet.Retract(now, p)
+		t.fleet.RetractPlacement(now, p)
 	}
 	for _, id := range round.record.Deprovisions {
 		if m := t.fleet.Machine(id); m != nil {
@@ -141,7 +141,7 @@
 	}
 	m := t.fleet.Machine(p.Machine)
 	if p.Job.Phase.Final() || m == nil || m.Session != p.Session || !t.fleet.Schedulable(m) {
-		t.fleet.Retract(now, p)
+		t.fleet.RetractPlacement(now, p)
 		return
 	}
 	p.StartAllowed = true
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -242,7 +242,7 @@
 func (q *quotaManager) noteBlocked(now clock.Instant, blocked map[ident.Team]jobs.Resources) {
 	for team, r := range blocked {
 		if quantity, err := quota.DemandOf(&jobs.Spec{CPUs: r.CPUs, GPUs: r.GPUs}); err == nil {
-			q.allocator.NoteBlocked(now, team, quantity)
+			q.allocator.RecordBlockedDemand(now, team, quantity)
 		}
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -116,11 +116,11 @@
 		}
 		// Rounds are replayed in their order, and the later placement was decided after the earlier one had ended: it
 		// is a new attempt, or a replacement within an attempt of a gang.
-		t.fleet.Retract(now, old)
+		t.fleet.RetractPlacement(now, old)
 	}
 	p := &jobs.Placement{Job: j, Task: task, Machine: group.Machine, Session: group.Session,
 		Attempt: group.Attempt, FencingToken: t.epoch - 1, PlacedAt: now}
-	t.fleet.Place(now, p)
+	t.fleet.AddPlacement(now, p)
 	if j.Phase.Final() {
 		t.fleet.StopPlacement(now, p, 0)
 	}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -201,7 +201,7 @@
 }
 
 // jobFolded records that the checkpoint of a job holds its rounds up to and including no.
-func (l *schedulingLoop) jobFolded(id ident.JobID, no ident.RoundNo) { l.ring.JobFolded(id, no) }
+func (l *schedulingLoop) jobFolded(id ident.JobID, no ident.RoundNo) { l.ring.SettleJob(id, no) }
 
 // provisionSettled records that a provision request of a round needs no further attempts.
 func (l *schedulingLoop) provisionSettled(name string) { l.ring.SettleProvision(name) }
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -80,7 +80,7 @@
 // completed applies the outcome of the transaction that stores the version.
 func (a *schemaAgreement) completed(in TransactionCompleted) {
 	stored := in.Outcome == election.OutcomeOK
-	a.negotiator.Settle(stored)
+	a.negotiator.CompleteProposal(stored)
 	if stored {
 		a.revision = in.Revision
 		a.log.Info("schema version agreed", "schema_version", a.version(), "epoch", in.Epoch)
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -54,7 +54,7 @@
 	}
 	w.log.Info("checkpoint staging started", "job", j.ID, "chunks", len(chunks), "epoch", epoch)
 	w.staging = stagedWrite{revision: w.staging.revision, job: j, head: head, chunks: chunks, folded: newFoldedJob(j, record)}
-	j.FoldInFlight = true
+	j.WriteInFlight = true
 	return true
 }
 
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -113,7 +113,7 @@
 	switch e := e.(type) {
 	case HeartbeatReply:
 		return fmt.Sprintf("heartbeat-reply code=%d leader=%q until=%d relayed=%t final=%t body=%s", workerStatus[e.Outcome], e.Leader, e.ValidUntil, e.Relayed, e.Final,
-			encoded(fleet.EncodeHeartbeatAnswer(e.Epoch, e.Commands)))
+			encoded(fleet.EncodeHeartbeatResponse(e.Epoch, e.Commands)))
 	case JobReply:
 		return fmt.Sprintf("user-reply outcome=%d until=%d body=%s", e.Outcome, e.ValidUntil, encoded(api.EncodeStatus("", e.Status)))
 	case DelegationReply:
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -33,10 +33,10 @@
 	return elector
 }
 
-// TestLeaderStopsBeforeItsLeaseEnds checks that a leader may act until shortly before its lease ends, and that a
+// TestLeaseValidityEndsBeforeLeaseExpiry checks that a leader may act until shortly before its lease ends, and that a
 // renewal extends the lease from the time at which it was sent. It guards against two leaders that act at the same
 // time.
-func TestLeaderStopsBeforeItsLeaseEnds(t *testing.T) {
+func TestLeaseValidityEndsBeforeLeaseExpiry(t *testing.T) {
 	elector := newLeader(t, 5)
 	if !elector.LeaseValid(t0.Add(9500 * time.Millisecond)) {
 		t.Error("the lease is invalid 500 ms before its end")
@@ -70,11 +70,11 @@
 	}
 }
 
-// TestAnswersOfAnEarlierTerm checks that a leader ignores responses to lease renewals and epoch advances that it sent
+// TestResponsesFromEarlierTermAreIgnored checks that a leader ignores responses to lease renewals and epoch advances that it sent
 // in an earlier term. They arrive in the next term if leadership was lost while they were in flight, and concern
 // another lease. With a slow state service such a renewal let a leader act for 0.2 s after its successor had acquired
 // the leader key.
-func TestAnswersOfAnEarlierTerm(t *testing.T) {
+func TestResponsesFromEarlierTermAreIgnored(t *testing.T) {
 	elector := newLeader(t, 5)
 	elector.Step(t0, Tick{}) // renews lease 7
 	elector.Step(t0, LeadershipLost{})
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestLostAnswerIsReadBack checks that an acquisition with an unknown outcome makes the node leader only once a read of
+// TestUnknownAcquisitionOutcomeIsResolvedByRead checks that an acquisition with an unknown outcome makes the node leader only once a read of
 // the leader key returns the nonce of this attempt. It guards against a process that adopts the epoch of an earlier
 // process.
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestUnknownAcquisitionOutcomeIsResolvedByRead(t *testing.T) {
 	elector := newElector()
 	elector.Step(t0, LeaderKeysRead{OK: true})
 	effects := elector.Step(t0, LeaseGranted{OK: true, LeaseID: 7, SentAt: t0})
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestRestartTakesOverAtOnce checks that a restarted node acquires a leader key written by its earlier process without
+// TestRestartedNodeReacquiresOwnKeyImmediately checks that a restarted node acquires a leader key written by its earlier process without
 // waiting for the old lease to expire, on condition of the old epoch, and that it does not campaign against another
 // leader.
-func TestRestartTakesOverAtOnce(t *testing.T) {
+func TestRestartedNodeReacquiresOwnKeyImmediately(t *testing.T) {
 	elector := newElector()
 	elector.Step(t0, LeaderKeysRead{OK: true, Leader: LeaderRecord{Node: "n0", Nonce: "dead"}, Epoch: 40})
 	effects := elector.Step(t0, LeaseGranted{OK: true, LeaseID: 8, SentAt: t0})
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestResignedLeaderCoolsDown checks that a leader that resigned does not campaign for an absent leader key before its
+// TestResignedLeaderWaitsForCooldown checks that a leader that resigned does not campaign for an absent leader key before its
 // cooldown has passed, and does so afterwards.
-func TestResignedLeaderCoolsDown(t *testing.T) {
+func TestResignedLeaderWaitsForCooldown(t *testing.T) {
 	elector := newLeader(t, 5)
 	e := elector.Step(t0, Resign{Cooldown: 20 * time.Second})
 	if len(e) != 1 || e[0].(RevokeLease).LeaseID != 7 || elector.IsLeader() {
--- a/internal/election/heartbeat_test.go
+++ b/internal/election/heartbeat_test.go
@@ -40,9 +40,9 @@
 	return 0
 }
 
-// TestStandbyWaitsForFailedHeartbeats checks that a standby campaigns only after the leader's heartbeat has expired. A
+// TestStandbyCampaignsAfterHeartbeatExpiry checks that a standby campaigns only after the leader's heartbeat has expired. A
 // new heartbeat restarts the wait, and a heartbeat of another leader or with an invalid TTL never leads to a campaign.
-func TestStandbyWaitsForFailedHeartbeats(t *testing.T) {
+func TestStandbyCampaignsAfterHeartbeatExpiry(t *testing.T) {
 	silent := keysWithHeartbeat("x", 9)
 	if d := pollUntilCampaign(newStandby(silent), t0, 6*time.Second, silent); d < 2600*time.Millisecond || d > 3*time.Second {
 		t.Errorf("campaigned after %v, want 2.6 s to 3 s", d)
--- a/internal/election/timing_test.go
+++ b/internal/election/timing_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestTimingFollowsLeaseOfMachines checks that the configured timing is an upper bound that is shortened to the
+// TestShortenedToKeepsRetryRatios checks that the configured timing is an upper bound that is shortened to the
 // permitted failover time, and that enough renewals and polls still fit into a shortened lease.
-func TestTimingFollowsLeaseOfMachines(t *testing.T) {
+func TestShortenedToKeepsRetryRatios(t *testing.T) {
 	policy := Timing{LeaseTTL: 6 * time.Second, RenewInterval: 1500 * time.Millisecond, PollInterval: 500 * time.Millisecond}
 	if got := policy.ShortenedTo(15 * time.Second); got != policy {
 		t.Errorf("max failover 15 s: got %v, want the unchanged %v", got, policy)
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -52,7 +52,7 @@
 	first, all, ready := now, len(members) == spec.Tasks, true
 	for _, m := range members {
 		switch {
-		case m.task.State == fleet.TaskFlushing:
+		case m.task.State == fleet.TaskCheckpointing:
 			first = min(first, m.task.stopRequestedAt)
 			ready = ready && now.Sub(m.task.stopRequestedAt) >= takes
 		case m.task.State == fleet.TaskRunning:
@@ -61,7 +61,7 @@
 	}
 	for _, m := range members {
 		switch {
-		case m.task.State != fleet.TaskFlushing:
+		case m.task.State != fleet.TaskCheckpointing:
 		case all && ready:
 			m.task.Stored = true
 			m.worker.exit(now, m.task, fleet.ExitStopped)
@@ -78,7 +78,7 @@
 			ready++
 		}
 		begun = begun || m.task.State == fleet.TaskRunning
-		if m.task.State == fleet.TaskFlushing {
+		if m.task.State == fleet.TaskCheckpointing {
 			return // it does not start, go on or complete any more
 		}
 		done = done || m.task.State == fleet.TaskRunning && !now.Before(m.task.EndsAt)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -78,7 +78,7 @@
 		if t.State == fleet.TaskFetching && !now.Before(t.FetchedAt) {
 			t.State = fleet.TaskRunning
 			if t.gang {
-				t.State, t.waitingSince = fleet.TaskGathering, now
+				t.State, t.waitingSince = fleet.TaskWaitingForGang, now
 			}
 			w.OnTask(now, w, t.ID, true)
 		}
@@ -101,7 +101,7 @@
 
 // isStarted tells whether the task is on its machine.
 func (t *Task) isStarted() bool {
-	return t.State == fleet.TaskRunning || t.State == fleet.TaskGathering || t.State == fleet.TaskFlushing
+	return t.State == fleet.TaskRunning || t.State == fleet.TaskWaitingForGang || t.State == fleet.TaskCheckpointing
 }
 
 func (w *Worker) exit(now clock.Instant, t *Task, cause fleet.ExitCause) {
@@ -167,8 +167,8 @@
 	saves := ok && spec.Gang && spec.CheckpointIntervalSeconds > 0 && o.GracePeriod >= clock.Seconds(spec.CheckpointSeconds)
 	switch {
 	case saves && t.State == fleet.TaskRunning:
-		t.State, t.stopRequestedAt = fleet.TaskFlushing, now
-	case saves && t.State == fleet.TaskFlushing:
+		t.State, t.stopRequestedAt = fleet.TaskCheckpointing, now
+	case saves && t.State == fleet.TaskCheckpointing:
 	default:
 		w.exit(now, t, fleet.ExitStopped)
 	}
--- a/internal/fleet/commands_test.go
+++ b/internal/fleet/commands_test.go
@@ -61,7 +61,7 @@
 		t.Fatal("not probed, or probed again while a probe is in flight")
 	}
 	f.fleet.FinishCommand(f.now, "host-1", true)
-	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 9, FencingToken: epoch})
+	f.fleet.ApplyCommandResponse(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 9, FencingToken: epoch})
 	if f.machine.LastContact != f.now || f.machine.LastRenewal == f.now {
 		t.Error("the response does not count as contact, or it renewed the lease")
 	}
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -46,7 +46,7 @@
 // place adds a placement of a task on host-1, whose start command may be sent.
 func (f *fixture) place(task ident.TaskIndex, attempt ident.Attempt) *jobs.Placement {
 	p := &jobs.Placement{Job: f.job, Task: task, Machine: "host-1", Session: f.machine.Session, Attempt: attempt, StartAllowed: true}
-	f.fleet.Place(f.now, p)
+	f.fleet.AddPlacement(f.now, p)
 	return p
 }
 
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -105,8 +105,8 @@
 		{Kind: fleet.CommandForget, Task: taskID("wk-000415", 999999), Attempt: 7},
 	}
 	for name, encode := range map[string]func() ([]byte, error){
-		"answer/commands": func() ([]byte, error) { return fleet.EncodeHeartbeatAnswer(123456789012, commands) },
-		"answer/none":     func() ([]byte, error) { return fleet.EncodeHeartbeatAnswer(7, nil) },
+		"answer/commands": func() ([]byte, error) { return fleet.EncodeHeartbeatResponse(123456789012, commands) },
+		"answer/none":     func() ([]byte, error) { return fleet.EncodeHeartbeatResponse(7, nil) },
 		"direct/commands": func() ([]byte, error) { return fleet.EncodeDirectCommands(123456789012, 3, commands) },
 		"direct/none":     func() ([]byte, error) { return fleet.EncodeDirectCommands(7, 1, nil) },
 		"redirect/leader": func() ([]byte, error) { return fleet.EncodeRedirect("n2") },
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -40,9 +40,9 @@
 	return f.applyStatus(now, m, h)
 }
 
-// ApplyCommandAnswer applies the status in the response to a direct command. The response proves that the machine
+// ApplyCommandResponse applies the status in the response to a direct command. The response proves that the machine
 // exists, but does not renew its lease.
-func (f *Fleet) ApplyCommandAnswer(now clock.Instant, h *Heartbeat) Changes {
+func (f *Fleet) ApplyCommandResponse(now clock.Instant, h *Heartbeat) Changes {
 	m := f.Ensure(now, h.Machine)
 	if m.isStale(h) {
 		return Changes{Stale: true}
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -10,8 +10,8 @@
 // DelegatedRenewal bounds the times at which nodes other than the leader may have renewed the leases of a zone's
 // workers under grants of this leader or an earlier one.
 type DelegatedRenewal struct {
-	LastRenewal    clock.Instant // latest time, up to NoneUntil, at which a node may have renewed a lease
-	NoneUntil      clock.Instant // no node renewed a lease between LastRenewal and this time
+	LastRenewal    clock.Instant // latest time, up to NoRenewalUntil, at which a node may have renewed a lease
+	NoRenewalUntil clock.Instant // no node renewed a lease between LastRenewal and this time
 	GrantsExpireAt clock.Instant // no node can renew a lease after this time
 }
 
@@ -24,8 +24,8 @@
 const (
 	// leaseMargin is added to the duration of a lease to allow for timers that fire late.
 	leaseMargin = 500 * time.Millisecond
-	// MaxClockDrift is the maximum error in the rate of a monotonic clock, as a fraction of elapsed time.
-	MaxClockDrift = 0.0005
+	// MaxClockDriftRatio is the maximum error in the rate of a monotonic clock, as a fraction of elapsed time.
+	MaxClockDriftRatio = 0.0005
 )
 
 // LeaseExpired reports whether the lease of the machine's worker is certain to have expired. The lease counts from the
@@ -38,9 +38,9 @@
 		if delegated, ok := f.delegatedRenewal(m.Zone); ok {
 			lastRenewal = max(lastRenewal, delegated.LastRenewal)
 			// The lease has expired if its TTL passed
-			//  1. before NoneUntil, while no other node renewed it, or
+			//  1. before NoRenewalUntil, while no other node renewed it, or
 			//  2. after GrantsExpireAt, since when no other node can renew it.
-			return min(now, delegated.NoneUntil).Sub(lastRenewal) > ttl ||
+			return min(now, delegated.NoRenewalUntil).Sub(lastRenewal) > ttl ||
 				now.Sub(max(lastRenewal, delegated.GrantsExpireAt)) > ttl
 		}
 	}
@@ -50,7 +50,7 @@
 // maxLeaseTTL returns the longest time for which a worker can hold a lease, as measured by the leader: the leader's
 // clock runs fast and the worker's runs slow.
 func (f *Fleet) maxLeaseTTL() time.Duration {
-	return time.Duration(float64(f.timing.LeaseTTL)*(1+2*MaxClockDrift)) + leaseMargin
+	return time.Duration(float64(f.timing.LeaseTTL)*(1+2*MaxClockDriftRatio)) + leaseMargin
 }
 
 // ExpireLeases ends the placements of machines whose lease is certain to have expired. Their session has ended too: its
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -31,7 +31,7 @@
 func TestNewSessionHasFullLease(t *testing.T) {
 	f := newFixture(1)
 	f.now = t0.Add(40 * time.Second)
-	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 2, HeartbeatSeq: 1, FencingToken: epoch})
+	f.fleet.ApplyCommandResponse(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 2, HeartbeatSeq: 1, FencingToken: epoch})
 	p := f.place(0, 7)
 	if c := f.fleet.ExpireLeases(f.now.Add(5 * time.Second)); len(c.Ended) != 0 || p.State == jobs.PlacementEnded {
 		t.Error("the lease of the new session was considered expired")
@@ -56,7 +56,7 @@
 	// If the response to a direct command arrives before an older heartbeat, the response to that heartbeat renews the
 	// lease too, but only from the time of the command's response.
 	f.now = f.now.Add(time.Second)
-	f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 22, FencingToken: epoch})
+	f.fleet.ApplyCommandResponse(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 22, FencingToken: epoch})
 	commandResponseAt := f.now
 	f.now = f.now.Add(time.Second)
 	f.sendHeartbeat(1, 21, epoch)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -21,7 +21,7 @@
 	FencingToken ident.Epoch        // highest token that the worker has reported
 
 	Up             bool          // has sent a status in its current session, and was not lost since
-	ListedAt       clock.Instant // when the cloud first listed it
+	FirstListedAt  clock.Instant // when the cloud first listed it
 	Failed         bool          // the cloud lists it as failed
 	KnownSince     clock.Instant // when this leader first learned of it
 	ProvisionedAt  clock.Instant // approximate time at which the cloud began to provision it
@@ -126,13 +126,13 @@
 }
 
 // Busy reports whether any task may be running on the machine.
-func (m *Machine) Busy() bool { return m.load.Tasks > 0 || m.HasRunningStray() }
+func (m *Machine) Busy() bool { return m.load.Tasks > 0 || m.HasRunningOrphan() }
 
 // RunsService reports whether a service runs on the machine, in which case it will not be deprovisioned soon.
 func (m *Machine) RunsService() bool { return m.load.Services > 0 }
 
-// HasRunningStray reports whether a task without a placement may be running on the machine.
-func (m *Machine) HasRunningStray() bool {
+// HasRunningOrphan reports whether a task without a placement may be running on the machine.
+func (m *Machine) HasRunningOrphan() bool {
 	for _, status := range m.orphans {
 		if status.State != TaskExited {
 			return true
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -59,7 +59,7 @@
 	f := newFixture(1)
 	m := f.fleet.Ensure(f.now, "host-2")
 	m.Session = 1 // as in the record
-	f.fleet.Place(f.now, &jobs.Placement{Job: f.job, Task: 0, Machine: m.ID, Session: 1, Attempt: 5})
+	f.fleet.AddPlacement(f.now, &jobs.Placement{Job: f.job, Task: 0, Machine: m.ID, Session: 1, Attempt: 5})
 	m.SetAttributes("m", "b", true)
 	if f.job.PlacementsByZone[""] != 0 || f.job.PlacementsByZone["b"] != 1 || !m.Spot || m.Type != "m" {
 		t.Errorf("placements by zone %v", f.job.PlacementsByZone)
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -11,11 +11,11 @@
 
 // States of a task.
 const (
-	TaskFetching  TaskState = "fetching"  // its image is being fetched
-	TaskGathering TaskState = "gathering" // it waits for the other tasks of its gang
-	TaskRunning   TaskState = "running"
-	TaskFlushing  TaskState = "flushing" // it saves a checkpoint before it stops
-	TaskExited    TaskState = "exited"
+	TaskFetching       TaskState = "fetching"  // its image is being fetched
+	TaskWaitingForGang TaskState = "gathering" // it waits for the other tasks of its gang
+	TaskRunning        TaskState = "running"
+	TaskCheckpointing  TaskState = "flushing" // it saves a checkpoint before it stops
+	TaskExited         TaskState = "exited"
 )
 
 // ExitCause is the reason why a task exited. Its values, except ExitMachineLost, are sent on the wire.
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// Place adds a placement to its machine and its job.
-func (f *Fleet) Place(now clock.Instant, p *jobs.Placement) {
+// AddPlacement adds a placement to its machine and its job.
+func (f *Fleet) AddPlacement(now clock.Instant, p *jobs.Placement) {
 	m := f.Ensure(now, p.Machine)
 	m.placements[keyOf(p)] = p
 	m.used = m.used.Add(p.Job.Spec.TaskResources())
@@ -16,8 +16,8 @@
 	p.Job.AddPlacement(p, m.Zone)
 }
 
-// Retract removes a placement whose start command was never sent and never will be.
-func (f *Fleet) Retract(now clock.Instant, p *jobs.Placement) {
+// RetractPlacement removes a placement whose start command was never sent and never will be.
+func (f *Fleet) RetractPlacement(now clock.Instant, p *jobs.Placement) {
 	f.endPlacement(now, p, true)
 	f.dropPlacement(p)
 }
@@ -36,7 +36,7 @@
 	}
 	p.Stopping, p.GracePeriod = true, gracePeriod
 	if p.State == jobs.PlacementPending && p.FencingToken == 0 {
-		f.Retract(now, p)
+		f.RetractPlacement(now, p)
 		return
 	}
 	f.ScheduleCommand(p.Machine)
@@ -94,7 +94,7 @@
 func (f *Fleet) Schedulable(m *Machine) bool {
 	reachable := m.Up && m.Confirmed && m.unansweredCommands < maxUnansweredCommands
 	leaving := m.Deprovisioning || m.Removed || m.Failed || m.InterruptionAt != 0 || m.Draining
-	return reachable && !leaving && !m.Quarantined && !m.HasRunningStray() && f.machineTypes[m.Type] != nil
+	return reachable && !leaving && !m.Quarantined && !m.HasRunningOrphan() && f.machineTypes[m.Type] != nil
 }
 
 // HeartbeatOverdue reports whether the machine has missed heartbeats, so that a start command sent to it would probably
--- a/internal/fleet/placement_test.go
+++ b/internal/fleet/placement_test.go
@@ -50,7 +50,7 @@
 	response := *staleHeartbeat
 	response.HeartbeatSeq++
 	f.fleet.FinishCommand(f.now, m.ID, true)
-	f.fleet.ApplyCommandAnswer(f.now, &response)
+	f.fleet.ApplyCommandResponse(f.now, &response)
 	if !f.fleet.Schedulable(m) {
 		t.Error("a machine that has responded is not schedulable")
 	}
@@ -85,7 +85,7 @@
 	f := newFixture(1)
 	for range 4 {
 		f.now = f.now.Add(3 * time.Second)
-		f.fleet.ApplyCommandAnswer(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch})
+		f.fleet.ApplyCommandResponse(f.now, &Heartbeat{Machine: "host-1", Addr: "10.0.0.1:1", Type: "m", Zone: "a", Session: 1, HeartbeatSeq: f.machine.HeartbeatSeq + 1, FencingToken: epoch})
 	}
 	if !f.fleet.HeartbeatOverdue(f.now, f.machine) {
 		t.Error("the heartbeats of a machine that only responds to commands are not overdue")
@@ -105,7 +105,7 @@
 	if !f.HeartbeatOverdue(t0, m) {
 		t.Error("the heartbeats of a machine that has sent no status are not overdue")
 	}
-	f.ApplyCommandAnswer(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1})
+	f.ApplyCommandResponse(t0, &Heartbeat{Machine: "host-1", Session: 1, HeartbeatSeq: 1})
 	if f.HeartbeatOverdue(t0.Add(rejoinGrace-time.Second), m) {
 		t.Error("heartbeats are overdue although the worker may still be waiting for the previous leader")
 	}
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -59,7 +59,7 @@
 		return p
 	}
 	p.State = jobs.PlacementFetching
-	f.Place(now, p)
+	f.AddPlacement(now, p)
 	job.MarkDirty(now)
 	if job.Phase.Final() || job.Done.Contains(p.Task) {
 		f.StopPlacement(now, p, 0)
@@ -90,7 +90,7 @@
 		return
 	}
 	switch status.State {
-	case TaskFetching, TaskGathering:
+	case TaskFetching, TaskWaitingForGang:
 		p.State = jobs.PlacementFetching
 	case TaskRunning:
 		f.recordImageUse(now, m, &p.Job.Spec)
@@ -98,7 +98,7 @@
 			p.State, p.RunningSince = jobs.PlacementRunning, now
 			changes.Started = append(changes.Started, StartedPlacement{p})
 		}
-	case TaskFlushing:
+	case TaskCheckpointing:
 		p.State = jobs.PlacementCheckpointing
 	case TaskExited:
 		if status.Cause == ExitDone {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -116,7 +116,7 @@
 
 func isKnownState(s TaskState) bool {
 	switch s {
-	case TaskFetching, TaskGathering, TaskRunning, TaskFlushing, TaskExited:
+	case TaskFetching, TaskWaitingForGang, TaskRunning, TaskCheckpointing, TaskExited:
 		return true
 	}
 	return false
@@ -135,8 +135,8 @@
 	return out
 }
 
-// EncodeHeartbeatAnswer encodes the response to a heartbeat, which is sent with status 200.
-func EncodeHeartbeatAnswer(token ident.Epoch, commands []Command) ([]byte, error) {
+// EncodeHeartbeatResponse encodes the response to a heartbeat, which is sent with status 200.
+func EncodeHeartbeatResponse(token ident.Epoch, commands []Command) ([]byte, error) {
 	return msgpack.Marshal(wireHeartbeatResponse{FencingToken: token, Commands: wireCommands(commands)})
 }
 
--- a/internal/jobs/chunks_test.go
+++ b/internal/jobs/chunks_test.go
@@ -84,9 +84,9 @@
 	})
 }
 
-// TestFilledRecordFitsChunks places as many tasks of a job as its spare bytes allow, and checks that
+// TestJobFilledToSpareBytesFitsChunks places as many tasks of a job as its spare bytes allow, and checks that
 // the job's record still fits into the values allowed when every second task has completed.
-func TestFilledRecordFitsChunks(t *testing.T) {
+func TestJobFilledToSpareBytesFitsChunks(t *testing.T) {
 	const limit, maxValues = 2048, 4
 	r := NewRecord(Spec{Class: "c", Team: "t", Tasks: 500, CPUs: 1, Image: "i"}, 7)
 	j := NewJob("wk-000001", r, 1, 0)
@@ -109,10 +109,10 @@
 	}
 }
 
-// TestTornChunks checks that a record is rejected without a panic if its chunks are missing, in the
+// TestTornChunksAreRejected checks that a record is rejected without a panic if its chunks are missing, in the
 // wrong order, truncated or of another write, if it claims more chunks than are allowed, and if it
 // lacks the chunk information that its schema requires.
-func TestTornChunks(t *testing.T) {
+func TestTornChunksAreRejected(t *testing.T) {
 	head, chunks, err := largeRecord(900).Split(2048, 30, jsonLen)
 	if err != nil || len(chunks) < 2 {
 		t.Fatalf("%d chunks, %v", len(chunks), err)
@@ -152,10 +152,10 @@
 	}
 }
 
-// TestRecordsOfPreviousVersion checks that records stored by the version in production are decoded,
+// TestRecordsOfPreviousVersionAreReadAndRewritten checks that records stored by the version in production are decoded,
 // that they are encoded to the same bytes while that version may be in service, and that they can
 // be stored within smaller limits once it is not.
-func TestRecordsOfPreviousVersion(t *testing.T) {
+func TestRecordsOfPreviousVersionAreReadAndRewritten(t *testing.T) {
 	for name, maxValues := range map[string]int{"job-8k": 4, "job-16k": 5} {
 		data, err := os.ReadFile("testdata/production/" + name + ".msgpack")
 		if err != nil {
@@ -183,10 +183,10 @@
 	}
 }
 
-// TestRecordOverSeveralTransactions checks that SplitMultiTxn splits a large record into chunks that
+// TestMultiTxnRecordRoundTrip checks that SplitMultiTxn splits a large record into chunks that
 // keep the smaller limit and don't overwrite those of the stored record, that the record is decoded
 // without loss, and that without its chunks it has the counts that a status query needs.
-func TestRecordOverSeveralTransactions(t *testing.T) {
+func TestMultiTxnRecordRoundTrip(t *testing.T) {
 	for _, storedOffset := range []int{0, chunkBankSize} {
 		r := largeRecord(3000)
 		r.Phase = PhaseCancelled
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -28,10 +28,10 @@
 	Placements   map[ident.TaskIndex]*Placement
 	LastRound    ident.RoundNo // the last committed round that started tasks of the job
 
-	Stored       StoredState
-	ChangeSeq    uint64        // incremented by each change
-	DirtySince   clock.Instant // since when the stored record has lagged behind
-	FoldInFlight bool          // a write of the record is in flight
+	Stored        StoredState
+	ChangeSeq     uint64        // incremented by each change
+	DirtySince    clock.Instant // since when the stored record has lagged behind
+	WriteInFlight bool          // a write of the record is in flight
 
 	// StartedTasks holds the tasks that have run for at least MinCountedRunTime, as far as
 	// this leader has observed.
@@ -86,10 +86,10 @@
 	return j
 }
 
-// StateOnceStored returns the job's stored state after a successful write of r, the record of
+// StateAfterWrite returns the job's stored state after a successful write of r, the record of
 // its current state. It leaves out the revision and the chunk offset, which are known only after
 // the write.
-func (j *Job) StateOnceStored(r *Record) StoredState {
+func (j *Job) StateAfterWrite(r *Record) StoredState {
 	return StoredState{Seq: j.ChangeSeq, Round: r.LastRound, Phase: r.Phase, DoneTasks: r.Done.Len()}
 }
 
@@ -188,9 +188,9 @@
 	return n
 }
 
-// NeedsUrgentFold reports whether somebody is waiting for the record to be written, which is the
+// NeedsUrgentWrite reports whether somebody is waiting for the record to be written, which is the
 // case when the phase has changed since the last write.
-func (j *Job) NeedsUrgentFold() bool { return j.Dirty() && j.Phase != j.Stored.Phase }
+func (j *Job) NeedsUrgentWrite() bool { return j.Dirty() && j.Phase != j.Stored.Phase }
 
 // Record returns the checkpoint of the job's current state, to be written by the leader of the
 // given epoch. It does not include the placements that a round in flight proposes, because the
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestNewerSchemaIsRefused checks that Decode does not interpret a record of a newer schema, whose
+// TestNewerSchemaIsRejected checks that Decode does not interpret a record of a newer schema, whose
 // meaning is unknown.
-func TestNewerSchemaIsRefused(t *testing.T) {
+func TestNewerSchemaIsRejected(t *testing.T) {
 	r := NewRecord(Spec{Tasks: 1}, 0)
 	r.SchemaVersion = SchemaVersion + 1
 	data, err := msgpack.Marshal(r)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestFinalPhasesAreKept checks that a cancelled job does not become done, nor a done job cancelled.
-func TestFinalPhasesAreKept(t *testing.T) {
+// TestFinalPhaseDoesNotChange checks that a cancelled job does not become done, nor a done job cancelled.
+func TestFinalPhaseDoesNotChange(t *testing.T) {
 	cancelled := NewJob("wk-000001", NewRecord(Spec{Tasks: 1}, 0), 1, 0)
 	cancelled.Cancel(1)
 	cancelled.CompleteTask(2, 0)
@@ -185,10 +185,10 @@
 	})
 }
 
-// TestCheckpointTimeIsNotRunTime checks that the time of the checkpoint after a stop request is
+// TestCheckpointTimeIsExcludedFromRunTime checks that the time of the checkpoint after a stop request is
 // excluded from the run time: a task that is requested to stop before MinCountedRunTime does not
 // count as started, however long its checkpoint takes.
-func TestCheckpointTimeIsNotRunTime(t *testing.T) {
+func TestCheckpointTimeIsExcludedFromRunTime(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	j := NewJob("wk-000001", NewRecord(Spec{Tasks: 2, CheckpointIntervalSeconds: 20, CheckpointSeconds: 6}, 0), 1, now)
 	for i, runTime := range []time.Duration{MinCountedRunTime - time.Second, MinCountedRunTime + time.Second} {
--- a/internal/leadtransfer/history_test.go
+++ b/internal/leadtransfer/history_test.go
@@ -7,9 +7,9 @@
 	"badgerbay/internal/clock"
 )
 
-// TestTransfersBackOff checks that the delay doubles with each recent transfer up to its maximum, and returns to the
+// TestTransferBackoff checks that the delay doubles with each recent transfer up to its maximum, and returns to the
 // initial delay after BackoffReset.
-func TestTransfersBackOff(t *testing.T) {
+func TestTransferBackoff(t *testing.T) {
 	var history History
 	now := clock.Instant(time.Hour)
 	for want := Delay; want <= Delay<<maxBackoffDoublings; want *= 2 {
--- a/internal/leadtransfer/reachability_test.go
+++ b/internal/leadtransfer/reachability_test.go
@@ -9,11 +9,11 @@
 	"badgerbay/internal/ident"
 )
 
-// TestPoorlyPlacedLeaderTransfersLeadership checks that a leader that most workers don't reach transfers leadership to
+// TestLeaderUnreachableByWorkersTransfersLeadership checks that a leader that most workers don't reach transfers leadership to
 // a node that relays the heartbeats of some of them, but only after the delay and only if that node relays more workers
 // than reach the leader directly. It guards against a leader in the smaller of two zones that kept its leadership for
 // half a minute because most workers of the other zone were not even relayed.
-func TestPoorlyPlacedLeaderTransfersLeadership(t *testing.T) {
+func TestLeaderUnreachableByWorkersTransfersLeadership(t *testing.T) {
 	var withoutRelay, reachability Reachability
 	start := clock.Instant(time.Hour)
 	for now := start; now.Sub(start) < 20*time.Second; now = now.Add(time.Second) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestDelayBeginsAnew checks that after ResetDelay the workers must be unreachable for the whole delay again before a
+// TestResetDelayRestartsDelay checks that after ResetDelay the workers must be unreachable for the whole delay again before a
 // transfer.
-func TestDelayBeginsAnew(t *testing.T) {
+func TestResetDelayRestartsDelay(t *testing.T) {
 	var reachability Reachability
 	now := clock.Instant(time.Hour)
 	transferee := func() string {
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -59,10 +59,10 @@
 
 // Dispositions.
 const (
-	ForwardToLeader Disposition = iota // this node is not isolated, so the leader answers
-	RefuseHeartbeat                    // this node is isolated, but the worker may reach another node
-	RedirectOutside                    // this node is isolated; the worker probes one node outside the zone and returns
-	RenewLease                         // this node answers and renews the lease under the grant
+	ForwardToLeader     Disposition = iota // this node is not isolated, so the leader answers
+	RefuseHeartbeat                        // this node is isolated, but the worker may reach another node
+	RedirectToOtherZone                    // this node is isolated; the worker probes one node outside the zone and returns
+	RenewLease                             // this node answers and renews the lease under the grant
 )
 
 // Status is the answer of a node to a status request by another node.
@@ -162,7 +162,7 @@
 	last, known := d.lastContact(now, h.Machine)
 	if !last.probed && (known || d.canProbeBeforeRenewal) && d.canProbe(now, isolation) {
 		d.contacts[h.Machine] = contact{at: now, probed: true}
-		return RedirectOutside
+		return RedirectToOtherZone
 	}
 	d.contacts[h.Machine] = contact{at: now, probed: last.probed}
 	d.lastRenewal = now
--- a/internal/leasedelegation/delegate_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -20,8 +20,8 @@
 		Params: config.Params{Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}}}
 }
 
-// TestDelegate checks which leases a node renews under a grant during a network partition, and for how long.
-func TestDelegate(t *testing.T) {
+// TestDelegateDuringPartition checks which leases a node renews under a grant during a network partition, and for how long.
+func TestDelegateDuringPartition(t *testing.T) {
 	heartbeat := func(id ident.MachineID, zone ident.Zone, token ident.Epoch) *fleet.Heartbeat {
 		return &fleet.Heartbeat{Machine: id, Zone: zone, FencingToken: token}
 	}
@@ -35,7 +35,7 @@
 	if d.Decide(instantAt(62), NodeIsolated, own) != ForwardToLeader || d.Decide(instantAt(70), Connected, own) != ForwardToLeader {
 		t.Error("a node that is not isolated did not forward the heartbeat to the leader")
 	}
-	if d.Decide(instantAt(63), NodeIsolated, own) != RedirectOutside || d.Decide(instantAt(70), NodeIsolated, own) != RenewLease {
+	if d.Decide(instantAt(63), NodeIsolated, own) != RedirectToOtherZone || d.Decide(instantAt(70), NodeIsolated, own) != RenewLease {
 		t.Error("a worker must try one other node first and have its lease renewed when it returns")
 	}
 	if d.Decide(instantAt(71), StateServiceOutage, heartbeat("m3", "a", 7)) != RenewLease {
@@ -47,7 +47,7 @@
 			t.Errorf("renewed the lease of a worker that %s", reason)
 		}
 	}
-	if d.Decide(instantAt(73.9), NodeIsolated, heartbeat("m4", "a", 7)) != RedirectOutside || d.Decide(instantAt(74.1), NodeIsolated, heartbeat("m7", "a", 7)) != RenewLease {
+	if d.Decide(instantAt(73.9), NodeIsolated, heartbeat("m4", "a", 7)) != RedirectToOtherZone || d.Decide(instantAt(74.1), NodeIsolated, heartbeat("m7", "a", 7)) != RenewLease {
 		t.Error("a worker must try another node only if it can return before the grant expires")
 	}
 	if idle := d.IdleFor(instantAt(78)); idle != 3900*time.Millisecond {
@@ -58,12 +58,12 @@
 	}
 }
 
-// TestDelegateOfShortLeases checks that a lease that would expire during a second wait for an unresponsive node is
+// TestDelegateRenewsShortLeaseBeforeProbe checks that a lease that would expire during a second wait for an unresponsive node is
 // renewed before its worker probes another node, and again afterwards.
-func TestDelegateOfShortLeases(t *testing.T) {
+func TestDelegateRenewsShortLeaseBeforeProbe(t *testing.T) {
 	d := NewDelegate("a", config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, now)
 	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 27 * time.Second})
-	for i, want := range []Disposition{RenewLease, RedirectOutside, RenewLease, RenewLease} {
+	for i, want := range []Disposition{RenewLease, RedirectToOtherZone, RenewLease, RenewLease} {
 		at := []float64{65, 66, 71.5, 72.5}[i]
 		if got := d.Decide(instantAt(at), NodeIsolated, &fleet.Heartbeat{Machine: "m1", Zone: "a", FencingToken: 7}); got != want {
 			t.Errorf("at %v s: disposition %v, want %v", at, got, want)
--- a/internal/leasedelegation/grant_test.go
+++ b/internal/leasedelegation/grant_test.go
@@ -6,9 +6,9 @@
 	"badgerbay/internal/config"
 )
 
-// TestGrantDuration checks that the tasks of a job that is cancelled just after a grant end within the cancel timeout,
+// TestGrantEndsBeforeCancelTimeout checks that the tasks of a job that is cancelled just after a grant end within the cancel timeout,
 // and that no grant is given if there is no time for it.
-func TestGrantDuration(t *testing.T) {
+func TestGrantEndsBeforeCancelTimeout(t *testing.T) {
 	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	if duration := GrantDuration(workers); duration <= 0 || duration+workers.LeaseTTL() >= workers.CancelTimeout() {
 		t.Errorf("grant duration %v, want a positive one that ends with a lease before the cancel timeout", duration)
--- a/internal/leasedelegation/grant_tracker.go
+++ b/internal/leasedelegation/grant_tracker.go
@@ -28,7 +28,7 @@
 	for _, p := range settings.Peers {
 		t.peers[p.NodeName] = &peerGrant{
 			zone:    ident.Zone(p.Zone),
-			renewal: fleet.DelegatedRenewal{LastRenewal: acquiredAt, NoneUntil: acquiredAt, GrantsExpireAt: t.latestExpiry(acquiredAt)},
+			renewal: fleet.DelegatedRenewal{LastRenewal: acquiredAt, NoRenewalUntil: acquiredAt, GrantsExpireAt: t.latestExpiry(acquiredAt)},
 		}
 	}
 	return t
@@ -36,7 +36,7 @@
 
 // latestExpiry returns the time by which a grant given at now has expired on every node, allowing for clock drift.
 func (t *GrantTracker) latestExpiry(now clock.Instant) clock.Instant {
-	return now.Add(time.Duration(float64(t.grantDuration) * (1 + 2*fleet.MaxClockDrift)))
+	return now.Add(time.Duration(float64(t.grantDuration) * (1 + 2*fleet.MaxClockDriftRatio)))
 }
 
 // Grant records that a grant is given to a peer at now and returns its duration. It returns 0 if no grant is given.
@@ -56,7 +56,7 @@
 	if p == nil {
 		return
 	}
-	p.renewal.NoneUntil = max(p.renewal.NoneUntil, sentAt)
+	p.renewal.NoRenewalUntil = max(p.renewal.NoRenewalUntil, sentAt)
 	p.renewal.LastRenewal = max(p.renewal.LastRenewal, receivedAt.Add(-idleFor))
 }
 
@@ -75,7 +75,7 @@
 			continue
 		}
 		combined.LastRenewal = max(combined.LastRenewal, p.renewal.LastRenewal)
-		combined.NoneUntil = min(combined.NoneUntil, p.renewal.NoneUntil)
+		combined.NoRenewalUntil = min(combined.NoRenewalUntil, p.renewal.NoRenewalUntil)
 		combined.GrantsExpireAt = max(combined.GrantsExpireAt, p.renewal.GrantsExpireAt)
 	}
 	return combined, found
--- a/internal/leasedelegation/grant_tracker_test.go
+++ b/internal/leasedelegation/grant_tracker_test.go
@@ -9,9 +9,9 @@
 	"badgerbay/internal/ident"
 )
 
-// TestGrantTracker checks the bounds on the renewals that the nodes of a zone may have made, both for nodes that answer
+// TestGrantTrackerBoundsRenewals checks the bounds on the renewals that the nodes of a zone may have made, both for nodes that answer
 // and for nodes that don't.
-func TestGrantTracker(t *testing.T) {
+func TestGrantTrackerBoundsRenewals(t *testing.T) {
 	tracker := NewGrantTracker(testSettings(), now)
 	if _, ok := tracker.RenewalIn("a"); ok {
 		t.Error("the leader's own zone has no other node that can have renewed leases")
@@ -21,16 +21,16 @@
 		return v
 	}
 	duration := GrantDuration(testSettings().Params.Workers)
-	if v := renewalIn("b"); v.NoneUntil != now || v.GrantsExpireAt < now.Add(duration) {
+	if v := renewalIn("b"); v.NoRenewalUntil != now || v.GrantsExpireAt < now.Add(duration) {
 		t.Errorf("%+v after a failover: grants of earlier leaders may still be in use", v)
 	}
 	tracker.ConfirmIdle("n1", instantAt(40), instantAt(41), 30*time.Second)
-	if v := renewalIn("b"); v.NoneUntil != now || v.LastRenewal != instantAt(11) {
+	if v := renewalIn("b"); v.NoRenewalUntil != now || v.LastRenewal != instantAt(11) {
 		t.Errorf("%+v: only one of two nodes answered, and its last renewal was at 11 s", v)
 	}
 	tracker.ConfirmIdle("n2", instantAt(42), instantAt(42), time.Hour)
 	tracker.ConfirmIdle("n2", instantAt(3), instantAt(43), time.Hour) // answer to an earlier request, received late
-	if v := renewalIn("b"); v.NoneUntil != instantAt(40) {
+	if v := renewalIn("b"); v.NoRenewalUntil != instantAt(40) {
 		t.Errorf("%+v: both nodes reported no renewal up to 40 s", v)
 	}
 	tracker.Grant(instantAt(50), "n2")
@@ -53,7 +53,7 @@
 	f.SetDelegatedRenewals(func(ident.Zone) (fleet.DelegatedRenewal, bool) { return renewal, true })
 	m := f.Ensure(now, "m1")
 	expired := func(at float64, lastRenewal, noneUntil, grantsExpireAt clock.Instant) bool {
-		renewal = fleet.DelegatedRenewal{LastRenewal: lastRenewal, NoneUntil: noneUntil, GrantsExpireAt: grantsExpireAt}
+		renewal = fleet.DelegatedRenewal{LastRenewal: lastRenewal, NoRenewalUntil: noneUntil, GrantsExpireAt: grantsExpireAt}
 		return f.LeaseExpired(instantAt(at), m)
 	}
 	switch {
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -147,7 +147,7 @@
 func (h *heartbeatHandler) encode(reply controller.HeartbeatReply) ([]byte, error) {
 	switch reply.Outcome {
 	case controller.HeartbeatAccepted:
-		return fleet.EncodeHeartbeatAnswer(reply.Epoch, reply.Commands)
+		return fleet.EncodeHeartbeatResponse(reply.Epoch, reply.Commands)
 	case controller.HeartbeatRedirected:
 		leader := reply.Leader
 		if leader == h.settings.NodeName {
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -73,7 +73,7 @@
 	if len(r.Submission) > api.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
 	}
-	_, response := s.users.submitHere(ctx, r.Submission)
+	_, response := s.users.submitLocally(ctx, r.Submission)
 	return &meshpb.AcceptReply{Status: uint32(response.Code), Body: []byte(response.Status.State)}, nil
 }
 
--- a/internal/node/quotaholder.go
+++ b/internal/node/quotaholder.go
@@ -127,7 +127,7 @@
 	if !a.store.takeWrite(kvstore.PurposeSubmission) {
 		return quota.StoreDone{Outcome: quota.StoreFailed}
 	}
-	revision, err := a.store.commitAndConfirm(ctx, e.Txn(), confirmation{})
+	revision, err := a.store.commitAndConfirm(ctx, e.Txn(), confirmOptions{})
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -104,8 +104,8 @@
 	return s.record(s.client.RevokeLease(ctx, id))
 }
 
-// confirmation controls how commitAndConfirm determines the outcome of a transaction.
-type confirmation struct {
+// confirmOptions controls how commitAndConfirm determines the outcome of a transaction.
+type confirmOptions struct {
 	// fenceKey is the key whose failed condition makes commitAndConfirm return the conflict
 	// at once, without reading the outcome back; "" if there is none.
 	fenceKey string
@@ -125,7 +125,7 @@
 // errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. Two cases return a
 // *kvstore.ConflictError although an earlier, unanswered attempt may have been applied: a conflict on opts.fenceKey,
 // and a read-back that is abandoned.
-func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmation) (ident.Revision, error) {
+func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmOptions) (ident.Revision, error) {
 	outcomeUnknown := false
 	for {
 		revision, err := s.commit(ctx, txn)
@@ -153,7 +153,7 @@
 // only the caller writes the key, a changed revision shows that the attempt was applied. It returns the conflict if
 // the transaction was not applied, or if the key can't be read before the confirmation is abandoned.
 func (s *stateService) resolveConflict(ctx context.Context, txn kvstore.Txn, conflict *kvstore.ConflictError,
-	opts confirmation) (ident.Revision, error) {
+	opts confirmOptions) (ident.Revision, error) {
 	for {
 		item, err := s.get(ctx, txn.OutcomeKey())
 		switch {
@@ -166,7 +166,7 @@
 }
 
 // retry waits until the next attempt is due, and reports whether to make it.
-func (c confirmation) retry(ctx context.Context) bool {
+func (c confirmOptions) retry(ctx context.Context) bool {
 	return (c.stillNeeded == nil || c.stillNeeded()) && sleep(ctx, unknownOutcomeRetryInterval)
 }
 
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -111,7 +111,7 @@
 			revision, err := f.node.store.commitAndConfirm(context.Background(), kvstore.Txn{
 				Conditions: []kvstore.Condition{{Key: election.LeaderKey, ModRevision: leader}, {Key: "job/1", ModRevision: job}},
 				Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}},
-			}, confirmation{fenceKey: c.fenceKey})
+			}, confirmOptions{fenceKey: c.fenceKey})
 			if c.wantErr != nil {
 				if !c.wantErr(err) {
 					t.Errorf("error %v, want another outcome", err)
@@ -142,13 +142,13 @@
 	f := newNodeFixture(t)
 	txn := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: "job/1", Value: "new"}}}
 	f.injectFaults(requestLost, requestLost, requestLost)
-	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmation{stillNeeded: func() bool { return false }})
+	_, err := f.node.store.commitAndConfirm(context.Background(), txn, confirmOptions{stillNeeded: func() bool { return false }})
 	if !errors.Is(err, errOutcomeAbandoned) {
 		t.Errorf("error %v although the outcome is no longer needed, want %v", err, errOutcomeAbandoned)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := f.node.store.commitAndConfirm(ctx, txn, confirmation{}); !errors.Is(err, errOutcomeAbandoned) {
+	if _, err := f.node.store.commitAndConfirm(ctx, txn, confirmOptions{}); !errors.Is(err, errOutcomeAbandoned) {
 		t.Errorf("error %v after the context ended, want %v", err, errOutcomeAbandoned)
 	}
 }
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -47,8 +47,8 @@
 	u.writeResponse(w, id, response)
 }
 
-// submitHere stores a submission, or refuses it, without forwarding it to other nodes.
-func (u *userAPI) submitHere(ctx context.Context, data []byte) (ident.JobID, api.Response) {
+// submitLocally stores a submission, or refuses it, without forwarding it to other nodes.
+func (u *userAPI) submitLocally(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
 		return "", api.Response{Code: http.StatusBadRequest}
--- a/internal/node/transactions.go
+++ b/internal/node/transactions.go
@@ -13,7 +13,7 @@
 // commit applies a transaction of the leader, determines its outcome and posts that to the core. As commitAndConfirm
 // requires, no other node writes the keys that the transaction changes: only the leader of this epoch does.
 func (n *Node) commit(ctx context.Context, e controller.CommitTransaction) {
-	revision, err := n.store.commitAndConfirm(ctx, e.Txn, confirmation{
+	revision, err := n.store.commitAndConfirm(ctx, e.Txn, confirmOptions{
 		fenceKey:    election.LeaderKey,
 		stillNeeded: func() bool { return n.core.leadsInTerm(e.Epoch) },
 	})
--- a/internal/recovery/heartbeat_poll_test.go
+++ b/internal/recovery/heartbeat_poll_test.go
@@ -35,7 +35,7 @@
 			requests := f.ClaimHeartbeatRequests(polled)
 			poll.RecordSent(acquiredAt, len(requests), !c.allSent)
 			for _, m := range requests[c.silent:] {
-				f.ApplyCommandAnswer(acquiredAt, &fleet.Heartbeat{Machine: m.ID, Session: 1, HeartbeatSeq: 1})
+				f.ApplyCommandResponse(acquiredAt, &fleet.Heartbeat{Machine: m.ID, Session: 1, HeartbeatSeq: 1})
 			}
 			if got := poll.answered(acquiredAt.Add(c.after), f.Machines()); got != c.answered {
 				t.Errorf("answered %v, want %v", got, c.answered)
--- a/internal/recovery/records_test.go
+++ b/internal/recovery/records_test.go
@@ -11,9 +11,9 @@
 	"badgerbay/internal/roundlog"
 )
 
-// TestDecodeRecordsNamesUnreadable checks that a record that can't be decoded is listed with its key and does not
+// TestDecodeRecordsListsUnreadable checks that a record that can't be decoded is listed with its key and does not
 // prevent the others from being decoded.
-func TestDecodeRecordsNamesUnreadable(t *testing.T) {
+func TestDecodeRecordsListsUnreadable(t *testing.T) {
 	good, err := msgpack.Marshal(jobs.NewRecord(jobs.Spec{Tasks: 2, CPUs: 1}, 0))
 	if err != nil {
 		t.Fatal(err)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestRecordsOfNewerProgramAreTold checks that records of a newer schema are distinguished from damaged ones, and that
+// TestNewerSchemaIsDistinguishedFromDamage checks that records of a newer schema are distinguished from damaged ones, and that
 // an agreement that can't be decoded is listed too.
-func TestRecordsOfNewerProgramAreTold(t *testing.T) {
+func TestNewerSchemaIsDistinguishedFromDamage(t *testing.T) {
 	newer, err := msgpack.Marshal(map[string]any{"v": 99})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/recovery/scheduling_gate_test.go
+++ b/internal/recovery/scheduling_gate_test.go
@@ -30,7 +30,7 @@
 			token = epoch - 1
 		}
 		f.ApplyHeartbeat(acquiredAt, &fleet.Heartbeat{Machine: id, Type: "m", Zone: "a", Session: 1, HeartbeatSeq: 1, FencingToken: token})
-		f.Place(acquiredAt, &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: id, Session: 1, Attempt: 1})
+		f.AddPlacement(acquiredAt, &jobs.Placement{Job: job, Task: ident.TaskIndex(i), Machine: id, Session: 1, Attempt: 1})
 	}
 	return f.Machines()
 }
--- a/internal/roundlog/record_test.go
+++ b/internal/roundlog/record_test.go
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestRecordOfPreviousVersion checks that a round stored by the version in production is decoded, and
+// TestRecordOfPreviousVersionIsReadAndRewritten checks that a round stored by the version in production is decoded, and
 // encoded again to the same bytes.
-func TestRecordOfPreviousVersion(t *testing.T) {
+func TestRecordOfPreviousVersionIsReadAndRewritten(t *testing.T) {
 	data, err := os.ReadFile("testdata/production/round.msgpack")
 	if err != nil {
 		t.Fatal(err)
@@ -122,9 +122,9 @@
 	return data
 }
 
-// TestRecordInChunks checks that a record that does not fit into one value is split into chunks
+// TestOversizedRecordIsSplitIntoChunks checks that a record that does not fit into one value is split into chunks
 // within the limit, and decoded without loss.
-func TestRecordInChunks(t *testing.T) {
+func TestOversizedRecordIsSplitIntoChunks(t *testing.T) {
 	want := gangRecord(600)
 	head, rest, err := want.Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestTornRecord checks that a record is rejected if its chunks are missing, belong to another record
+// TestTornRecordIsRejected checks that a record is rejected if its chunks are missing, belong to another record
 // or are in the wrong order.
-func TestTornRecord(t *testing.T) {
+func TestTornRecordIsRejected(t *testing.T) {
 	head, rest, err := gangRecord(600).Split(testValueBytes, testMaxValues, kvstore.JSONSize)
 	if err != nil {
 		t.Fatal(err)
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestRecordInOneValue checks that a record that fits into one value, or for which only one value
+// TestRecordThatFitsOneValueHasPlainSchema checks that a record that fits into one value, or for which only one value
 // may be written, has the schema that the previous release reads, and that a record that does not
 // fit into the allowed number of values is rejected.
-func TestRecordInOneValue(t *testing.T) {
+func TestRecordThatFitsOneValueHasPlainSchema(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		starts        int
--- a/internal/roundlog/ring.go
+++ b/internal/roundlog/ring.go
@@ -145,9 +145,9 @@
 	r.next += ident.RoundNo(len(r.slots))
 }
 
-// JobFolded settles the decisions on a job in all rounds up to lastRound, because the job's stored
+// SettleJob settles the decisions on a job in all rounds up to lastRound, because the job's stored
 // checkpoint includes them.
-func (r *Ring) JobFolded(job ident.JobID, lastRound ident.RoundNo) {
+func (r *Ring) SettleJob(job ident.JobID, lastRound ident.RoundNo) {
 	for i := range r.slots {
 		if s := &r.slots[i]; s.roundNo <= lastRound {
 			delete(s.pendingJobs, job)
--- a/internal/roundlog/ring_test.go
+++ b/internal/roundlog/ring_test.go
@@ -19,10 +19,10 @@
 	lastRevision ident.Revision
 }
 
-// TestRingReusesSettledSlots runs random sequences of rounds, checkpoint writes and failovers. It
+// TestRingKeepsUnsettledRounds runs random sequences of rounds, checkpoint writes and failovers. It
 // checks that no record is overwritten before its decisions are settled, and that a new leader
 // finds every round that is not settled.
-func TestRingReusesSettledSlots(t *testing.T) {
+func TestRingKeepsUnsettledRounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ringModel{slots: 4, ring: NewRing(4), stored: map[string]StoredRecord{}, unsettled: map[ident.RoundNo]ident.JobID{}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -64,7 +64,7 @@
 func (m *ringModel) writeCheckpoint(t *rapid.T) {
 	checkpointed := drawJob(t, "checkpointed")
 	next, _ := m.ring.Next()
-	m.ring.JobFolded(checkpointed, next-1)
+	m.ring.SettleJob(checkpointed, next-1)
 	for roundNo, job := range m.unsettled {
 		if job == checkpointed && roundNo < next {
 			delete(m.unsettled, roundNo)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -247,7 +247,7 @@
 		for i, m := range []ident.MachineID{"host-1", "host-2"} {
 			s.place(j, ident.TaskIndex(i), m).State = jobs.PlacementFetching
 		}
-		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is forgotten
+		s.snapshot.Fleet.RetractPlacement(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is forgotten
 		if mayReplace {
 			s.snapshot.ReplacementAttempts = map[ident.JobID]ident.Attempt{j.ID: 1}
 		}
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -326,12 +326,12 @@
 		}
 		p := &jobs.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
 			FencingToken: snapshotEpoch, PlacedAt: snapshotNow - clock.Instant(s.between(0, 300))*clock.Instant(time.Second)}
-		s.snapshot.Fleet.Place(p.PlacedAt, p)
+		s.snapshot.Fleet.AddPlacement(p.PlacedAt, p)
 		placed = append(placed, p)
 	}
 	if j.Spec.Gang && j.Queue.Len() > 0 {
 		for _, p := range placed {
-			s.snapshot.Fleet.Retract(snapshotNow, p)
+			s.snapshot.Fleet.RetractPlacement(snapshotNow, p)
 		}
 		return
 	}
@@ -345,7 +345,7 @@
 func (s *snapshotGenerator) loseTask(j *jobs.Job, placed []*jobs.Placement) {
 	lost := pick(&s.generator, placed...)
 	if s.percent(50) {
-		s.snapshot.Fleet.Retract(snapshotNow, lost)
+		s.snapshot.Fleet.RetractPlacement(snapshotNow, lost)
 	} else {
 		m := s.snapshot.Fleet.Machine(lost.Machine)
 		s.reportTasks(m, "exited", lost)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -85,7 +85,7 @@
 func (s *fixture) place(j *jobs.Job, i ident.TaskIndex, m ident.MachineID) *jobs.Placement {
 	p := &jobs.Placement{Job: j, Task: i, Machine: m, Session: 1, Attempt: 1, FencingToken: fixtureEpoch,
 		State: jobs.PlacementRunning, RunningSince: leaderStart}
-	s.snapshot.Fleet.Place(s.snapshot.Now, p)
+	s.snapshot.Fleet.AddPlacement(s.snapshot.Now, p)
 	return p
 }
 
--- a/internal/schemaversion/negotiator.go
+++ b/internal/schemaversion/negotiator.go
@@ -113,8 +113,8 @@
 	return version
 }
 
-// Settle completes the pending proposal; stored is whether the proposed version was stored.
-func (n *Negotiator) Settle(stored bool) {
+// CompleteProposal completes the pending proposal; stored is whether the proposed version was stored.
+func (n *Negotiator) CompleteProposal(stored bool) {
 	if stored {
 		n.agreed, n.stored = max(n.agreed, n.pending), n.pending
 	}
--- a/internal/schemaversion/negotiator_test.go
+++ b/internal/schemaversion/negotiator_test.go
@@ -9,9 +9,9 @@
 
 const now = clock.Instant(time.Hour)
 
-// TestAgreement checks that a later version is used only once every node has recently reported it and it is stored, and
+// TestVersionIsAgreedAfterAllNodesReport checks that a later version is used only once every node has recently reported it and it is stored, and
 // that it is never withdrawn.
-func TestAgreement(t *testing.T) {
+func TestVersionIsAgreedAfterAllNodesReport(t *testing.T) {
 	n := New([]string{"n1", "n2"}, 0)
 	n.RecordReport(now, "n1", Latest)
 	n.RecordReport(now, "n2", 0) // previous release, which reports no version
@@ -28,11 +28,11 @@
 	if n.Propose(late) != Latest || n.Propose(late) != 0 || n.Version() != First {
 		t.Fatal("the agreement must be stored once, before it is used")
 	}
-	n.Settle(false)
+	n.CompleteProposal(false)
 	if n.Version() != First || n.Propose(late) != Latest {
 		t.Error("used although it was not stored, or not proposed again")
 	}
-	n.Settle(true)
+	n.CompleteProposal(true)
 	n.RecordReport(late, "n1", 0) // restarted with the previous release
 	if n.Version() != Latest || n.Propose(late) != 0 {
 		t.Error("the agreed version was withdrawn, or proposed again")
@@ -45,15 +45,15 @@
 	}
 }
 
-// TestReducedLimitsProveUpgrade checks that reduced limits of the state service, which it enforces only after an
+// TestReducedLimitsImplyUpgrade checks that reduced limits of the state service, which it enforces only after an
 // upgrade of all nodes, allow ChunkedJobs even if a node is unreachable, but no later version.
-func TestReducedLimitsProveUpgrade(t *testing.T) {
+func TestReducedLimitsImplyUpgrade(t *testing.T) {
 	n := New([]string{"n1"}, 0)
 	n.ObserveReducedLimits()
 	if n.Version() != ChunkedJobs || n.Propose(now) != ChunkedJobs {
 		t.Error("ChunkedJobs is not used or not proposed")
 	}
-	n.Settle(true)
+	n.CompleteProposal(true)
 	if n.Version() != ChunkedJobs || n.Propose(now) != 0 {
 		t.Error("treated a node that has not reported as one of this release")
 	}
@@ -63,16 +63,16 @@
 	}
 }
 
-// TestVersionThatAllNodesKnow checks that with nodes of intermediate releases the latest version that all of them
+// TestLatestCommonVersionIsProposed checks that with nodes of intermediate releases the latest version that all of them
 // support is agreed on, and later versions once all nodes support them.
-func TestVersionThatAllNodesKnow(t *testing.T) {
+func TestLatestCommonVersionIsProposed(t *testing.T) {
 	n := New([]string{"n1", "n2"}, 0)
 	n.RecordReport(now, "n1", ChunkedJobs)
 	n.RecordReport(now, "n2", Latest)
 	if n.Propose(now) != ChunkedJobs {
 		t.Fatal("the latest version that all nodes support was not proposed")
 	}
-	n.Settle(true)
+	n.CompleteProposal(true)
 	if n.Version() != ChunkedJobs || n.BehindCount(now) != 1 || n.Propose(now) != 0 {
 		t.Errorf("version %d, %d nodes behind", n.Version(), n.BehindCount(now))
 	}
