--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -31,13 +31,13 @@
 		Name:     e.Name,
 		Offer:    e.Offer,
 		SentAt:   sentAt,
-		Result:   c.provisionResultOf(err),
+		Result:   c.classifyProvisionError(err),
 		Machines: ids,
 	})
 }
 
-// provisionResultOf sorts an error of a provision request.
-func (c *cloudCalls) provisionResultOf(err error) cloud.ProvisionResult {
+// classifyProvisionError sorts an error of a provision request.
+func (c *cloudCalls) classifyProvisionError(err error) cloud.ProvisionResult {
 	switch {
 	case err == nil:
 		return cloud.ProvisionGranted
--- a/internal/node/coreactor.go
+++ b/internal/node/coreactor.go
@@ -62,8 +62,8 @@
 	delegateIdleSince atomic.Int64 // clock.Instant; see leasedelegation.Delegate
 }
 
-func newCoreActor(core *controller.Core, c clock.Clock, queued int) *coreActor {
-	a := &coreActor{core: core, clock: c, inbox: make(chan controller.Input, queued)}
+func newCoreActor(core *controller.Core, c clock.Clock, queueCapacity int) *coreActor {
+	a := &coreActor{core: core, clock: c, inbox: make(chan controller.Input, queueCapacity)}
 	a.published.Store(&coreView{})
 	a.delegateIdleSince.Store(int64(core.DelegateIdleSince()))
 	return a
@@ -154,15 +154,15 @@
 // request hands a request to the core and waits for the reply. The error is
 // errCoreOverloaded, or that of ctx if it ends first.
 func request[T any](ctx context.Context, a *coreActor, newInput func(controller.Responder[T]) controller.Input) (T, error) {
-	var none T
+	var zero T
 	replies, err := startRequest(a, newInput)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	select {
 	case reply := <-replies:
 		return reply, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -15,13 +15,13 @@
 	case controller.StopNode:
 		return e.Err
 	default:
-		n.calls.Go(func() { n.call(ctx, e) })
+		n.blockingEffects.Go(func() { n.executeBlocking(ctx, e) })
 	}
 	return nil
 }
 
-// call carries out an effect that takes time.
-func (n *Node) call(ctx context.Context, e controller.Effect) {
+// executeBlocking carries out an effect that takes time.
+func (n *Node) executeBlocking(ctx context.Context, e controller.Effect) {
 	switch e := e.(type) {
 	case controller.ElectionEffect:
 		n.election.execute(ctx, e.Effect)
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -57,7 +57,7 @@
 	}
 	f := &nodeFixture{kv: &fake.KVServer{Store: fake.NewKVStore()}, clock: &manualClock{now: clock.Instant(time.Hour)}}
 	f.node, err = newNode(settings, pol, slog.New(slog.NewTextHandler(io.Discard, nil)),
-		dependencies{clock: f.clock, state: f.kv, cloud: unavailableCloud{}, worker: unavailableCloud{}})
+		dependencies{clock: f.clock, state: f.kv, cloud: unavailableTransport{}, worker: unavailableTransport{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,22 +98,22 @@
 }
 
 func (f *nodeFixture) call(method, path string, body any) *httptest.ResponseRecorder {
-	var rd io.Reader
+	var reader io.Reader
 	switch v := body.(type) {
 	case nil:
 	case io.Reader:
-		rd = v
+		reader = v
 	case []byte:
-		rd = bytes.NewReader(v)
+		reader = bytes.NewReader(v)
 	default:
 		data, err := msgpack.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
-		rd = bytes.NewReader(data)
+		reader = bytes.NewReader(data)
 	}
 	w := httptest.NewRecorder()
-	f.http.ServeHTTP(w, httptest.NewRequest(method, path, rd))
+	f.http.ServeHTTP(w, httptest.NewRequest(method, path, reader))
 	return w
 }
 
@@ -128,9 +128,9 @@
 		"shift": 1, "tally": 1, "seal": token, "entries": []any{}}
 }
 
-// unavailableCloud is a cloud that answers nothing but trouble.
-type unavailableCloud struct{}
+// unavailableTransport is a cloud that answers nothing but trouble.
+type unavailableTransport struct{}
 
-func (unavailableCloud) RoundTrip(*http.Request) (*http.Response, error) {
+func (unavailableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 503, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -63,7 +63,7 @@
 		reply = unavailableReply
 	}
 	// While the others say who leads, a node without the state service is no judge of it.
-	askLeader := reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && h.reach.hint() != ""
+	askLeader := reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && h.reach.peerReportedLeader() != ""
 	if reply.Final || !askLeader {
 		return reply
 	}
@@ -122,7 +122,7 @@
 // relayedReply is the answer that the leader has given through another node or the state
 // service. The leader has checked that it may be given.
 func relayedReply(r peer.HeartbeatReply) controller.HeartbeatReply {
-	return controller.HeartbeatReply{Outcome: outcomeOfStatus(r.Code), Epoch: r.Epoch, Commands: r.UnpackCommands(), Relayed: true}
+	return controller.HeartbeatReply{Outcome: outcomeOfHTTPStatus(r.Code), Epoch: r.Epoch, Commands: r.UnpackCommands(), Relayed: true}
 }
 
 // write answers a worker.
@@ -134,7 +134,7 @@
 	if err != nil || expired {
 		reply, body = unavailableReply, nil
 	}
-	status := statusOf(reply.Outcome)
+	status := httpStatusOf(reply.Outcome)
 	h.metrics.HeartbeatResponses.WithLabelValues(strconv.Itoa(status)).Inc()
 	if body != nil {
 		w.Header().Set("Content-Type", wire.ContentType)
@@ -158,8 +158,8 @@
 	return nil, nil
 }
 
-// statusOf is the HTTP status by which a worker learns the outcome of its heartbeat.
-func statusOf(outcome controller.HeartbeatOutcome) int {
+// httpStatusOf is the HTTP status by which a worker learns the outcome of its heartbeat.
+func httpStatusOf(outcome controller.HeartbeatOutcome) int {
 	switch outcome {
 	case controller.HeartbeatAccepted:
 		return http.StatusOK
@@ -169,8 +169,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// outcomeOfStatus is the outcome that another node has reported as an HTTP status.
-func outcomeOfStatus(status int) controller.HeartbeatOutcome {
+// outcomeOfHTTPStatus is the outcome that another node has reported as an HTTP status.
+func outcomeOfHTTPStatus(status int) controller.HeartbeatOutcome {
 	switch status {
 	case http.StatusOK:
 		return controller.HeartbeatAccepted
--- a/internal/node/heartbeats_test.go
+++ b/internal/node/heartbeats_test.go
@@ -17,9 +17,9 @@
 	f := newNodeFixture(t)
 	f.node.core.core.Step(f.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
 	replies := make(replyChannel[controller.HeartbeatReply], 1)
-	r := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
-	f.node.core.step(context.Background(), controller.HeartbeatReceived{Responder: replies, Heartbeat: r})
-	if got := <-replies; statusOf(got.Outcome) != 421 || got.Leader != "n1" {
+	heartbeat := &fleet.Heartbeat{Machine: "host-000001", Session: 1, HeartbeatSeq: 1}
+	f.node.core.step(context.Background(), controller.HeartbeatReceived{Responder: replies, Heartbeat: heartbeat})
+	if got := <-replies; httpStatusOf(got.Outcome) != 421 || got.Leader != "n1" {
 		t.Errorf("follower answers %+v", got)
 	}
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	standby     *standbyActor     // nil: there is no warm standby
 	quotaHolder *quotaHolderActor // nil: there are no team quotas
 
-	calls sync.WaitGroup // the calls that effects have started
+	blockingEffects sync.WaitGroup // the calls that effects have started
 }
 
 // dependencies are what a node reaches the outside with.
@@ -143,7 +143,7 @@
 	}
 	n.log.Info("node started", "node", n.settings.NodeName, "zone", n.settings.Zone)
 	err = group.Wait()
-	n.calls.Wait() // nobody starts calls any more
+	n.blockingEffects.Wait() // nobody starts calls any more
 	return err
 }
 
@@ -155,7 +155,7 @@
 		func(ctx context.Context) { n.logLoad(ctx, limited) },
 	}
 	if n.standby != nil {
-		actors = append(actors, n.standby.run, n.standby.listMachines)
+		actors = append(actors, n.standby.run, n.standby.pollMachineList)
 	}
 	if n.quotaHolder != nil {
 		actors = append(actors, n.quotaHolder.run)
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -22,11 +22,11 @@
 
 // holderStatus is what this node holds as a quota holder.
 type holderStatus struct {
-	Revision     ident.Revision             `msgpack:"stamp"`
-	Jobs         int                        `msgpack:"jobs"`
-	Admitted     int                        `msgpack:"admitted"`
-	LeftToLeader int                        `msgpack:"left_to_the_leader"`
-	Teams        map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
+	Revision         ident.Revision             `msgpack:"stamp"`
+	Jobs             int                        `msgpack:"jobs"`
+	Admitted         int                        `msgpack:"admitted"`
+	DeferredToLeader int                        `msgpack:"left_to_the_leader"`
+	Teams            map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
 }
 
 // shareStatus is what a holder has of a team's limit.
@@ -66,11 +66,11 @@
 
 func holderStatusOf(s *quota.HolderStatus) *holderStatus {
 	out := &holderStatus{
-		Revision:     s.ModRevision,
-		Jobs:         s.Jobs,
-		Admitted:     s.Admitted,
-		LeftToLeader: s.Refused,
-		Teams:        map[ident.Team]shareStatus{},
+		Revision:         s.ModRevision,
+		Jobs:             s.Jobs,
+		Admitted:         s.Admitted,
+		DeferredToLeader: s.Refused,
+		Teams:            map[ident.Team]shareStatus{},
 	}
 	for team, share := range s.Teams {
 		out.Teams[team] = shareStatus{Allocated: amountsOf(share.Allocated), Reserved: amountsOf(share.Reserved)}
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -36,9 +36,9 @@
 	leaderHint atomic.Pointer[string] // who leads, by what the others say; nil: use the core's view
 }
 
-// hint is who leads by what the other nodes say while the state service does not answer
+// peerReportedLeader is who leads by what the other nodes say while the state service does not answer
 // this one, or "".
-func (r *reachability) hint() string {
+func (r *reachability) peerReportedLeader() string {
 	if hint := r.leaderHint.Load(); hint != nil {
 		return *hint
 	}
@@ -48,7 +48,7 @@
 // leader is the node that leads, as far as this one knows: by the state service, or by
 // the others while that does not answer.
 func (r *reachability) leader() string {
-	if hint := r.hint(); hint != "" {
+	if hint := r.peerReportedLeader(); hint != "" {
 		return hint
 	}
 	return r.core.view().leader
@@ -70,12 +70,12 @@
 	unreachable, isolation := false, leasedelegation.Connected
 	for sleep(ctx, healthCheckInterval) {
 		reached := r.pollPeers(ctx, &delegations)
-		if now := len(reached) < len(r.peers.Names()); now != unreachable {
-			unreachable = now
+		if current := len(reached) < len(r.peers.Names()); current != unreachable {
+			unreachable = current
 			r.core.post(ctx, controller.PeerReachabilityChanged{Unreachable: unreachable})
 		}
-		if now := r.isolation(reached); now != isolation {
-			isolation = now
+		if current := r.isolation(reached); current != isolation {
+			isolation = current
 			r.log.Info("isolation changed", "isolation", isolation, "peers_reached", len(reached))
 			r.core.post(ctx, controller.IsolationChanged{Isolation: isolation})
 		}
--- a/internal/node/reachability_test.go
+++ b/internal/node/reachability_test.go
@@ -36,8 +36,8 @@
 				t.Errorf("isolation %v, want %v", got, c.isolation)
 			}
 			r.publish(c.reached)
-			if r.isolated.Load() != c.isolated || r.hint() != c.hint || r.otherLeader() != c.hint {
-				t.Errorf("isolated %v, leader %q by the others, %q in all", r.isolated.Load(), r.hint(), r.otherLeader())
+			if r.isolated.Load() != c.isolated || r.peerReportedLeader() != c.hint || r.otherLeader() != c.hint {
+				t.Errorf("isolated %v, leader %q by the others, %q in all", r.isolated.Load(), r.peerReportedLeader(), r.otherLeader())
 			}
 		})
 	}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -133,9 +133,9 @@
 	a.core.post(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
 }
 
-// listMachines reads the machine list again and again while this node does not lead,
+// pollMachineList reads the machine list again and again while this node does not lead,
 // within what the leader leaves of the cloud's call rate, until ctx ends.
-func (a *standbyActor) listMachines(ctx context.Context) {
+func (a *standbyActor) pollMachineList(ctx context.Context) {
 	rate := a.settings.Params.Cloud.RPS * (1 - controller.LeaderCloudShare) / float64(max(1, len(a.settings.Peers)))
 	calls := kvstore.NewTokenBucket(rate, 1)
 	for sleep(ctx, standby.MachineListInterval) {
--- a/internal/node/standbystatus.go
+++ b/internal/node/standbystatus.go
@@ -11,20 +11,20 @@
 
 // standbyStatus is what the node tells operators of itself as a standby, in MessagePack.
 type standbyStatus struct {
-	Node        string  `msgpack:"node"`
-	Enabled     bool    `msgpack:"enabled"`
-	State       string  `msgpack:"state"`
-	Ready       bool    `msgpack:"ready"`
-	Reason      string  `msgpack:"reason,omitempty"`
-	Leader      string  `msgpack:"leader"`
-	SilentS     float64 `msgpack:"leader_silent_s"`
-	BlockReason string  `msgpack:"not_taking_over_because,omitempty"`
-	Records     int     `msgpack:"records"`
-	Bytes       int     `msgpack:"bytes"`
-	Revision    uint64  `msgpack:"revision"`
-	LagS        float64 `msgpack:"lag_s"`
-	LagRecords  int     `msgpack:"lag_records"`
-	Reloads     int     `msgpack:"rereads"`
+	Node                string  `msgpack:"node"`
+	Enabled             bool    `msgpack:"enabled"`
+	State               string  `msgpack:"state"`
+	Ready               bool    `msgpack:"ready"`
+	Reason              string  `msgpack:"reason,omitempty"`
+	Leader              string  `msgpack:"leader"`
+	LeaderSilentSeconds float64 `msgpack:"leader_silent_s"`
+	BlockReason         string  `msgpack:"not_taking_over_because,omitempty"`
+	Records             int     `msgpack:"records"`
+	Bytes               int     `msgpack:"bytes"`
+	Revision            uint64  `msgpack:"revision"`
+	LagSeconds          float64 `msgpack:"lag_s"`
+	LagRecords          int     `msgpack:"lag_records"`
+	Reloads             int     `msgpack:"rereads"`
 }
 
 // handleStandby answers an operator who asks how this node would take over.
@@ -48,11 +48,11 @@
 		out.State = status.State.String()
 		out.Ready = status.State == standby.StateReady
 		out.BlockReason = view.standby.BlockReason.String()
-		out.SilentS = view.standby.SilentFor(now).Seconds()
+		out.LeaderSilentSeconds = view.standby.SilentFor(now).Seconds()
 	}
 	if status.Reason != nil {
 		out.Reason = status.Reason.Error()
 	}
 	out.Records, out.Bytes, out.Revision = status.Records, status.Bytes, uint64(status.Revision)
-	out.LagS, out.LagRecords, out.Reloads = status.Lag.Seconds(), status.LagRecords, status.Reloads
+	out.LagSeconds, out.LagRecords, out.Reloads = status.Lag.Seconds(), status.LagRecords, status.Reloads
 }
