--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -13,17 +13,17 @@
 	"badgerbay/internal/kvstore"
 )
 
-// cloudCalls carries out what the core asks of the cloud.
+// cloudCalls carries out the cloud requests of the core.
 type cloudCalls struct {
 	*environment
 	core   *coreActor
 	store  *stateService
 	client *cloud.Client
 
-	typesStored atomic.Bool // this process has stored the machine types
+	typesStored atomic.Bool // whether this process has stored the machine types
 }
 
-// provision sends a provision request.
+// provision sends a provision request and posts its result to the core.
 func (c *cloudCalls) provision(ctx context.Context, e controller.ProvisionMachines) {
 	sentAt := c.clock.Now()
 	ids, err := c.client.Provision(ctx, e.Name, e.Offer, e.Count)
@@ -36,7 +36,7 @@
 	})
 }
 
-// classifyProvisionError sorts an error of a provision request.
+// classifyProvisionError returns the result of a provision request that returned err, and counts and logs failures.
 func (c *cloudCalls) classifyProvisionError(err error) cloud.ProvisionResult {
 	switch {
 	case err == nil:
@@ -54,7 +54,7 @@
 	return cloud.ProvisionOutcomeUnknown
 }
 
-// deprovision gives machines back.
+// deprovision returns machines to the cloud and posts the result to the core.
 func (c *cloudCalls) deprovision(ctx context.Context, ids []ident.MachineID) {
 	err := c.client.Deprovision(ctx, ids)
 	if err != nil {
@@ -63,14 +63,13 @@
 	c.core.post(ctx, controller.DeprovisionCompleted{Machines: ids, OK: err == nil})
 }
 
-// listMachines reads the page of the machine list that begins after a machine.
+// listMachines reads the page of the machine list that follows the machine after.
 func (c *cloudCalls) listMachines(ctx context.Context, after ident.MachineID) {
 	machines, more, err := c.client.ListMachines(ctx, after)
 	c.core.post(ctx, controller.MachinesListed{Page: cloud.Page{OK: err == nil, Machines: machines, More: more}})
 }
 
-// readMachineTypes reads the machine types from the cloud or, while that is down, from
-// the state service.
+// readMachineTypes reads the machine types from the cloud or, if that fails, from the state service.
 func (c *cloudCalls) readMachineTypes(ctx context.Context) {
 	types, err := c.client.MachineTypes(ctx)
 	if err != nil {
@@ -82,12 +81,12 @@
 	c.core.post(ctx, controller.MachineTypesRead{Types: types})
 }
 
-// machineTypesKey keeps the machine types, so that a node that starts while the
-// cloud is down can still tell what may run.
+// machineTypesKey is the key under which the machine types are stored, so that a node that starts during an outage of
+// the cloud can still determine which jobs can run.
 const machineTypesKey = "flavors"
 
-// storedMachineTypes reads the machine types that a leader has stored, or nil. A node
-// that knows them from the cloud keeps what it knows.
+// storedMachineTypes returns the machine types that a leader has stored, or nil if there are none or they cannot be
+// read. It also returns nil if this node already knows the machine types: those that it knows stay in use.
 func (c *cloudCalls) storedMachineTypes(ctx context.Context) []*fleet.MachineType {
 	if c.core.view().machineTypes != nil {
 		return nil
@@ -98,15 +97,15 @@
 	}
 	types, err := cloud.DecodeMachineTypes(item.Value)
 	if err != nil {
-		c.log.Warn("stored machine types unreadable", "err", err)
+		c.log.Warn("decoding stored machine types failed", "err", err)
 		return nil
 	}
-	c.log.Info("stored machine types adopted", "types", len(types))
+	c.log.Info("using stored machine types", "types", len(types))
 	return types
 }
 
-// storeMachineTypes stores the machine types once, if this node leads and has a write to
-// spare.
+// storeMachineTypes stores the machine types once per process, if this node leads, the value fits and the write budget
+// allows it.
 func (c *cloudCalls) storeMachineTypes(ctx context.Context, types []*fleet.MachineType) {
 	epoch := c.core.view().epoch
 	if epoch == 0 || c.typesStored.Load() {
--- a/internal/node/cloudcalls_test.go
+++ b/internal/node/cloudcalls_test.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestMachineTypesOutliveCloudOutage: a node that starts while the cloud is down
-// takes the machine types that a leader has kept, and can validate.
+// TestMachineTypesOutliveCloudOutage checks that a node that starts while the cloud is down uses the machine types that
+// a leader has stored, so that it can validate jobs.
 func TestMachineTypesOutliveCloudOutage(t *testing.T) {
 	f := newNodeFixture(t)
 	holder := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
@@ -26,6 +26,6 @@
 	f.node.cloud.readMachineTypes(context.Background())
 	in, ok := (<-f.node.core.inbox).(controller.MachineTypesRead)
 	if !ok || len(in.Types) != 1 || in.Types[0].Name != "m" || !in.Types[0].Capacity.Fits(types[0].Capacity) {
-		t.Errorf("machine types %+v", in.Types)
+		t.Errorf("machine types %+v, want those that the leader stored", in.Types)
 	}
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -12,16 +12,15 @@
 	"badgerbay/internal/wire"
 )
 
-// commandTimeout bounds a direct command, its answer included.
+// commandTimeout bounds a direct command, including its response.
 const commandTimeout = 3 * time.Second
 
-// commandSender sends direct commands to workers, no more at a time than there are
-// sockets for.
+// commandSender sends direct commands to workers. It limits the commands in flight to the sockets reserved for them.
 type commandSender struct {
 	*environment
 	core   *coreActor
 	client *http.Client
-	slots  chan struct{} // holds one for each command under way
+	slots  chan struct{} // semaphore: one element per command in flight
 }
 
 func newCommandSender(env *environment, core *coreActor, transport http.RoundTripper) *commandSender {
@@ -33,7 +32,7 @@
 	}
 }
 
-// send sends commands to a worker and tells the core what it answered.
+// send sends commands to a worker and posts the heartbeat of its response, or nil if it failed, to the core.
 func (s *commandSender) send(ctx context.Context, e controller.SendCommands) {
 	select {
 	case s.slots <- struct{}{}:
@@ -48,8 +47,8 @@
 	s.core.post(ctx, controller.CommandsAcknowledged{Machine: e.Machine, Epoch: e.Epoch, Heartbeat: heartbeat})
 }
 
-// exchange returns the heartbeat with which the worker answers. One that refuses the
-// commands of an earlier leader answers with 409 and a heartbeat as well.
+// exchange sends the commands and returns the heartbeat in the worker's response. A worker that rejects the commands of
+// an earlier leader responds with status 409 and also includes a heartbeat.
 func (s *commandSender) exchange(ctx context.Context, e controller.SendCommands) (*fleet.Heartbeat, error) {
 	body, err := fleet.EncodeDirectCommands(e.Epoch, e.Session, e.Commands)
 	if err != nil {
--- a/internal/node/coreactor.go
+++ b/internal/node/coreactor.go
@@ -14,47 +14,46 @@
 	"badgerbay/internal/ident"
 )
 
-// tickInterval is the time between two ticks of the core.
+// tickInterval is the time between two Tick inputs to the core.
 const tickInterval = 50 * time.Millisecond
 
-// minQueuedRequests is how many requests may wait for the core, or to be relayed, at
-// least.
+// minQueuedRequests is the minimum capacity of the queue of the core and of the relay queue.
 const minQueuedRequests = 1024
 
-// maxQueuedRequests is how many requests of workers and users may wait for the core, or
-// to be relayed. A connection has one request under way at a time, so all that can be
-// open fit, however many machines reconnect at once.
+// maxQueuedRequests returns the capacity of the queue of the core and of the relay queue, which hold requests of
+// workers and users. A connection has one request in flight at a time, so one request of every connection that can be
+// open fits, however many machines reconnect at the same time.
 func maxQueuedRequests(settings *config.Settings) int {
 	return max(minQueuedRequests, settings.Params.MachineLimits.MaxSockets)
 }
 
-// errCoreOverloaded says that the queue of the core is full.
-var errCoreOverloaded = errors.New("queue of the core is full")
+// errCoreOverloaded is returned when the queue of the core is full.
+var errCoreOverloaded = errors.New("core queue is full")
 
-// coreView is what other goroutines may know of the core without asking it.
+// coreView is the part of the core's state that other goroutines read without sending the core a request.
 type coreView struct {
 	leader       string
 	machineTypes []*fleet.MachineType
-	epoch        ident.Epoch // of this node, 0 if it does not lead
-	// standby is how this node stands to the leader.
+	epoch        ident.Epoch // under which this node leads; 0 if it does not lead
+	// standby is the status of this node as a standby; the zero value if it leads.
 	standby election.StandbyStatus
 }
 
-// equal tells whether nothing has changed.
+// equal reports whether v and o are the same. It compares only the number of machine types.
 func (v *coreView) equal(o *coreView) bool {
 	return v.leader == o.leader && v.epoch == o.epoch && len(v.machineTypes) == len(o.machineTypes) && v.standby == o.standby
 }
 
-// leads tells whether this node leads.
+// leads reports whether this node leads.
 func (v *coreView) leads() bool { return v.epoch != 0 }
 
-// coreActor runs the core: it alone touches it. Others hand it inputs, and see the view
-// that it publishes.
+// coreActor runs the core in a single goroutine, which alone accesses it. Other goroutines send it inputs and read the
+// view that it publishes.
 type coreActor struct {
 	core  *controller.Core
 	clock clock.Clock
-	// execute starts an effect, and returns an error if the node must end. It must not
-	// block: calls run in goroutines of their own and post what comes of them.
+	// execute starts an effect. It returns an error if the node must stop. It must not block: effects that take time
+	// run in goroutines of their own and post their results to the core.
 	execute func(context.Context, controller.Effect) error
 
 	inbox             chan controller.Input
@@ -69,14 +68,14 @@
 	return a
 }
 
-// view is the latest view of the core.
+// view returns the latest published view of the core.
 func (a *coreActor) view() *coreView { return a.published.Load() }
 
-// leadsInTerm tells whether this node still leads in the term that began with the
-// epoch, or has done so a moment ago; advances of the epoch keep the term.
+// leadsInTerm reports whether this node leads in the term that began with the epoch, or did so a moment ago, as the
+// view may be slightly out of date. Advancing the epoch does not end the term.
 func (a *coreActor) leadsInTerm(epoch ident.Epoch) bool { return a.view().epoch >= epoch }
 
-// run feeds the core until ctx ends, or an effect ends the node.
+// run passes inputs and ticks to the core until ctx ends or an effect stops the node.
 func (a *coreActor) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -95,7 +94,7 @@
 	}
 }
 
-// step hands one input to the core and starts its effects.
+// step applies one input to the core and starts the resulting effects.
 func (a *coreActor) step(ctx context.Context, in controller.Input) error {
 	effects := a.core.Step(a.clock.Now(), in)
 	a.publish()
@@ -107,6 +106,7 @@
 	return nil
 }
 
+// publish updates what other goroutines read of the core's state.
 func (a *coreActor) publish() {
 	a.delegateIdleSince.Store(int64(a.core.DelegateIdleSince()))
 	view := &coreView{leader: a.core.Leader(), machineTypes: a.core.MachineTypes(), epoch: a.core.Epoch(), standby: a.core.Standby()}
@@ -115,7 +115,8 @@
 	}
 }
 
-// tryPost hands an input from outside to the core, unless it is overloaded.
+// tryPost queues an external input for the core. It reports whether the input was queued: it does not block if the
+// queue is full.
 func (a *coreActor) tryPost(in controller.Input) bool {
 	select {
 	case a.inbox <- in:
@@ -125,8 +126,8 @@
 	}
 }
 
-// post hands the answer to an effect to the core. The core waits for it, so it is never
-// dropped before ctx ends; the number of calls under way is bounded.
+// post queues the result of an effect for the core. The core waits for this result, so post blocks while the queue is
+// full and drops the result only when ctx ends. The number of effects in flight is bounded.
 func (a *coreActor) post(ctx context.Context, in controller.Input) {
 	select {
 	case a.inbox <- in:
@@ -134,15 +135,15 @@
 	}
 }
 
-// replyChannel receives the reply to one request. It has room for that reply, so that the
-// actor never waits for a handler that has given up.
+// replyChannel receives the reply to one request. It is buffered for that reply, so that the core never blocks on a
+// handler that has stopped waiting.
 type replyChannel[T any] chan T
 
 // Respond implements controller.Responder.
 func (c replyChannel[T]) Respond(reply T) { c <- reply }
 
-// startRequest hands a request to the core; the reply comes through the channel. The
-// error is errCoreOverloaded.
+// startRequest sends a request to the core and returns the channel on which the reply arrives. It returns
+// errCoreOverloaded if the queue of the core is full.
 func startRequest[T any](a *coreActor, newInput func(controller.Responder[T]) controller.Input) (<-chan T, error) {
 	replies := make(replyChannel[T], 1)
 	if !a.tryPost(newInput(replies)) {
@@ -151,8 +152,8 @@
 	return replies, nil
 }
 
-// request hands a request to the core and waits for the reply. The error is
-// errCoreOverloaded, or that of ctx if it ends first.
+// request sends a request to the core and waits for the reply. It returns errCoreOverloaded if the queue of the core is
+// full, and the error of ctx if ctx ends before the reply arrives.
 func request[T any](ctx context.Context, a *coreActor, newInput func(controller.Responder[T]) controller.Input) (T, error) {
 	var zero T
 	replies, err := startRequest(a, newInput)
--- a/internal/node/coreactor_test.go
+++ b/internal/node/coreactor_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestQueuesHoldARequestOfEachConnection: a request of each connection that may be open fits
-// into the queue of the core, and into that of the relay.
+// TestQueuesHoldARequestOfEachConnection checks that the queue of the core and the relay queue each hold one request of
+// every connection that may be open. Smaller queues reject requests when all machines reconnect at the same time.
 func TestQueuesHoldARequestOfEachConnection(t *testing.T) {
 	for _, maxSockets := range []int{32, 800, 6000} {
 		settings := testSettings()
 		settings.Params.MachineLimits.MaxSockets = maxSockets
 		if n := maxQueuedRequests(settings); n < maxSockets || n < minQueuedRequests {
-			t.Errorf("%d requests may wait, with %d sockets", n, maxSockets)
+			t.Errorf("queue capacity %d with %d sockets", n, maxSockets)
 		}
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -6,8 +6,8 @@
 	"badgerbay/internal/controller"
 )
 
-// execute starts an effect of the core. Replies leave at once; calls run beside the
-// actor and post what comes of them. The error ends the node.
+// execute starts an effect of the core. Replies are delivered immediately; other effects run in goroutines of their own
+// and post their results to the core. A returned error stops the node.
 func (n *Node) execute(ctx context.Context, e controller.Effect) error {
 	switch e := e.(type) {
 	case controller.Reply:
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// executeBlocking carries out an effect that takes time.
+// executeBlocking carries out an effect that may block, such as a call to another service.
 func (n *Node) executeBlocking(ctx context.Context, e controller.Effect) {
 	switch e := e.(type) {
 	case controller.ElectionEffect:
--- a/internal/node/environment.go
+++ b/internal/node/environment.go
@@ -9,7 +9,7 @@
 	"badgerbay/internal/relay"
 )
 
-// environment is what all parts of a node share.
+// environment holds what all components of a node share.
 type environment struct {
 	settings *config.Settings
 	clock    clock.Clock
@@ -17,11 +17,10 @@
 	metrics  *metrics.Metrics
 }
 
-// storeLimits are the strictest limits of the state service, those that are announced
-// included.
+// storeLimits returns the strictest limits of the state service, including announced future limits.
 func (e *environment) storeLimits() config.State { return e.settings.Params.StateService.Strictest() }
 
-// maxRelayBytes is how large a batch, or the reply to it, may be in the state service.
+// maxRelayBytes returns the maximum size of a relay batch, and of the reply to it, in the state service.
 func (e *environment) maxRelayBytes() int {
 	return relay.MaxBatchBytes(e.storeLimits().MaxValueBytes())
 }
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -23,7 +23,7 @@
 	"badgerbay/internal/policy"
 )
 
-// manualClock is a clock that a test turns.
+// manualClock is a clock that a test advances.
 type manualClock struct{ now clock.Instant }
 
 func (c *manualClock) Now() clock.Instant { return c.now }
@@ -38,8 +38,8 @@
 		Cloud:        config.Cloud{RPS: 5, ListLagSeconds: 1}}}
 }
 
-// nodeFixture is a node without a network: its state service is a stand-in, and its
-// actor runs on what the handlers send it, without ticks.
+// nodeFixture is a node without a network. Its state service is a fake, and its core receives only the inputs that the
+// handlers and tests post, without ticks.
 type nodeFixture struct {
 	node  *Node
 	kv    *fake.KVServer
@@ -68,7 +68,7 @@
 	return f
 }
 
-// becomeLeader makes the node the leader, with everything read.
+// becomeLeader makes the node the leader, with all records read, and runs its core.
 func (f *nodeFixture) becomeLeader(t *testing.T) {
 	t.Helper()
 	c := f.node.core.core
@@ -80,7 +80,7 @@
 	f.runCore(t)
 }
 
-// runCore feeds the core with what the handlers post, without ticks, until the test ends.
+// runCore passes posted inputs to the core, without ticks, until the test ends.
 func (f *nodeFixture) runCore(t *testing.T) {
 	ctx := t.Context()
 	go func() {
@@ -88,7 +88,7 @@
 			select {
 			case in := <-f.node.core.inbox:
 				if err := f.node.core.step(ctx, in); err != nil {
-					t.Errorf("core: %v", err)
+					t.Errorf("core stopped the node: %v", err)
 				}
 			case <-ctx.Done():
 				return
@@ -97,6 +97,7 @@
 	}()
 }
 
+// call sends an HTTP request to the node. A body that is neither a reader nor bytes is encoded as MessagePack.
 func (f *nodeFixture) call(method, path string, body any) *httptest.ResponseRecorder {
 	var reader io.Reader
 	switch v := body.(type) {
@@ -128,7 +129,7 @@
 		"shift": 1, "tally": 1, "seal": token, "entries": []any{}}
 }
 
-// unavailableTransport is a cloud that answers nothing but trouble.
+// unavailableTransport answers every request with status 503.
 type unavailableTransport struct{}
 
 func (unavailableTransport) RoundTrip(*http.Request) (*http.Response, error) {
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -16,14 +16,14 @@
 	"badgerbay/internal/wire"
 )
 
-// heartbeatPath is where workers send their heartbeats.
+// heartbeatPath is the HTTP path to which workers send their heartbeats.
 const heartbeatPath = "/agent/beat"
 
-// heartbeatBudget bounds the time until a worker is answered.
+// heartbeatBudget bounds the time from the receipt of a heartbeat to its answer.
 const heartbeatBudget = 3 * time.Second
 
-// heartbeatHandler answers workers: the core does if this node leads; else a worker is
-// redirected to the leader, or its heartbeat is relayed.
+// heartbeatHandler answers the heartbeats of workers. If this node leads, the core answers; otherwise the worker is
+// redirected to the leader, or its heartbeat is relayed there.
 type heartbeatHandler struct {
 	*environment
 	core   *coreActor
@@ -42,19 +42,19 @@
 	}
 	heartbeat, err := fleet.DecodeHeartbeat(data)
 	if err != nil {
-		h.log.Warn("heartbeat unreadable", "err", err)
+		h.log.Warn("malformed heartbeat rejected", "err", err)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if heartbeat.UnreadableTasks > 0 {
-		h.log.Warn("tasks in a heartbeat unreadable", "machine", heartbeat.Machine, "tasks", heartbeat.UnreadableTasks)
+		h.log.Warn("malformed tasks in heartbeat ignored", "machine", heartbeat.Machine, "tasks", heartbeat.UnreadableTasks)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatBudget)
 	defer cancel()
 	h.write(w, h.reply(ctx, heartbeat))
 }
 
-// reply finds the answer to a heartbeat.
+// reply returns the answer to a heartbeat: the core's answer, a redirect to the leader, or the leader's relayed answer.
 func (h *heartbeatHandler) reply(ctx context.Context, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
 	reply, err := request(ctx, h.core, func(to controller.Responder[controller.HeartbeatReply]) controller.Input {
 		return controller.HeartbeatReceived{Responder: to, Heartbeat: heartbeat}
@@ -62,7 +62,8 @@
 	if err != nil {
 		reply = unavailableReply
 	}
-	// While the others say who leads, a node without the state service is no judge of it.
+	// A node that the state service does not answer cannot determine itself who leads, so it uses the leader that its
+	// peers report, if any.
 	askLeader := reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && h.reach.peerReportedLeader() != ""
 	if reply.Final || !askLeader {
 		return reply
@@ -70,11 +71,11 @@
 	return h.redirectOrRelay(ctx, heartbeat, reply)
 }
 
-// unavailableReply tells a worker to try again.
+// unavailableReply makes a worker retry.
 var unavailableReply = controller.HeartbeatReply{Outcome: controller.HeartbeatUnavailable}
 
-// redirectOrRelay sends a worker to the leader, or relays its heartbeat if it has just
-// come back from there without having reached it.
+// redirectOrRelay redirects a worker to the leader. It relays the heartbeat instead if the worker has just come back
+// from a redirect because it could not reach the leader.
 func (h *heartbeatHandler) redirectOrRelay(ctx context.Context, heartbeat *fleet.Heartbeat,
 	reply controller.HeartbeatReply) controller.HeartbeatReply {
 	leader := h.reach.otherLeader()
@@ -83,9 +84,9 @@
 		return reply
 	}
 	reply.Outcome = controller.HeartbeatRedirected
-	// Where the leader is not reached by this node, the worker hardly will; but a
-	// filter that refuses connections between nodes lets workers through, and
-	// relaying them all took the writes that submissions need.
+	// If this node cannot reach the leader, the worker probably cannot reach it either. A refused connection is
+	// different: a packet filter that refuses connections between nodes lets workers through, and relaying all their
+	// heartbeats used up the writes that submissions need.
 	reachable := func() bool { return h.peers.reachable(leader) || h.peers.ConnectionRefused(leader) }
 	if reachable() && h.router.ShouldRedirect(h.clock.Now(), heartbeat.Machine, leader, reachable) {
 		return reply
@@ -93,8 +94,7 @@
 	return h.relay(ctx, leader, heartbeat)
 }
 
-// relay brings a heartbeat to the leader: directly or, when it is not reached, through
-// the state service.
+// relay forwards a heartbeat to the leader: over gRPC or, if that fails, through the state service.
 func (h *heartbeatHandler) relay(ctx context.Context, leader string, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
 	reply, err := h.relayToPeer(ctx, leader, heartbeat)
 	if err == nil {
@@ -104,9 +104,10 @@
 	return h.uplink.relayHeartbeat(ctx, heartbeat)
 }
 
-// errIncompleteReply says that the leader's reply does not answer the heartbeat.
-var errIncompleteReply = errors.New("reply without an answer to the heartbeat")
+// errIncompleteReply is returned when the leader's reply does not contain exactly one answer to the relayed heartbeat.
+var errIncompleteReply = errors.New("peer reply lacks an answer to the heartbeat")
 
+// relayToPeer forwards a heartbeat to the leader over gRPC.
 func (h *heartbeatHandler) relayToPeer(ctx context.Context, leader string, heartbeat *fleet.Heartbeat) (peer.HeartbeatReply, error) {
 	batch := &peer.Batch{Node: h.settings.NodeName, Heartbeats: []peer.Heartbeat{peer.PackHeartbeat(heartbeat)}}
 	reply, err := h.peers.exchange(ctx, leader, batch)
@@ -119,17 +120,17 @@
 	return reply.Heartbeats[0], nil
 }
 
-// relayedReply is the answer that the leader has given through another node or the state
-// service. The leader has checked that it may be given.
+// relayedReply returns the leader's answer that came through another node or the state service. The leader has already
+// checked that it was still valid.
 func relayedReply(r peer.HeartbeatReply) controller.HeartbeatReply {
 	return controller.HeartbeatReply{Outcome: outcomeOfHTTPStatus(r.Code), Epoch: r.Epoch, Commands: r.UnpackCommands(), Relayed: true}
 }
 
-// write answers a worker.
+// write sends the reply to the worker.
 func (h *heartbeatHandler) write(w http.ResponseWriter, reply controller.HeartbeatReply) {
 	body, err := h.encode(reply)
-	// The last moment before the answer leaves: a process that was starved
-	// must not renew a worker's lease after its own entitlement has ended.
+	// This is checked immediately before the response is sent: a process that was starved of CPU time must not renew a
+	// worker's lease after its own leader lease or lease delegation has expired.
 	expired := reply.Outcome == controller.HeartbeatAccepted && !reply.Relayed && !h.clock.Now().Before(reply.ValidUntil)
 	if err != nil || expired {
 		reply, body = unavailableReply, nil
@@ -140,10 +141,10 @@
 		w.Header().Set("Content-Type", wire.ContentType)
 	}
 	w.WriteHeader(status)
-	w.Write(body) // a worker that has gone sends its next heartbeat
+	w.Write(body) // the error is ignored: a disconnected worker sends another heartbeat
 }
 
-// encode returns the body of a reply; nil: it has none.
+// encode returns the body of a reply, or nil if the reply has none.
 func (h *heartbeatHandler) encode(reply controller.HeartbeatReply) ([]byte, error) {
 	switch reply.Outcome {
 	case controller.HeartbeatAccepted:
@@ -158,7 +159,7 @@
 	return nil, nil
 }
 
-// httpStatusOf is the HTTP status by which a worker learns the outcome of its heartbeat.
+// httpStatusOf returns the HTTP status that reports the outcome of a heartbeat to its worker.
 func httpStatusOf(outcome controller.HeartbeatOutcome) int {
 	switch outcome {
 	case controller.HeartbeatAccepted:
@@ -169,7 +170,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// outcomeOfHTTPStatus is the outcome that another node has reported as an HTTP status.
+// outcomeOfHTTPStatus returns the outcome that another node reported as an HTTP status.
 func outcomeOfHTTPStatus(status int) controller.HeartbeatOutcome {
 	switch status {
 	case http.StatusOK:
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -10,10 +10,10 @@
 	"badgerbay/internal/connlimit"
 )
 
-// loadLogInterval is how often the load of the process is logged, at debug.
+// loadLogInterval is the interval at which the load of the process is logged, at debug level.
 const loadLogInterval = 5 * time.Second
 
-// logLoad logs what the process holds of what its machine grants, until ctx ends.
+// logLoad periodically logs the connections, threads, goroutines and memory that the process uses, until ctx ends.
 func (n *Node) logLoad(ctx context.Context, limited *connlimit.Listener) {
 	for n.log.Enabled(ctx, slog.LevelDebug) && sleep(ctx, loadLogInterval) {
 		var mem runtime.MemStats
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,7 @@
-// Package node runs a controller node: the pure core as an actor, the servers for
-// workers, users and other nodes, and the calls to the state service, the cloud and the
-// workers that the core asks for. It owns all goroutines, connections and listeners of
-// the process. What is decided, it leaves to the core and to the state machines of the
-// packages that it drives.
+// Package node runs a controller node. It runs the side-effect-free core as an actor, serves workers, users and other
+// nodes, and carries out the calls to the state service, the cloud and the workers that the core requests. It owns all
+// goroutines, connections and listeners of the process. All decisions are made by the core and by the state machines of
+// the packages that it drives.
 package node
 
 import (
@@ -31,7 +30,7 @@
 	"badgerbay/internal/policy"
 )
 
-// Node is one controller node. Its parts share nothing but what they are given here.
+// Node is one controller node. Its components share only the dependencies that newNode passes to them.
 type Node struct {
 	*environment
 	core        *coreActor
@@ -46,13 +45,13 @@
 	workers     *heartbeatHandler
 	uplink      *relayUplink
 	batches     *batchServer
-	standby     *standbyActor     // nil: there is no warm standby
-	quotaHolder *quotaHolderActor // nil: there are no team quotas
+	standby     *standbyActor     // nil if warm standby is disabled
+	quotaHolder *quotaHolderActor // nil if team quotas are disabled
 
-	blockingEffects sync.WaitGroup // the calls that effects have started
+	blockingEffects sync.WaitGroup // effects that run in goroutines of their own
 }
 
-// dependencies are what a node reaches the outside with.
+// dependencies holds the clock of a node and the transports to the services that it calls.
 type dependencies struct {
 	clock  clock.Clock
 	state  http.RoundTripper // to the state service
@@ -60,15 +59,15 @@
 	worker http.RoundTripper // for direct commands
 }
 
-// Connections kept for each host, by the service that they lead to.
+// Maximum idle connections per host, by the service that they lead to.
 const (
 	stateConnsPerHost  = 16
 	cloudConnsPerHost  = 4
 	workerConnsPerHost = 1
 )
 
-// New composes a node from its settings and policy. It opens nothing yet. Run is to be
-// called once: it closes what the node has opened.
+// New assembles a node from its settings and policy. It opens no listener or connection. The caller must call Run once:
+// Run closes what the node has opened.
 func New(settings *config.Settings, pol *policy.Policy, log *slog.Logger) (*Node, error) {
 	return newNode(settings, pol, log, dependencies{
 		clock:  clock.NewSystem(),
@@ -114,9 +113,8 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Run serves until ctx ends, and returns nil then. It returns an error if a listener
-// can't be opened or fails, or if the core can't go on. All goroutines have ended when
-// it returns.
+// Run serves until ctx ends and then returns nil. It returns an error if a listener cannot be opened or fails, or if
+// the core reports that the node must stop. All goroutines of the node have ended when Run returns.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.peers.Close()
 	listener, err := net.Listen("tcp4", n.settings.ClientListen)
@@ -143,11 +141,11 @@
 	}
 	n.log.Info("node started", "node", n.settings.NodeName, "zone", n.settings.Zone)
 	err = group.Wait()
-	n.blockingEffects.Wait() // nobody starts calls any more
+	n.blockingEffects.Wait() // the core has stopped, so no further effects are started
 	return err
 }
 
-// actors are what runs beside the core and the servers until its context ends.
+// actors returns the functions that run beside the core and the servers until their context ends.
 func (n *Node) actors(limited *connlimit.Listener) []func(context.Context) {
 	actors := []func(context.Context){
 		n.uplink.run,
@@ -163,12 +161,12 @@
 	return actors
 }
 
-// servePeers answers the other nodes until ctx ends.
+// servePeers serves the calls of other nodes until ctx ends.
 func (n *Node) servePeers(ctx context.Context, listener net.Listener) error {
 	connections := max(2*len(n.settings.Peers)+2, socketShare(n.settings, peerSocketShare))
 	err := peer.Serve(ctx, netutil.LimitListener(listener, connections), n.newPeerServer(), maxQueuedRequests(n.settings))
 	if err != nil {
-		return fmt.Errorf("serving the other nodes: %w", err)
+		return fmt.Errorf("serving other nodes: %w", err)
 	}
 	return nil
 }
@@ -177,10 +175,10 @@
 	return &peerServer{metrics: n.metrics, core: n.core, store: n.store, batches: n.batches, users: n.users}
 }
 
-// limitConnections keeps the connections of workers and users within their share of the
-// sockets. At the leader every machine holds one; there may be more machines
-// than that. A listener that stopped accepting left them, and with them users
-// and the load balancer's probes, without an answer.
+// limitConnections returns a listener that keeps the connections of workers and users within their share of the
+// sockets. Every machine holds one connection to the leader, and there may be more machines than the share has sockets.
+// A listener that stopped accepting at its limit left the remaining machines, users and the load balancer's probes
+// without an answer.
 func (n *Node) limitConnections(listener net.Listener) *connlimit.Listener {
 	limits := connlimit.Limits{
 		MaxConnections: socketShare(n.settings, listenerSocketShare),
@@ -191,7 +189,7 @@
 	return limited
 }
 
-// serveHTTP serves until ctx ends, which closes all connections, or the listener fails.
+// serveHTTP serves until the listener fails or ctx ends. The end of ctx closes all connections.
 func serveHTTP(ctx context.Context, server *http.Server, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/election"
 )
 
-// TestRunEndsWithItsContext: when its context ends a node stops serving, and all that it
-// has started ends.
+// TestRunEndsWithItsContext checks that Run returns without an error soon after its context ends. A goroutine or server
+// that does not stop would keep Run from returning.
 func TestRunEndsWithItsContext(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.settings.ClientListen, f.node.settings.PeerListen = "127.0.0.1:0", "127.0.0.1:0"
@@ -23,28 +23,29 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v, want nil", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("still runs")
+		t.Fatal("Run did not return within 5 s")
 	}
 }
 
-// TestRunEndsWithTheCore: a core that can't go on ends its node with the cause.
+// TestRunEndsWithTheCore checks that Run returns the error with which an effect of the core stops the node. Otherwise
+// the node would go on without its core.
 func TestRunEndsWithTheCore(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.settings.ClientListen, f.node.settings.PeerListen = "127.0.0.1:0", "127.0.0.1:0"
 	cause := errors.New("record of a later schema")
 	f.node.core.execute = func(context.Context, controller.Effect) error { return cause }
-	f.node.core.tryPost(controller.ElectionInput{Input: election.LeaderKeysRead{OK: true}}) // it asks for a lease then
+	f.node.core.tryPost(controller.ElectionInput{Input: election.LeaderKeysRead{OK: true}}) // makes the core request a lease
 	ended := make(chan error, 1)
 	go func() { ended <- f.node.Run(context.Background()) }()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, cause) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v, want %v", err, cause)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("still runs")
+		t.Fatal("Run did not return within 5 s")
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,35 +14,32 @@
 	"badgerbay/internal/peer/meshpb"
 )
 
-// peerRetryPause is how long a peer that did not answer is not tried again by what
-// has another way.
+// peerRetryPause is how long a peer is skipped after a failed call, by callers that have an alternative to it.
 const peerRetryPause = 2 * time.Second
 
 var (
-	// errPeerUnreachable says that a peer did not answer a moment ago, and was not tried.
-	errPeerUnreachable = errors.New("peer did not answer a moment ago")
-	// errNoDelegation says that a peer was asked for its delegation status and said nothing.
+	// errPeerUnreachable is returned when a peer is skipped because a recent call to it failed.
+	errPeerUnreachable = errors.New("peer skipped after a recent failure")
+	// errNoDelegation is returned when the reply of a peer lacks the requested delegation status.
 	errNoDelegation = errors.New("peer sent no delegation status")
-	// errMalformedReply says that a peer's reply can't be read.
-	errMalformedReply = errors.New("malformed reply of a peer")
+	// errMalformedReply is returned when the reply of a peer cannot be decoded.
+	errMalformedReply = errors.New("malformed peer reply")
 )
 
-// peerNetwork is the node's access to the other nodes. It remembers which of them did
-// not answer. It is safe for concurrent use.
+// peerNetwork calls the other nodes and records which of them failed to answer. It is safe for concurrent use.
 type peerNetwork struct {
 	*peer.Clients
 	clock clock.Clock
 
 	mu          sync.Mutex
-	lastFailure map[string]clock.Instant // by peer; missing: it answered last time
+	lastFailure map[string]clock.Instant // by peer; absent if its last call succeeded or none was made
 }
 
 func newPeerNetwork(clients *peer.Clients, c clock.Clock) *peerNetwork {
 	return &peerNetwork{Clients: clients, clock: c, lastFailure: map[string]clock.Instant{}}
 }
 
-// reachable tells whether the peer may be tried: it answered last time, or its failure
-// is some time ago.
+// reachable reports whether the peer should be called: its last call succeeded, or failed more than peerRetryPause ago.
 func (p *peerNetwork) reachable(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +47,7 @@
 	return !ok || p.clock.Now().Sub(failed) > peerRetryPause
 }
 
-// record takes in the result of a call to the peer.
+// record stores whether a call to the peer succeeded.
 func (p *peerNetwork) record(name string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,9 +58,8 @@
 	delete(p.lastFailure, name)
 }
 
-// exchange hands a batch to the peer and returns its reply. The error is
-// errPeerUnreachable if the peer was not tried, and errMalformedReply if its reply can't
-// be read.
+// exchange sends a batch to the peer and returns its reply. It returns errPeerUnreachable if the peer was skipped, and
+// errMalformedReply if its reply cannot be decoded.
 func (p *peerNetwork) exchange(ctx context.Context, name string, batch *peer.Batch) (*peer.BatchReply, error) {
 	if !p.reachable(name) {
 		return nil, fmt.Errorf("relaying to %s: %w", name, errPeerUnreachable)
@@ -84,7 +80,7 @@
 	return reply, nil
 }
 
-// checkHealth asks what the peer can reach.
+// checkHealth returns what the peer can reach, and records whether the peer answered.
 func (p *peerNetwork) checkHealth(ctx context.Context, name string) (*meshpb.HealthReply, error) {
 	reply, err := p.Health(ctx, name)
 	p.record(name, err)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -8,25 +8,25 @@
 	"badgerbay/internal/clock"
 )
 
-// TestPeerThatFailedRests: a peer that did not answer is left alone for a while, and
-// tried again after it.
+// TestPeerThatFailedRests checks that a peer is skipped for peerRetryPause after a failed call, is called again after
+// that pause, and is called at once when a later call has succeeded.
 func TestPeerThatFailedRests(t *testing.T) {
 	c := &manualClock{now: clock.Instant(time.Hour)}
 	p := newPeerNetwork(nil, c)
 	if !p.reachable("n1") {
-		t.Error("never tried")
+		t.Error("peer without a failed call is skipped")
 	}
 	p.record("n1", errors.New("no answer"))
 	if p.reachable("n1") || !p.reachable("n2") {
-		t.Error("tried at once after it failed, or another peer is not tried")
+		t.Error("failed peer is not skipped, or another peer is")
 	}
 	c.now = c.now.Add(peerRetryPause + time.Millisecond)
 	if !p.reachable("n1") {
-		t.Error("never tried again")
+		t.Error("peer is still skipped after the retry pause")
 	}
 	p.record("n1", errors.New("no answer"))
 	p.record("n1", nil)
 	if !p.reachable("n1") {
-		t.Error("left alone although it answers again")
+		t.Error("peer is skipped although its last call succeeded")
 	}
 }
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -14,7 +14,7 @@
 	"badgerbay/internal/peer/meshpb"
 )
 
-// peerServer answers the other nodes.
+// peerServer serves the gRPC calls of other nodes.
 type peerServer struct {
 	meshpb.UnimplementedMeshServer
 	metrics *metrics.Metrics
@@ -33,8 +33,8 @@
 	return encodeJobReply(s.core.queryJob(ctx, id, r.Withdraw)), nil
 }
 
-// Relay lets the core answer a batch: a holder's request for quota, a request for a lease
-// delegation, or heartbeats of workers that can't reach this node.
+// Relay returns the core's reply to a batch, which carries a quota holder's request, a request for a lease delegation,
+// or heartbeats of workers that cannot reach this node.
 func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
 	batch, err := peer.DecodeBatch(r.Batch)
 	if err != nil {
@@ -54,12 +54,13 @@
 	return &meshpb.RelayReply{Answers: data}, err
 }
 
-// Health tells what this node can reach.
+// Health reports whether the state service answers this node, and which node leads in this node's view.
 func (s *peerServer) Health(context.Context, *meshpb.HealthRequest) (*meshpb.HealthReply, error) {
 	return &meshpb.HealthReply{StateReached: s.store.answeredWithin(storeSilenceThreshold), Leader: s.core.view().leader}, nil
 }
 
-// Notice takes in that another node has stored a job.
+// Notice informs the core that another node has stored a job. Taken is set only if this node leads and its core has
+// room for the input.
 func (s *peerServer) Notice(_ context.Context, r *meshpb.NoticeRequest) (*meshpb.NoticeReply, error) {
 	id, err := ident.ParseJobID(r.Job)
 	if err != nil || !s.core.view().leads() {
@@ -68,7 +69,7 @@
 	return &meshpb.NoticeReply{Taken: s.core.tryPost(controller.JobChanged{Job: id})}, nil
 }
 
-// Accept stores a submission for a node that can't.
+// Accept stores a submission for a node that cannot store it itself.
 func (s *peerServer) Accept(ctx context.Context, r *meshpb.AcceptRequest) (*meshpb.AcceptReply, error) {
 	if len(r.Submission) > api.MaxBodyBytes {
 		return &meshpb.AcceptReply{Status: http.StatusBadRequest}, nil
@@ -77,8 +78,8 @@
 	return &meshpb.AcceptReply{Status: uint32(response.Code), Body: []byte(response.Status.State)}, nil
 }
 
-// delegationStatus answers a peer that asks for a lease delegation; nil: the core is
-// overloaded, or ctx has ended.
+// delegationStatus returns the core's answer to a peer that requests a lease delegation, or nil if the core is
+// overloaded or ctx has ended.
 func (a *coreActor) delegationStatus(ctx context.Context, node string) *peer.DelegationStatus {
 	reply, err := request(ctx, a, func(to controller.Responder[controller.DelegationReply]) controller.Input {
 		return controller.DelegationRequest{Responder: to, Node: node}
--- a/internal/node/quotaholder.go
+++ b/internal/node/quotaholder.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// quotaTickInterval is how often the actor looks whether something is due.
+	// quotaTickInterval is the time between two Tick inputs to the holder.
 	quotaTickInterval = 100 * time.Millisecond
-	// maxQueuedSubmissions bounds the submissions that wait for the actor. Those beyond are
-	// the leader's to admit.
+	// maxQueuedSubmissions bounds the submissions that wait for the actor. Submissions beyond it are left to the leader
+	// to admit.
 	maxQueuedSubmissions = 256
-	// quotaReplyTimeout bounds the wait for the core to answer a holder: it may have to
-	// store something first.
+	// quotaReplyTimeout bounds the wait for the core's reply to a holder: the core may have to write to the state
+	// service first.
 	quotaReplyTimeout = 1500 * time.Millisecond
 )
 
-// quotaHolderActor lets this node admit work within its allocations while it does not
-// lead. It alone touches the holder; others see the status that it publishes.
+// quotaHolderActor runs the quota holder, which admits jobs within this node's quota allocations while the node does
+// not lead. Only the actor's goroutine accesses the holder; other goroutines read the status that it publishes.
 type quotaHolderActor struct {
 	*environment
 	core      *coreActor
@@ -52,21 +52,21 @@
 	return a
 }
 
+// publish updates the status of the holder that other goroutines read.
 func (a *quotaHolderActor) publish() {
 	status := a.holder.Status()
 	a.published.Store(&status)
 }
 
-// tryPost hands the actor a job that this node has stored, unless too many wait: those are
-// the leader's to admit. Where this node leads, or has no team quotas and so a nil actor,
-// nothing is to be done.
+// tryPost queues a job that this node has stored for the actor. If the queue is full, the job is left to the leader to
+// admit. If this node leads, or team quotas are disabled and the actor is nil, tryPost does nothing.
 func (a *quotaHolderActor) tryPost(id ident.JobID, spec *jobs.Spec) {
 	if a == nil || a.core.view().leads() {
 		return
 	}
 	demand, err := quota.DemandOf(spec)
 	if err != nil {
-		return // the leader judges it
+		return // the leader decides about the job
 	}
 	select {
 	case a.submitted <- quota.JobSubmitted{Job: id, Team: spec.Team, Tasks: spec.Tasks, TaskDemand: demand, Gang: spec.Gang}:
@@ -74,7 +74,7 @@
 	}
 }
 
-// run admits until ctx ends.
+// run passes submissions and ticks to the holder until ctx ends.
 func (a *quotaHolderActor) run(ctx context.Context) {
 	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
@@ -91,8 +91,7 @@
 	}
 }
 
-// step hands an input to the holder, carries out what it asks for, and hands it the
-// results.
+// step applies an input to the holder, carries out the resulting effects, and applies their results as inputs in turn.
 func (a *quotaHolderActor) step(ctx context.Context, in quota.HolderInput) {
 	for _, e := range a.holder.Step(a.clock.Now(), in) {
 		switch e := e.(type) {
@@ -106,7 +105,7 @@
 	}
 }
 
-// register sets the holder key anew, under the revision that it has.
+// register writes the holder key, on condition that its revision is still the one that was read.
 func (a *quotaHolderActor) register(ctx context.Context, e quota.Register) quota.RegistrationDone {
 	if !a.store.takeWrite(kvstore.PurposeSubmission) {
 		return quota.RegistrationDone{}
@@ -122,7 +121,7 @@
 	return quota.RegistrationDone{ModRevision: revision}
 }
 
-// storeReservations writes the reservations, and finds out what became of it.
+// storeReservations writes the reservations and determines the outcome of that write.
 func (a *quotaHolderActor) storeReservations(ctx context.Context, e quota.StoreReservations) quota.StoreDone {
 	if !a.store.takeWrite(kvstore.PurposeSubmission) {
 		return quota.StoreDone{Outcome: quota.StoreFailed}
@@ -140,7 +139,7 @@
 	return quota.StoreDone{Outcome: quota.StoreFailed}
 }
 
-// requestFromLeader sends a request to the leader; nil: it did not answer.
+// requestFromLeader sends a request to the leader and returns its response, or nil if no leader answered.
 func (a *quotaHolderActor) requestFromLeader(ctx context.Context, req *quota.AllocationRequest) *quota.AllocationResponse {
 	if a.core.view().leads() {
 		return a.core.requestQuota(ctx, req)
@@ -161,7 +160,8 @@
 	return reply.Quota
 }
 
-// requestQuota lets the core answer a holder; nil: it did not.
+// requestQuota returns the core's response to a holder's request, or nil if this node does not lead or the core did not
+// respond in time.
 func (a *coreActor) requestQuota(ctx context.Context, req *quota.AllocationRequest) *quota.AllocationResponse {
 	if !a.view().leads() {
 		return nil
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -11,7 +11,7 @@
 	"badgerbay/internal/quota"
 )
 
-// quotaStatus is what a node tells operators of quotas, in MessagePack.
+// quotaStatus is the MessagePack response to an operator's quota query.
 type quotaStatus struct {
 	Node    string                    `msgpack:"node"`
 	Enabled bool                      `msgpack:"enabled"`
@@ -20,7 +20,7 @@
 	Teams   map[ident.Team]teamStatus `msgpack:"teams,omitempty"`
 }
 
-// holderStatus is what this node holds as a quota holder.
+// holderStatus is the status of this node as a quota holder.
 type holderStatus struct {
 	Revision         ident.Revision             `msgpack:"stamp"`
 	Jobs             int                        `msgpack:"jobs"`
@@ -29,13 +29,13 @@
 	Teams            map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
 }
 
-// shareStatus is what a holder has of a team's limit.
+// shareStatus is the part of a team's limit that is allocated to a holder, and what the holder has reserved of it.
 type shareStatus struct {
 	Allocated amounts `msgpack:"allotted"`
 	Reserved  amounts `msgpack:"reserved"`
 }
 
-// teamStatus is how a team stands, as the leader knows it.
+// teamStatus is the quota status of a team, as the leader knows it.
 type teamStatus struct {
 	Limit      amounts            `msgpack:"limit"`
 	Guarantee  amounts            `msgpack:"guarantee"`
@@ -46,7 +46,7 @@
 	Damaged    bool               `msgpack:"damaged,omitempty"`
 }
 
-// amounts is a quantity as users write it, in CPUs and GPUs; nil: without a limit.
+// amounts is a quantity in the units that users specify, CPUs and GPUs; nil means unlimited.
 type amounts struct {
 	CPUs *float64 `msgpack:"cpus"`
 	GPUs *float64 `msgpack:"gpus"`
@@ -94,8 +94,8 @@
 	return out
 }
 
-// handleQuotas answers an operator: what this node holds, and, at the leader, how the
-// teams stand.
+// handleQuotas answers an operator's quota query with the holder status of this node and, at the leader, the quota
+// status of the teams.
 func (n *Node) handleQuotas(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	status := quotaStatus{
 		Node:    n.settings.NodeName,
@@ -112,8 +112,7 @@
 	writeMsgpack(w, &status)
 }
 
-// quotaStatus asks the core how the teams stand; nil: this node does not lead, or the
-// core did not answer.
+// quotaStatus returns the quota status of the teams, or nil if this node does not lead or the core did not answer.
 func (a *coreActor) quotaStatus(ctx context.Context) map[ident.Team]quota.TeamStatus {
 	ctx, cancel := context.WithTimeout(ctx, quotaReplyTimeout)
 	defer cancel()
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// storeSilenceThreshold: after so long without an answer of the state service a node
-	// asks the others whether they have one.
+	// storeSilenceThreshold is the time without an answer from the state service after which a node relies on its
+	// peers' reports of whether the state service answers them.
 	storeSilenceThreshold = 2 * time.Second
-	// healthCheckInterval is the pause between two health checks of the peers.
+	// healthCheckInterval is the pause between two rounds of peer health checks.
 	healthCheckInterval = time.Second
 )
 
-// reachability finds out what this node can reach.
+// reachability determines which peers this node reaches and whether it is isolated from the state service.
 type reachability struct {
 	*environment
 	core  *coreActor
 	store *stateService
 	peers *peerNetwork
 
-	// isolated: the others reach the state service and this node does not, or it reaches
-	// nobody.
+	// isolated is set while the state service does not answer this node, and either a peer reaches the state service or
+	// no peer answers.
 	isolated   atomic.Bool
-	leaderHint atomic.Pointer[string] // who leads, by what the others say; nil: use the core's view
+	leaderHint atomic.Pointer[string] // leader that peers report; nil or empty: use the core's view
 }
 
-// peerReportedLeader is who leads by what the other nodes say while the state service does not answer
-// this one, or "".
+// peerReportedLeader returns the leader that peers report while the state service does not answer this node, or "" if
+// there is none.
 func (r *reachability) peerReportedLeader() string {
 	if hint := r.leaderHint.Load(); hint != nil {
 		return *hint
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// leader is the node that leads, as far as this one knows: by the state service, or by
-// the others while that does not answer.
+// leader returns the current leader as far as this node knows: according to the state service or, while that does not
+// answer, according to the peers.
 func (r *reachability) leader() string {
 	if hint := r.peerReportedLeader(); hint != "" {
 		return hint
@@ -54,7 +54,7 @@
 	return r.core.view().leader
 }
 
-// otherLeader is the leader if it is known and not this node, or "".
+// otherLeader returns the leader, or "" if it is unknown or this node.
 func (r *reachability) otherLeader() string {
 	if leader := r.leader(); leader != r.settings.NodeName {
 		return leader
@@ -62,8 +62,8 @@
 	return ""
 }
 
-// run checks the peers' health until ctx ends: which of them are reached and, while the
-// state service does not answer this node, whether it answers them, and who leads.
+// run checks the health of the peers until ctx ends: which of them answer and, while the state service does not answer
+// this node, whether it answers them and which node leads.
 func (r *reachability) run(ctx context.Context) {
 	var delegations sync.WaitGroup
 	defer delegations.Wait()
@@ -83,11 +83,11 @@
 	}
 }
 
-// publish lets the handlers know who leads, and whether this node is isolated.
+// publish updates the reported leader and the isolation of this node for the request handlers.
 func (r *reachability) publish(reached []*meshpb.HealthReply) {
 	isolated, hint := false, ""
 	if !r.store.answeredWithin(storeSilenceThreshold) {
-		// Whoever reaches nobody at all is cut off from everything.
+		// A node that has peers and reaches none of them is cut off from everything.
 		isolated = len(reached) == 0 && len(r.peers.Names()) > 0
 		for _, health := range reached {
 			if health.StateReached {
@@ -99,7 +99,8 @@
 	r.leaderHint.Store(&hint)
 }
 
-// isolation tells what this node is cut off from, by what the others say.
+// isolation returns what this node is cut off from, according to the peers that answered. It returns StateServiceOutage
+// only if all peers answered and none of them reaches the state service.
 func (r *reachability) isolation(reached []*meshpb.HealthReply) leasedelegation.Isolation {
 	if r.store.answeredWithin(storeSilenceThreshold) {
 		return leasedelegation.Connected
@@ -115,9 +116,8 @@
 	return leasedelegation.StateServiceOutage
 }
 
-// pollPeers asks the others, all at once, what they can reach, and returns the replies of
-// those that are reached. It does not wait for the lease delegations that it asks these
-// for after that.
+// pollPeers calls the health check of all peers concurrently and returns the replies of those that answer. From these
+// it then requests lease delegations in the background: it does not wait for them, and registers them with delegations.
 func (r *reachability) pollPeers(ctx context.Context, delegations *sync.WaitGroup) []*meshpb.HealthReply {
 	names := r.peers.Names()
 	replies := make(chan *meshpb.HealthReply, len(names))
@@ -130,7 +130,7 @@
 			}
 			replies <- health
 			if err := r.requestDelegation(ctx, name); err != nil {
-				r.log.Debug("lease delegation failed", "peer", name, "err", err)
+				r.log.Debug("lease delegation request failed", "peer", name, "err", err)
 			}
 		})
 	}
@@ -143,17 +143,17 @@
 	return reached
 }
 
-// requestDelegation asks a peer for a lease delegation, and for how long it has not used
-// its own.
+// requestDelegation requests from a peer a lease delegation and the time since the peer last renewed a lease under its
+// own delegation, and posts the answer to the core.
 func (r *reachability) requestDelegation(ctx context.Context, name string) error {
 	sentAt := r.clock.Now()
 	data, err := msgpack.Marshal(peer.Batch{Node: r.settings.NodeName, WantsDelegation: true})
 	if err != nil {
-		return fmt.Errorf("encoding a delegation request: %w", err)
+		return fmt.Errorf("encoding a lease delegation request: %w", err)
 	}
 	replyData, err := r.peers.RelayBatch(ctx, name, data)
 	if err != nil {
-		return fmt.Errorf("requesting a delegation: %w", err)
+		return fmt.Errorf("requesting a lease delegation: %w", err)
 	}
 	reply, err := peer.DecodeReply(replyData)
 	if err != nil {
--- a/internal/node/reachability_test.go
+++ b/internal/node/reachability_test.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/peer/meshpb"
 )
 
-// TestIsolation: what a node is cut off from, and whom it takes for the leader, follow
-// from what it reaches and from what those say whom it reaches.
+// TestIsolation checks that the isolation of a node and its leader follow from whether the state service answers it,
+// from which peers it reaches, and from what these report.
 func TestIsolation(t *testing.T) {
 	withStore := &meshpb.HealthReply{StateReached: true, Leader: "n1"}
 	withoutStore := &meshpb.HealthReply{Leader: "n1"}
@@ -21,7 +21,7 @@
 		hint      string
 	}{
 		{name: "connected", answered: true, reached: []*meshpb.HealthReply{withStore}, isolation: leasedelegation.Connected},
-		{name: "peer silent", answered: true, isolation: leasedelegation.Connected},
+		{name: "peer unreachable", answered: true, isolation: leasedelegation.Connected},
 		{name: "refused by the state service", reached: []*meshpb.HealthReply{withStore}, isolation: leasedelegation.NodeIsolated, isolated: true, hint: "n1"},
 		{name: "outage", reached: []*meshpb.HealthReply{withoutStore}, isolation: leasedelegation.StateServiceOutage},
 		{name: "cut off from everything", isolation: leasedelegation.NodeIsolated, isolated: true},
@@ -37,7 +37,7 @@
 			}
 			r.publish(c.reached)
 			if r.isolated.Load() != c.isolated || r.peerReportedLeader() != c.hint || r.otherLeader() != c.hint {
-				t.Errorf("isolated %v, leader %q by the others, %q in all", r.isolated.Load(), r.peerReportedLeader(), r.otherLeader())
+				t.Errorf("isolated %v, peer-reported leader %q, other leader %q", r.isolated.Load(), r.peerReportedLeader(), r.otherLeader())
 			}
 		})
 	}
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -8,10 +8,9 @@
 	"badgerbay/internal/config"
 )
 
-// Shares of the process's sockets. Workers and users come to the listener: at
-// the leader, every machine holds one of its connections. Direct commands hold
-// one each while they are under way, and some for a while after; the rest is for
-// the other nodes, the state service and the cloud.
+// Shares of the sockets that the process may open. The listener serves workers and users; every machine holds one of
+// its connections at the leader. Each direct command holds one socket while it is in flight, and some connections to
+// workers stay open for a while afterwards. The rest is for the other nodes, the state service and the cloud.
 const (
 	listenerSocketShare    = 0.78
 	peerSocketShare        = 0.05
@@ -19,7 +18,7 @@
 	idleCommandSocketShare = 0.03
 )
 
-// socketShare is a share of the sockets that the process may open, at least one.
+// socketShare returns the number of sockets in a share of those that the process may open; at least one.
 func socketShare(settings *config.Settings, share float64) int {
 	return max(1, int(share*float64(settings.Params.MachineLimits.MaxSockets)))
 }
@@ -32,7 +31,7 @@
 	transportBufferBytes  = 4 << 10
 )
 
-// newTransport returns a round tripper that keeps few connections for each host.
+// newTransport returns a transport that keeps at most connsPerHost idle connections to each host.
 func newTransport(connsPerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext:           (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
@@ -45,8 +44,8 @@
 	}
 }
 
-// newWorkerTransport keeps few connections to workers, and those not for long: one
-// kept for each of 1,300 machines would take most of the sockets.
+// newWorkerTransport returns a transport that keeps at most idleConns idle connections to workers in total, and for a
+// short time: one idle connection to each of 1,300 machines would use most of the sockets.
 func newWorkerTransport(idleConns int) *http.Transport {
 	t := newTransport(workerConnsPerHost)
 	t.MaxIdleConns, t.IdleConnTimeout = idleConns, workerIdleConnTimeout
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -16,28 +16,26 @@
 	"badgerbay/internal/standby"
 )
 
-// standbyTickInterval is how often the actor looks whether something is due.
+// standbyTickInterval is the time between two Tick inputs to the follower.
 const standbyTickInterval = 100 * time.Millisecond
 
-// errRequestBudgetExhausted says that the node's share of the requests to the state
-// service is used up.
+// errRequestBudgetExhausted is returned when the node's share of the requests to the state service is used up.
 var errRequestBudgetExhausted = errors.New("request budget exhausted")
 
-// standbyActor follows the leader's decisions while this node does not lead. Its run
-// alone touches the follower; others see what it publishes.
+// standbyActor replicates the leader's records while this node does not lead. Only the goroutine of its run method
+// accesses the follower; other goroutines read the snapshot that it publishes.
 type standbyActor struct {
 	*environment
 	core      *coreActor
 	store     *stateService
 	cloud     *cloud.Client
 	follower  *standby.Follower
-	ready     bool // as the core knows it
+	ready     bool // as last posted to the core
 	published atomic.Pointer[standbySnapshot]
 	machines  atomic.Pointer[controller.MachineSnapshot]
 }
 
-// standbySnapshot is what the actor publishes after each look. It does not change any
-// more.
+// standbySnapshot is the immutable state that the actor publishes after each tick.
 type standbySnapshot struct {
 	replica *standby.Replica
 	status  func(now clock.Instant) standby.Status
@@ -57,17 +55,17 @@
 	return a
 }
 
-// publish lets others see the follower as it is now.
+// publish replaces the published snapshot by one of the current state of the follower.
 func (a *standbyActor) publish() {
 	snapshot := *a.follower
 	a.published.Store(&standbySnapshot{replica: snapshot.Replica(), status: snapshot.Status})
 }
 
-// replica is the latest replica; it does not change any more.
+// replica returns the latest published replica, which is immutable.
 func (a *standbyActor) replica() *standby.Replica { return a.published.Load().replica }
 
-// knownMachines are those that this node has listed as a standby; none without one, when
-// the actor is nil.
+// knownMachines returns the machines that this node has listed as a standby. It returns an empty snapshot if the actor
+// is nil, that is, if warm standby is disabled.
 func (a *standbyActor) knownMachines() controller.MachineSnapshot {
 	if a == nil {
 		return controller.MachineSnapshot{}
@@ -75,7 +73,7 @@
 	return *a.machines.Load()
 }
 
-// run follows the records until ctx ends.
+// run keeps the replica up to date until ctx ends.
 func (a *standbyActor) run(ctx context.Context) {
 	for sleep(ctx, standbyTickInterval) {
 		a.step(ctx, standby.LeadershipChanged{Leading: a.core.view().leads()})
@@ -85,15 +83,16 @@
 	}
 }
 
-// step hands an input to the follower, carries out what it asks for, and hands it the
-// results.
+// step applies an input to the follower, carries out the resulting effects, and applies their results as inputs in
+// turn.
 func (a *standbyActor) step(ctx context.Context, in standby.Input) {
 	for _, e := range a.follower.Step(a.clock.Now(), in) {
 		a.step(ctx, a.read(ctx, e))
 	}
 }
 
-// read carries out an effect, as far as this node's share of the requests goes.
+// read carries out an effect and returns its result; the result is an error if this node's share of the requests to the
+// state service is used up.
 func (a *standbyActor) read(ctx context.Context, e standby.Effect) standby.Input {
 	switch e := e.(type) {
 	case standby.List:
@@ -112,6 +111,7 @@
 	return standby.Tick{}
 }
 
+// takeRequest takes one request from the node's share. It returns errRequestBudgetExhausted if none is left.
 func (a *standbyActor) takeRequest() error {
 	if !a.store.takeRequest() {
 		return errRequestBudgetExhausted
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// reportState tells the core and the metrics how the replica is.
+// reportState updates the metrics of the replica and posts changes of its readiness to the core.
 func (a *standbyActor) reportState(ctx context.Context) {
 	status := a.follower.Status(a.clock.Now())
 	a.metrics.ObserveStandby(status)
@@ -133,8 +133,8 @@
 	a.core.post(ctx, controller.ElectionInput{Input: election.ReplicaState{Ready: ready}})
 }
 
-// pollMachineList reads the machine list again and again while this node does not lead,
-// within what the leader leaves of the cloud's call rate, until ctx ends.
+// pollMachineList periodically reads the machine list while this node does not lead, until ctx ends. The standbys share
+// the part of the cloud's call rate that the leader does not use.
 func (a *standbyActor) pollMachineList(ctx context.Context) {
 	rate := a.settings.Params.Cloud.RPS * (1 - controller.LeaderCloudShare) / float64(max(1, len(a.settings.Peers)))
 	calls := kvstore.NewTokenBucket(rate, 1)
@@ -148,7 +148,7 @@
 	}
 }
 
-// readMachineList reads all pages of the list; nil: some page can't be read.
+// readMachineList returns the machines of all pages of the list, or nil if a page cannot be read or ctx ends.
 func (a *standbyActor) readMachineList(ctx context.Context, calls *kvstore.TokenBucket) *controller.MachineSnapshot {
 	snapshot := &controller.MachineSnapshot{RequestedAt: a.clock.Now()}
 	var after ident.MachineID
--- a/internal/node/standbystatus.go
+++ b/internal/node/standbystatus.go
@@ -9,7 +9,7 @@
 	"badgerbay/internal/standby"
 )
 
-// standbyStatus is what the node tells operators of itself as a standby, in MessagePack.
+// standbyStatus is the MessagePack response to an operator's query of this node's status as a standby.
 type standbyStatus struct {
 	Node                string  `msgpack:"node"`
 	Enabled             bool    `msgpack:"enabled"`
@@ -27,7 +27,7 @@
 	Reloads             int     `msgpack:"rereads"`
 }
 
-// handleStandby answers an operator who asks how this node would take over.
+// handleStandby answers an operator's query of how this node would take over leadership.
 func (n *Node) handleStandby(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	view := n.core.view()
 	status := standbyStatus{Node: n.settings.NodeName, Leader: view.leader, State: "off"}
@@ -40,7 +40,7 @@
 	writeMsgpack(w, &status)
 }
 
-// describe fills in how this node would take over.
+// describe fills in the state of the replica and, if this node does not lead, its readiness to take over.
 func (a *standbyActor) describe(now clock.Instant, view *coreView, out *standbyStatus) {
 	status := a.published.Load().status(now)
 	out.Enabled = true
