--- a/internal/chunk/golden_test.go
+++ b/internal/chunk/golden_test.go
@@ -16,19 +16,19 @@
 //go:embed testdata/golden/chunks.json
 var goldenChunks []byte
 
-// goldenText is a text as it is stored: what its record keeps, and its chunks.
+// goldenText is the stored form of a text: the head and checksum in its record, and its chunks.
 type goldenText struct {
 	Head     string   `json:"head"`
 	Sum      uint32   `json:"sum"`
 	Keys     []string `json:"keys"`
-	MsgPack  []string `json:"msgpack"` // hex, of each chunk
-	JSON     []string `json:"json"`    // the form in which sizes are counted
+	MsgPack  []string `json:"msgpack"` // encoded value of each chunk in hex
+	JSON     []string `json:"json"`    // the same values in JSON, in which the size limits are defined
 	Capacity int      `json:"capacity"`
 }
 
 const (
-	goldenHead   = 10
-	goldenLimit  = 104 // bytes
+	goldenHead   = 10  // bytes
+	goldenLimit  = 104 // bytes of a chunk's value in JSON
 	goldenSchema = 3
 )
 
@@ -67,7 +67,7 @@
 func checkGoldenText(t *testing.T, text wire.Packed, want goldenText) {
 	t.Helper()
 	if diff := cmp.Diff(want, encodeText(t, text)); diff != "" {
-		t.Errorf("written otherwise: %s", diff)
+		t.Errorf("stored form differs (-want +got):\n%s", diff)
 	}
 	got, err := Join(wire.Packed(want.Head), len(want.MsgPack), want.Sum, func(number int) []byte {
 		data, err := hex.DecodeString(want.MsgPack[number-1])
@@ -77,11 +77,13 @@
 		return data
 	})
 	if err != nil || got != text {
-		t.Errorf("read as %q, %v", got, err)
+		t.Errorf("Join returned %q, %v; want %q", got, err, text)
 	}
 }
 
-// TestGoldenChunks: what this version splits is what versions before and after join.
+// TestGoldenChunks checks that texts are split into exactly the recorded heads and chunks, and
+// that the recorded ones are joined again. A difference would make records unreadable to nodes of
+// an earlier or a later version.
 func TestGoldenChunks(t *testing.T) {
 	var golden map[string]goldenText
 	if err := json.Unmarshal(goldenChunks, &golden); err != nil {
