--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -7,46 +7,49 @@
 	"badgerbay/internal/clock"
 )
 
-// Purpose says what a write is for. Each purpose leaves a part of the budget to those before
-// it, so that folds never starve submissions or rounds.
+// Purpose is the purpose of a write and determines its priority. Writes of a purpose leave a part
+// of the budget to the more urgent purposes, so that folds, which store checkpoints of jobs, never
+// starve submissions or scheduling rounds.
 type Purpose int
 
-// The purposes of writes, most urgent first.
+// The purposes of writes, in order of decreasing urgency.
 const (
 	PurposeLeadership Purpose = iota
 	PurposeSubmission
 	PurposeRound
-	PurposeUrgentFold // that a user or the ring of rounds waits for
+	PurposeUrgentFold // a user waits for the checkpoint, or it frees a slot in the ring of round records
 	PurposeFold
 )
 
 const (
-	// leaderShare is the part of the limits that belongs to the leader's node; the other
-	// nodes share the rest equally, for the submissions they take.
+	// leaderShare is the fraction of the rate limits that the leader gets. The other nodes
+	// share the rest equally, for the submissions that they accept.
 	leaderShare = 0.6
-	// usableFraction is the part of a limit that the shares hand out: the service's
-	// bucket and ours never tick alike.
+	// usableFraction is the fraction of a rate limit that is divided among the nodes. The
+	// rest is a margin, because the token buckets of the service and of the nodes never
+	// refill in step.
 	usableFraction = 0.9
-	// foldReserveDivisor is by what a full write bucket is divided for the part that folds
-	// leave to others.
+	// foldReserveDivisor sets the reserve of PurposeFold: its writes leave one part in
+	// foldReserveDivisor of a full write bucket to the other purposes.
 	foldReserveDivisor = 3
 )
 
-// Budget is this node's share of the rate limits of the state service. It is safe
-// for concurrent use.
+// Budget limits the requests and writes of this node to its share of the rate limits of the
+// state service. It is safe for concurrent use.
 type Budget struct {
 	mu               sync.Mutex
 	nodes            int
-	requestRate      float64 // a second, of all nodes
-	writeRate        float64 // a second, of all nodes
+	requestRate      float64 // requests per second of all nodes together
+	writeRate        float64 // writes per second of all nodes together
 	writes, requests *TokenBucket
-	// roundStarved: submissions left no write to a round. They and urgent folds wait
-	// until one is through, so that neither starves the other.
+	// roundStarved is set when no write was available for a scheduling round. Submissions
+	// and urgent folds then wait until a round has been written, so that they and rounds
+	// don't starve each other.
 	roundStarved bool
 }
 
-// NewBudget returns the budget of a follower among so many nodes, at a service with limits on
-// requests and on writes a second.
+// NewBudget returns the budget of a follower in a cluster of the given number of nodes. The rate
+// limits are those of the service, for all nodes together.
 func NewBudget(nodes int, requestsPerSecond, writesPerSecond float64) *Budget {
 	b := &Budget{nodes: max(1, nodes), requestRate: requestsPerSecond * usableFraction, writeRate: writesPerSecond * usableFraction}
 	share := b.shareOf(false)
@@ -55,10 +58,11 @@
 	return b
 }
 
-// burstAt is the size of a bucket that gains rate tokens a second: a second's worth, and one
-// token at least.
+// burstAt returns the burst of a token bucket with the rate in tokens per second: the tokens of
+// one second, but at least one.
 func burstAt(rate float64) float64 { return max(1, rate) }
 
+// shareOf returns the fraction of the rate limits that a node gets, as the leader or as a follower.
 func (b *Budget) shareOf(leader bool) float64 {
 	switch {
 	case b.nodes == 1:
@@ -69,7 +73,7 @@
 	return (1 - leaderShare) / float64(b.nodes-1)
 }
 
-// SetLeader sets the share of a node that becomes the leader, or ceases to be.
+// SetLeader adapts the limits when this node becomes the leader or ceases to be the leader.
 func (b *Budget) SetLeader(now clock.Instant, leader bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,14 +82,14 @@
 	b.requests.SetLimit(now, b.requestRate*share, burstAt(b.requestRate*share))
 }
 
-// reserveFor is how many writes must be left after one for the purpose.
+// reserveFor returns how many writes must remain available after a write for the purpose.
 func (b *Budget) reserveFor(purpose Purpose) float64 {
 	switch purpose {
 	case PurposeLeadership:
-		return -1 // may overdraw by one: leadership must not starve
+		return -1 // may overdraw the bucket by one write, so that leadership is never starved
 	case PurposeSubmission:
-		// In a flood of submissions, which took every write as it came, no
-		// round was written for 20 s.
+		// Without this reserve a flood of submissions took each write as soon as it was
+		// available, and no round was written for 20 s.
 		if b.roundStarved {
 			return 1 + b.submissionReserve()
 		}
@@ -93,8 +97,9 @@
 	case PurposeRound:
 		return b.submissionReserve()
 	case PurposeUrgentFold:
-		// Folds wait for a round like submissions do; and what many of them
-		// would take at once is left for both.
+		// Urgent folds wait for a starved round as submissions do. Otherwise they leave a
+		// reserve to submissions and rounds, because many folds at once would use up all
+		// writes.
 		if b.roundStarved {
 			return 1 + b.submissionReserve()
 		}
@@ -104,11 +109,11 @@
 	}
 }
 
-// submissionReserve is what rounds and urgent folds leave to a submission that comes now:
-// a leader whose rounds took the last write refused a fifth of them.
+// submissionReserve returns the number of writes that rounds and urgent folds leave to the next
+// submission. A leader whose rounds took the last write refused a fifth of the submissions.
 func (b *Budget) submissionReserve() float64 { return min(1, b.writes.burst/4) }
 
-// TakeWrites takes n writes for the purpose, and tells whether it did.
+// TakeWrites takes n writes for the purpose if the budget permits, and reports whether it did.
 func (b *Budget) TakeWrites(now clock.Instant, purpose Purpose, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,15 +124,17 @@
 	return ok
 }
 
-// ForceTakeWrites takes n writes that are made whether or not they are there, so that
-// later ones wait for them: those of a record that takes several values.
+// ForceTakeWrites takes n writes from the budget even if fewer are available, so that later writes
+// wait until the deficit has been refilled. It is for writes that are sent in any case, such as
+// those of a record that is stored in several values. It takes nothing while the bucket is already
+// overdrawn.
 func (b *Budget) ForceTakeWrites(now clock.Instant, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.writes.Take(now, float64(n), -float64(n))
 }
 
-// AvailableWrites is how many writes for the purpose may be made now.
+// AvailableWrites returns how many writes for the purpose the budget permits now.
 func (b *Budget) AvailableWrites(now clock.Instant, purpose Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,14 +145,14 @@
 	return n
 }
 
-// WriteDelay is how long until a write for the purpose may be made.
+// WriteDelay returns how long it takes until the budget permits a write for the purpose.
 func (b *Budget) WriteDelay(now clock.Instant, purpose Purpose) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.writes.Delay(now, 1, b.reserveFor(purpose))
 }
 
-// TakeRequest takes one request, and tells whether it did.
+// TakeRequest takes one request if the budget permits, and reports whether it did.
 func (b *Budget) TakeRequest(now clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -8,8 +8,10 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestBudgetsKeepTheServicesLimits: however hard all nodes push, together they stay
-// below the service's limit, and folds leave room for submissions.
+// TestBudgetsKeepTheServicesLimits checks that the nodes together stay within the write limit of
+// the service and use most of it while each of them writes as much as its budget permits, that
+// continuous submissions don't starve rounds, and that folds leave writes for a submission and a
+// round.
 func TestBudgetsKeepTheServicesLimits(t *testing.T) {
 	const limit = 20.0
 	now := clock.Instant(time.Hour)
@@ -26,9 +28,9 @@
 		}
 	}
 	if maxTaken := limit*seconds + limit; float64(taken) > maxTaken || float64(taken) < 0.8*limit*seconds {
-		t.Errorf("%d writes in %d s, limit %v a second", taken, seconds, limit)
+		t.Errorf("%d writes in %d s, limit %v per second", taken, seconds, limit)
 	}
-	// However many submissions come, rounds get their writes.
+	// Rounds are written even while submissions take every write that they may.
 	rounds := 0
 	for range seconds * 100 {
 		now = now.Add(10 * time.Millisecond)
@@ -39,12 +41,12 @@
 		}
 	}
 	if rounds < seconds {
-		t.Errorf("%d rounds in %d s of submissions", rounds, seconds)
+		t.Errorf("%d rounds in %d s of continuous submissions", rounds, seconds)
 	}
 	now = now.Add(time.Minute)
 	for nodes[0].TakeWrites(now, kvstore.PurposeFold, 1) {
 	}
 	if !nodes[0].TakeWrites(now, kvstore.PurposeSubmission, 1) || !nodes[0].TakeWrites(now, kvstore.PurposeRound, 1) {
-		t.Error("folds left nothing for submissions and rounds")
+		t.Error("folds left no write for a submission and a round")
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,8 +1,8 @@
 // Package kvstore is the client of the state service: a small consistent key-value store with
-// compare-and-swap transactions, leases and watches, the only place where the controllers keep
-// anything. It owns the requests and their errors, the sizes as the service counts them, and
-// the division of the service's rate limits among the nodes. What the keys mean, and what to do
-// about a lost answer, is left to the callers.
+// compare-and-swap transactions, leases and watches. The state service is the only persistent
+// storage of the controllers. The package sends the requests and classifies their errors, computes
+// the sizes of values as the service counts them, and divides the service's rate limits among the
+// nodes. The callers define what the keys mean and how to proceed when a response was lost.
 package kvstore
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	// RequestTimeout is how long a request waits for its answer.
+	// RequestTimeout is the timeout of a request.
 	RequestTimeout = 1500 * time.Millisecond
-	// listTimeout is how long a page of a listing may take.
+	// listTimeout is the timeout of the request for one page of a listing.
 	listTimeout  = 2 * RequestTimeout
 	listPageSize = 500 // keys
-	// maxResponseBytes bounds what is read of one answer. Watches have no limit of
-	// their own at the service.
+	// maxResponseBytes is the maximum size of a response body. The service itself does not
+	// limit the responses to watches.
 	maxResponseBytes = 8 << 20
 )
 
@@ -42,9 +42,9 @@
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport}}
 }
 
-// response is the body of an answer; which fields are set depends on the request.
+// response is the body of a response; which fields are set depends on the request.
 type response struct {
-	Revision    ident.Revision               `msgpack:"journalNo"` // of the store
+	Revision    ident.Revision               `msgpack:"journalNo"` // current revision of the store
 	Key         string                       `msgpack:"key"`
 	Value       msgpack.RawMessage           `msgpack:"value"`
 	ModRevision ident.Revision               `msgpack:"stamp"`
@@ -56,8 +56,8 @@
 	Error       string                       `msgpack:"error"`
 }
 
-// call sends one request and classifies the answer. A status that it returns without an
-// error is 200, 404 or 409.
+// call sends one request and classifies the response. If the error is nil, the status is 200, 404
+// or 409.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body any) (int, *response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -72,8 +72,9 @@
 	return classifyResponse(status, data)
 }
 
-// classifyResponse turns a status and a body into a response or an error. A body that can't be
-// read leaves the outcome of a successful request unknown: it has not failed.
+// classifyResponse converts a status and a body to a response or an error. If the body of a 200,
+// 404 or 409 can't be decoded, the error is ErrOutcomeUnknown, because the request may have been
+// executed.
 func classifyResponse(status int, data []byte) (int, *response, error) {
 	r := new(response)
 	var decodeErr error
@@ -101,12 +102,13 @@
 	return 0, nil, unexpectedStatus(status)
 }
 
-// unexpectedStatus is the error of an answer that says nothing of what was executed.
+// unexpectedStatus returns the error for a response that does not show whether the request was
+// executed.
 func unexpectedStatus(status int) error {
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// Get reads a key. A key that does not exist has ModRevision 0.
+// Get returns a key with its value. If the key does not exist, the ModRevision is 0.
 func (c *Client) Get(ctx context.Context, key string) (KeyValue, error) {
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodGet, "/kv/"+key, nil)
 	switch {
@@ -120,8 +122,9 @@
 	return KeyValue{Key: key, Value: r.Value, ModRevision: r.ModRevision}, nil
 }
 
-// List reads every key with the prefix, page by page. The revision is that of
-// the first page, so that a watch from it misses nothing.
+// List returns all keys with the prefix, which it reads page by page, and a revision. The revision
+// is that of the first page, so that a watch from it also returns the changes that were made
+// while the other pages were read.
 func (c *Client) List(ctx context.Context, prefix string) ([]KeyValue, ident.Revision, error) {
 	var items []KeyValue
 	var revision ident.Revision
@@ -161,7 +164,7 @@
 	TTLMs int64 `msgpack:"lifeMs"`
 }
 
-// GrantLease asks for a lease.
+// GrantLease creates a lease with the given time to live and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ident.LeaseID, error) {
 	status, r, err := c.call(ctx, RequestTimeout, http.MethodPost, "/leases", grantRequest{TTLMs: ttl.Milliseconds()})
 	switch {
@@ -173,7 +176,8 @@
 	return r.LeaseID, nil
 }
 
-// RenewLease renews a lease; ErrLeaseNotFound means that it has ended.
+// RenewLease renews a lease. The error wraps ErrLeaseNotFound if the lease has expired or was
+// revoked.
 func (c *Client) RenewLease(ctx context.Context, id ident.LeaseID) error {
 	status, _, err := c.call(ctx, RequestTimeout, http.MethodPost, leasePath(id)+"/extend", struct{}{})
 	if err == nil && status == http.StatusNotFound {
@@ -185,7 +189,7 @@
 	return nil
 }
 
-// RevokeLease ends a lease at once, and deletes the keys that are bound to it.
+// RevokeLease ends a lease at once, which deletes the keys that are bound to it.
 func (c *Client) RevokeLease(ctx context.Context, id ident.LeaseID) error {
 	if _, _, err := c.call(ctx, RequestTimeout, http.MethodDelete, leasePath(id), nil); err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
@@ -195,9 +199,9 @@
 
 func leasePath(id ident.LeaseID) string { return fmt.Sprintf("/leases/%d", id) }
 
-// Watch waits up to hold until a key with the prefix has changed after the revision since, and
-// returns the changes and the revision up to which they are complete. Changes that are too many
-// to be read count as compacted.
+// Watch waits until a key with the prefix changes after the revision since, but at most for hold.
+// It returns the changes and the revision up to which they are complete. The error wraps
+// ErrCompacted if the changes are no longer retained or exceed maxResponseBytes.
 func (c *Client) Watch(ctx context.Context, prefix string, since ident.Revision, hold time.Duration) ([]WatchEvent, ident.Revision, error) {
 	query := url.Values{"prefix": {prefix}, "since": {strconv.FormatUint(uint64(since), 10)},
 		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -18,15 +18,19 @@
 	"badgerbay/internal/kvstore"
 )
 
+// newFakeService returns a client of a new fake state service, and the service.
 func newFakeService() (*kvstore.Client, *fake.KVServer) {
 	srv := &fake.KVServer{Store: fake.NewKVStore(), Now: clock.Instant(time.Hour)}
 	return kvstore.NewClient("10.2.0.1:2379", srv), srv
 }
 
+// setTxn returns a transaction that sets the key if it has the revision.
 func setTxn(key string, revision ident.Revision, value any) kvstore.Txn {
 	return kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, ModRevision: revision}}, Operations: []kvstore.Operation{{SetKey: key, Value: value}}}
 }
 
+// TestCompareAndSwap checks that a transaction whose condition does not hold is not applied and
+// returns a ConflictError with the key.
 func TestCompareAndSwap(t *testing.T) {
 	c, _ := newFakeService()
 	ctx := context.Background()
@@ -42,13 +46,14 @@
 	item, err := c.Get(ctx, "job/wk-000001")
 	var got map[string]int
 	if err != nil || item.ModRevision != v || msgpack.Unmarshal(item.Value, &got) != nil || got["n"] != 1 {
-		t.Errorf("read back %+v, %v, %v", item, got, err)
+		t.Errorf("Get after the conflict: %+v, %v, %v", item, got, err)
 	}
 	if item, err := c.Get(ctx, "job/wk-000002"); err != nil || item.ModRevision != 0 {
 		t.Errorf("absent key: %+v, %v", item, err)
 	}
 }
 
+// TestListReadsAllPages checks that List returns all keys when they exceed one page.
 func TestListReadsAllPages(t *testing.T) {
 	c, _ := newFakeService()
 	ctx := context.Background()
@@ -64,6 +69,8 @@
 	}
 }
 
+// TestExpiredLeaseDeletesItsKeys checks that a renewal extends a lease, that its keys are deleted when
+// it expires, and that requests with the expired lease return ErrLeaseNotFound.
 func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	c, srv := newFakeService()
 	ctx := context.Background()
@@ -81,7 +88,7 @@
 	}
 	srv.Now = srv.Now.Add(11 * time.Second)
 	if item, err := c.Get(ctx, "leader"); err != nil || item.ModRevision != 0 {
-		t.Errorf("key outlives its lease: %+v, %v", item, err)
+		t.Errorf("key still exists after its lease expired: %+v, %v", item, err)
 	}
 	if err := c.RenewLease(ctx, leaseID); !errors.Is(err, kvstore.ErrLeaseNotFound) {
 		t.Errorf("renewing an expired lease: %v", err)
@@ -91,8 +98,9 @@
 	}
 }
 
-// TestResponseStatuses: what surely was not executed must be told from what may have
-// been; an answer that can't be read leaves a request uncertain.
+// TestResponseStatuses checks that the client distinguishes requests that were certainly not
+// executed from those that may have been. After a response that can't be decoded, or none, the
+// outcome is unknown: a caller that took it for a failure could lose or repeat a write.
 func TestResponseStatuses(t *testing.T) {
 	c, srv := newFakeService()
 	for _, s := range []struct {
@@ -116,10 +124,11 @@
 	}
 	srv.Override = func(*http.Request) (*http.Response, error) { return nil, errors.New("connection reset") }
 	if _, err := c.Commit(context.Background(), setTxn("k", 0, 1)); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		t.Errorf("reset: %v", err)
+		t.Errorf("connection reset: %v, want %v", err, kvstore.ErrOutcomeUnknown)
 	}
 }
 
+// FuzzResponse checks that no response makes the client panic, or report a commit without a revision.
 func FuzzResponse(f *testing.F) {
 	f.Add(200, []byte("\x81\xa5pairs\xdd\xff\xff\xff\xff"))
 	f.Add(409, []byte("\x81\xa6failed\x91\xa1k"))
@@ -129,7 +138,7 @@
 			return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(body))}, nil
 		}
 		if v, err := c.Commit(context.Background(), setTxn("k", 0, 1)); err == nil && v == 0 {
-			t.Error("committed without a revision")
+			t.Error("Commit succeeded without a revision")
 		}
 		c.Get(context.Background(), "k")
 		c.Watch(context.Background(), "k", 0, 0)
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -5,27 +5,34 @@
 	"fmt"
 )
 
-// Errors of requests to the state service, to be compared with errors.Is. Only
-// ErrOutcomeUnknown leaves open whether the request was, or will be, executed; the others mean
-// that it was not.
+// The errors of requests to the state service; compare them with errors.Is. After
+// ErrOutcomeUnknown the request may have been executed, or may still be; after any of the others
+// it was not executed.
 var (
-	ErrUnavailable    = errors.New("state service unavailable")
-	ErrThrottled      = errors.New("state service throttled us")
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	ErrLeaseNotFound  = errors.New(leaseNotFoundMessage)
-	// ErrRejected means that the service does not accept the request as it is: malformed,
-	// or beyond a limit. Sending it again is of no use.
-	ErrRejected = errors.New("state service refused the request")
-	// ErrCompacted means that changes are no longer kept: the keys must be read again.
-	ErrCompacted = errors.New("changes since that revision are no longer kept")
+	// ErrUnavailable is returned when the service reports that it is unavailable.
+	ErrUnavailable = errors.New("state service unavailable")
+	// ErrThrottled is returned when the service rejects a request because of its rate limit.
+	ErrThrottled = errors.New("state service throttled the request")
+	// ErrOutcomeUnknown is returned when the response to a request is missing or can't be
+	// interpreted.
+	ErrOutcomeUnknown = errors.New("outcome of the state service request is unknown")
+	// ErrLeaseNotFound is returned when the lease of a request has expired or was revoked.
+	ErrLeaseNotFound = errors.New(leaseNotFoundMessage)
+	// ErrRejected is returned when the service rejects a request as malformed or because it
+	// exceeds a limit. A retry of the same request fails again.
+	ErrRejected = errors.New("state service rejected the request")
+	// ErrCompacted is returned when the requested changes are no longer retained. The keys must
+	// be read again.
+	ErrCompacted = errors.New("changes since the requested revision are no longer retained")
 )
 
-// leaseNotFoundMessage is the service's own text for a write that is bound to a lease which
-// has ended; such a write has no status of its own.
+// leaseNotFoundMessage is the error text with which the service rejects a write that is bound to
+// an ended lease. The status, 400, is the same as for other rejected requests.
 const leaseNotFoundMessage = "no such lease"
 
-// ConflictError means that a transaction was not applied since conditions of it did not hold.
+// ConflictError is returned when a transaction was not applied because some of its conditions did
+// not hold. FailedKeys are the keys of these conditions.
 type ConflictError struct{ FailedKeys []string }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.FailedKeys) }
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -22,14 +22,14 @@
 //go:embed testdata/golden/exchanges.json
 var goldenExchanges []byte
 
-// goldenExchange is a request to the state service, and an answer of it.
+// goldenExchange records the requests of one client call, the service's responses and the result.
 type goldenExchange struct {
 	Requests []string `json:"requests"` // method, path with query, media type, body in hex
 	Answers  []string `json:"answers"`  // status, body in hex
-	Result   string   `json:"result"`   // what the client makes of the answers
+	Result   string   `json:"result"`   // result of the client call, as formatted by describe
 }
 
-// scriptedServer is a server that answers as it was recorded, and keeps the requests.
+// scriptedServer is an HTTP transport that returns recorded responses and records the requests.
 type scriptedServer struct {
 	t        *testing.T
 	answers  []string
@@ -48,12 +48,12 @@
 	s.requests = append(s.requests, fmt.Sprintf("%s http://%s%s %s %x", r.Method, r.URL.Host, r.URL.RequestURI(), r.Header.Get("Content-Type"), body))
 	if len(s.answers) < len(s.requests) {
 		s.t.Errorf("unexpected request: %s", s.requests[len(s.requests)-1])
-		return nil, errors.New("no answer recorded")
+		return nil, errors.New("no response recorded for the request")
 	}
 	var status int
 	var data []byte
 	if _, err := fmt.Sscanf(s.answers[len(s.requests)-1]+" ", "%d %x", &status, &data); err != nil && status == 0 {
-		s.t.Errorf("answer %q: %v", s.answers[len(s.requests)-1], err)
+		s.t.Errorf("recorded response %q: %v", s.answers[len(s.requests)-1], err)
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(data))}, nil
 }
@@ -64,6 +64,7 @@
 	Share float64 `msgpack:"share,omitempty" json:"share,omitempty"`
 }
 
+// describe formats the result of a client call as in the golden file.
 func describe(v any, err error) string {
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
@@ -87,7 +88,8 @@
 	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.ModRevision)
 }
 
-// calls are the client's requests, each with what became of it.
+// calls returns the client calls by the name of their golden exchange. Each returns its formatted
+// result.
 func calls() map[string]func(context.Context, *kvstore.Client) string {
 	get := func(ctx context.Context, c *kvstore.Client) string {
 		item, err := c.Get(ctx, "job/wk-000412")
@@ -144,8 +146,9 @@
 	}
 }
 
-// TestGoldenExchanges: requests are sent to the byte as they always were, and answers
-// are understood.
+// TestGoldenExchanges checks that the client sends exactly the recorded requests, byte for byte, and
+// interprets the recorded responses as before. It guards the protocol of the state service against
+// accidental changes.
 func TestGoldenExchanges(t *testing.T) {
 	var golden map[string]goldenExchange
 	if err := json.Unmarshal(goldenExchanges, &golden); err != nil {
@@ -161,14 +164,14 @@
 			server := &scriptedServer{t: t, answers: want.Answers}
 			result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
 			if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
-				t.Error(diff)
+				t.Errorf("exchange differs (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestGoldenSizes: sizes as the state service counts them. A limit that is reckoned
-// otherwise lets records grow that are refused.
+// TestGoldenSizes checks JSONSize against sizes as the state service counts them. A smaller result
+// would let records grow beyond the limit, and the service would reject them.
 func TestGoldenSizes(t *testing.T) {
 	type nested struct {
 		Records []goldenRecord     `json:"records"`
--- a/internal/kvstore/jsonsize.go
+++ b/internal/kvstore/jsonsize.go
@@ -6,11 +6,13 @@
 	"reflect"
 )
 
-// unencodableSize is the size of what can't be encoded: more than any limit.
+// unencodableSize is the size in bytes that JSONSize returns for a value that can't be encoded. It
+// exceeds every limit.
 const unencodableSize = 1 << 30
 
-// JSONSize is the size of a value in bytes of the service's JSON, the form in which its limits
-// are counted. It is never too small.
+// JSONSize returns the size of a value in bytes in the JSON encoding of the state service, for
+// which the size limits of the service are defined. The result is never below the size that the
+// service counts.
 func JSONSize(v any) int {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -19,9 +21,10 @@
 	return len(data) + len(".0")*countWholeFloats(reflect.ValueOf(v))
 }
 
-// countWholeFloats counts the decimal numbers in v that are whole, also those that the JSON
-// leaves out. The service writes them as 4.0, where Go's JSON has 4: a record that fitted by a
-// few bytes was refused again and again.
+// countWholeFloats returns the number of floating-point values in v that are integers, including
+// those that the JSON omits. The service encodes such a value as 4.0, Go encodes it as 4. Without
+// this correction a record that was only a few bytes below the limit by Go's encoding was rejected
+// by the service on every retry.
 func countWholeFloats(v reflect.Value) int {
 	n := 0
 	switch v.Kind() {
--- a/internal/kvstore/jsonsize_test.go
+++ b/internal/kvstore/jsonsize_test.go
@@ -6,8 +6,9 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestJSONSizeAsTheServiceCounts: decimal numbers that are whole take two bytes more
-// than in Go's JSON, wherever they are.
+// TestJSONSizeAsTheServiceCounts checks that floating-point values that are integers count two
+// bytes more than in Go's JSON, at every level of nesting. If JSONSize counted too little, records
+// that pass the local check would be rejected by the service.
 func TestJSONSizeAsTheServiceCounts(t *testing.T) {
 	type spec struct {
 		CPUs float64  `json:"c"`
--- a/internal/kvstore/tokenbucket.go
+++ b/internal/kvstore/tokenbucket.go
@@ -6,19 +6,20 @@
 	"badgerbay/internal/clock"
 )
 
-// TokenBucket is a token-bucket rate limiter. It is pure: time comes in with every call. It is
-// not safe for concurrent use.
+// TokenBucket is a token-bucket rate limiter. It does not read a clock: each call passes the
+// current time. It is not safe for concurrent use.
 type TokenBucket struct {
 	rate, burst, tokens float64
 	lastRefill          clock.Instant
 }
 
-// NewTokenBucket returns a full bucket that gains rate tokens a second and holds
-// at most burst.
+// NewTokenBucket returns a full bucket that gains rate tokens per second and holds at most burst
+// tokens.
 func NewTokenBucket(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
+// refill adds the tokens gained since the last refill. It does nothing if now is not after that.
 func (b *TokenBucket) refill(now clock.Instant) {
 	if b.lastRefill.Before(now) {
 		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.lastRefill).Seconds())
@@ -26,7 +27,8 @@
 	}
 }
 
-// Take takes n tokens if at least reserve remain after it, and tells whether it did.
+// Take takes n tokens if at least reserve tokens remain afterwards, and reports whether it took
+// them.
 func (b *TokenBucket) Take(now clock.Instant, n, reserve float64) bool {
 	b.refill(now)
 	if b.tokens < n+reserve {
@@ -36,7 +38,8 @@
 	return true
 }
 
-// Delay is how long until n tokens above reserve will be there; 0 if they are.
+// Delay returns how long it takes until the bucket holds n tokens in addition to reserve, and 0 if
+// it holds them already. If that exceeds the burst, Delay returns the time until the bucket is full.
 func (b *TokenBucket) Delay(now clock.Instant, n, reserve float64) time.Duration {
 	b.refill(now)
 	missing := min(n+reserve, b.burst) - b.tokens
@@ -46,13 +49,13 @@
 	return time.Duration(missing / b.rate * float64(time.Second))
 }
 
-// Available is the number of tokens at now.
+// Available returns the number of tokens at now.
 func (b *TokenBucket) Available(now clock.Instant) float64 {
 	b.refill(now)
 	return b.tokens
 }
 
-// SetLimit gives the bucket another rate and burst, keeping what tokens it holds.
+// SetLimit changes the rate and the burst. The bucket keeps its tokens up to the new burst.
 func (b *TokenBucket) SetLimit(now clock.Instant, rate, burst float64) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -6,6 +6,7 @@
 	"badgerbay/internal/kvstore"
 )
 
+// TestTxnLimits checks the largest value of a transaction and the limits on values and operations.
 func TestTxnLimits(t *testing.T) {
 	txn := kvstore.Txn{Operations: []kvstore.Operation{
 		{SetKey: "small", Value: "1234"}, {SetKey: "large", Value: "12345678"}, {DeleteKey: "gone"},
@@ -18,12 +19,13 @@
 		want                   bool
 	}{{10, 3, false}, {9, 3, true}, {10, 2, true}} {
 		if got := txn.Exceeds(test.valueBytes, test.operations); got != test.want {
-			t.Errorf("exceeds %d bytes and %d operations: %v", test.valueBytes, test.operations, got)
+			t.Errorf("Exceeds(%d, %d) = %v, want %v", test.valueBytes, test.operations, got, test.want)
 		}
 	}
 }
 
-// TestTxnOutcome: what became of a transaction without an answer is read off its first key.
+// TestTxnOutcome checks that the key of the first operation shows whether a transaction whose
+// response was lost was applied.
 func TestTxnOutcome(t *testing.T) {
 	conditions := []kvstore.Condition{{Key: "leader", ModRevision: 5}, {Key: "k", ModRevision: 7}}
 	set := kvstore.Txn{Conditions: conditions, Operations: []kvstore.Operation{{SetKey: "k", Value: 1}}}
@@ -43,7 +45,7 @@
 			t.Errorf("%s: outcome key %q", name, key)
 		}
 		if got := test.txn.WasApplied(test.found); got != test.applied {
-			t.Errorf("%s: applied %v", name, got)
+			t.Errorf("%s: WasApplied = %v, want %v", name, got, test.applied)
 		}
 	}
 }
