--- a/internal/standby/catchup.go
+++ b/internal/standby/catchup.go
@@ -11,14 +11,15 @@
 	"badgerbay/internal/roundlog"
 )
 
-// WatchFunc reads the changes of a prefix since a revision, without waiting, and the
-// revision up to which they are complete.
+// WatchFunc returns the changes of the keys with a prefix after a revision, without waiting for
+// further changes, and the revision up to which they are complete.
 type WatchFunc func(prefix string, since ident.Revision) ([]kvstore.WatchEvent, ident.Revision, error)
 
-// CatchUp brings a replica up to the moment at which this node acquired its epoch,
-// and returns what it then holds. No earlier leader can have written anything after
-// that. Jobs that were stored later are found by watching from the revision it returns.
-// An error means that the records must be read as without a replica.
+// CatchUp applies the changes since the replica's revisions, at least up to the revision at which
+// this node acquired its epoch, and returns the resulting records. No earlier leader can have
+// written anything after that revision. The caller finds jobs that are stored later by a watch from
+// the revision that CatchUp returns. After an error the caller must read all records, as it would
+// without a replica.
 func CatchUp(r *Replica, epoch ident.Epoch, watch WatchFunc) (recovery.StoredRecords, ident.Revision, error) {
 	if !r.Complete() {
 		return recovery.StoredRecords{}, 0, ErrNotLoaded
@@ -26,13 +27,13 @@
 	for _, prefix := range Prefixes {
 		changes, revision, err := watch(prefix, r.Revision(prefix))
 		if err != nil {
-			return recovery.StoredRecords{}, 0, fmt.Errorf("changes of %s: %w", prefix, err)
+			return recovery.StoredRecords{}, 0, fmt.Errorf("read changes of %s: %w", prefix, err)
 		}
 		if revision < ident.Revision(epoch) {
-			return recovery.StoredRecords{}, 0, fmt.Errorf("%w: %s is complete up to %d, before the epoch %d", ErrOutOfOrder, prefix, revision, epoch)
+			return recovery.StoredRecords{}, 0, fmt.Errorf("%w: changes of %s are complete up to revision %d, before epoch %d", ErrOutOfOrder, prefix, revision, epoch)
 		}
 		if r, err = r.Apply(prefix, changes, revision); err != nil {
-			return recovery.StoredRecords{}, 0, fmt.Errorf("changes of %s: %w", prefix, err)
+			return recovery.StoredRecords{}, 0, fmt.Errorf("apply changes of %s: %w", prefix, err)
 		}
 	}
 	stored := recovery.StoredRecords{
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// MachineListInterval is the pause between two lists of the machines that a standby
-	// reads.
+	// MachineListInterval is the time between two listings of the machines by a standby node.
 	MachineListInterval = 15 * time.Second
-	// maxMissedSyncs is how many intervals without a complete sync a replica may be and
-	// still count as ready.
+	// maxMissedSyncs is the maximum age of the last complete sync, in sync intervals, at which
+	// a replica still counts as ready.
 	maxMissedSyncs = 3
-	// fullRetryInterval is how long records that exceed the bound are not read again.
+	// fullRetryInterval is the time until the next sync after the records exceeded the size
+	// limit of the replica.
 	fullRetryInterval = time.Minute
 )
 
-// Follower keeps a replica up to date. It is a pure state machine. A copy of it is a
-// snapshot, whose Replica and Status may be read while the follower goes on.
+// Follower keeps a replica up to date. It is a state machine without I/O: Step returns the reads
+// that the caller must carry out. A copy of a Follower is a snapshot, whose Replica and Status may
+// be used while the original continues.
 type Follower struct {
 	syncInterval time.Duration
 	replica      *Replica
 	leading      bool
-	full         bool // the records exceeded the bound of the replica
+	full         bool // the records exceeded the size limit of the replica
 	nextSync     clock.Instant
 	current      syncProgress
 
-	lastSync   clock.Instant // when the last complete sync began; 0: never
-	lagRecords int           // changes that the last complete sync has brought
-	reloads    int
-	lastErr    error // since the last complete sync
+	lastSync   clock.Instant // start of the last complete sync; 0: there was none
+	lagRecords int           // number of changes that the last complete sync applied
+	reloads    int           // see Status.Reloads
+	lastErr    error         // see Status.Reason
 }
 
-// syncProgress is one sync: a read of each prefix.
+// syncProgress is the progress of one sync, which reads each prefix once.
 type syncProgress struct {
 	started      clock.Instant
-	pendingReads int // prefixes whose read is not done yet; 0: no sync is under way
+	pendingReads int // prefixes whose read has not completed; 0: no sync is in progress
 	failed       bool
 	changes      int
-	reload       bool // the replica was found to be of no use
+	reload       bool // the replica was discarded and must be read again
 }
 
-// NewFollower returns a follower that reads the changes at the interval, and whose
-// replica may hold maxBytes.
+// NewFollower returns a follower that syncs its replica once per interval. The replica holds at
+// most maxBytes of keys and values.
 func NewFollower(syncInterval time.Duration, maxBytes int) *Follower {
 	return &Follower{syncInterval: syncInterval, replica: NewReplica(maxBytes)}
 }
 
-// Replica is what the follower holds. It is complete up to its revisions, whatever
-// the follower's state is.
+// Replica returns the current replica. In every state of the follower, each prefix that the replica
+// has read is complete up to the replica's revision of the prefix.
 func (f *Follower) Replica() *Replica { return f.replica }
 
-// Step takes one input at now and returns what to read.
+// Step processes one input at now and returns the reads to carry out.
 func (f *Follower) Step(now clock.Instant, in Input) []Effect {
 	switch in := in.(type) {
 	case Tick:
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// leadershipChanged keeps what the follower holds: once this node does not lead any
-// more, it reads what has changed since.
+// leadershipChanged pauses or resumes the syncs. The replica is kept while this node is the leader;
+// when it no longer is, a sync reads the changes made since then.
 func (f *Follower) leadershipChanged(now clock.Instant, leading bool) {
 	if f.leading && !leading {
 		f.nextSync = now
@@ -78,6 +79,7 @@
 	f.leading = leading
 }
 
+// tick starts a sync if one is due and returns its reads.
 func (f *Follower) tick(now clock.Instant) []Effect {
 	if f.leading || f.current.pendingReads > 0 || now.Before(f.nextSync) {
 		return nil
@@ -118,8 +120,8 @@
 	f.readDone(now, err)
 }
 
-// mustReload tells whether an error means that the replica can't be brought up to date
-// by changes.
+// mustReload reports whether an error means that changes can't bring the replica up to date, so
+// that all records must be read again.
 func mustReload(err error) bool {
 	for _, cause := range []error{kvstore.ErrCompacted, ErrOutOfOrder, ErrUnexpectedKey, ErrNotLoaded} {
 		if errors.Is(err, cause) {
@@ -129,13 +131,13 @@
 	return false
 }
 
-// readDone takes in that one of the reads of the current sync is done.
+// readDone records the completion of one read of the current sync; err is nil if it succeeded.
 func (f *Follower) readDone(now clock.Instant, err error) {
 	if err != nil && !f.current.failed {
-		f.current.failed, f.lastErr = true, err // the errors of others may follow from it
+		f.current.failed, f.lastErr = true, err // later errors of the same sync may only be consequences
 	}
 	if errors.Is(err, ErrReplicaFull) {
-		// Nothing of it is kept: it is of no use, and takes memory.
+		// A partial replica is of no use for a failover and takes memory.
 		f.full = true
 		f.replica = NewReplica(f.replica.maxBytes)
 		f.nextSync = now.Add(fullRetryInterval)
@@ -146,7 +148,7 @@
 	}
 }
 
-// syncDone takes in that all reads of the current sync are done.
+// syncDone ends the current sync, whose reads have all completed.
 func (f *Follower) syncDone() {
 	if f.current.reload {
 		f.reloads++
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -5,28 +5,28 @@
 	"badgerbay/internal/kvstore"
 )
 
-// Input is what the follower takes: one of the types below.
+// Input is an input of the follower: one of the types below.
 type Input interface{ input() }
 
-// Inputs.
+// The inputs.
 type (
-	// Tick lets time pass.
+	// Tick makes the follower start a sync if one is due.
 	Tick struct{}
-	// ListDone completes List.
+	// ListDone is the result of a List.
 	ListDone struct {
 		Prefix   string
 		Err      error
 		Items    []kvstore.KeyValue
 		Revision ident.Revision
 	}
-	// WatchDone completes Watch.
+	// WatchDone is the result of a Watch.
 	WatchDone struct {
 		Prefix   string
 		Err      error
 		Changes  []kvstore.WatchEvent
 		Revision ident.Revision // up to which the changes are complete
 	}
-	// LeadershipChanged says whether this node leads.
+	// LeadershipChanged reports whether this node is the leader.
 	LeadershipChanged struct{ Leading bool }
 )
 
@@ -35,14 +35,15 @@
 func (WatchDone) input()         {}
 func (LeadershipChanged) input() {}
 
-// Effect is what the follower wants done: one of the types below.
+// Effect is a read that the follower requests from its caller: one of the types below.
 type Effect interface{ effect() }
 
-// Effects.
+// The effects.
 type (
-	// List reads all keys with the prefix.
+	// List requests all keys with the prefix.
 	List struct{ Prefix string }
-	// Watch reads the changes of the prefix since a revision, without waiting.
+	// Watch requests the changes of the keys with the prefix after the revision Since, without
+	// waiting for further changes.
 	Watch struct {
 		Prefix string
 		Since  ident.Revision
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -1,8 +1,8 @@
-// Package standby keeps what a node that does not lead needs for a quick failover: a
-// replica of the leader's records, which follows each decision in the order in which the
-// state service stored it. It owns the replica and the state machine that syncs it;
-// callers carry out its reads, package election decides when to take over, and package
-// recovery what the records mean. It does no I/O.
+// Package standby maintains a replica of the leader's records on a node that is not the leader, so
+// that a failover does not have to read all records. The changes are applied in the order in which
+// the state service stored them. The package contains the replica and the state machine that syncs
+// it, and does no I/O: the callers carry out the reads, package election decides when to take over
+// leadership, and package recovery interprets the records.
 package standby
 
 import (
@@ -21,47 +21,49 @@
 	"badgerbay/internal/roundlog"
 )
 
-// Prefixes are those of the keys that hold a leader's decisions.
+// Prefixes are the prefixes of the keys that hold the leader's records.
 var Prefixes = []string{jobs.KeyPrefix, roundlog.KeyPrefix, chunk.KeyPrefix}
 
 var (
-	// ErrOutOfOrder says that changes do not continue what the replica holds, which
-	// must be read anew.
+	// ErrOutOfOrder is returned when changes or their revision don't continue from the
+	// replica's revision. The replica must be read again.
 	ErrOutOfOrder = errors.New("changes are out of order")
-	// ErrUnexpectedKey says that a key does not belong to the prefix that was read.
-	ErrUnexpectedKey = errors.New("a change of a key that is not followed")
-	// ErrReplicaFull says that the replica may not hold the records.
-	ErrReplicaFull = errors.New("the records exceed the replica's bound")
-	// ErrNotLoaded says that a prefix must be read whole first.
-	ErrNotLoaded = errors.New("the keys were never read")
+	// ErrUnexpectedKey is returned when a key does not begin with the prefix that was read, or
+	// when a change both sets and deletes a key.
+	ErrUnexpectedKey = errors.New("unexpected key in a listing or in changes")
+	// ErrReplicaFull is returned when the records exceed the size limit of the replica.
+	ErrReplicaFull = errors.New("records exceed the size limit of the replica")
+	// ErrNotLoaded is returned when a prefix must be loaded before changes can be applied.
+	ErrNotLoaded = errors.New("keys have not been loaded into the replica")
 )
 
-// Replica is a copy of the records as of some revision of the state service, for
-// each prefix. It is immutable: a change makes a new one, which shares with the old
-// what did not change, so that anybody may keep a replica at no cost.
+// Replica is a copy of the records. For each prefix it is complete up to a revision of the state
+// service. A Replica is immutable: a change returns a new one, which shares the unchanged part with
+// the old one, so that a reference to a replica can be kept cheaply.
 type Replica struct {
 	items     *iradix.Tree[kvstore.KeyValue]
-	revisions map[string]ident.Revision // of each prefix; absent: never read
+	revisions map[string]ident.Revision // by prefix; absent: the prefix was never loaded
 	bytes     int
 	maxBytes  int
 }
 
-// NewReplica returns an empty replica that may hold maxBytes.
+// NewReplica returns an empty replica that holds at most maxBytes of keys and values.
 func NewReplica(maxBytes int) *Replica {
 	return &Replica{items: iradix.New[kvstore.KeyValue](), revisions: map[string]ident.Revision{}, maxBytes: maxBytes}
 }
 
-// Len counts the records.
+// Len returns the number of records.
 func (r *Replica) Len() int { return r.items.Len() }
 
-// Bytes is what the records and their keys take.
+// Bytes returns the total size of the keys and values.
 func (r *Replica) Bytes() int { return r.bytes }
 
-// Revision is the revision up to which all changes of a prefix are in the replica; 0
-// if it was never read.
+// Revision returns the revision up to which the replica contains all changes of the keys with the
+// prefix; 0 if the prefix was never loaded.
 func (r *Replica) Revision(prefix string) ident.Revision { return r.revisions[prefix] }
 
-// MinRevision is the revision up to which all of the replica is complete; 0: it is not.
+// MinRevision returns the revision up to which all prefixes are complete; 0 if a prefix was never
+// loaded.
 func (r *Replica) MinRevision() ident.Revision {
 	if !r.Complete() {
 		return 0
@@ -69,10 +71,10 @@
 	return slices.Min(slices.Collect(maps.Values(r.revisions)))
 }
 
-// Complete tells whether every prefix has been read.
+// Complete reports whether every prefix has been loaded.
 func (r *Replica) Complete() bool { return len(r.revisions) == len(Prefixes) }
 
-// Items returns the records with the prefix in the order of their keys.
+// Items returns the records with the prefix, ordered by key.
 func (r *Replica) Items(prefix string) []kvstore.KeyValue {
 	var out []kvstore.KeyValue
 	r.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item kvstore.KeyValue) bool {
@@ -82,12 +84,13 @@
 	return out
 }
 
-// itemBytes is what a record and its key take.
+// itemBytes returns the size of a record with its key.
 func itemBytes(item kvstore.KeyValue) int { return len(item.Key) + len(item.Value) }
 
-// Load replaces what the replica holds of a prefix by what was read at a revision. A
-// record that changed while the pages were read may be newer than the revision; its
-// change is then seen again, and is applied only if it is newer still.
+// Load returns a replica in which the records of a prefix are replaced by items, which were listed
+// at the revision. A record that changed during the listing may be newer than the revision. Its
+// change is then part of the next changes too; Apply skips a change that is not newer than the
+// record.
 func (r *Replica) Load(prefix string, items []kvstore.KeyValue, revision ident.Revision) (*Replica, error) {
 	txn := r.items.Txn()
 	bytes := r.bytes
@@ -105,8 +108,9 @@
 	return r.withRevision(txn, prefix, revision, bytes)
 }
 
-// Apply applies the changes of a prefix since the replica's revision of it, up to
-// another: all of them, or none.
+// Apply returns a replica with the changes of a prefix applied, which are complete from the
+// replica's revision of the prefix up to the given revision. If any change is invalid, Apply returns
+// the replica unchanged and an error.
 func (r *Replica) Apply(prefix string, changes []kvstore.WatchEvent, revision ident.Revision) (*Replica, error) {
 	since, read := r.revisions[prefix]
 	if !read {
@@ -122,7 +126,7 @@
 	bytes, last := r.bytes, since
 	for _, c := range changes {
 		if c.ModRevision < last || c.ModRevision <= since || c.ModRevision > revision {
-			return r, fmt.Errorf("%w: %d after %d, in changes from %d to %d", ErrOutOfOrder, c.ModRevision, last, since, revision)
+			return r, fmt.Errorf("%w: revision %d after %d in the changes from %d to %d", ErrOutOfOrder, c.ModRevision, last, since, revision)
 		}
 		last = c.ModRevision
 		grown, err := applyChange(txn, prefix, c)
@@ -134,7 +138,7 @@
 	return r.withRevision(txn, prefix, revision, bytes)
 }
 
-// applyChange applies one change, and tells by how much the replica grows.
+// applyChange applies one change and returns by how many bytes the replica grows.
 func applyChange(txn *iradix.Txn[kvstore.KeyValue], prefix string, c kvstore.WatchEvent) (int, error) {
 	key := c.SetKey + c.DeleteKey
 	if !strings.HasPrefix(key, prefix) || c.SetKey != "" && c.DeleteKey != "" {
@@ -142,7 +146,7 @@
 	}
 	old, known := txn.Get([]byte(key))
 	if known && old.ModRevision >= c.ModRevision {
-		return 0, nil // it was read after the change
+		return 0, nil // the listing already contained this change
 	}
 	grown := 0
 	if known {
@@ -157,8 +161,8 @@
 	return grown + itemBytes(item), nil
 }
 
-// withRevision is the replica that a transaction makes, complete up to the revision of
-// the prefix.
+// withRevision returns the replica with the items of txn, bytes as its size and the revision for the
+// prefix. It returns r and an error if the size exceeds the limit.
 func (r *Replica) withRevision(txn *iradix.Txn[kvstore.KeyValue], prefix string, revision ident.Revision, bytes int) (*Replica, error) {
 	if bytes > r.maxBytes {
 		return r, fmt.Errorf("%w: %d bytes of %d", ErrReplicaFull, bytes, r.maxBytes)
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -22,7 +22,7 @@
 	startTime    = clock.Instant(time.Hour)
 )
 
-// put stores a value under a key, without a condition.
+// put sets a key unconditionally.
 func put(t *testing.T, store *fake.KVStore, key string, value any) {
 	t.Helper()
 	if _, err := store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// fixture is a follower of a stand-in for the state service.
+// fixture is a follower that syncs from a fake state service.
 type fixture struct {
 	store    *fake.KVStore
 	follower *Follower
@@ -42,7 +42,8 @@
 	return &fixture{store: fake.NewKVStore(), follower: NewFollower(time.Second, maxBytes), now: startTime}
 }
 
-// sync lets the follower sync once, a second after the last time.
+// sync advances the time by one second, the sync interval, and carries out the reads that the
+// follower requests.
 func (f *fixture) sync() {
 	f.now = f.now.Add(time.Second)
 	for _, e := range f.follower.Step(f.now, Tick{}) {
@@ -61,19 +62,19 @@
 
 func (f *fixture) followerState() State { return f.follower.Status(f.now).State }
 
-// check compares the replica with what is stored.
+// check compares the replica with the records in the store.
 func (f *fixture) check(t *testing.T) {
 	t.Helper()
 	for _, prefix := range Prefixes {
 		want, _, _ := f.store.List(prefix)
 		if diff := cmp.Diff(want, f.follower.Replica().Items(prefix), cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%s: %s", prefix, diff)
+			t.Errorf("replica of %s differs from the store (-want +got):\n%s", prefix, diff)
 		}
 	}
 }
 
-// TestReplicaFollows: after each sync the replica holds what is stored, whatever was
-// set, set again or removed; and older replicas do not change.
+// TestReplicaFollows checks that after each sync the replica equals the store, for random sequences
+// of keys that are created, updated and deleted, and that earlier replicas stay unchanged.
 func TestReplicaFollows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	f := newFixture(testMaxBytes)
@@ -98,16 +99,17 @@
 		}
 	}
 	if !cmp.Equal(before, kept.Items("job/")) {
-		t.Error("a replica has changed")
+		t.Error("an earlier replica has changed")
 	}
 	if bytes, want := f.follower.Replica().Bytes(), totalBytes(f.follower.Replica()); bytes != want {
-		t.Errorf("counted %d bytes, there are %d", bytes, want)
+		t.Errorf("Bytes returned %d, the items take %d", bytes, want)
 	}
 	if !slices.Contains(f.reads, "list part/") || f.reads[len(f.reads)-1] != "watch part/" || len(f.reads) != 900 {
-		t.Errorf("%d reads, the last %v", len(f.reads), f.reads[len(f.reads)-1])
+		t.Errorf("%d reads, the last is %v", len(f.reads), f.reads[len(f.reads)-1])
 	}
 }
 
+// totalBytes returns the size of all items of the replica.
 func totalBytes(replica *Replica) int {
 	n := 0
 	for _, prefix := range Prefixes {
@@ -118,12 +120,13 @@
 	return n
 }
 
-// TestReadyOnlyWhileUpToDate: a replica is ready after a complete sync, and no longer than a
-// few intervals after the last.
+// TestReadyOnlyWhileUpToDate checks that a follower is ready only after a complete sync, and no
+// longer than maxMissedSyncs intervals after the last one; and that it does not sync while its node
+// is the leader.
 func TestReadyOnlyWhileUpToDate(t *testing.T) {
 	f := newFixture(testMaxBytes)
 	if f.followerState() != StateReading {
-		t.Errorf("%v before anything was read", f.followerState())
+		t.Errorf("state %v before the first sync", f.followerState())
 	}
 	put(t, f.store, "job/1", 1)
 	f.sync()
@@ -135,16 +138,16 @@
 		f.sync()
 	}
 	if s := f.follower.Status(f.now); s.State != StateLagging || s.Reason == nil || s.Lag < 4*time.Second {
-		t.Errorf("in an outage: %+v", s)
+		t.Errorf("during the outage: %+v", s)
 	}
 	f.store.Down = false
 	f.sync()
 	if s := f.follower.Status(f.now); s.State != StateReady || s.Reason != nil {
-		t.Errorf("after it: %+v", s)
+		t.Errorf("after the outage: %+v", s)
 	}
 	f.follower.Step(f.now, LeadershipChanged{Leading: true})
 	if f.followerState() != StateLeading || len(f.follower.Step(f.now.Add(time.Minute), Tick{})) != 0 {
-		t.Error("it follows itself")
+		t.Error("the follower syncs while its node is the leader")
 	}
 	f.follower.Step(f.now, LeadershipChanged{Leading: false})
 	put(t, f.store, "job/2", 1)
@@ -152,8 +155,8 @@
 	f.check(t)
 }
 
-// TestCompactedChangesAreReloaded: changes that the state service keeps no more are replaced by a
-// fresh read.
+// TestCompactedChangesAreReloaded checks that the follower reads all records again when the state
+// service no longer retains the changes since its last sync.
 func TestCompactedChangesAreReloaded(t *testing.T) {
 	f := newFixture(testMaxBytes)
 	f.store.RetainedChanges = 5
@@ -164,29 +167,30 @@
 	}
 	f.sync()
 	if s := f.follower.Status(f.now); s.State == StateReady || s.Reloads != 1 {
-		t.Errorf("after a gap: %+v", s)
+		t.Errorf("after the changes were compacted: %+v", s)
 	}
 	f.sync()
 	f.check(t)
 	if f.followerState() != StateReady {
-		t.Error("not ready after the fresh read")
+		t.Error("not ready after the reload")
 	}
 }
 
-// TestInconsistentChangesAreRefused: such changes are refused whole, nothing of them is
-// applied, and the keys are read anew.
+// TestInconsistentChangesAreRefused checks that Apply rejects a batch of changes as a whole if any
+// of it is inconsistent, and that the follower then reads all records again. A batch that was
+// applied in part would leave a replica that differs from the store.
 func TestInconsistentChangesAreRefused(t *testing.T) {
 	set := func(key string, revision ident.Revision) kvstore.WatchEvent {
 		return kvstore.WatchEvent{SetKey: key, ModRevision: revision}
 	}
 	for name, in := range map[string]WatchDone{
 		"out of order":          {Changes: []kvstore.WatchEvent{set("job/1", 12), set("job/2", 11)}, Revision: 12},
-		"known already":         {Changes: []kvstore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
-		"beyond their revision": {Changes: []kvstore.WatchEvent{set("job/1", 13)}, Revision: 12},
-		"of another key":        {Changes: []kvstore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
-		"set and removed":       {Changes: []kvstore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
-		"neither":               {Changes: []kvstore.WatchEvent{{ModRevision: 11}}, Revision: 12},
-		"of an earlier state":   {Revision: 3},
+		"already applied":       {Changes: []kvstore.WatchEvent{set("job/1", 2), set("job/2", 12)}, Revision: 12},
+		"beyond the revision":   {Changes: []kvstore.WatchEvent{set("job/1", 13)}, Revision: 12},
+		"key of another prefix": {Changes: []kvstore.WatchEvent{set("job/1", 11), set("leader", 12)}, Revision: 12},
+		"set and deleted":       {Changes: []kvstore.WatchEvent{{SetKey: "job/1", DeleteKey: "job/1", ModRevision: 11}}, Revision: 12},
+		"no key":                {Changes: []kvstore.WatchEvent{{ModRevision: 11}}, Revision: 12},
+		"earlier revision":      {Revision: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(testMaxBytes)
@@ -196,7 +200,7 @@
 			f.sync()
 			replica := f.follower.Replica()
 			if _, err := replica.Apply("job/", in.Changes, in.Revision); err == nil {
-				t.Error("applied")
+				t.Error("Apply accepted the changes")
 			}
 			f.follower.Step(f.now.Add(time.Second), Tick{})
 			in.Prefix = "job/"
@@ -214,8 +218,8 @@
 	}
 }
 
-// TestRecordsBeyondMaxBytes: a node without the memory for the records says so, and
-// keeps nothing of them.
+// TestRecordsBeyondMaxBytes checks that a follower whose records exceed the size limit reports
+// StateFull, discards its replica, and does not read the records again within half a minute.
 func TestRecordsBeyondMaxBytes(t *testing.T) {
 	f := newFixture(200)
 	put(t, f.store, "job/1", "short")
@@ -238,12 +242,13 @@
 	}
 }
 
-// TestCatchUp: a replica is brought up to the epoch, and is of no use if it can't be
-// shown to be complete up to it.
+// TestCatchUp checks that CatchUp returns the records up to the epoch, and an error if it can't
+// establish that they are complete up to it. A new leader that worked with incomplete records would
+// lose decisions of its predecessor.
 func TestCatchUp(t *testing.T) {
 	f := newFixture(testMaxBytes)
 	if _, _, err := CatchUp(f.follower.Replica(), 1, f.store.Watch); !errors.Is(err, ErrNotLoaded) {
-		t.Errorf("without a replica: %v", err)
+		t.Errorf("replica that was never loaded: %v", err)
 	}
 	put(t, f.store, "job/1", 1)
 	f.sync()
@@ -255,16 +260,17 @@
 		t.Errorf("%+v since %d, %v", stored, since, err)
 	}
 	if _, _, err := CatchUp(f.follower.Replica(), 5, f.store.Watch); !errors.Is(err, ErrOutOfOrder) {
-		t.Errorf("complete up to before the epoch: %v", err)
+		t.Errorf("changes complete only up to a revision before the epoch: %v", err)
 	}
 	f.store.RetainedChanges = 1
 	if _, _, err := CatchUp(f.follower.Replica(), 4, f.store.Watch); !errors.Is(err, kvstore.ErrCompacted) {
-		t.Errorf("after a gap: %v", err)
+		t.Errorf("after the changes were compacted: %v", err)
 	}
 }
 
-// BenchmarkSync measures what a second's changes cost a standby: 30 records of 600
-// bytes among so many. At 4,000 machines some 8,000 jobs were known at the end of a day.
+// BenchmarkSync measures the cost of applying the changes of one second, 30 records of 600 bytes, to
+// replicas of different sizes. With 4,000 machines there were some 8,000 known jobs at the end of a
+// day.
 func BenchmarkSync(b *testing.B) {
 	for _, records := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -7,24 +7,27 @@
 	"badgerbay/internal/ident"
 )
 
-// State of a follower.
+// State is the state of a follower.
 type State int
 
-// States.
+// The states of a follower.
 const (
-	// StateReading: the records are being read for the first time, or anew.
+	// StateReading: the replica is incomplete, since the records are being read for the first
+	// time or again.
 	StateReading State = iota
-	// StateLagging: they were read, and the changes since could not be read lately.
+	// StateLagging: the replica is complete, but the last complete sync began more than
+	// maxMissedSyncs intervals ago.
 	StateLagging
-	// StateReady: the replica is complete up to a moment ago.
+	// StateReady: the replica is complete, and the last complete sync is recent.
 	StateReady
-	// StateLeading: this node leads and follows nobody.
+	// StateLeading: this node is the leader, so it does not sync its replica.
 	StateLeading
-	// StateFull: the records exceed the replica's bound, so a failover reads them all.
+	// StateFull: the records exceed the size limit of the replica, so a failover must read all
+	// of them.
 	StateFull
 )
 
-// String names the state for logs and operators.
+// String returns the name of the state for logs and status output.
 func (s State) String() string {
 	switch s {
 	case StateReading:
@@ -41,22 +44,24 @@
 	return "unknown"
 }
 
-// Status is what an operator may know of the replica.
+// Status describes the follower and its replica for operators and metrics.
 type Status struct {
 	State State
-	// Reason is why it is not ready; nil if it is, or nothing has gone wrong.
+	// Reason is the first error of the last failed sync; nil if no sync has failed since the
+	// last complete one.
 	Reason  error
 	Records int
 	Bytes   int
-	// LagRecords is how many changes the last complete sync found that were not in the
-	// replica, and Lag how long ago that sync began.
+	// LagRecords is the number of changes that the last complete sync found and the replica
+	// lacked; Lag is the time since the start of that sync.
 	LagRecords int
 	Lag        time.Duration
-	Revision   ident.Revision // up to which all of it is complete; 0: it is not
-	Reloads    int            // times that it had to be read anew
+	Revision   ident.Revision // up to which the whole replica is complete; 0: it is incomplete
+	Reloads    int            // how often the replica was discarded to be read again
 }
 
-// Status tells how the replica is at now. It says that it is ready only while it is.
+// Status returns the status at now. The state depends on the time since the last complete sync, so
+// a follower that has stopped syncing does not stay ready.
 func (f *Follower) Status(now clock.Instant) Status {
 	s := Status{
 		State:      f.state(now),
@@ -73,6 +78,7 @@
 	return s
 }
 
+// state returns the state at now.
 func (f *Follower) state(now clock.Instant) State {
 	switch {
 	case f.leading:
