--- a/internal/chunk/golden_test.go
+++ b/internal/chunk/golden_test.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	goldenHead   = 10  // bytes
-	goldenLimit  = 104 // bytes of a chunk's value in JSON
-	goldenSchema = 3
+	goldenHeadBytes     = 10  // bytes
+	goldenValueBytes    = 104 // bytes of a chunk's value in JSON
+	goldenSchemaVersion = 3
 )
 
 func storedTexts() map[string]wire.Packed {
@@ -43,23 +43,23 @@
 
 func encodeText(t *testing.T, text wire.Packed) goldenText {
 	t.Helper()
-	head, chunks, err := Split(text, Limits{HeadBytes: goldenHead, ValueBytes: goldenLimit, Chunks: MaxChunks}, goldenSchema)
+	head, chunks, err := Split(text, Limits{HeadBytes: goldenHeadBytes, ValueBytes: goldenValueBytes, Chunks: MaxChunks}, goldenSchemaVersion)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := goldenText{Head: string(head), Sum: Checksum(text), Capacity: Capacity(goldenLimit, len(chunks))}
+	out := goldenText{Head: string(head), Sum: Checksum(text), Capacity: Capacity(goldenValueBytes, len(chunks))}
 	for i, value := range chunks {
 		data, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		inJSON, err := json.Marshal(value)
+		jsonData, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		out.Keys = append(out.Keys, Key("wk-000412", i+1))
 		out.MsgPack = append(out.MsgPack, hex.EncodeToString(data))
-		out.JSON = append(out.JSON, string(inJSON))
+		out.JSON = append(out.JSON, string(jsonData))
 	}
 	return out
 }
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -8,8 +8,8 @@
 )
 
 // Purpose is the purpose of a write and determines its priority. Writes of a purpose leave a part
-// of the budget to the more urgent purposes, so that folds, which store checkpoints of jobs, never
-// starve submissions or scheduling rounds.
+// of the budget to the more urgent purposes, so that writes of job checkpoints never starve
+// submissions or scheduling rounds.
 type Purpose int
 
 // The purposes of writes, in order of decreasing urgency.
@@ -18,7 +18,7 @@
 	PurposeSubmission
 	PurposeRound
 	PurposeUrgentFold // a user waits for the checkpoint, or it frees a slot in the ring of round records
-	PurposeFold
+	PurposeFold       // checkpoints that nobody waits for, and other background writes
 )
 
 const (
@@ -29,9 +29,9 @@
 	// rest is a margin, because the token buckets of the service and of the nodes never
 	// refill in step.
 	usableFraction = 0.9
-	// foldReserveDivisor sets the reserve of PurposeFold: its writes leave one part in
-	// foldReserveDivisor of a full write bucket to the other purposes.
-	foldReserveDivisor = 3
+	// checkpointReserveDivisor sets the reserve of PurposeFold: its writes leave one part in
+	// checkpointReserveDivisor of a full write bucket to the other purposes.
+	checkpointReserveDivisor = 3
 )
 
 // Budget limits the requests and writes of this node to its share of the rate limits of the
@@ -43,7 +43,7 @@
 	writeRate        float64 // writes per second of all nodes together
 	writes, requests *TokenBucket
 	// roundStarved is set when no write was available for a scheduling round. Submissions
-	// and urgent folds then wait until a round has been written, so that they and rounds
+	// and urgent checkpoints then wait until a round has been written, so that they and rounds
 	// don't starve each other.
 	roundStarved bool
 }
@@ -53,14 +53,14 @@
 func NewBudget(nodes int, requestsPerSecond, writesPerSecond float64) *Budget {
 	b := &Budget{nodes: max(1, nodes), requestRate: requestsPerSecond * usableFraction, writeRate: writesPerSecond * usableFraction}
 	share := b.shareOf(false)
-	b.writes = NewTokenBucket(b.writeRate*share, burstAt(b.writeRate*share))
-	b.requests = NewTokenBucket(b.requestRate*share, burstAt(b.requestRate*share))
+	b.writes = NewTokenBucket(b.writeRate*share, burstFor(b.writeRate*share))
+	b.requests = NewTokenBucket(b.requestRate*share, burstFor(b.requestRate*share))
 	return b
 }
 
-// burstAt returns the burst of a token bucket with the rate in tokens per second: the tokens of
+// burstFor returns the burst of a token bucket with the rate in tokens per second: the tokens of
 // one second, but at least one.
-func burstAt(rate float64) float64 { return max(1, rate) }
+func burstFor(rate float64) float64 { return max(1, rate) }
 
 // shareOf returns the fraction of the rate limits that a node gets, as the leader or as a follower.
 func (b *Budget) shareOf(leader bool) float64 {
@@ -78,8 +78,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	share := b.shareOf(leader)
-	b.writes.SetLimit(now, b.writeRate*share, burstAt(b.writeRate*share))
-	b.requests.SetLimit(now, b.requestRate*share, burstAt(b.requestRate*share))
+	b.writes.SetLimit(now, b.writeRate*share, burstFor(b.writeRate*share))
+	b.requests.SetLimit(now, b.requestRate*share, burstFor(b.requestRate*share))
 }
 
 // reserveFor returns how many writes must remain available after a write for the purpose.
@@ -97,20 +97,20 @@
 	case PurposeRound:
 		return b.submissionReserve()
 	case PurposeUrgentFold:
-		// Urgent folds wait for a starved round as submissions do. Otherwise they leave a
-		// reserve to submissions and rounds, because many folds at once would use up all
-		// writes.
+		// Urgent checkpoints wait for a starved round as submissions do. Otherwise they
+		// leave a reserve to submissions and rounds, because many checkpoints at once
+		// would use up all writes.
 		if b.roundStarved {
 			return 1 + b.submissionReserve()
 		}
 		return b.submissionReserve()
 	default:
-		return b.writes.burst / foldReserveDivisor
+		return b.writes.burst / checkpointReserveDivisor
 	}
 }
 
-// submissionReserve returns the number of writes that rounds and urgent folds leave to the next
-// submission. A leader whose rounds took the last write refused a fifth of the submissions.
+// submissionReserve returns the number of writes that rounds and urgent checkpoints leave to the
+// next submission. A leader whose rounds took the last write refused a fifth of the submissions.
 func (b *Budget) submissionReserve() float64 { return min(1, b.writes.burst/4) }
 
 // TakeWrites takes n writes for the purpose if the budget permits, and reports whether it did.
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -10,8 +10,8 @@
 
 // TestBudgetsKeepTheServicesLimits checks that the nodes together stay within the write limit of
 // the service and use most of it while each of them writes as much as its budget permits, that
-// continuous submissions don't starve rounds, and that folds leave writes for a submission and a
-// round.
+// continuous submissions don't starve rounds, and that checkpoints leave writes for a submission and
+// a round.
 func TestBudgetsKeepTheServicesLimits(t *testing.T) {
 	const limit = 20.0
 	now := clock.Instant(time.Hour)
@@ -47,6 +47,6 @@
 	for nodes[0].TakeWrites(now, kvstore.PurposeFold, 1) {
 	}
 	if !nodes[0].TakeWrites(now, kvstore.PurposeSubmission, 1) || !nodes[0].TakeWrites(now, kvstore.PurposeRound, 1) {
-		t.Error("folds left no write for a submission and a round")
+		t.Error("checkpoints left no write for a submission and a round")
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -202,10 +202,10 @@
 // Watch waits until a key with the prefix changes after the revision since, but at most for hold.
 // It returns the changes and the revision up to which they are complete. The error wraps
 // ErrCompacted if the changes are no longer retained or exceed maxResponseBytes.
-func (c *Client) Watch(ctx context.Context, prefix string, since ident.Revision, hold time.Duration) ([]WatchEvent, ident.Revision, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since ident.Revision, maxWait time.Duration) ([]WatchEvent, ident.Revision, error) {
 	query := url.Values{"prefix": {prefix}, "since": {strconv.FormatUint(uint64(since), 10)},
-		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	_, r, err := c.call(ctx, hold+RequestTimeout, http.MethodGet, "/watch?"+query.Encode(), nil)
+		"holdMs": {strconv.FormatInt(maxWait.Milliseconds(), 10)}}
+	_, r, err := c.call(ctx, maxWait+RequestTimeout, http.MethodGet, "/watch?"+query.Encode(), nil)
 	if errors.Is(err, wire.ErrResponseTooLarge) {
 		err = ErrCompacted
 	}
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -29,15 +29,15 @@
 	Result   string   `json:"result"`   // result of the client call, as formatted by describe
 }
 
-// scriptedServer is an HTTP transport that returns recorded responses and records the requests.
-type scriptedServer struct {
+// replayTransport is an HTTP transport that returns recorded responses and records the requests.
+type replayTransport struct {
 	t        *testing.T
 	answers  []string
 	requests []string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *scriptedServer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *replayTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		var err error
@@ -64,8 +64,8 @@
 	Share float64 `msgpack:"share,omitempty" json:"share,omitempty"`
 }
 
-// describe formats the result of a client call as in the golden file.
-func describe(v any, err error) string {
+// formatResult formats the result of a client call as in the golden file.
+func formatResult(v any, err error) string {
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return fmt.Sprintf("conflict %q", conflict.FailedKeys)
@@ -84,31 +84,31 @@
 	return fmt.Sprint(v)
 }
 
-func describeItem(it kvstore.KeyValue) string {
+func formatItem(it kvstore.KeyValue) string {
 	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.ModRevision)
 }
 
-// calls returns the client calls by the name of their golden exchange. Each returns its formatted
-// result.
-func calls() map[string]func(context.Context, *kvstore.Client) string {
+// goldenCalls returns the client calls by the name of their golden exchange. Each call returns its
+// formatted result.
+func goldenCalls() map[string]func(context.Context, *kvstore.Client) string {
 	get := func(ctx context.Context, c *kvstore.Client) string {
 		item, err := c.Get(ctx, "job/wk-000412")
-		return describe(describeItem(item), err)
+		return formatResult(formatItem(item), err)
 	}
 	list := func(ctx context.Context, c *kvstore.Client) string {
 		items, revision, err := c.List(ctx, "job/")
 		text := fmt.Sprint("revision ", revision)
 		for _, it := range items {
-			text += " " + describeItem(it)
+			text += " " + formatItem(it)
 		}
-		return describe(text, err)
+		return formatResult(text, err)
 	}
 	commit := func(txn kvstore.Txn) func(context.Context, *kvstore.Client) string {
 		return func(ctx context.Context, c *kvstore.Client) string {
-			return describe(c.Commit(ctx, txn))
+			return formatResult(c.Commit(ctx, txn))
 		}
 	}
-	full := kvstore.Txn{
+	fullTxn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: "leader", ModRevision: 982}, {Key: "job/wk-000412", ModRevision: 0}},
 		Operations: []kvstore.Operation{
 			{SetKey: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
@@ -117,13 +117,13 @@
 		},
 	}
 	grant := func(ctx context.Context, c *kvstore.Client) string {
-		return describe(c.GrantLease(ctx, 6*time.Second))
+		return formatResult(c.GrantLease(ctx, 6*time.Second))
 	}
-	extend := func(ctx context.Context, c *kvstore.Client) string {
-		return describe("extended", c.RenewLease(ctx, 17))
+	renew := func(ctx context.Context, c *kvstore.Client) string {
+		return formatResult("extended", c.RenewLease(ctx, 17))
 	}
 	revoke := func(ctx context.Context, c *kvstore.Client) string {
-		return describe("revoked", c.RevokeLease(ctx, 17))
+		return formatResult("revoked", c.RevokeLease(ctx, 17))
 	}
 	watch := func(ctx context.Context, c *kvstore.Client) string {
 		changes, revision, err := c.Watch(ctx, "job/", 1201, 1500*time.Millisecond)
@@ -131,17 +131,17 @@
 		for _, ch := range changes {
 			text += fmt.Sprintf(" set %q remove %q %x@%d", ch.SetKey, ch.DeleteKey, []byte(ch.Value), ch.ModRevision)
 		}
-		return describe(text, err)
+		return formatResult(text, err)
 	}
 	return map[string]func(context.Context, *kvstore.Client) string{
 		"get": get, "get absent": get, "get throttled": get,
 		"list": list, "list in pages": list, "list unavailable": list,
-		"commit": commit(full), "commit guards only": commit(kvstore.Txn{Conditions: full.Conditions}),
-		"commit refused":   commit(kvstore.Txn{Conditions: full.Conditions[:1], Operations: full.Operations[2:]}),
-		"commit malformed": commit(kvstore.Txn{Operations: full.Operations[:1]}),
+		"commit": commit(fullTxn), "commit guards only": commit(kvstore.Txn{Conditions: fullTxn.Conditions}),
+		"commit refused":   commit(kvstore.Txn{Conditions: fullTxn.Conditions[:1], Operations: fullTxn.Operations[2:]}),
+		"commit malformed": commit(kvstore.Txn{Operations: fullTxn.Operations[:1]}),
 		"commit lost":      commit(kvstore.Txn{}),
-		"commit ended":     commit(kvstore.Txn{Operations: full.Operations[1:2]}),
-		"grant":            grant, "extend": extend, "extend ended": extend, "revoke": revoke,
+		"commit ended":     commit(kvstore.Txn{Operations: fullTxn.Operations[1:2]}),
+		"grant":            grant, "extend": renew, "extend ended": renew, "revoke": revoke,
 		"watch": watch, "watch compacted": watch,
 	}
 }
@@ -154,14 +154,14 @@
 	if err := json.Unmarshal(goldenExchanges, &golden); err != nil {
 		t.Fatal(err)
 	}
-	all := calls()
+	all := goldenCalls()
 	if len(golden) != len(all) {
 		t.Fatalf("%d golden exchanges, want %d", len(golden), len(all))
 	}
 	for name, call := range all {
 		t.Run(name, func(t *testing.T) {
 			want := golden[name]
-			server := &scriptedServer{t: t, answers: want.Answers}
+			server := &replayTransport{t: t, answers: want.Answers}
 			result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
 			if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
 				t.Errorf("exchange differs (-want +got):\n%s", diff)
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -113,16 +113,16 @@
 	if err == nil {
 		f.current.changes += len(in.Changes)
 	}
-	if mustReload(err) {
+	if needsReload(err) {
 		f.replica = NewReplica(f.replica.maxBytes)
 		f.current.reload = true
 	}
 	f.readDone(now, err)
 }
 
-// mustReload reports whether an error means that changes can't bring the replica up to date, so
+// needsReload reports whether an error means that changes can't bring the replica up to date, so
 // that all records must be read again.
-func mustReload(err error) bool {
+func needsReload(err error) bool {
 	for _, cause := range []error{kvstore.ErrCompacted, ErrOutOfOrder, ErrUnexpectedKey, ErrNotLoaded} {
 		if errors.Is(err, cause) {
 			return true
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -112,8 +112,8 @@
 // replica's revision of the prefix up to the given revision. If any change is invalid, Apply returns
 // the replica unchanged and an error.
 func (r *Replica) Apply(prefix string, changes []kvstore.WatchEvent, revision ident.Revision) (*Replica, error) {
-	since, read := r.revisions[prefix]
-	if !read {
+	since, loaded := r.revisions[prefix]
+	if !loaded {
 		return r, ErrNotLoaded
 	}
 	if revision < since {
@@ -129,11 +129,11 @@
 			return r, fmt.Errorf("%w: revision %d after %d in the changes from %d to %d", ErrOutOfOrder, c.ModRevision, last, since, revision)
 		}
 		last = c.ModRevision
-		grown, err := applyChange(txn, prefix, c)
+		sizeDelta, err := applyChange(txn, prefix, c)
 		if err != nil {
 			return r, err
 		}
-		bytes += grown
+		bytes += sizeDelta
 	}
 	return r.withRevision(txn, prefix, revision, bytes)
 }
@@ -144,21 +144,21 @@
 	if !strings.HasPrefix(key, prefix) || c.SetKey != "" && c.DeleteKey != "" {
 		return 0, fmt.Errorf("%w: %.100q", ErrUnexpectedKey, key)
 	}
-	old, known := txn.Get([]byte(key))
-	if known && old.ModRevision >= c.ModRevision {
+	old, found := txn.Get([]byte(key))
+	if found && old.ModRevision >= c.ModRevision {
 		return 0, nil // the listing already contained this change
 	}
-	grown := 0
-	if known {
-		grown = -itemBytes(old)
+	sizeDelta := 0
+	if found {
+		sizeDelta = -itemBytes(old)
 	}
 	if c.DeleteKey != "" {
 		txn.Delete([]byte(key))
-		return grown, nil
+		return sizeDelta, nil
 	}
 	item := kvstore.KeyValue{Key: key, Value: c.Value, ModRevision: c.ModRevision}
 	txn.Insert([]byte(key), item)
-	return grown + itemBytes(item), nil
+	return sizeDelta + itemBytes(item), nil
 }
 
 // withRevision returns the replica with the items of txn, bytes as its size and the revision for the
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -78,8 +78,8 @@
 func TestReplicaFollows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	f := newFixture(testMaxBytes)
-	var kept *Replica
-	var before []kvstore.KeyValue
+	var snapshot *Replica
+	var snapshotItems []kvstore.KeyValue
 	for i := range 300 {
 		for range rng.IntN(4) {
 			key := Prefixes[rng.IntN(len(Prefixes))] + fmt.Sprint(rng.IntN(20))
@@ -95,10 +95,10 @@
 		f.sync()
 		f.check(t)
 		if i == 100 {
-			kept, before = f.follower.Replica(), f.follower.Replica().Items("job/")
+			snapshot, snapshotItems = f.follower.Replica(), f.follower.Replica().Items("job/")
 		}
 	}
-	if !cmp.Equal(before, kept.Items("job/")) {
+	if !cmp.Equal(snapshotItems, snapshot.Items("job/")) {
 		t.Error("an earlier replica has changed")
 	}
 	if bytes, want := f.follower.Replica().Bytes(), totalBytes(f.follower.Replica()); bytes != want {
@@ -285,12 +285,12 @@
 			}
 			b.ReportAllocs()
 			for n := range b.N {
-				var log []kvstore.WatchEvent
+				var changes []kvstore.WatchEvent
 				revision := ident.Revision(n + 2)
 				for i := range 30 {
-					log = append(log, kvstore.WatchEvent{SetKey: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, ModRevision: revision})
+					changes = append(changes, kvstore.WatchEvent{SetKey: fmt.Sprintf("job/wk-%06d", (n*30+i*37)%records), Value: value, ModRevision: revision})
 				}
-				if replica, err = replica.Apply("job/", log, revision); err != nil {
+				if replica, err = replica.Apply("job/", changes, revision); err != nil {
 					b.Fatal(err)
 				}
 			}
