--- a/internal/chunk/chunk.go
+++ b/internal/chunk/chunk.go
@@ -76,9 +76,9 @@
 }
 
 // Join returns the text that consists of the head and n chunks. chunkData returns the encoded
-// value of a chunk, by its number from 1 to n, or nil if the chunk is missing; chunkData may be
-// nil if n is 0. The error wraps ErrTorn if a chunk is missing or can't be decoded, or if a
-// chunk or the text does not match the checksum.
+// value of a chunk, by its number from 1 to n, or nil if the chunk is missing; chunkData itself
+// may be nil if no chunks are available. The error wraps ErrTorn if a chunk is missing or can't be
+// decoded, or if a chunk or the text does not match the checksum.
 func Join(head wire.Packed, n int, checksum uint32, chunkData func(number int) []byte) (wire.Packed, error) {
 	if n < 0 || n > MaxChunks || n > 0 && chunkData == nil {
 		return "", fmt.Errorf("%w: can't read %d chunks", ErrTorn, n)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -199,7 +199,7 @@
 
 func leasePath(id ident.LeaseID) string { return fmt.Sprintf("/leases/%d", id) }
 
-// Watch waits until a key with the prefix changes after the revision since, but at most for hold.
+// Watch waits until a key with the prefix changes after the revision since, but at most for maxWait.
 // It returns the changes and the revision up to which they are complete. The error wraps
 // ErrCompacted if the changes are no longer retained or exceed maxResponseBytes.
 func (c *Client) Watch(ctx context.Context, prefix string, since ident.Revision, maxWait time.Duration) ([]WatchEvent, ident.Revision, error) {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -18,8 +18,8 @@
 	ErrOutcomeUnknown = errors.New("outcome of the state service request is unknown")
 	// ErrLeaseNotFound is returned when the lease of a request has expired or was revoked.
 	ErrLeaseNotFound = errors.New(leaseNotFoundMessage)
-	// ErrRejected is returned when the service rejects a request as malformed or because it
-	// exceeds a limit. A retry of the same request fails again.
+	// ErrRejected is returned when a request can't be encoded, or when the service rejects it as
+	// malformed or because it exceeds a limit. A retry of the same request fails again.
 	ErrRejected = errors.New("state service rejected the request")
 	// ErrCompacted is returned when the requested changes are no longer retained. The keys must
 	// be read again.
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -26,7 +26,7 @@
 type goldenExchange struct {
 	Requests []string `json:"requests"` // method, path with query, media type, body in hex
 	Answers  []string `json:"answers"`  // status, body in hex
-	Result   string   `json:"result"`   // result of the client call, as formatted by describe
+	Result   string   `json:"result"`   // result of the client call, as formatted by formatResult
 }
 
 // replayTransport is an HTTP transport that returns recorded responses and records the requests.
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -31,7 +31,7 @@
 	current      syncProgress
 
 	lastSync   clock.Instant // start of the last complete sync; 0: there was none
-	lagRecords int           // number of changes that the last complete sync applied
+	lagRecords int           // see Status.LagRecords
 	reloads    int           // see Status.Reloads
 	lastErr    error         // see Status.Reason
 }
