--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -22,22 +22,22 @@
 //go:embed testdata/golden/exchanges.json
 var goldenExchanges []byte
 
-// goldenExchange is a request to the state service, and an answer of it.
+// goldenExchange records the requests of one client call, the service's responses and the result.
 type goldenExchange struct {
 	Requests []string `json:"requests"` // method, path with query, media type, body in hex
 	Answers  []string `json:"answers"`  // status, body in hex
-	Result   string   `json:"result"`   // what the client makes of the answers
+	Result   string   `json:"result"`   // result of the client call, as formatted by formatResult
 }
 
-// scriptedServer is a server that answers as it was recorded, and keeps the requests.
-type scriptedServer struct {
+// replayTransport is an HTTP transport that returns recorded responses and records the requests.
+type replayTransport struct {
 	t        *testing.T
 	answers  []string
 	requests []string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *scriptedServer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *replayTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		var err error
@@ -48,12 +48,12 @@
 	s.requests = append(s.requests, fmt.Sprintf("%s http://%s%s %s %x", r.Method, r.URL.Host, r.URL.RequestURI(), r.Header.Get("Content-Type"), body))
 	if len(s.answers) < len(s.requests) {
 		s.t.Errorf("unexpected request: %s", s.requests[len(s.requests)-1])
-		return nil, errors.New("no answer recorded")
+		return nil, errors.New("no response recorded for the request")
 	}
 	var status int
 	var data []byte
 	if _, err := fmt.Sscanf(s.answers[len(s.requests)-1]+" ", "%d %x", &status, &data); err != nil && status == 0 {
-		s.t.Errorf("answer %q: %v", s.answers[len(s.requests)-1], err)
+		s.t.Errorf("recorded response %q: %v", s.answers[len(s.requests)-1], err)
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(data))}, nil
 }
@@ -64,7 +64,8 @@
 	Share float64 `msgpack:"share,omitempty" json:"share,omitempty"`
 }
 
-func describe(v any, err error) string {
+// formatResult formats the result of a client call as in the golden file.
+func formatResult(v any, err error) string {
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return fmt.Sprintf("conflict %q", conflict.FailedKeys)
@@ -83,30 +84,31 @@
 	return fmt.Sprint(v)
 }
 
-func describeItem(it kvstore.KeyValue) string {
+func formatItem(it kvstore.KeyValue) string {
 	return fmt.Sprintf("%s=%x@%d", it.Key, []byte(it.Value), it.ModRevision)
 }
 
-// calls are the client's requests, each with what became of it.
-func calls() map[string]func(context.Context, *kvstore.Client) string {
+// goldenCalls returns the client calls by the name of their golden exchange. Each call returns its
+// formatted result.
+func goldenCalls() map[string]func(context.Context, *kvstore.Client) string {
 	get := func(ctx context.Context, c *kvstore.Client) string {
 		item, err := c.Get(ctx, "job/wk-000412")
-		return describe(describeItem(item), err)
+		return formatResult(formatItem(item), err)
 	}
 	list := func(ctx context.Context, c *kvstore.Client) string {
 		items, revision, err := c.List(ctx, "job/")
 		text := fmt.Sprint("revision ", revision)
 		for _, it := range items {
-			text += " " + describeItem(it)
+			text += " " + formatItem(it)
 		}
-		return describe(text, err)
+		return formatResult(text, err)
 	}
 	commit := func(txn kvstore.Txn) func(context.Context, *kvstore.Client) string {
 		return func(ctx context.Context, c *kvstore.Client) string {
-			return describe(c.Commit(ctx, txn))
+			return formatResult(c.Commit(ctx, txn))
 		}
 	}
-	full := kvstore.Txn{
+	fullTxn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: "leader", ModRevision: 982}, {Key: "job/wk-000412", ModRevision: 0}},
 		Operations: []kvstore.Operation{
 			{SetKey: "job/wk-000412", Value: goldenRecord{Node: "n1", Count: 70_000, Share: 0.5}},
@@ -115,13 +117,13 @@
 		},
 	}
 	grant := func(ctx context.Context, c *kvstore.Client) string {
-		return describe(c.GrantLease(ctx, 6*time.Second))
+		return formatResult(c.GrantLease(ctx, 6*time.Second))
 	}
-	extend := func(ctx context.Context, c *kvstore.Client) string {
-		return describe("extended", c.RenewLease(ctx, 17))
+	renew := func(ctx context.Context, c *kvstore.Client) string {
+		return formatResult("extended", c.RenewLease(ctx, 17))
 	}
 	revoke := func(ctx context.Context, c *kvstore.Client) string {
-		return describe("revoked", c.RevokeLease(ctx, 17))
+		return formatResult("revoked", c.RevokeLease(ctx, 17))
 	}
 	watch := func(ctx context.Context, c *kvstore.Client) string {
 		changes, revision, err := c.Watch(ctx, "job/", 1201, 1500*time.Millisecond)
@@ -129,46 +131,47 @@
 		for _, ch := range changes {
 			text += fmt.Sprintf(" set %q remove %q %x@%d", ch.SetKey, ch.DeleteKey, []byte(ch.Value), ch.ModRevision)
 		}
-		return describe(text, err)
+		return formatResult(text, err)
 	}
 	return map[string]func(context.Context, *kvstore.Client) string{
 		"get": get, "get absent": get, "get throttled": get,
 		"list": list, "list in pages": list, "list unavailable": list,
-		"commit": commit(full), "commit guards only": commit(kvstore.Txn{Conditions: full.Conditions}),
-		"commit refused":   commit(kvstore.Txn{Conditions: full.Conditions[:1], Operations: full.Operations[2:]}),
-		"commit malformed": commit(kvstore.Txn{Operations: full.Operations[:1]}),
+		"commit": commit(fullTxn), "commit guards only": commit(kvstore.Txn{Conditions: fullTxn.Conditions}),
+		"commit refused":   commit(kvstore.Txn{Conditions: fullTxn.Conditions[:1], Operations: fullTxn.Operations[2:]}),
+		"commit malformed": commit(kvstore.Txn{Operations: fullTxn.Operations[:1]}),
 		"commit lost":      commit(kvstore.Txn{}),
-		"commit ended":     commit(kvstore.Txn{Operations: full.Operations[1:2]}),
-		"grant":            grant, "extend": extend, "extend ended": extend, "revoke": revoke,
+		"commit ended":     commit(kvstore.Txn{Operations: fullTxn.Operations[1:2]}),
+		"grant":            grant, "extend": renew, "extend ended": renew, "revoke": revoke,
 		"watch": watch, "watch compacted": watch,
 	}
 }
 
-// TestGoldenExchanges: requests are sent to the byte as they always were, and answers
-// are understood.
+// TestGoldenExchanges checks that the client sends exactly the recorded requests, byte for byte, and
+// interprets the recorded responses as before. It guards the protocol of the state service against
+// accidental changes.
 func TestGoldenExchanges(t *testing.T) {
 	var golden map[string]goldenExchange
 	if err := json.Unmarshal(goldenExchanges, &golden); err != nil {
 		t.Fatal(err)
 	}
-	all := calls()
+	all := goldenCalls()
 	if len(golden) != len(all) {
 		t.Fatalf("%d golden exchanges, want %d", len(golden), len(all))
 	}
 	for name, call := range all {
 		t.Run(name, func(t *testing.T) {
 			want := golden[name]
-			server := &scriptedServer{t: t, answers: want.Answers}
+			server := &replayTransport{t: t, answers: want.Answers}
 			result := call(context.Background(), kvstore.NewClient("10.2.0.1:2379", server))
 			if diff := cmp.Diff(want, goldenExchange{server.requests, want.Answers, result}); diff != "" {
-				t.Error(diff)
+				t.Errorf("exchange differs (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestGoldenSizes: sizes as the state service counts them. A limit that is reckoned
-// otherwise lets records grow that are refused.
+// TestGoldenSizes checks JSONSize against sizes as the state service counts them. A smaller result
+// would let records grow beyond the limit, and the service would reject them.
 func TestGoldenSizes(t *testing.T) {
 	type nested struct {
 		Records []goldenRecord     `json:"records"`
