--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -8,11 +8,11 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestBudgetsKeepTheServicesLimits checks that the nodes together stay within the write limit of
+// TestBudgetsStayWithinServiceLimits checks that the nodes together stay within the write limit of
 // the service and use most of it while each of them writes as much as its budget permits, that
 // continuous submissions don't starve rounds, and that checkpoints leave writes for a submission and
 // a round.
-func TestBudgetsKeepTheServicesLimits(t *testing.T) {
+func TestBudgetsStayWithinServiceLimits(t *testing.T) {
 	const limit = 20.0
 	now := clock.Instant(time.Hour)
 	nodes := []*kvstore.Budget{kvstore.NewBudget(3, 150, limit), kvstore.NewBudget(3, 150, limit), kvstore.NewBudget(3, 150, limit)}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestResponseStatuses checks that the client distinguishes requests that were certainly not
+// TestResponsesAreClassified checks that the client distinguishes requests that were certainly not
 // executed from those that may have been. After a response that can't be decoded, or none, the
 // outcome is unknown: a caller that took it for a failure could lose or repeat a write.
-func TestResponseStatuses(t *testing.T) {
+func TestResponsesAreClassified(t *testing.T) {
 	c, srv := newFakeService()
 	for _, s := range []struct {
 		status int
--- a/internal/kvstore/jsonsize_test.go
+++ b/internal/kvstore/jsonsize_test.go
@@ -6,10 +6,10 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestJSONSizeAsTheServiceCounts checks that floating-point values that are integers count two
+// TestJSONSizeMatchesServiceEncoding checks that floating-point values that are integers count two
 // bytes more than in Go's JSON, at every level of nesting. If JSONSize counted too little, records
 // that pass the local check would be rejected by the service.
-func TestJSONSizeAsTheServiceCounts(t *testing.T) {
+func TestJSONSizeMatchesServiceEncoding(t *testing.T) {
 	type spec struct {
 		CPUs float64  `json:"c"`
 		Left *float64 `json:"l"`
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestTxnOutcome checks that the key of the first operation shows whether a transaction whose
+// TestWasAppliedAfterLostResponse checks that the key of the first operation shows whether a transaction whose
 // response was lost was applied.
-func TestTxnOutcome(t *testing.T) {
+func TestWasAppliedAfterLostResponse(t *testing.T) {
 	conditions := []kvstore.Condition{{Key: "leader", ModRevision: 5}, {Key: "k", ModRevision: 7}}
 	set := kvstore.Txn{Conditions: conditions, Operations: []kvstore.Operation{{SetKey: "k", Value: 1}}}
 	remove := kvstore.Txn{Conditions: conditions, Operations: []kvstore.Operation{{DeleteKey: "k"}}}
--- a/internal/node/cloudcalls_test.go
+++ b/internal/node/cloudcalls_test.go
@@ -10,9 +10,9 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestMachineTypesOutliveCloudOutage checks that a node that starts while the cloud is down uses the machine types that
+// TestStoredMachineTypesUsedDuringCloudOutage checks that a node that starts while the cloud is down uses the machine types that
 // a leader has stored, so that it can validate jobs.
-func TestMachineTypesOutliveCloudOutage(t *testing.T) {
+func TestStoredMachineTypesUsedDuringCloudOutage(t *testing.T) {
 	f := newNodeFixture(t)
 	holder := kvstore.Txn{Operations: []kvstore.Operation{{SetKey: election.LeaderKey, Value: election.LeaderRecord{Node: "n0"}}}}
 	epoch, err := f.kv.Store.Commit(holder)
--- a/internal/node/coreactor_test.go
+++ b/internal/node/coreactor_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestQueuesHoldARequestOfEachConnection checks that the queue of the core and the relay queue each hold one request of
+// TestQueuesFitOneRequestPerConnection checks that the queue of the core and the relay queue each hold one request of
 // every connection that may be open. Smaller queues reject requests when all machines reconnect at the same time.
-func TestQueuesHoldARequestOfEachConnection(t *testing.T) {
+func TestQueuesFitOneRequestPerConnection(t *testing.T) {
 	for _, maxSockets := range []int{32, 800, 6000} {
 		settings := testSettings()
 		settings.Params.MachineLimits.MaxSockets = maxSockets
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -19,8 +19,8 @@
 // heartbeatPath is the HTTP path to which workers send their heartbeats.
 const heartbeatPath = "/agent/beat"
 
-// heartbeatBudget bounds the time from the receipt of a heartbeat to its answer.
-const heartbeatBudget = 3 * time.Second
+// heartbeatTimeout bounds the time from the receipt of a heartbeat to its answer.
+const heartbeatTimeout = 3 * time.Second
 
 // heartbeatHandler answers the heartbeats of workers. If this node leads, the core answers; otherwise the worker is
 // redirected to the leader, or its heartbeat is relayed there.
@@ -49,7 +49,7 @@
 	if heartbeat.UnreadableTasks > 0 {
 		h.log.Warn("malformed tasks in heartbeat ignored", "machine", heartbeat.Machine, "tasks", heartbeat.UnreadableTasks)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), heartbeatBudget)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
 	h.write(w, h.reply(ctx, heartbeat))
 }
--- a/internal/node/heartbeats_test.go
+++ b/internal/node/heartbeats_test.go
@@ -11,10 +11,10 @@
 	"badgerbay/internal/fleet"
 )
 
-// TestHeartbeatsAnsweredOnlyWhileEntitled checks that a follower, and a leader whose lease has expired, never accept a
+// TestHeartbeatsAcceptedOnlyWhileLeaseValid checks that a follower, and a leader whose lease has expired, never accept a
 // heartbeat, up to the moment at which the response is sent. A node that accepted one would keep renewing workers'
 // leases that must expire.
-func TestHeartbeatsAnsweredOnlyWhileEntitled(t *testing.T) {
+func TestHeartbeatsAcceptedOnlyWhileLeaseValid(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.core.core.Step(f.clock.now, controller.ElectionInput{Input: election.LeaderKeysRead{OK: true, Leader: election.LeaderRecord{Node: "n1"}, Epoch: 5}})
 	replies := make(replyChannel[controller.HeartbeatReply], 1)
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestHigherFencingTokenDeposes checks that a leader steps down when a worker reports a higher fencing token than its
+// TestHigherFencingTokenEndsLeadership checks that a leader steps down when a worker reports a higher fencing token than its
 // own, which proves that another leader was elected.
-func TestHigherFencingTokenDeposes(t *testing.T) {
+func TestHigherFencingTokenEndsLeadership(t *testing.T) {
 	f := newNodeFixture(t)
 	f.kv.Store.Down = true // prevents another election of this node
 	f.becomeLeader(t)
--- a/internal/node/jobqueries.go
+++ b/internal/node/jobqueries.go
@@ -70,7 +70,7 @@
 		timeout = cancelRequestTimeout
 	}
 	reply, err := u.peers.QueryJob(ctx, leader, &meshpb.AskRequest{Job: string(id), Withdraw: cancelJob}, timeout)
-	u.peers.record(leader, err)
+	u.peers.recordResult(leader, err)
 	if err != nil {
 		return api.LeaderReplied{}, err
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,9 +10,9 @@
 	"badgerbay/internal/election"
 )
 
-// TestRunEndsWithItsContext checks that Run returns without an error soon after its context ends. A goroutine or server
+// TestRunStopsWhenContextEnds checks that Run returns without an error soon after its context ends. A goroutine or server
 // that does not stop would keep Run from returning.
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextEnds(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.settings.ClientListen, f.node.settings.PeerListen = "127.0.0.1:0", "127.0.0.1:0"
 	ctx, cancel := context.WithCancel(context.Background())
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestRunEndsWithTheCore checks that Run returns the error with which an effect of the core stops the node. Otherwise
+// TestRunReturnsCoreFailure checks that Run returns the error with which an effect of the core stops the node. Otherwise
 // the node would go on without its core.
-func TestRunEndsWithTheCore(t *testing.T) {
+func TestRunReturnsCoreFailure(t *testing.T) {
 	f := newNodeFixture(t)
 	f.node.settings.ClientListen, f.node.settings.PeerListen = "127.0.0.1:0", "127.0.0.1:0"
 	cause := errors.New("record of a later schema")
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -47,8 +47,8 @@
 	return !ok || p.clock.Now().Sub(failed) > peerRetryPause
 }
 
-// record stores whether a call to the peer succeeded.
-func (p *peerNetwork) record(name string, err error) {
+// recordResult stores whether a call to the peer succeeded.
+func (p *peerNetwork) recordResult(name string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("encoding a batch for %s: %w", name, err)
 	}
 	replyData, err := p.RelayBatch(ctx, name, data)
-	p.record(name, err)
+	p.recordResult(name, err)
 	if err != nil {
 		return nil, fmt.Errorf("relaying to %s: %w", name, err)
 	}
@@ -83,6 +83,6 @@
 // checkHealth returns what the peer can reach, and records whether the peer answered.
 func (p *peerNetwork) checkHealth(ctx context.Context, name string) (*meshpb.HealthReply, error) {
 	reply, err := p.Health(ctx, name)
-	p.record(name, err)
+	p.recordResult(name, err)
 	return reply, err
 }
--- a/internal/node/relayuplink.go
+++ b/internal/node/relayuplink.go
@@ -51,7 +51,7 @@
 // relayHeartbeat relays a heartbeat to the leader and waits for the reply. It returns unavailableReply if the queue is
 // full or ctx ends first.
 func (u *relayUplink) relayHeartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
-	pending := relay.NewHeartbeatRequest(heartbeat, u.clock.Now().Add(heartbeatBudget))
+	pending := relay.NewHeartbeatRequest(heartbeat, u.clock.Now().Add(heartbeatTimeout))
 	if !u.tryEnqueue(pending) {
 		return unavailableReply
 	}
@@ -67,7 +67,7 @@
 // ends first, or the reply does not contain the state of the job.
 func (u *relayUplink) cancel(ctx context.Context, id ident.JobID) api.LeaderReplied {
 	noLeader := api.LeaderReplied{Outcome: api.NoLeader}
-	pending := relay.NewCancelRequest(id, u.clock.Now().Add(heartbeatBudget))
+	pending := relay.NewCancelRequest(id, u.clock.Now().Add(heartbeatTimeout))
 	if !u.tryEnqueue(pending) {
 		return noLeader
 	}
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -144,7 +144,7 @@
 		attempts++
 		reply, err := u.peers.ForwardSubmission(ctx, name, data)
 		if ctx.Err() == nil { // otherwise the user's deadline has passed, which is no failure of the peer
-			u.peers.record(name, err)
+			u.peers.recordResult(name, err)
 		}
 		if err == nil && isSuccess(int(reply.Status)) {
 			return api.Response{Code: int(reply.Status), Status: api.Status{State: api.JobState(reply.Body)}}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestReplicaFollows checks that after each sync the replica equals the store, for random sequences
+// TestReplicaEqualsStoreAfterSync checks that after each sync the replica equals the store, for random sequences
 // of keys that are created, updated and deleted, and that earlier replicas stay unchanged.
-func TestReplicaFollows(t *testing.T) {
+func TestReplicaEqualsStoreAfterSync(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	f := newFixture(testMaxBytes)
 	var snapshot *Replica
@@ -155,9 +155,9 @@
 	f.check(t)
 }
 
-// TestCompactedChangesAreReloaded checks that the follower reads all records again when the state
+// TestCompactedChangesForceReload checks that the follower reads all records again when the state
 // service no longer retains the changes since its last sync.
-func TestCompactedChangesAreReloaded(t *testing.T) {
+func TestCompactedChangesForceReload(t *testing.T) {
 	f := newFixture(testMaxBytes)
 	f.store.RetainedChanges = 5
 	put(t, f.store, "job/1", 1)
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestInconsistentChangesAreRefused checks that Apply rejects a batch of changes as a whole if any
+// TestInconsistentChangesForceReload checks that Apply rejects a batch of changes as a whole if any
 // of it is inconsistent, and that the follower then reads all records again. A batch that was
 // applied in part would leave a replica that differs from the store.
-func TestInconsistentChangesAreRefused(t *testing.T) {
+func TestInconsistentChangesForceReload(t *testing.T) {
 	set := func(key string, revision ident.Revision) kvstore.WatchEvent {
 		return kvstore.WatchEvent{SetKey: key, ModRevision: revision}
 	}
@@ -218,9 +218,9 @@
 	}
 }
 
-// TestRecordsBeyondMaxBytes checks that a follower whose records exceed the size limit reports
+// TestReplicaOverMaxBytesIsDiscarded checks that a follower whose records exceed the size limit reports
 // StateFull, discards its replica, and does not read the records again within half a minute.
-func TestRecordsBeyondMaxBytes(t *testing.T) {
+func TestReplicaOverMaxBytesIsDiscarded(t *testing.T) {
 	f := newFixture(200)
 	put(t, f.store, "job/1", "short")
 	f.sync()
