--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -26,20 +26,20 @@
 	spec.Tasks = 4 * groups
 	r := jobs.NewRecord(spec, simulatedClock{s, nil}.Wall().UnixMilli())
 	for i := range groups {
-		at := ident.TaskIndex(4 * i)
+		first := ident.TaskIndex(4 * i)
 		r.Placements = append(r.Placements, jobs.PlacementGroup{Machine: ident.MachineID(fmt.Sprintf("host-%06d", 1000+i*7919%900_000)),
-			Session: ident.Session(1 + i%40), Attempt: ident.Attempt(1 + i*31%997), Tasks: indexset.Set{{First: at, Last: at}, {First: at + 2, Last: at + 2}}})
+			Session: ident.Session(1 + i%40), Attempt: ident.Attempt(1 + i*31%997), Tasks: indexset.Set{{First: first, Last: first}, {First: first + 2, Last: first + 2}}})
 	}
 	stored, err := r.Encode()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	limit, ops := s.store.MaxValueBytes, s.store.MaxTxnOps
+	maxValueBytes, maxTxnOps := s.store.MaxValueBytes, s.store.MaxTxnOps
 	s.store.MaxValueBytes, s.store.MaxTxnOps = 0, 0
 	if _, err := s.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: jobs.Key(id), Value: stored}}}); err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.MaxValueBytes, s.store.MaxTxnOps = limit, ops
+	s.store.MaxValueBytes, s.store.MaxTxnOps = maxValueBytes, maxTxnOps
 	s.jobs[id] = &simulatedJob{spec: spec, submitted: true, runTime: time.Minute, acceptedAt: s.now, startedAt: s.now, lastAnswerAt: s.now, reportedState: api.Queued}
 }
 
@@ -50,8 +50,8 @@
 		return nil
 	}
 	r, err := jobs.DecodeWithChunks(item.Value, func(n int) []byte {
-		part, _ := s.store.Get(jobs.ChunkKey(id, n))
-		return part.Value
+		chunkItem, _ := s.store.Get(jobs.ChunkKey(id, n))
+		return chunkItem.Value
 	})
 	if err != nil {
 		s.t.Fatalf("the record can't be read: %v", err)
@@ -118,30 +118,30 @@
 	}
 	tm.acceptJob(g.now, JobRecordRead{Job: "wk-000001", OK: true, Item: kvstore.KeyValue{Key: "job/wk-000001", Value: data, ModRevision: 5}})
 	tm.jobs.get("wk-000001").Cancel(g.now)
-	guards := map[ident.Revision]bool{}
-	version := ident.Revision(100)
-	var follow func([]Effect)
-	follow = func(effects []Effect) {
+	stagingRevisions := map[ident.Revision]bool{}
+	revision := ident.Revision(100)
+	var handleEffects func([]Effect)
+	handleEffects = func(effects []Effect) {
 		for _, e := range effects {
 			c, ok := e.(CommitTransaction)
 			if !ok || c.Kind != StagingTransaction {
 				continue
 			}
-			if guard := c.Txn.Conditions[1]; guard.Key != stagingKey || guards[guard.ModRevision] || c.Txn.Operations[0].SetKey != stagingKey {
-				t.Fatalf("parts are written under %+v, which an earlier write has seen", guard)
+			if condition := c.Txn.Conditions[1]; condition.Key != stagingKey || stagingRevisions[condition.ModRevision] || c.Txn.Operations[0].SetKey != stagingKey {
+				t.Fatalf("parts are written under %+v, which an earlier write has seen", condition)
 			}
-			guards[c.Txn.Conditions[1].ModRevision] = true
-			version++
-			follow(g.core.Step(g.now, TransactionCompleted{Kind: StagingTransaction, Epoch: c.Epoch, Revision: version}))
+			stagingRevisions[c.Txn.Conditions[1].ModRevision] = true
+			revision++
+			handleEffects(g.core.Step(g.now, TransactionCompleted{Kind: StagingTransaction, Epoch: c.Epoch, Revision: revision}))
 		}
 	}
 	for range 40 {
 		g.now = g.now.Add(300 * time.Millisecond)
-		follow(g.core.Step(g.now, ElectionInput{election.LeaseRenewed{LeaseID: 1, Outcome: election.OutcomeOK, SentAt: g.now}}))
-		follow(g.core.Step(g.now, Tick{}))
+		handleEffects(g.core.Step(g.now, ElectionInput{election.LeaseRenewed{LeaseID: 1, Outcome: election.OutcomeOK, SentAt: g.now}}))
+		handleEffects(g.core.Step(g.now, Tick{}))
 	}
-	if len(guards) < 2 {
-		t.Errorf("%d transactions with parts", len(guards))
+	if len(stagingRevisions) < 2 {
+		t.Errorf("%d transactions with parts", len(stagingRevisions))
 	}
 	if !tm.jobs.get("wk-000001").FoldInFlight {
 		t.Error("the record itself is not being written")
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -15,21 +15,21 @@
 // teamQuotasPolicy enables team quotas beside the warm standby.
 const teamQuotasPolicy = "warm_standby = {}\nteam_quotas = {}"
 
-var quotaSeeds = flag.Int("quotadays", 4, "seeds of TestQuotasUnderFaults")
+var quotaSeedCount = flag.Int("quotadays", 4, "seeds of TestQuotasUnderFaults")
 
-// remainingAllotments is what is still allotted or reserved.
-func (s *simulation) remainingAllotments() int {
+// remainingAllocations is what is still allotted or reserved.
+func (s *simulation) remainingAllocations() int {
 	items, _, _ := s.store.List(quota.KeyPrefix)
-	left := 0
+	remaining := 0
 	for _, item := range items {
 		if r, err := quota.DecodeTeamRecord(item.Value); err == nil && len(r.Allocations) > 0 && !r.Allocated().IsZero() {
-			left++
+			remaining++
 		}
 		if _, reservations, err := quota.DecodeReservationRecord(item.Value); err == nil {
-			left += len(reservations)
+			remaining += len(reservations)
 		}
 	}
-	return left
+	return remaining
 }
 
 // TestQuotasUnderFaults plays scenarios in which holders admit work of teams that are at their
@@ -39,7 +39,7 @@
 // left with anybody.
 func TestQuotasUnderFaults(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, *quotaSeeds, func(t *testing.T, seed uint64) {
+	forEachSeed(t, *quotaSeedCount, func(t *testing.T, seed uint64) {
 		script := teamQuotasPolicy
 		if seed%2 == 1 {
 			script = "team_quotas = {}"
@@ -51,7 +51,7 @@
 		}
 		s.runLossyScenario()
 		s.runFor(30 * time.Second)
-		if n := s.remainingAllotments(); n > 0 {
+		if n := s.remainingAllocations(); n > 0 {
 			t.Errorf("%d allotments and reservations are left", n)
 		}
 		if s.admissions == 0 {
@@ -103,7 +103,7 @@
 func TestIdleAllotmentsAreRecalled(t *testing.T) {
 	t.Parallel()
 	const bound = 10 * time.Second
-	for name, trouble := range map[string]func(*simulation, *simulatedNode){
+	for name, injectFault := range map[string]func(*simulation, *simulatedNode){
 		"answers":          func(*simulation, *simulatedNode) {},
 		"is dead":          func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute) },
 		"stands still":     func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(20 * time.Second) },
@@ -114,7 +114,7 @@
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				s, holder := simulationWithIdleHolder(t, seed)
-				trouble(s, holder)
+				injectFault(s, holder)
 				job := arraySpec
 				job.Tasks, job.CPUs = 9, 4 // 36 of the 40 CPUs
 				s.submitUnadmitted(50, job, 30*time.Second)
@@ -123,8 +123,8 @@
 				if l == nil {
 					t.Fatalf("%s: nobody leads", name)
 				}
-				if left := l.core.term.quotas.allocator.Allocated("red"); left.MilliCPU > 4_000 {
-					t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", name, seed, left)
+				if allocated := l.core.term.quotas.allocator.Allocated("red"); allocated.MilliCPU > 4_000 {
+					t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", name, seed, allocated)
 				}
 				s.peersPartitioned = false
 				s.runFor(30 * time.Second)
@@ -137,14 +137,14 @@
 }
 
 // submitUnadmitted submits a job that no holder admits.
-func (s *simulation) submitUnadmitted(n int, spec jobs.Spec, run time.Duration) ident.JobID {
-	held := make([]*quota.Holder, len(s.nodes))
+func (s *simulation) submitUnadmitted(n int, spec jobs.Spec, runTime time.Duration) ident.JobID {
+	holders := make([]*quota.Holder, len(s.nodes))
 	for i, node := range s.nodes {
-		held[i], node.holder = node.holder, nil
+		holders[i], node.holder = node.holder, nil
 	}
-	id := s.submit(n, spec, run)
+	id := s.submit(n, spec, runTime)
 	for i, node := range s.nodes {
-		node.holder = held[i]
+		node.holder = holders[i]
 	}
 	return id
 }
@@ -158,29 +158,29 @@
 	if err := s.checkStoredQuotas(); err != nil {
 		t.Fatal(err)
 	}
-	stamp := holder.holder.Status().ModRevision
-	all := []quota.Reservation{{Job: "wk-000007", Team: "red", Tasks: 1, TaskDemand: quota.Quantity{MilliCPU: 41_000}}}
-	over, err := quota.NewReservationRecord(stamp, all)
+	holderRevision := holder.holder.Status().ModRevision
+	reservations := []quota.Reservation{{Job: "wk-000007", Team: "red", Tasks: 1, TaskDemand: quota.Quantity{MilliCPU: 41_000}}}
+	excessive, err := quota.NewReservationRecord(holderRevision, reservations)
 	if err != nil {
 		t.Fatal(err)
 	}
-	storeValue(t, s, quota.ReservationKey(holder.name), over)
+	storeUnchecked(t, s, quota.ReservationKey(holder.name), excessive)
 	if s.checkStoredQuotas() == nil {
 		t.Error("a reservation beyond the allotment is not found")
 	}
 	s, _ = simulationWithIdleHolder(t, 1)
-	twice := quota.TeamRecord{SchemaVersion: 1}
+	overallocated := quota.TeamRecord{SchemaVersion: 1}
 	for _, node := range []string{"n0", "n1"} {
-		twice.Allocations = append(twice.Allocations, quota.Allocation{Holder: quota.HolderID{Node: node, ModRevision: 1}, Quantity: quota.Quantity{MilliCPU: 30_000}})
+		overallocated.Allocations = append(overallocated.Allocations, quota.Allocation{Holder: quota.HolderID{Node: node, ModRevision: 1}, Quantity: quota.Quantity{MilliCPU: 30_000}})
 	}
-	storeValue(t, s, quota.TeamKey("red"), twice)
+	storeUnchecked(t, s, quota.TeamKey("red"), overallocated)
 	if s.checkStoredQuotas() == nil || teams["red"].CPULimit != 40 {
 		t.Error("60 of 40 CPUs are allotted, and it is not found")
 	}
 }
 
-// storeValue stores a value as nobody should.
-func storeValue(t *testing.T, s *simulation, key string, value any) {
+// storeUnchecked stores a value as nobody should.
+func storeUnchecked(t *testing.T, s *simulation, key string, value any) {
 	t.Helper()
 	if _, err := s.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
 		t.Fatal(err)
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -27,9 +27,9 @@
 func TestLateMachinesAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 3)
-	first := true
+	firstBoot := true
 	s.cloud.BootTime = func() time.Duration {
-		if first {
+		if firstBoot {
 			return time.Hour // the first machine never comes up
 		}
 		return 5 * time.Second
@@ -39,7 +39,7 @@
 	if len(s.cloud.Machines) == 0 {
 		t.Fatal("nothing was rented")
 	}
-	first = false
+	firstBoot = false
 	s.runFor(25 * time.Second)
 	if n := s.running.len(); n != serviceSpec.Tasks {
 		t.Errorf("%d of %d replicas of %s run, with machines that never come up", n, serviceSpec.Tasks, id)
@@ -94,28 +94,28 @@
 	g := newCoreFixture(t, 3)
 	tm := g.core.term
 	tm.recovery.loaded, tm.recovery.schedulingOpen, tm.acquiredAt = false, false, g.now
-	good := &roundlog.Record{SchemaVersion: 2, RoundNo: 5, Epoch: 4, LowWatermark: 5}
-	whole, err := msgpack.Marshal(good)
+	readable := &roundlog.Record{SchemaVersion: 2, RoundNo: 5, Epoch: 4, LowWatermark: 5}
+	readableValue, err := msgpack.Marshal(readable)
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn, err := msgpack.Marshal(&roundlog.Record{SchemaVersion: 3, RoundNo: 6, Epoch: 4, LowWatermark: 5, ChunkInfo: &roundlog.ChunkInfo{Chunks: 2, Checksum: 7}})
+	unreadableValue, err := msgpack.Marshal(&roundlog.Record{SchemaVersion: 3, RoundNo: 6, Epoch: 4, LowWatermark: 5, ChunkInfo: &roundlog.ChunkInfo{Chunks: 2, Checksum: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.step(RecordsRead{Epoch: tm.epoch, OK: true, Stored: recovery.StoredRecords{Rounds: []kvstore.KeyValue{
-		{Key: "round/5", Value: whole, ModRevision: 11}, {Key: "round/6", Value: torn, ModRevision: 12}}}})
+		{Key: "round/5", Value: readableValue, ModRevision: 11}, {Key: "round/6", Value: unreadableValue, ModRevision: 12}}}})
 	if tm.rounds.ring.Revision(6) != 12 {
 		t.Errorf("the slot is written under version %d", tm.rounds.ring.Revision(6))
 	}
 	g.submit(1, arraySpec)
-	begun := g.now
-	for tm.rounds.ring.FreeSlots() == g.core.policy.RingSlots && g.now.Sub(begun) < 2*time.Minute {
+	start := g.now
+	for tm.rounds.ring.FreeSlots() == g.core.policy.RingSlots && g.now.Sub(start) < 2*time.Minute {
 		g.advance(200 * time.Millisecond)
 	}
-	waited := g.now.Sub(begun)
-	if least := g.core.settings.Params.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.core.settings.Params.Workers); waited < least || waited > least+10*time.Second {
-		t.Errorf("placed after %v, want a little more than %v", waited, least)
+	waited := g.now.Sub(start)
+	if minWait := g.core.settings.Params.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.core.settings.Params.Workers); waited < minWait || waited > minWait+10*time.Second {
+		t.Errorf("placed after %v, want a little more than %v", waited, minWait)
 	}
 	if next, _ := tm.rounds.ring.Next(); next <= 6+ident.RoundNo(g.core.policy.RingSlots)-1 {
 		t.Errorf("round %d comes after one that can't be read", next)
@@ -131,7 +131,7 @@
 	g.submit(1, arraySpec)
 	const id = "wk-000001"
 	j := g.core.term.jobs.get(id)
-	poll := func() JobReply {
+	queryStatus := func() JobReply {
 		for _, e := range g.core.Step(g.now, JobRequest{Job: id}) {
 			if reply, ok := e.(JobReply); ok {
 				return reply
@@ -140,7 +140,7 @@
 		t.Fatal("no answer")
 		return JobReply{}
 	}
-	if got := poll(); got.Outcome != api.JobFound || got.Status.State != api.Queued {
+	if got := queryStatus(); got.Outcome != api.JobFound || got.Status.State != api.Queued {
 		t.Errorf("before its end: %+v", got)
 	}
 	for i := range arraySpec.Tasks {
@@ -161,11 +161,11 @@
 	if write == nil {
 		t.Fatal("the end is not stored")
 	}
-	if got := poll(); got.Outcome != api.JobNotFound {
+	if got := queryStatus(); got.Outcome != api.JobNotFound {
 		t.Errorf("while its end is being stored: %+v, want that the record is read", got)
 	}
 	g.core.Step(g.now, TransactionCompleted{Kind: FoldTransaction, Epoch: write.Epoch, Revision: 999})
-	if got := poll(); got.Outcome != api.JobFound || got.Status.State != api.Done {
+	if got := queryStatus(); got.Outcome != api.JobFound || got.Status.State != api.Done {
 		t.Errorf("after it was stored: %+v", got)
 	}
 }
@@ -214,7 +214,7 @@
 	if len(tm.fleet.Machine("m2").LivePlacements()) != 0 {
 		t.Error("the machine that lost the task still counts as having it")
 	}
-	if _, may := tm.replacementAttempt(g.now, j); may {
+	if _, ok := tm.replacementAttempt(g.now, j); ok {
 		t.Error("a successor replaces tasks of a gang whose wait it does not know")
 	}
 }
@@ -230,11 +230,11 @@
 	for i := 1; i < 12; i++ {
 		g.sendHeartbeat(i)
 	}
-	first := g.core.term.fleet.Machine(g.machines[0].Machine)
-	first.LastContact = g.now.Add(-6 * time.Second) // as far as a healthy one may be
+	silent := g.core.term.fleet.Machine(g.machines[0].Machine)
+	silent.LastContact = g.now.Add(-6 * time.Second) // as far as a healthy one may be
 	g.now = g.now.Add(4900 * time.Millisecond)
 	g.step(Tick{})
-	if first.Deprovisioning {
+	if silent.Deprovisioning {
 		t.Error("a leader that just woke returned a machine that it had not heard")
 	}
 	for k := range 200 { // and now it says nothing although the leader is awake
@@ -244,10 +244,10 @@
 				g.sendHeartbeat(i)
 			}
 		}
-		first.LastContact = 1
+		silent.LastContact = 1
 		g.step(Tick{})
 	}
-	if !first.Deprovisioning {
+	if !silent.Deprovisioning {
 		t.Error("a silent machine was kept though the leader had been awake for long")
 	}
 }
@@ -257,7 +257,7 @@
 // many; not so the machines of a zone that falls silent as a whole.
 func TestThirdOfMachinesFails(t *testing.T) {
 	t.Parallel()
-	for name, dies := range map[string]func(int) bool{
+	for name, fails := range map[string]func(int) bool{
 		"a third":    func(i int) bool { return i%3 == 0 },
 		"a zone":     func(i int) bool { return i%2 == 0 },
 		"everything": func(int) bool { return true },
@@ -269,7 +269,7 @@
 			g.deadMachines = map[int]bool{}
 			var busy []*fleet.Machine
 			for i, r := range g.machines {
-				g.deadMachines[i] = dies(i)
+				g.deadMachines[i] = fails(i)
 				if m := g.core.term.fleet.Machine(r.Machine); g.deadMachines[i] && m.Busy() && !m.Deprovisioning {
 					busy = append(busy, m)
 				}
@@ -286,14 +286,14 @@
 			for range 13 {
 				g.advance(time.Second)
 			}
-			gone := 0
+			returned := 0
 			for _, m := range busy {
 				if m.Deprovisioning {
-					gone++
+					returned++
 				}
 			}
-			if want := map[bool]int{true: len(busy)}[name == "a third"]; gone != want || len(busy) < 7 {
-				t.Errorf("%s: %d of %d dead machines with tasks were returned in 13 s, want %d", name, gone, len(busy), want)
+			if want := map[bool]int{true: len(busy)}[name == "a third"]; returned != want || len(busy) < 7 {
+				t.Errorf("%s: %d of %d dead machines with tasks were returned in 13 s, want %d", name, returned, len(busy), want)
 			}
 		})
 	}
@@ -310,7 +310,7 @@
 	for i := range g.machines {
 		g.deadMachines[i] = true
 	}
-	before := len(g.machinesBeingReleased())
+	before := len(g.deprovisioningMachines())
 	for range 12 {
 		g.advance(time.Second)
 	}
@@ -320,12 +320,12 @@
 	for range 8 {
 		g.advance(time.Second)
 	}
-	if n := len(g.machinesBeingReleased()) - before; n > 0 {
+	if n := len(g.deprovisioningMachines()) - before; n > 0 {
 		t.Errorf("%d machines were returned as others were found again", n)
 	}
 }
 
-func (g *coreFixture) machinesBeingReleased() []ident.MachineID {
+func (g *coreFixture) deprovisioningMachines() []ident.MachineID {
 	var out []ident.MachineID
 	for _, m := range g.core.term.fleet.Machines() {
 		if m.Deprovisioning {
@@ -355,8 +355,8 @@
 	g := newCoreFixture(t, 0)
 	tm := g.core.term
 	tm.rounds.objectives = map[ident.Class]scheduler.Objectives{}
-	for class, within := range map[ident.Class]time.Duration{"fast": 12 * time.Second, "slow": 30 * time.Second, "small": 30 * time.Second} {
-		tm.rounds.objectives[class] = scheduler.Objectives{}.With("wait", within)
+	for class, startWithin := range map[ident.Class]time.Duration{"fast": 12 * time.Second, "slow": 30 * time.Second, "small": 30 * time.Second} {
+		tm.rounds.objectives[class] = scheduler.Objectives{}.With("wait", startWithin)
 		spec := serviceSpec
 		spec.Class = class
 		if class == "small" {
@@ -364,17 +364,17 @@
 		}
 		tm.jobs.typicalSpecs[class] = &spec
 	}
-	var kept []ident.Class
+	var classes []ident.Class
 	for _, s := range tm.spareSpecs() {
-		kept = append(kept, s.Class)
+		classes = append(classes, s.Class)
 	}
-	if !slices.Equal(kept, []ident.Class{"fast", "small"}) {
-		t.Errorf("room is kept for %v", kept)
+	if !slices.Equal(classes, []ident.Class{"fast", "small"}) {
+		t.Errorf("room is kept for %v", classes)
 	}
 	for _, typ := range g.core.machineTypes {
 		typ.Zones = nil // the cloud names none: all zones
 	}
-	if again := tm.spareSpecs(); len(again) != len(kept) {
-		t.Errorf("room is kept for %d classes where types name no zones, want %d", len(again), len(kept))
+	if again := tm.spareSpecs(); len(again) != len(classes) {
+		t.Errorf("room is kept for %d classes where types name no zones, want %d", len(again), len(classes))
 	}
 }
--- a/internal/controller/shortlease_test.go
+++ b/internal/controller/shortlease_test.go
@@ -26,10 +26,10 @@
 }
 
 // simulationWithShortLeases returns a simulation with short leases in which replicas and an array run.
-func simulationWithShortLeases(t *testing.T, seed uint64, array time.Duration) *simulation {
+func simulationWithShortLeases(t *testing.T, seed uint64, arrayRunTime time.Duration) *simulation {
 	s := newSimulationWithWorkers(t, seed, shortLeases)
 	s.submit(1, serviceSpec, 0)
-	s.submit(2, arraySpec, array)
+	s.submit(2, arraySpec, arrayRunTime)
 	s.runFor(40 * time.Second)
 	return s
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -21,13 +21,13 @@
 
 // simulateUpgrade plays a scenario in which the nodes get this version one at a time, with
 // the later limits of the state service some time after the last.
-func simulateUpgrade(t *testing.T, seed uint64, trouble func(*simulation)) *simulation {
+func simulateUpgrade(t *testing.T, seed uint64, injectFaults func(*simulation)) *simulation {
 	s := newSimulation(t, 9000+seed)
 	s.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
 	s.onPreviousVersion = map[int]bool{0: true, 1: true, 2: true}
 	s.settings.Params.Teams = []config.Team{{Name: "red", CPUGuarantee: 100, CPULimit: 400}, {Name: "blue", CPUGuarantee: 16, CPULimit: 24}}
-	for o := range s.cloud.Capacity {
-		s.cloud.Capacity[o] *= 8
+	for offer := range s.cloud.Capacity {
+		s.cloud.Capacity[offer] *= 8
 	}
 	for _, n := range s.nodes {
 		s.crash(n, time.Millisecond)
@@ -41,7 +41,7 @@
 	for i := range 6 {
 		s.schedule(time.Duration(8+8*i)*time.Second, func() { s.submit(450+i, gangSpec, 12*time.Second) })
 	}
-	trouble(s)
+	injectFaults(s)
 	for i, n := range s.nodes {
 		s.schedule(time.Duration(10+10*i)*time.Second, func() {
 			delete(s.onPreviousVersion, n.index)
@@ -92,7 +92,7 @@
 // nothing that a user sees.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(*simulation){
+	for name, injectFaults := range map[string]func(*simulation){
 		"quiet": func(*simulation) {},
 		"crashes": func(s *simulation) {
 			s.faultsActive = true
@@ -117,7 +117,7 @@
 			})
 			s.schedule(80*sec, func() { s.crashLeader(sec) })
 			s.schedule(110*sec, func() {
-				if form, _ := s.store.Get(schemaversion.Key); form.ModRevision == 0 {
+				if agreement, _ := s.store.Get(schemaversion.Key); agreement.ModRevision == 0 {
 					s.t.Error("the agreement was taken back")
 				}
 				delete(s.onPreviousVersion, 2)
@@ -134,29 +134,29 @@
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
-					early, agreed, upgraded := false, false, 0
+					tooEarly, agreed, upgraded := false, false, 0
 					s := simulateUpgrade(t, seed, func(s *simulation) {
-						trouble(s)
+						injectFaults(s)
 						s.scheduleEvery(sec, func() {
-							rest, _, _ := s.store.List(chunk.KeyPrefix)
-							form, _ := s.store.Get(schemaversion.Key)
-							if form.ModRevision != 0 {
+							chunks, _, _ := s.store.List(chunk.KeyPrefix)
+							agreement, _ := s.store.Get(schemaversion.Key)
+							if agreement.ModRevision != 0 {
 								agreed = true
 							}
 							if !agreed && len(s.onPreviousVersion) > 0 {
-								early = early || len(rest) > 0
+								tooEarly = tooEarly || len(chunks) > 0
 								s.checkReadableByPreviousVersion()
 							}
-							if form.ModRevision != 0 && upgraded < len(s.nodes) {
-								early = true
+							if agreement.ModRevision != 0 && upgraded < len(s.nodes) {
+								tooEarly = true
 							}
 							upgraded = max(upgraded, len(s.nodes)-len(s.onPreviousVersion))
 						})
 					})
-					if early {
+					if tooEarly {
 						t.Error("what the version before can't read was stored while a node had it")
 					}
-					if form, _ := s.store.Get(schemaversion.Key); form.ModRevision == 0 {
+					if agreement, _ := s.store.Get(schemaversion.Key); agreement.ModRevision == 0 {
 						t.Error("that all nodes have the version was never stored")
 					}
 					s.faultsActive = false
@@ -181,9 +181,9 @@
 	wide.Tasks = 90_000
 	huge := jobs.NewRecord(wide, 0)
 	for i := range 3000 {
-		at := ident.TaskIndex(30*i + rng.IntN(29))
+		first := ident.TaskIndex(30*i + rng.IntN(29))
 		huge.Placements = append(huge.Placements, jobs.PlacementGroup{Machine: ident.MachineID(fmt.Sprintf("host-%06d", rng.IntN(1_000_000))),
-			Session: ident.Session(1 + rng.IntN(50)), Attempt: ident.Attempt(rng.IntN(1 << 30)), Tasks: indexset.Set{{First: at, Last: at}}})
+			Session: ident.Session(1 + rng.IntN(50)), Attempt: ident.Attempt(rng.IntN(1 << 30)), Tasks: indexset.Set{{First: first, Last: first}}})
 	}
 	for id, r := range map[ident.JobID]*jobs.Record{"wk-000001": huge, "wk-000002": jobs.NewRecord(arraySpec, 0)} {
 		data, err := encodeRecord(r)
--- a/internal/controller/zonerestriction_test.go
+++ b/internal/controller/zonerestriction_test.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// replacementCauses are the ways in which tasks come to be placed anew.
-var replacementCauses = []struct {
+// rescheduleCauses are the ways in which tasks come to be placed anew.
+var rescheduleCauses = []struct {
 	name  string
 	begin func(*simulation)
 }{
@@ -62,11 +62,11 @@
 // may not be. The simulation checks the zone of each start; each path must bring some about.
 func TestJobsStayInTheirZone(t *testing.T) {
 	t.Parallel()
-	for i, path := range replacementCauses {
-		for _, times := range workerTimings {
-			t.Run(times.name+path.name, func(t *testing.T) {
+	for i, cause := range rescheduleCauses {
+		for _, timing := range workerTimings {
+			t.Run(timing.name+cause.name, func(t *testing.T) {
 				t.Parallel()
-				s := newSimulationWithWorkers(t, 8000+uint64(i), times.workers)
+				s := newSimulationWithWorkers(t, 8000+uint64(i), timing.workers)
 				for k := range 4 {
 					array, replicas, group := arraySpec, serviceSpec, gangSpec
 					array.Zone, replicas.Zone, group.Zone = "a", "a", "a"
@@ -82,7 +82,7 @@
 					t.Fatal("nothing runs")
 				}
 				s.faultsActive = true
-				path.begin(s)
+				cause.begin(s)
 				s.runFor(120 * time.Second)
 				s.faultsActive = false
 				if s.taskStarts == before {
