--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -19,8 +19,8 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// storeOversizedJob stores a job with so many tasks under way that its record fits no one
-// transaction under the later limits, as a version without them may have left it.
+// storeOversizedJob stores a job with so many running tasks that its record does not fit in one transaction under the
+// announced stricter limits of the state service. A release that does not know these limits may leave such a record.
 func (s *simulation) storeOversizedJob(id ident.JobID, groups int) {
 	spec := arraySpec
 	spec.Tasks = 4 * groups
@@ -43,7 +43,8 @@
 	s.jobs[id] = &simulatedJob{spec: spec, submitted: true, runTime: time.Minute, acceptedAt: s.now, startedAt: s.now, lastAnswerAt: s.now, reportedState: api.Queued}
 }
 
-// readWholeRecord reads a job's record with its parts, as a successor would at this moment.
+// readWholeRecord returns the record of a job, assembled from its head and chunks as a new leader would read it at
+// this moment. It returns nil if the head can't be fetched, and ends the test if the record can't be decoded.
 func (s *simulation) readWholeRecord(id ident.JobID) *jobs.Record {
 	item, err := s.store.Get(jobs.Key(id))
 	if err != nil {
@@ -54,14 +55,14 @@
 		return chunkItem.Value
 	})
 	if err != nil {
-		s.t.Fatalf("the record can't be read: %v", err)
+		s.t.Fatalf("decode job record: %v", err)
 	}
 	return r
 }
 
-// TestOversizedJobCanBeCancelled: a job whose record fits no one transaction can be
-// cancelled all the same. Its record is written in several, whole at any moment,
-// whichever of them the leader ends before, and also if some are carried out late.
+// TestOversizedJobCanBeCancelled checks that a job can be cancelled although its record does not fit in one
+// transaction. The record is written in several transactions. It must be readable as a whole at any moment, whichever
+// of these transactions the leader crashes before, and also if some of them are applied late.
 func TestOversizedJobCanBeCancelled(t *testing.T) {
 	t.Parallel()
 	for crashAt := range 14 {
@@ -75,7 +76,7 @@
 			const id = "wk-000777"
 			s.storeOversizedJob(id, 600)
 			s.submit(1, oneZoneSpec, 20*time.Second)
-			s.runFor(12 * time.Second) // all nodes know the form by then
+			s.runFor(12 * time.Second) // enough for all nodes to know the agreed schema version
 			s.store.MaxValueBytes, s.store.MaxTxnOps = 2048, 4
 			if crashAt%3 == 2 {
 				s.lateCommitProbability = 0.2
@@ -89,7 +90,7 @@
 				t.Fatal("the cancellation was not confirmed")
 			}
 			if r := s.readWholeRecord(id); r.Phase != jobs.PhaseCancelled {
-				t.Errorf("phase %q is stored", r.Phase)
+				t.Errorf("stored phase is %q, want %q", r.Phase, jobs.PhaseCancelled)
 			}
 			s.runFor(15 * time.Second)
 			s.healAndFinish()
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestLateChunksAreFenced: a copy of a transaction with parts that is carried out
-// after the next one changes nothing.
+// TestLateChunksAreFenced checks that a copy of a chunk transaction that is applied after the next one has no effect:
+// each chunk transaction must update the staging key under the condition of a revision that no earlier one has used.
 func TestLateChunksAreFenced(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
@@ -128,7 +129,7 @@
 				continue
 			}
 			if condition := c.Txn.Conditions[1]; condition.Key != stagingKey || stagingRevisions[condition.ModRevision] || c.Txn.Operations[0].SetKey != stagingKey {
-				t.Fatalf("parts are written under %+v, which an earlier write has seen", condition)
+				t.Fatalf("chunk transaction does not update %s under a new revision of it: condition %+v", stagingKey, condition)
 			}
 			stagingRevisions[c.Txn.Conditions[1].ModRevision] = true
 			revision++
@@ -141,12 +142,12 @@
 		handleEffects(g.core.Step(g.now, Tick{}))
 	}
 	if len(stagingRevisions) < 2 {
-		t.Errorf("%d transactions with parts", len(stagingRevisions))
+		t.Errorf("%d chunk transactions, want at least 2", len(stagingRevisions))
 	}
 	if !tm.jobs.get("wk-000001").FoldInFlight {
-		t.Error("the record itself is not being written")
+		t.Error("the head of the record is not being written")
 	}
 	if chunk.Key("stage", 1) == stagingKey {
-		t.Error("a part is stored under the key that guards them")
+		t.Error("the key of a chunk collides with the staging key")
 	}
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -12,12 +12,13 @@
 	"badgerbay/internal/quota"
 )
 
-// teamQuotasPolicy enables team quotas beside the warm standby.
+// teamQuotasPolicy enables team quotas in addition to the warm standby.
 const teamQuotasPolicy = "warm_standby = {}\nteam_quotas = {}"
 
-var quotaSeedCount = flag.Int("quotadays", 4, "seeds of TestQuotasUnderFaults")
+var quotaSeedCount = flag.Int("quotadays", 4, "number of seeds of TestQuotasUnderFaults")
 
-// remainingAllocations is what is still allotted or reserved.
+// remainingAllocations returns the number of stored team records with a non-zero allocation plus the number of stored
+// reservations.
 func (s *simulation) remainingAllocations() int {
 	items, _, _ := s.store.List(quota.KeyPrefix)
 	remaining := 0
@@ -32,11 +33,10 @@
 	return remaining
 }
 
-// TestQuotasUnderFaults plays scenarios in which holders admit work of teams that are at their
-// limits while leaders stop, nodes die and are paused, peers are partitioned, the state
-// service is slow, away, or refuses one, and writes land late. What is stored is
-// checked at every change, and what runs at every start. Once it is quiet, no unit is
-// left with anybody.
+// TestQuotasUnderFaults simulates holders that admit work of teams at their limits under faults: leaders stop, nodes
+// crash or are paused, peers are partitioned, the state service is slow, unavailable or refuses a single node, and
+// writes are applied late. The stored quota records are checked at every change, and the usage of the teams at every
+// task start. Once the load is over, no allocation or reservation may remain.
 func TestQuotasUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, *quotaSeedCount, func(t *testing.T, seed uint64) {
@@ -52,29 +52,29 @@
 		s.runLossyScenario()
 		s.runFor(30 * time.Second)
 		if n := s.remainingAllocations(); n > 0 {
-			t.Errorf("%d allotments and reservations are left", n)
+			t.Errorf("%d allocations and reservations remain", n)
 		}
 		if s.admissions == 0 {
-			t.Error("no holder has admitted anything")
+			t.Error("no holder has admitted a job")
 		}
 	})
 }
 
-// TestHoldersAdmitJobs: in a calm scenario jobs are admitted by the nodes that took them, and
-// everything runs and ends as it does without.
+// TestHoldersAdmitJobs checks that, without faults, jobs are admitted by the nodes that received them, and that all
+// jobs run and end as they do without team quotas.
 func TestHoldersAdmitJobs(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 5, teamQuotasPolicy)
 	s.submitContinuously(60 * time.Second)
 	s.submitMixedLoad()
 	if s.admissions < 40 {
-		t.Errorf("%d jobs were admitted by holders", s.admissions)
+		t.Errorf("holders admitted %d jobs, want at least 40", s.admissions)
 	}
 	s.healAndFinish()
 }
 
-// simulationWithIdleHolder returns a scenario in which a holder has most of red's limit and uses none
-// of it, and that holder.
+// simulationWithIdleHolder returns a simulation in which one holder has been allocated most of the limit of team red
+// and uses none of it, and the node of that holder.
 func simulationWithIdleHolder(t *testing.T, seed uint64) (*simulation, *simulatedNode) {
 	s := newSimulationWithPolicy(t, seed, teamQuotasPolicy)
 	s.submit(1, serviceSpec, 0)
@@ -86,29 +86,28 @@
 		}
 	}
 	for range 6 {
-		// Of jobs that nobody stores, and so of no reservation that is ever used.
+		// The job is not stored, so its reservation is never used.
 		s.stepHolder(holder, quota.JobSubmitted{Job: "wk-999999", Team: "red", Tasks: 1, TaskDemand: quota.Quantity{MilliCPU: 40_000}})
 		s.runFor(time.Second)
 	}
 	if got := holder.holder.Status().Teams["red"].Allocated; got.MilliCPU < 30_000 {
-		t.Fatalf("the holder has %v of 40 CPUs", got)
+		t.Fatalf("the holder has been allocated %v of 40 CPUs, want at least 30", got)
 	}
 	return s, holder
 }
 
-// TestIdleAllotmentsAreRecalled: what a holder does not use is back within ten seconds once
-// other work of the team needs it, whether the holder answers, is dead, is paused,
-// or can't be reached; and a holder that was thought dead and is not can do nothing
-// with it.
+// TestIdleAllotmentsAreRecalled checks that the leader regains an unused allocation within ten seconds once other
+// work of the team needs it, whether the holder responds, has crashed, is paused or is unreachable. A holder that was
+// wrongly considered dead must not be able to use the allocation afterwards.
 func TestIdleAllotmentsAreRecalled(t *testing.T) {
 	t.Parallel()
 	const bound = 10 * time.Second
 	for name, injectFault := range map[string]func(*simulation, *simulatedNode){
-		"answers":          func(*simulation, *simulatedNode) {},
-		"is dead":          func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute) },
-		"stands still":     func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(20 * time.Second) },
-		"can't be reached": func(s *simulation, _ *simulatedNode) { s.peersPartitioned = true },
-		"and a new leader": func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute); s.crash(s.leader(), time.Minute) },
+		"holder responds":           func(*simulation, *simulatedNode) {},
+		"holder crashed":            func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute) },
+		"holder paused":             func(s *simulation, n *simulatedNode) { s.pausedUntil[n.index] = s.now.Add(20 * time.Second) },
+		"holder unreachable":        func(s *simulation, _ *simulatedNode) { s.peersPartitioned = true },
+		"holder and leader crashed": func(s *simulation, n *simulatedNode) { s.crash(n, time.Minute); s.crash(s.leader(), time.Minute) },
 	} {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
@@ -118,13 +117,13 @@
 				job := arraySpec
 				job.Tasks, job.CPUs = 9, 4 // 36 of the 40 CPUs
 				s.submitUnadmitted(50, job, 30*time.Second)
-				s.runFor(bound + 3*time.Second) // and a failover, where there is one
+				s.runFor(bound + 3*time.Second) // 3 s for a failover, in the case that has one
 				l := s.leader()
 				if l == nil {
-					t.Fatalf("%s: nobody leads", name)
+					t.Fatalf("%s: no leader", name)
 				}
 				if allocated := l.core.term.quotas.allocator.Allocated("red"); allocated.MilliCPU > 4_000 {
-					t.Errorf("%s, seed %d: %v of 40 CPUs are still allotted", name, seed, allocated)
+					t.Errorf("%s, seed %d: %v of 40 CPUs are still allocated, want at most 4", name, seed, allocated)
 				}
 				s.peersPartitioned = false
 				s.runFor(30 * time.Second)
@@ -136,7 +135,7 @@
 	}
 }
 
-// submitUnadmitted submits a job that no holder admits.
+// submitUnadmitted submits a job while no node has a holder, so that only the leader can admit it.
 func (s *simulation) submitUnadmitted(n int, spec jobs.Spec, runTime time.Duration) ident.JobID {
 	holders := make([]*quota.Holder, len(s.nodes))
 	for i, node := range s.nodes {
@@ -149,8 +148,8 @@
 	return id
 }
 
-// TestQuotaCheckFindsOverallotment: a holder that reserves more than it was allotted,
-// and a leader that allots what another has, are found in what is stored.
+// TestQuotaCheckFindsOverallotment checks that the check of the stored quota records detects two violations: a holder
+// that reserves more than it has been allocated, and a leader that allocates what another holder already has.
 func TestQuotaCheckFindsOverallotment(t *testing.T) {
 	t.Parallel()
 	teams := simulationSettings().Params.TeamsByName()
@@ -166,7 +165,7 @@
 	}
 	storeUnchecked(t, s, quota.ReservationKey(holder.name), excessive)
 	if s.checkStoredQuotas() == nil {
-		t.Error("a reservation beyond the allotment is not found")
+		t.Error("a reservation that exceeds its allocation is not detected")
 	}
 	s, _ = simulationWithIdleHolder(t, 1)
 	overallocated := quota.TeamRecord{SchemaVersion: 1}
@@ -175,11 +174,11 @@
 	}
 	storeUnchecked(t, s, quota.TeamKey("red"), overallocated)
 	if s.checkStoredQuotas() == nil || teams["red"].CPULimit != 40 {
-		t.Error("60 of 40 CPUs are allotted, and it is not found")
+		t.Error("an allocation of 60 CPUs under a limit of 40 is not detected")
 	}
 }
 
-// storeUnchecked stores a value as nobody should.
+// storeUnchecked writes a value to the state service without a condition and without the simulation's quota check.
 func storeUnchecked(t *testing.T, s *simulation, key string, value any) {
 	t.Helper()
 	if _, err := s.store.Commit(kvstore.Txn{Operations: []kvstore.Operation{{SetKey: key, Value: value}}}); err != nil {
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -21,34 +21,35 @@
 	"badgerbay/internal/wire"
 )
 
-// TestLateMachinesAreNotWaitedFor guards against an incident: machines that
-// never came up were counted on for four times their boot time, and services
-// waited for them.
+// TestLateMachinesAreNotWaitedFor checks that services start although the first requested machines never come up. It
+// guards against a failure in which the scheduler expected such machines for four times their boot time, so that
+// services waited for them.
 func TestLateMachinesAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 3)
-	firstBoot := true
+	bootFails := true
 	s.cloud.BootTime = func() time.Duration {
-		if firstBoot {
-			return time.Hour // the first machine never comes up
+		if bootFails {
+			return time.Hour // longer than the test runs: the machine never comes up
 		}
 		return 5 * time.Second
 	}
 	id := s.submit(1, serviceSpec, 0)
 	s.runFor(8 * time.Second)
 	if len(s.cloud.Machines) == 0 {
-		t.Fatal("nothing was rented")
+		t.Fatal("no machine was requested")
 	}
-	firstBoot = false
+	bootFails = false
 	s.runFor(25 * time.Second)
 	if n := s.running.len(); n != serviceSpec.Tasks {
-		t.Errorf("%d of %d replicas of %s run, with machines that never come up", n, serviceSpec.Tasks, id)
+		t.Errorf("%d of %d replicas of %s run after some machines failed to boot", n, serviceSpec.Tasks, id)
 	}
 }
 
-// TestLateHeartbeatsKeepMachines guards against an incident: with heartbeats every
-// five seconds, give or take a quarter, machines whose report was a little late
-// were taken for dead after six and returned with all that ran on them.
+// TestLateHeartbeatsKeepMachines checks that slightly delayed heartbeats do not lead to the deprovisioning of healthy
+// machines. It guards against a failure with a fixed silence timeout of 6 s: workers send heartbeats every 5 s with a
+// jitter of a quarter, so machines with a slightly late heartbeat were considered dead and were deprovisioned
+// together with all their tasks.
 func TestLateHeartbeatsKeepMachines(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 4)
@@ -61,12 +62,12 @@
 	before := s.taskStarts
 	s.runFor(10 * time.Minute)
 	if s.taskStarts != before || s.running.len() != serviceSpec.Tasks {
-		t.Errorf("%d replicas of %s started anew on a quiet day, %d run", s.taskStarts-before, id, s.running.len())
+		t.Errorf("%d replicas of %s restarted without any fault, %d run", s.taskStarts-before, id, s.running.len())
 	}
 }
 
-// TestRecordOfLaterSchemaStopsTheNode: a program that can't read what a newer one has
-// decided must not decide itself.
+// TestRecordOfLaterSchemaStopsTheNode checks that a leader that reads a record of a newer schema version stops its
+// node: a program that can't read the decisions of a newer release must not make decisions itself.
 func TestRecordOfLaterSchemaStopsTheNode(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
@@ -83,12 +84,12 @@
 			return
 		}
 	}
-	t.Error("a record of a later schema was passed over")
+	t.Error("the node did not stop at a record of a newer schema version")
 }
 
-// TestDamagedRoundIsWaitedOut: where a round's record can't be read, nothing is placed
-// until all that it may have started is surely over, and its number never comes
-// again.
+// TestDamagedRoundIsWaitedOut checks the recovery from a round record that can't be read. Nothing is placed until
+// every task that the round may have started has ended for certain: after the lease TTL of the workers plus the
+// duration of a lease delegation grant. The number of the round is never used again.
 func TestDamagedRoundIsWaitedOut(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 3)
@@ -106,7 +107,7 @@
 	g.step(RecordsRead{Epoch: tm.epoch, OK: true, Stored: recovery.StoredRecords{Rounds: []kvstore.KeyValue{
 		{Key: "round/5", Value: readableValue, ModRevision: 11}, {Key: "round/6", Value: unreadableValue, ModRevision: 12}}}})
 	if tm.rounds.ring.Revision(6) != 12 {
-		t.Errorf("the slot is written under version %d", tm.rounds.ring.Revision(6))
+		t.Errorf("the slot of the unreadable round has revision %d, want 12", tm.rounds.ring.Revision(6))
 	}
 	g.submit(1, arraySpec)
 	start := g.now
@@ -115,16 +116,17 @@
 	}
 	waited := g.now.Sub(start)
 	if minWait := g.core.settings.Params.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.core.settings.Params.Workers); waited < minWait || waited > minWait+10*time.Second {
-		t.Errorf("placed after %v, want a little more than %v", waited, minWait)
+		t.Errorf("first placement after %v, want at least %v and at most 10 s more", waited, minWait)
 	}
 	if next, _ := tm.rounds.ring.Next(); next <= 6+ident.RoundNo(g.core.policy.RingSlots)-1 {
-		t.Errorf("round %d comes after one that can't be read", next)
+		t.Errorf("next round number is %d, which the unreadable round may have used", next)
 	}
 }
 
-// TestStatusWhileEndIsBeingStored: while the end of a job is being stored the leader does not
-// answer polls from memory. Other nodes may have read the record and told "done"
-// before the answer to the write came, and the leader then said "queued".
+// TestStatusWhileEndIsBeingStored checks that the leader does not answer status queries from memory while the final
+// phase of a job is being stored, but has the record read. It guards against contradictory answers: another node
+// could read the stored record and answer "done" before the leader received the result of its write, and the leader
+// then answered "queued".
 func TestStatusWhileEndIsBeingStored(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
@@ -137,11 +139,11 @@
 				return reply
 			}
 		}
-		t.Fatal("no answer")
+		t.Fatal("the leader did not reply to the status query")
 		return JobReply{}
 	}
 	if got := queryStatus(); got.Outcome != api.JobFound || got.Status.State != api.Queued {
-		t.Errorf("before its end: %+v", got)
+		t.Errorf("before the job ended: %+v, want a queued job", got)
 	}
 	for i := range arraySpec.Tasks {
 		j.CompleteTask(g.now, ident.TaskIndex(i))
@@ -159,20 +161,20 @@
 		}
 	}
 	if write == nil {
-		t.Fatal("the end is not stored")
+		t.Fatal("the final phase of the job was not written")
 	}
 	if got := queryStatus(); got.Outcome != api.JobNotFound {
-		t.Errorf("while its end is being stored: %+v, want that the record is read", got)
+		t.Errorf("while the final phase is being stored: %+v, want JobNotFound, so that the record is read", got)
 	}
 	g.core.Step(g.now, TransactionCompleted{Kind: FoldTransaction, Epoch: write.Epoch, Revision: 999})
 	if got := queryStatus(); got.Outcome != api.JobFound || got.Status.State != api.Done {
-		t.Errorf("after it was stored: %+v", got)
+		t.Errorf("after the final phase was stored: %+v, want a job that is done", got)
 	}
 }
 
-// TestGangReplacementOutlivesItsLeader: a successor that replays the rounds of a gang
-// takes the replacement of a lost task for where it is, under the gang's attempt,
-// and not the machine that lost it.
+// TestGangReplacementOutlivesItsLeader checks that a new leader that replays the rounds of a gang restores a replaced
+// task on its new machine, under the attempt of the gang, and no longer on the machine that lost it. The new leader
+// must not replace further tasks of this gang, because it does not know since when the gang has been waiting.
 func TestGangReplacementOutlivesItsLeader(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 3)
@@ -212,16 +214,17 @@
 		t.Errorf("task 1: %+v", p)
 	}
 	if len(tm.fleet.Machine("m2").LivePlacements()) != 0 {
-		t.Error("the machine that lost the task still counts as having it")
+		t.Error("the machine that lost the task still has a placement of it")
 	}
 	if _, ok := tm.replacementAttempt(g.now, j); ok {
-		t.Error("a successor replaces tasks of a gang whose wait it does not know")
+		t.Error("the new leader may replace tasks of a gang although it does not know since when the gang has been waiting")
 	}
 }
 
-// TestPausedLeaderDeprovisionsNothing: a leader that stood still for less than its lease
-// has heard nobody, and must not return a machine that went on reporting. Where
-// most machines had reported just before, the one that had not was returned.
+// TestPausedLeaderDeprovisionsNothing checks that a leader that was paused for less than its lease does not
+// deprovision a machine that kept sending heartbeats, which the leader did not receive during the pause. It guards
+// against a failure in which most machines had reported just before the pause and the one that had not was
+// deprovisioned.
 func TestPausedLeaderDeprovisionsNothing(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 12)
@@ -230,37 +233,37 @@
 	for i := 1; i < 12; i++ {
 		g.sendHeartbeat(i)
 	}
-	silent := g.core.term.fleet.Machine(g.machines[0].Machine)
-	silent.LastContact = g.now.Add(-6 * time.Second) // as far as a healthy one may be
+	machine := g.core.term.fleet.Machine(g.machines[0].Machine)
+	machine.LastContact = g.now.Add(-6 * time.Second) // as long ago as it may be for a healthy machine
 	g.now = g.now.Add(4900 * time.Millisecond)
 	g.step(Tick{})
-	if silent.Deprovisioning {
-		t.Error("a leader that just woke returned a machine that it had not heard")
+	if machine.Deprovisioning {
+		t.Error("the leader deprovisioned a machine whose heartbeats it missed during its pause")
 	}
-	for k := range 200 { // and now it says nothing although the leader is awake
+	for k := range 200 { // The machine now sends no heartbeats while the leader runs.
 		g.now = g.now.Add(50 * time.Millisecond)
 		if k%20 == 0 {
 			for i := 1; i < 12; i++ {
 				g.sendHeartbeat(i)
 			}
 		}
-		silent.LastContact = 1
+		machine.LastContact = 1
 		g.step(Tick{})
 	}
-	if !silent.Deprovisioning {
-		t.Error("a silent machine was kept though the leader had been awake for long")
+	if !machine.Deprovisioning {
+		t.Error("a silent machine was not deprovisioned although the leader had run for 10 s")
 	}
 }
 
-// TestThirdOfMachinesFails: machines that die together are returned, which
-// proves their tasks gone, long before their leases are over, although they are
-// many; not so the machines of a zone that falls silent as a whole.
+// TestThirdOfMachinesFails checks that many machines that fail together are deprovisioned long before their leases
+// expire, which proves early that their tasks have ended. Machines are not deprovisioned if a whole zone, or every
+// machine, stops sending heartbeats, because that may be a network partition.
 func TestThirdOfMachinesFails(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(int) bool{
-		"a third":    func(i int) bool { return i%3 == 0 },
-		"a zone":     func(i int) bool { return i%2 == 0 },
-		"everything": func(int) bool { return true },
+		"third of machines": func(i int) bool { return i%3 == 0 },
+		"whole zone":        func(i int) bool { return i%2 == 0 },
+		"all machines":      func(int) bool { return true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -274,8 +277,8 @@
 					busy = append(busy, m)
 				}
 			}
-			// One of them would have reported a quarter late, so it is the first to
-			// have been silent for too long.
+			// The last heartbeat of one of them is older by a quarter of the heartbeat interval, as if its next one
+			// would have been late. It is the first to exceed the silence timeout.
 			oldest := busy[0]
 			for _, m := range busy {
 				if m.LastContact < oldest.LastContact {
@@ -292,16 +295,17 @@
 					returned++
 				}
 			}
-			if want := map[bool]int{true: len(busy)}[name == "a third"]; returned != want || len(busy) < 7 {
-				t.Errorf("%s: %d of %d dead machines with tasks were returned in 13 s, want %d", name, returned, len(busy), want)
+			if want := map[bool]int{true: len(busy)}[name == "third of machines"]; returned != want || len(busy) < 7 {
+				t.Errorf("%s: %d of %d failed machines with tasks were deprovisioned in 13 s, want %d",
+					name, returned, len(busy), want)
 			}
 		})
 	}
 }
 
-// TestMachinesHeardAgain: as machines that nobody heard come back one after the
-// other, at the end of a cut or by other ways, those that are not there yet are
-// not taken for dead. Half the fleet was returned with all that ran on it.
+// TestMachinesHeardAgain checks that, while silent machines reconnect one after the other, at the end of a network
+// partition or through other nodes, those that have not reconnected yet are not considered dead. It guards against a
+// failure in which half the fleet was deprovisioned together with all its tasks.
 func TestMachinesHeardAgain(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 100)
@@ -321,7 +325,7 @@
 		g.advance(time.Second)
 	}
 	if n := len(g.deprovisioningMachines()) - before; n > 0 {
-		t.Errorf("%d machines were returned as others were found again", n)
+		t.Errorf("%d machines were deprovisioned while others reconnected", n)
 	}
 }
 
@@ -335,21 +339,22 @@
 	return out
 }
 
-// TestUnreadableJobIsSkipped: the record of a job that turns up while this node
-// leads, and can't be read, is counted and left alone. The leader panicked.
+// TestUnreadableJobIsSkipped checks that the record of a job that is stored during the term of this leader, and can't
+// be decoded, is only counted and otherwise ignored. It guards against a panic of the leader.
 func TestUnreadableJobIsSkipped(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
 	item := kvstore.KeyValue{Key: "job/wk-000001", Value: []byte{0xc1}, ModRevision: 9}
 	g.step(JobRecordRead{Job: "wk-000001", OK: true, Item: item})
 	if g.core.term == nil || g.core.term.jobs.len() != 0 {
-		t.Error("taken in, or the term is over")
+		t.Error("the job was added, or the term has ended")
 	}
 }
 
-// TestSpareCapacityForFastStarts: room is kept for a class that must start
-// sooner than any machine that it may use comes up, and for no other. Twelve seconds
-// with machines that take thirty were not enough: lost replicas waited 46 s for one.
+// TestSpareCapacityForFastStarts checks that spare capacity is kept for the classes whose start objective is shorter
+// than the boot time of every machine type that they may use, and for no other class. It guards against a failure in
+// which no capacity was kept for a class with an objective of 12 s and machines that take 30 s to boot: its lost
+// replicas waited 46 s for a machine.
 func TestSpareCapacityForFastStarts(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
@@ -360,7 +365,7 @@
 		spec := serviceSpec
 		spec.Class = class
 		if class == "small" {
-			spec.MachineTypes = []ident.MachineType{"small"} // 40 s, large 15 s
+			spec.MachineTypes = []ident.MachineType{"small"} // boots in 40 s; large boots in 15 s
 		}
 		tm.jobs.typicalSpecs[class] = &spec
 	}
@@ -369,12 +374,12 @@
 		classes = append(classes, s.Class)
 	}
 	if !slices.Equal(classes, []ident.Class{"fast", "small"}) {
-		t.Errorf("room is kept for %v", classes)
+		t.Errorf("spare capacity is kept for classes %v, want fast and small", classes)
 	}
 	for _, typ := range g.core.machineTypes {
-		typ.Zones = nil // the cloud names none: all zones
+		typ.Zones = nil // The cloud lists no zones: the type is available in all of them.
 	}
 	if again := tm.spareSpecs(); len(again) != len(classes) {
-		t.Errorf("room is kept for %d classes where types name no zones, want %d", len(again), len(classes))
+		t.Errorf("spare capacity is kept for %d classes if machine types list no zones, want %d", len(again), len(classes))
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,8 +19,8 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// simulateUpgrade plays a scenario in which the nodes get this version one at a time, with
-// the later limits of the state service some time after the last.
+// simulateUpgrade simulates a rolling upgrade: the nodes are upgraded from the previous version to this one, one at a
+// time, and some time after the last upgrade the state service begins to enforce its announced stricter limits.
 func simulateUpgrade(t *testing.T, seed uint64, injectFaults func(*simulation)) *simulation {
 	s := newSimulation(t, 9000+seed)
 	s.settings.Params.StateService.Next = &config.StateLimits{WriteRPS: 15, MaxValueKB: 2, MaxTxnOps: 4}
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Fields of the records that the production version knows, and the schema of each.
-// It keeps no others when it rewrites a record.
+// Record fields that the release in production knows; previousSchemaVersion is the newest schema version that it
+// knows of each record. It drops all other fields when it rewrites a record.
 var (
 	previousJobFields   = []string{"v", "spec", "at", "ph", "e", "r", "d", "l", "pk", "nx"}
 	previousRoundFields = []string{"v", "no", "e", "lo", "st", "pk", "hi", "re"}
@@ -65,8 +65,8 @@
 
 const previousSchemaVersion = 2
 
-// checkReadableByPreviousVersion checks that all records are such as the production version reads
-// and keeps whole.
+// checkReadableByPreviousVersion checks that the release in production can read all stored job and round records, and
+// drops no field when it rewrites them.
 func (s *simulation) checkReadableByPreviousVersion() {
 	for prefix, fields := range map[string][]string{jobs.KeyPrefix: previousJobFields, roundlog.KeyPrefix: previousRoundFields} {
 		items, _, _ := s.store.List(prefix)
@@ -77,40 +77,40 @@
 			}
 			for field := range stored {
 				if !slices.Contains(fields, field) {
-					s.t.Errorf("%s: the version before does not keep %q", item.Key, field)
+					s.t.Errorf("%s: the previous version drops field %q", item.Key, field)
 				}
 			}
 			if v, ok := stored["v"].(int8); !ok || v > previousSchemaVersion {
-				s.t.Errorf("%s: schema %v", item.Key, stored["v"])
+				s.t.Errorf("%s: schema version %v, want at most %d", item.Key, stored["v"], previousSchemaVersion)
 			}
 		}
 	}
 }
 
-// TestRollingUpgrade: nodes of two versions serve side by side, what only the later can
-// read is stored once all have it and not before, and the lower limits change
-// nothing that a user sees.
+// TestRollingUpgrade checks that nodes of two versions serve side by side, that data which only the newer version can
+// read is stored once all nodes have been upgraded and not before, and that the stricter limits of the state service
+// change nothing that a user sees.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	for name, injectFaults := range map[string]func(*simulation){
-		"quiet": func(*simulation) {},
-		"crashes": func(s *simulation) {
+		"no faults": func(*simulation) {},
+		"leader crashes": func(s *simulation) {
 			s.faultsActive = true
 			s.repeatWhileFaulty(6*sec, 14*sec, func() { s.crashLeader(4 * sec) })
 		},
-		"outage and return of the version before": func(s *simulation) {
+		"store outage and restart of the previous version": func(s *simulation) {
 			s.schedule(22*sec, func() { s.storeOutage(9 * sec) })
 			s.schedule(25*sec, func() {
-				// It ends before its turn, and comes back as it was.
+				// Node 2 crashes before its upgrade and restarts with the previous version.
 				s.crash(s.nodes[2], 200*time.Millisecond)
 			})
 		},
-		"leaders end around the agreement": func(s *simulation) {
+		"leader crashes around the schema agreement": func(s *simulation) {
 			for i := range 10 {
 				s.schedule(32*sec+time.Duration(i)*700*time.Millisecond, func() { s.effectsUntilCrash = 1 + i%4 })
 			}
 		},
-		"a node of the version before returns late": func(s *simulation) {
+		"late downgrade of one node": func(s *simulation) {
 			s.schedule(70*sec, func() {
 				s.onPreviousVersion[2] = true
 				s.crash(s.nodes[2], 200*time.Millisecond)
@@ -118,13 +118,13 @@
 			s.schedule(80*sec, func() { s.crashLeader(sec) })
 			s.schedule(110*sec, func() {
 				if agreement, _ := s.store.Get(schemaversion.Key); agreement.ModRevision == 0 {
-					s.t.Error("the agreement was taken back")
+					s.t.Error("the stored schema agreement was deleted")
 				}
 				delete(s.onPreviousVersion, 2)
 				s.crash(s.nodes[2], 200*time.Millisecond)
 			})
 		},
-		"a node cut off as the limits come": func(s *simulation) {
+		"node isolated while the limits change": func(s *simulation) {
 			s.schedule(33*sec, func() { s.isolated[1] = true })
 			s.schedule(90*sec, func() { delete(s.isolated, 1) })
 		},
@@ -154,22 +154,22 @@
 						})
 					})
 					if tooEarly {
-						t.Error("what the version before can't read was stored while a node had it")
+						t.Error("chunks or the schema agreement were stored before all nodes had been upgraded")
 					}
 					if agreement, _ := s.store.Get(schemaversion.Key); agreement.ModRevision == 0 {
-						t.Error("that all nodes have the version was never stored")
+						t.Error("the schema agreement was never stored")
 					}
 					s.faultsActive = false
 					s.healAndFinish()
-					t.Logf("%d requests met the limits", s.limitViolations)
+					t.Logf("limit violations in the grace period: %d", s.limitViolations)
 				})
 			}
 		})
 	}
 }
 
-// TestOversizedCheckpointDoesNotBlockOthers: a checkpoint that fits no number of parts is
-// counted, and does not keep those behind it from being written.
+// TestOversizedCheckpointDoesNotBlockOthers checks that a checkpoint that is too large for one transaction even when
+// it is split into chunks, and is therefore only counted and deferred, does not block the checkpoints behind it.
 func TestOversizedCheckpointDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
@@ -197,7 +197,7 @@
 	for range 40 {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for g.core.budget.AvailableWrites(g.now, kvstore.PurposeUrgentFold) > 1 {
-			g.core.budget.ForceTakeWrites(g.now, 1) // there is one change for one job
+			g.core.budget.ForceTakeWrites(g.now, 1) // leaves one write, enough for one job
 		}
 		for _, e := range g.core.Step(g.now, Tick{}) {
 			c, ok := e.(CommitTransaction)
@@ -205,10 +205,10 @@
 				continue
 			}
 			if len(c.Txn.Operations) != 1 || c.Txn.Operations[0].SetKey != "job/wk-000002" {
-				t.Fatalf("written: %+v", c.Txn.Operations)
+				t.Fatalf("operations are %+v, want one for job/wk-000002", c.Txn.Operations)
 			}
 			return
 		}
 	}
-	t.Error("the job behind one that is too large was not written")
+	t.Error("the checkpoint behind the oversized one was not written")
 }
--- a/internal/controller/zonerestriction_test.go
+++ b/internal/controller/zonerestriction_test.go
@@ -7,19 +7,19 @@
 	"badgerbay/internal/jobs"
 )
 
-// rescheduleCauses are the ways in which tasks come to be placed anew.
+// rescheduleCauses are the events that cause tasks to be placed again.
 var rescheduleCauses = []struct {
 	name  string
 	begin func(*simulation)
 }{
-	{"machines are lost", func(s *simulation) {
+	{"machine loss", func(s *simulation) {
 		s.repeatWhileFaulty(10*sec, 20*sec, func() {
 			for _, id := range s.randomMachines(0.5) {
 				s.reclaimMachine(id)
 			}
 		})
 	}},
-	{"higher work takes their room", func(s *simulation) {
+	{"preemption", func(s *simulation) {
 		urgent := arraySpec
 		urgent.Class, urgent.Priority, urgent.CPUs = "urgent", jobs.PriorityProd, 4
 		n := 500
@@ -28,11 +28,11 @@
 			s.submit(n, urgent, 6*sec)
 		})
 	}},
-	{"the leader changes", func(s *simulation) {
+	{"leader change", func(s *simulation) {
 		s.repeatWhileFaulty(8*sec, 16*sec, func() { s.crashLeader(3 * sec) })
 		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.reclaimMachine(s.upMachines()[0]) })
 	}},
-	{"old reports arrive", func(s *simulation) {
+	{"stale heartbeats", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.4, 60*sec
 		s.repeatWhileFaulty(12*sec, 20*sec, func() {
 			s.crashLeader(2 * sec)
@@ -43,13 +43,13 @@
 			}
 		})
 	}},
-	{"their zone is cut off", func(s *simulation) {
+	{"allowed zone partitioned", func(s *simulation) {
 		s.repeatWhileFaulty(40*sec, 50*sec, func() {
 			s.partitionedZone = "a"
 			s.schedule(25*sec, s.healPartition)
 		})
 	}},
-	{"the other zone is cut off", func(s *simulation) {
+	{"other zone partitioned", func(s *simulation) {
 		s.repeatWhileFaulty(40*sec, 50*sec, func() {
 			s.partitionedZone = "b"
 			s.schedule(25*sec, s.healPartition)
@@ -57,9 +57,9 @@
 	}},
 }
 
-// TestJobsStayInTheirZone: however their tasks come to be placed anew, jobs that are
-// allowed one zone only never start in another: there they would put data where it
-// may not be. The simulation checks the zone of each start; each path must bring some about.
+// TestJobsStayInTheirZone checks that tasks of jobs that are restricted to one zone never start in another, whatever
+// causes them to be placed again: there they could write data to a place where it must not be stored. The simulation
+// checks the zone of each task start; each cause must bring about at least one.
 func TestJobsStayInTheirZone(t *testing.T) {
 	t.Parallel()
 	for i, cause := range rescheduleCauses {
@@ -79,14 +79,14 @@
 				s.runFor(30 * time.Second)
 				before := s.taskStarts
 				if before == 0 {
-					t.Fatal("nothing runs")
+					t.Fatal("no task has started")
 				}
 				s.faultsActive = true
 				cause.begin(s)
 				s.runFor(120 * time.Second)
 				s.faultsActive = false
 				if s.taskStarts == before {
-					t.Error("nothing was placed anew")
+					t.Error("no task was placed again")
 				}
 				s.healAndFinish()
 			})
