--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// settings are good settings with a change.
-func settings(t *testing.T, change func(map[string]any)) string {
+// settingsJSON are good settingsJSON with a change.
+func settingsJSON(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	var m map[string]any
 	if err := json.Unmarshal([]byte(`{"label":"n0","location":"a","client_listen":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
@@ -28,8 +28,8 @@
 	return string(data)
 }
 
-func TestRead(t *testing.T) {
-	s, err := Read(strings.NewReader(settings(t, func(map[string]any) {})))
+func TestReadParsesValidSettings(t *testing.T) {
+	s, err := Read(strings.NewReader(settingsJSON(t, func(map[string]any) {})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,12 +38,12 @@
 	}
 }
 
-// params sets one field of a section of the parameters.
-func params(section, key string, value any) func(map[string]any) {
+// setParam sets one field of a section of the parameters.
+func setParam(section, key string, value any) func(map[string]any) {
 	return func(m map[string]any) { m["params"].(map[string]any)[section].(map[string]any)[key] = value }
 }
 
-func TestBadSettingsNameTheField(t *testing.T) {
+func TestReadNamesFieldOfInvalidSetting(t *testing.T) {
 	for field, change := range map[string]func(map[string]any){
 		"label":                             func(m map[string]any) { delete(m, "label") },
 		"client_listen":                     func(m map[string]any) { m["client_listen"] = "localhost:80" },
@@ -52,30 +52,30 @@
 		"peers[0].label":                    func(m map[string]any) { m["peers"].([]any)[0].(map[string]any)["label"] = "n0" },
 		"external.state":                    func(m map[string]any) { m["external"] = map[string]any{"cloud": "10.2.0.2:1"} },
 		"params.zones":                      func(m map[string]any) { m["params"].(map[string]any)["zones"] = []any{} },
-		"params.workers.lease_s":            params("workers", "lease_s", 5),
-		"params.workers.report_s":           params("workers", "report_s", 0),
-		"params.state.txn_ops":              params("state", "txn_ops", -1),
-		"params.state.rps":                  params("state", "rps", "many"),
-		"params.machine_limits.cpu":         params("machine_limits", "cpu", 0),
-		"params.cloud.list_lag_s":           params("cloud", "list_lag_s", -1),
+		"params.workers.lease_s":            setParam("workers", "lease_s", 5),
+		"params.workers.report_s":           setParam("workers", "report_s", 0),
+		"params.state.txn_ops":              setParam("state", "txn_ops", -1),
+		"params.state.rps":                  setParam("state", "rps", "many"),
+		"params.machine_limits.cpu":         setParam("machine_limits", "cpu", 0),
+		"params.cloud.list_lag_s":           setParam("cloud", "list_lag_s", -1),
 		"params.teams[0].cpus":              func(m map[string]any) { m["params"].(map[string]any)["teams"].([]any)[0].(map[string]any)["cpus"] = -1 },
-		"params.machine_limits.max_sockets": params("machine_limits", "max_sockets", 19),
-		"params.machine_limits.mem_mb":      params("machine_limits", "mem_mb", 8),
-		"params.workers.gang_wait_s":        params("workers", "gang_wait_s", -3),
-		"params.workers.gang_peer_s":        params("workers", "gang_peer_s", "soon"),
-		"params.state.next.value_kb":        params("state", "next", map[string]any{"write_rps": 15.0, "value_kb": 0.2, "txn_ops": 4}),
-		"params.state.next.txn_ops":         params("state", "next", map[string]any{"write_rps": 15.0, "value_kb": 2.0}),
-		"params.state.next.write_rps":       params("state", "next", map[string]any{"write_rps": -1.0, "value_kb": 2.0, "txn_ops": 4}),
-		"params.state.next":                 params("state", "next", 7),
+		"params.machine_limits.max_sockets": setParam("machine_limits", "max_sockets", 19),
+		"params.machine_limits.mem_mb":      setParam("machine_limits", "mem_mb", 8),
+		"params.workers.gang_wait_s":        setParam("workers", "gang_wait_s", -3),
+		"params.workers.gang_peer_s":        setParam("workers", "gang_peer_s", "soon"),
+		"params.state.next.value_kb":        setParam("state", "next", map[string]any{"write_rps": 15.0, "value_kb": 0.2, "txn_ops": 4}),
+		"params.state.next.txn_ops":         setParam("state", "next", map[string]any{"write_rps": 15.0, "value_kb": 2.0}),
+		"params.state.next.write_rps":       setParam("state", "next", map[string]any{"write_rps": -1.0, "value_kb": 2.0, "txn_ops": 4}),
+		"params.state.next":                 setParam("state", "next", 7),
 		"params.zones[1]":                   func(m map[string]any) { m["params"].(map[string]any)["zones"] = []any{"a", "a"} },
 		"params.clock_error_ms":             func(m map[string]any) { m["params"].(map[string]any)["clock_error_ms"] = -1 },
-		"params.workers.cancel_s":           params("workers", "cancel_s", 27),
-		"params.state.value_kb":             params("state", "value_kb", 1e300),
-		"params.state.write_rps":            params("state", "write_rps", 0),
-		"params.cloud.rps":                  params("cloud", "rps", 1e12),
+		"params.workers.cancel_s":           setParam("workers", "cancel_s", 27),
+		"params.state.value_kb":             setParam("state", "value_kb", 1e300),
+		"params.state.write_rps":            setParam("state", "write_rps", 0),
+		"params.cloud.rps":                  setParam("cloud", "rps", 1e12),
 	} {
 		t.Run(field, func(t *testing.T) {
-			_, err := Read(strings.NewReader(settings(t, change)))
+			_, err := Read(strings.NewReader(settingsJSON(t, change)))
 			var fieldErr *FieldError
 			if !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, strings.TrimPrefix(field, "params.")) {
 				t.Error(err)
@@ -86,24 +86,24 @@
 	}
 }
 
-// TestIncompatibleWorkerTimesAreRefused: times that are good each for itself may leave no
+// TestReadRejectsIncompatibleWorkerTimes: times that are good each for itself may leave no
 // room for what the rules ask.
-func TestIncompatibleWorkerTimesAreRefused(t *testing.T) {
+func TestReadRejectsIncompatibleWorkerTimes(t *testing.T) {
 	for what, workers := range map[string]map[string]any{
 		"room for a lost report": {"report_s": 5.0, "lease_s": 9.0, "cancel_s": 52.0},
 		"room for a takeover":    {"report_s": 1.0, "lease_s": 3.0, "cancel_s": 52.0},
 		"no longer than lease_s": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 8.0},
 	} {
-		_, err := Read(strings.NewReader(settings(t, func(m map[string]any) { m["params"].(map[string]any)["workers"] = workers })))
+		_, err := Read(strings.NewReader(settingsJSON(t, func(m map[string]any) { m["params"].(map[string]any)["workers"] = workers })))
 		if err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%v: %v, want %q", workers, err, what)
 		}
 	}
 }
 
-func TestSocketsOutOfRangeAreRefused(t *testing.T) {
+func TestReadRejectsMaxSocketsOutOfRange(t *testing.T) {
 	for _, sockets := range []any{1e18, -1, 0} {
-		_, err := Read(strings.NewReader(settings(t, params("machine_limits", "max_sockets", sockets))))
+		_, err := Read(strings.NewReader(settingsJSON(t, setParam("machine_limits", "max_sockets", sockets))))
 		var fieldErr *FieldError
 		if !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, "max_sockets") {
 			t.Errorf("%v sockets: %v", sockets, err)
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWhatIsNoObjectIsRefused(t *testing.T) {
+func TestReadRejectsInputThatIsNotAnObject(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", "null"} {
 		if _, err := Read(strings.NewReader(text)); err == nil {
 			t.Errorf("%q was taken", text)
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestStrictestLimits: without state.next the limits are those of now; with it, the
+// TestStrictestReturnsSmallerLimits: without state.next the limits are those of now; with it, the
 // smaller of each.
-func TestStrictestLimits(t *testing.T) {
+func TestStrictestReturnsSmallerLimits(t *testing.T) {
 	now := State{RPS: 150, WriteRPS: 20, MaxValueKB: 8, MaxTxnOps: 8}
 	if now.Strictest() != now {
 		t.Errorf("%+v without later limits", now.Strictest())
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestMaxTxnValues: values of the largest size that go into one transaction stay below
+// TestMaxTxnValuesFitsInTransaction: values of the largest size that go into one transaction stay below
 // what it may hold in all.
-func TestMaxTxnValues(t *testing.T) {
+func TestMaxTxnValuesFitsInTransaction(t *testing.T) {
 	for _, c := range []struct {
 		kb   float64
 		ops  int
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -23,9 +23,9 @@
 	return string(data)
 }
 
-// canonical renders settings as they were understood: every field, and what is worked
+// renderCanonical renders settings as they were understood: every field, and what is worked
 // out from them.
-func canonical(t *testing.T, path string) string {
+func renderCanonical(t *testing.T, path string) string {
 	t.Helper()
 	s, err := config.Load(path)
 	if err != nil {
@@ -42,33 +42,33 @@
 		state.MaxValueBytes(), state.Strictest().MaxValueBytes(), state.MaxTxnValues(), state.Strictest().MaxTxnValues(), s.PeerNames())
 }
 
-// TestGoldenSettings: settings files are understood as earlier versions did, and what
+// TestSettingsMatchGoldenFiles: settings files are understood as earlier versions did, and what
 // they were understood as reads back as the same.
-func TestGoldenSettings(t *testing.T) {
+func TestSettingsMatchGoldenFiles(t *testing.T) {
 	for _, path := range []string{"../../examples/node-0.json", "testdata/golden/full.json"} {
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
 		want := readFile(t, "testdata/golden/"+name+".canonical")
-		got := canonical(t, path)
+		got := renderCanonical(t, path)
 		if got != want {
 			t.Errorf("%s is read as\n%s\nwant\n%s", path, got, want)
 		}
 		text, _, _ := strings.Cut(got, "\nreport interval")
-		again := filepath.Join(t.TempDir(), "settings.json")
-		if err := os.WriteFile(again, []byte(text), 0o600); err != nil {
+		copyPath := filepath.Join(t.TempDir(), "settings.json")
+		if err := os.WriteFile(copyPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if canonical(t, again) != want {
+		if renderCanonical(t, copyPath) != want {
 			t.Errorf("%s does not read back as what it was read as", path)
 		}
 	}
 }
 
-// change sets the value at a path such as params.teams.0.cpus; nil takes it away.
-func change(t *testing.T, doc any, path string, value any) {
+// setAtPath sets the value at a path such as params.teams.0.cpus; nil takes it away.
+func setAtPath(t *testing.T, doc any, path string, value any) {
 	t.Helper()
 	keys := strings.Split(path, ".")
 	for _, key := range keys[:len(keys)-1] {
-		doc = member(t, doc, key)
+		doc = childOf(t, doc, key)
 	}
 	last := keys[len(keys)-1]
 	switch in := doc.(type) {
@@ -79,23 +79,23 @@
 			in[last] = value
 		}
 	case []any:
-		in[index(t, last)] = value
+		in[parseIndex(t, last)] = value
 	}
 }
 
-func member(t *testing.T, doc any, key string) any {
+func childOf(t *testing.T, doc any, key string) any {
 	t.Helper()
 	switch in := doc.(type) {
 	case map[string]any:
 		return in[key]
 	case []any:
-		return in[index(t, key)]
+		return in[parseIndex(t, key)]
 	}
 	t.Fatalf("nothing at %s", key)
 	return nil
 }
 
-func index(t *testing.T, key string) int {
+func parseIndex(t *testing.T, key string) int {
 	t.Helper()
 	i, err := strconv.Atoi(key)
 	if err != nil {
@@ -104,12 +104,12 @@
 	return i
 }
 
-// goPackage is a Go package's name before a type's; where a type is declared is no part
+// packageQualifier is a Go package's name before a type's; where a type is declared is no part
 // of a line.
-var goPackage = regexp.MustCompile(`\b[a-z]+\.([A-Z])`)
+var packageQualifier = regexp.MustCompile(`\b[a-z]+\.([A-Z])`)
 
-// errorLine is what is said of the full settings with one value changed.
-func errorLine(t *testing.T, path, value string) string {
+// readErrorLine is what is said of the full settings with one value changed.
+func readErrorLine(t *testing.T, path, value string) string {
 	t.Helper()
 	var doc, v any
 	if err := json.Unmarshal([]byte(readFile(t, "testdata/golden/full.json")), &doc); err != nil {
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	if path != "" {
-		change(t, doc, path, v)
+		setAtPath(t, doc, path, v)
 	} else {
 		doc = v
 	}
@@ -135,17 +135,17 @@
 	if !errors.As(err, &fe) || !strings.HasPrefix(err.Error(), fe.Field+": ") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%s = %s: %v, want one line that begins with the field", path, value, err)
 	}
-	return goPackage.ReplaceAllString(err.Error(), "$1")
+	return packageQualifier.ReplaceAllString(err.Error(), "$1")
 }
 
-// TestGoldenErrorLines: what is said of bad settings, each line with its field.
-func TestGoldenErrorLines(t *testing.T) {
+// TestErrorsMatchGoldenFile: what is said of bad settings, each line with its field.
+func TestErrorsMatchGoldenFile(t *testing.T) {
 	for line := range strings.Lines(readFile(t, "testdata/golden/errors.txt")) {
 		fields := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 		if len(fields) != 3 {
 			t.Fatalf("%q has %d fields, want 3", line, len(fields))
 		}
-		if got := errorLine(t, fields[0], fields[1]); got != fields[2] {
+		if got := readErrorLine(t, fields[0], fields[1]); got != fields[2] {
 			t.Errorf("%s = %s: %q, want %q", fields[0], fields[1], got, fields[2])
 		}
 	}
--- a/internal/config/stateservice.go
+++ b/internal/config/stateservice.go
@@ -51,7 +51,7 @@
 	if s.Next == nil {
 		return nil
 	}
-	for _, n := range []namedNumber{
+	for _, n := range []numericField{
 		{"write_rps", s.Next.WriteRPS},
 		{"value_kb", s.Next.MaxValueKB},
 		{"txn_ops", float64(s.Next.MaxTxnOps)},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -43,7 +43,7 @@
 	if err := s.Params.validate(); err != nil {
 		return err
 	}
-	return s.validateCapacity()
+	return s.validateMachineLimits()
 }
 
 func (s *Settings) validatePeers() error {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// validateCapacity refuses a machine on which the program could not serve at all.
-func (s *Settings) validateCapacity() error {
+// validateMachineLimits refuses a machine on which the program could not serve at all.
+func (s *Settings) validateMachineLimits() error {
 	limits := s.Params.MachineLimits
 	if needed := minSockets + minSocketsPerPeer*len(s.Peers); limits.MaxSockets < needed {
 		return FieldErrorf("params.machine_limits.max_sockets", "%d are too few to serve with %d peers: at least %d", limits.MaxSockets, len(s.Peers), needed)
@@ -119,7 +119,7 @@
 			return FieldErrorf(field+".name", "%q is missing or used twice", t.Name)
 		}
 		seen[t.Name] = true
-		for _, n := range []namedNumber{
+		for _, n := range []numericField{
 			{"cpus", t.CPUGuarantee},
 			{"cpus_max", t.CPULimit},
 			{"gpus", t.GPUGuarantee},
@@ -155,7 +155,7 @@
 			return err
 		}
 	}
-	for _, n := range []namedNumber{
+	for _, n := range []numericField{
 		{"workers.gang_wait_s", p.Workers.GangWaitSeconds},
 		{"workers.gang_peer_s", p.Workers.GangPeerSeconds},
 		{"cloud.list_lag_s", p.Cloud.ListLagSeconds},
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// namedNumber is a number by the last part of its field.
-type namedNumber struct {
+// numericField is a number by the last part of its field.
+type numericField struct {
 	field string
 	value float64
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -9,7 +9,7 @@
 	"badgerbay/internal/config"
 )
 
-func TestSectionsAreDecoded(t *testing.T) {
+func TestDecodeAppliesDefaults(t *testing.T) {
 	off, err := Decode(map[string]any{"warm_standby": nil})
 	if err != nil || off.WarmStandby != nil {
 		t.Errorf("a section that is null: %+v, %v", off, err)
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestMistakesNameTheField: each mistake is one line that begins with the field.
-func TestMistakesNameTheField(t *testing.T) {
+// TestDecodeNamesFieldOfInvalidSetting: each mistake is one line that begins with the field.
+func TestDecodeNamesFieldOfInvalidSetting(t *testing.T) {
 	for field, sections := range map[string]map[string]any{
 		"cold_standby":             {"cold_standby": map[string]any{}},
 		"warm_standby":             {"warm_standby": true},
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestIncompatibleTimesAreRefused: what keeps to the schema may still not fit together, or
+// TestCheckRejectsIncompatibleSettings: what keeps to the schema may still not fit together, or
 // not fit the deployment.
-func TestIncompatibleTimesAreRefused(t *testing.T) {
+func TestCheckRejectsIncompatibleSettings(t *testing.T) {
 	deployment := config.Params{StateService: config.State{WriteRPS: 20}, MachineLimits: config.Limits{MemoryMB: 98}}
 	slow := deployment
 	slow.StateService.Next = &config.StateLimits{WriteRPS: 8}
@@ -65,11 +65,11 @@
 		{"heartbeat_s", map[string]any{}, slow},
 		{"replica_mb", map[string]any{"replica_mb": 40.0}, deployment},
 	} {
-		set, err := Decode(map[string]any{"warm_standby": c.section})
+		features, err := Decode(map[string]any{"warm_standby": c.section})
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = set.Check(c.params)
+		err = features.Check(c.params)
 		var fieldErr *config.FieldError
 		switch {
 		case c.field == "" && err != nil:
--- a/internal/featuregate/golden_test.go
+++ b/internal/featuregate/golden_test.go
@@ -11,8 +11,8 @@
 	"badgerbay/internal/featuregate"
 )
 
-// goldenRows reads a table of so many columns.
-func goldenRows(t *testing.T, name string, columns int) [][]string {
+// readGoldenRows reads a table of so many columns.
+func readGoldenRows(t *testing.T, name string, columns int) [][]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + name)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return rows
 }
 
-// decodeText decodes sections that are written in JSON.
-func decodeText(t *testing.T, text string) (featuregate.Features, error) {
+// decodeJSON decodes sections that are written in JSON.
+func decodeJSON(t *testing.T, text string) (featuregate.Features, error) {
 	t.Helper()
 	var sections map[string]any
 	if err := json.Unmarshal([]byte(text), &sections); err != nil {
@@ -39,24 +39,24 @@
 	return featuregate.Decode(sections)
 }
 
-// decoded renders what sections enable, or what is wrong with them.
-func decoded(t *testing.T, text string) string {
+// decodeResult renders what sections enable, or what is wrong with them.
+func decodeResult(t *testing.T, text string) string {
 	t.Helper()
-	set, err := decodeText(t, text)
+	features, err := decodeJSON(t, text)
 	if err != nil {
 		return err.Error()
 	}
 	standby := "off"
-	if w := set.WarmStandby; w != nil {
+	if w := features.WarmStandby; w != nil {
 		standby = fmt.Sprintf("heartbeat %v, takeover %v, poll %v, sync %v, replica %v MB", w.HeartbeatInterval, w.HeartbeatTTL, w.PollInterval, w.SyncInterval, w.MaxReplicaMB)
 	}
-	return fmt.Sprintf("warm_standby %s; team_quotas %t", standby, set.TeamQuotas)
+	return fmt.Sprintf("warm_standby %s; team_quotas %t", standby, features.TeamQuotas)
 }
 
-// checked renders what is said of sections under the parameters of a deployment.
-func checked(t *testing.T, sections, params string) string {
+// checkResult renders what is said of sections under the parameters of a deployment.
+func checkResult(t *testing.T, sections, params string) string {
 	t.Helper()
-	set, err := decodeText(t, sections)
+	features, err := decodeJSON(t, sections)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,16 +64,16 @@
 	if err := json.Unmarshal([]byte(params), &p); err != nil {
 		t.Fatal(err)
 	}
-	if err := set.Check(p); err != nil {
+	if err := features.Check(p); err != nil {
 		return err.Error()
 	}
 	return "good"
 }
 
-// TestGoldenSections: what sections enable, and what is said of bad ones.
-func TestGoldenSections(t *testing.T) {
-	for _, row := range goldenRows(t, "decoded.txt", 2) {
-		if got := decoded(t, row[0]); got != row[1] {
+// TestDecodeMatchesGoldenFile: what sections enable, and what is said of bad ones.
+func TestDecodeMatchesGoldenFile(t *testing.T) {
+	for _, row := range readGoldenRows(t, "decoded.txt", 2) {
+		if got := decodeResult(t, row[0]); got != row[1] {
 			t.Errorf("%s: %q, want %q", row[0], got, row[1])
 		}
 	}
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestGoldenChecks: what is said of sections that can't work in a deployment.
-func TestGoldenChecks(t *testing.T) {
-	for _, row := range goldenRows(t, "checked.txt", 3) {
-		if got := checked(t, row[0], row[1]); got != row[2] {
+// TestCheckMatchesGoldenFile: what is said of sections that can't work in a deployment.
+func TestCheckMatchesGoldenFile(t *testing.T) {
+	for _, row := range readGoldenRows(t, "checked.txt", 3) {
+		if got := checkResult(t, row[0], row[1]); got != row[2] {
 			t.Errorf("%s with %s: %q, want %q", row[0], row[1], got, row[2])
 		}
 	}
--- a/internal/featuregate/teamquotas.go
+++ b/internal/featuregate/teamquotas.go
@@ -13,14 +13,14 @@
 		return config.FieldErrorf("params.nodes", "%d holders are more than a team's record can name: at most %d", p.Nodes, quota.MaxHolders)
 	}
 	for i, team := range p.Teams {
-		if err := checkTeam(fmt.Sprintf("params.teams[%d]", i), team); err != nil {
+		if err := checkTeamLimits(fmt.Sprintf("params.teams[%d]", i), team); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkTeam(field string, team config.Team) error {
+func checkTeamLimits(field string, team config.Team) error {
 	if team.CPULimit > 0 && team.CPUGuarantee > team.CPULimit {
 		return config.FieldErrorf(field+".cpus", "a guarantee of %v is beyond the limit of %v", team.CPUGuarantee, team.CPULimit)
 	}
--- a/internal/featuregate/warmstandby.go
+++ b/internal/featuregate/warmstandby.go
@@ -35,8 +35,8 @@
 	// minPollsPerTTL is how often a standby reads the heartbeat within its TTL, at
 	// least.
 	minPollsPerTTL = 3
-	// minMemoryPerReplica is how many times what the replica may hold a node must have.
-	minMemoryPerReplica = 3
+	// minMemoryToReplicaRatio is how many times what the replica may hold a node must have.
+	minMemoryToReplicaRatio = 3
 )
 
 // ReplicaBytes is MaxReplicaMB in bytes.
@@ -45,22 +45,22 @@
 // decodeWarmStandby reads a section that keeps to the schema.
 func decodeWarmStandby(section map[string]any) *WarmStandby {
 	return &WarmStandby{
-		HeartbeatInterval: seconds(section, "heartbeat_s", defaultHeartbeatInterval),
-		HeartbeatTTL:      seconds(section, "takeover_s", defaultHeartbeatTTL),
-		PollInterval:      seconds(section, "poll_s", defaultPollInterval),
-		SyncInterval:      seconds(section, "sync_s", defaultSyncInterval),
-		MaxReplicaMB:      number(section, "replica_mb", defaultMaxReplicaMB),
+		HeartbeatInterval: durationSetting(section, "heartbeat_s", defaultHeartbeatInterval),
+		HeartbeatTTL:      durationSetting(section, "takeover_s", defaultHeartbeatTTL),
+		PollInterval:      durationSetting(section, "poll_s", defaultPollInterval),
+		SyncInterval:      durationSetting(section, "sync_s", defaultSyncInterval),
+		MaxReplicaMB:      numberSetting(section, "replica_mb", defaultMaxReplicaMB),
 	}
 }
 
-func seconds(section map[string]any, name string, fallback time.Duration) time.Duration {
+func durationSetting(section map[string]any, name string, fallback time.Duration) time.Duration {
 	if s, ok := section[name].(float64); ok {
 		return clock.Seconds(s)
 	}
 	return fallback
 }
 
-func number(section map[string]any, name string, fallback float64) float64 {
+func numberSetting(section map[string]any, name string, fallback float64) float64 {
 	if v, ok := section[name].(float64); ok {
 		return v
 	}
@@ -83,7 +83,7 @@
 		return warmStandbyErrorf("heartbeat_s", "%.2f changes a second are more than a tenth of the state service's %v",
 			heartbeatRPS, writeRPS)
 	}
-	if memoryMB := p.MachineLimits.MemoryMB; w.MaxReplicaMB > memoryMB/minMemoryPerReplica {
+	if memoryMB := p.MachineLimits.MemoryMB; w.MaxReplicaMB > memoryMB/minMemoryToReplicaRatio {
 		return warmStandbyErrorf("replica_mb", "%v MB are more than a third of the %v MB that the node has",
 			w.MaxReplicaMB, memoryMB)
 	}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -12,7 +12,7 @@
 	"badgerbay/internal/policy"
 )
 
-func goldenLines(t *testing.T, name string) []string {
+func readGoldenLines(t *testing.T, name string) []string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + name)
 	if err != nil {
@@ -21,9 +21,9 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// settingsOf lists the settings of a script by their Starlark names, and the features
+// renderSettings lists the settings of a script by their Starlark names, and the features
 // that it enables.
-func settingsOf(t *testing.T, script string) []string {
+func renderSettings(t *testing.T, script string) []string {
 	t.Helper()
 	p, err := policy.Parse("site.star", script)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return append(out, fmt.Sprintf("team_quotas %t", p.Features.TeamQuotas))
 }
 
-// siteScript sets every setting anew.
-func siteScript(t *testing.T) string {
+// readSiteScript sets every setting anew.
+func readSiteScript(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/site.star")
 	if err != nil {
@@ -53,33 +53,33 @@
 	return string(data)
 }
 
-// parsed is what is said of a script.
-func parsed(script string) string {
+// parseResult is what is said of a script.
+func parseResult(script string) string {
 	if _, err := policy.Parse("site.star", script); err != nil {
 		return err.Error()
 	}
 	return "good"
 }
 
-// TestGoldenSettings: scripts are understood as earlier versions did.
-func TestGoldenSettings(t *testing.T) {
-	for name, script := range map[string]string{"default.txt": "", "site.txt": siteScript(t)} {
-		got, want := settingsOf(t, script), goldenLines(t, name)
+// TestSettingsMatchGoldenFiles: scripts are understood as earlier versions did.
+func TestSettingsMatchGoldenFiles(t *testing.T) {
+	for name, script := range map[string]string{"default.txt": "", "site.txt": readSiteScript(t)} {
+		got, want := renderSettings(t, script), readGoldenLines(t, name)
 		if !slices.Equal(got, want) {
 			t.Errorf("%s: settings are\n%s\nwant\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
 		}
 	}
 }
 
-// TestGoldenErrorLines: what is said of bad scripts, each line with its setting.
-func TestGoldenErrorLines(t *testing.T) {
-	for _, line := range goldenLines(t, "errors.txt") {
+// TestErrorsMatchGoldenFile: what is said of bad scripts, each line with its setting.
+func TestErrorsMatchGoldenFile(t *testing.T) {
+	for _, line := range readGoldenLines(t, "errors.txt") {
 		quoted, want, ok := strings.Cut(line, "\t")
 		script, err := strconv.Unquote(quoted)
 		if !ok || err != nil {
 			t.Fatalf("%q is no script and line: %v", line, err)
 		}
-		got := parsed(script)
+		got := parseResult(script)
 		if got != want {
 			t.Errorf("%s: %q, want %q", quoted, got, want)
 		}
--- a/internal/policy/json.go
+++ b/internal/policy/json.go
@@ -11,9 +11,9 @@
 const maxSectionDepth = 8
 
 // jsonValue turns what a script evaluates to into the JSON value of the same shape.
-func jsonValue(v starlark.Value) (any, error) { return jsonNested(v, 0) }
+func jsonValue(v starlark.Value) (any, error) { return jsonValueAtDepth(v, 0) }
 
-func jsonNested(v starlark.Value, depth int) (any, error) {
+func jsonValueAtDepth(v starlark.Value, depth int) (any, error) {
 	if depth > maxSectionDepth {
 		return nil, fmt.Errorf("is nested more than %d deep", maxSectionDepth)
 	}
@@ -41,7 +41,7 @@
 func jsonList(list *starlark.List, depth int) (any, error) {
 	out := make([]any, 0, list.Len())
 	for i := range list.Len() {
-		element, err := jsonNested(list.Index(i), depth+1)
+		element, err := jsonValueAtDepth(list.Index(i), depth+1)
 		if err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 		if !ok {
 			return nil, fmt.Errorf("%v is not the name of a setting", item[0])
 		}
-		element, err := jsonNested(item[1], depth+1)
+		element, err := jsonValueAtDepth(item[1], depth+1)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		if !known {
-			return fieldErrorf(key, "is not a setting; known are %v", knownNames())
+			return fieldErrorf(key, "is not a setting; known are %v", settingNames())
 		}
 		if err := s.set(p, value); err != nil {
 			return err
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,11 +14,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	def, err := Default()
+	defaults, err := Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.IdleTimeout != 30*time.Second || p.PreferSpot || p.EpochAdvanceInterval != 2*time.Minute || p.LeaseTTL != def.LeaseTTL {
+	if p.IdleTimeout != 30*time.Second || p.PreferSpot || p.EpochAdvanceInterval != 2*time.Minute || p.LeaseTTL != defaults.LeaseTTL {
 		t.Errorf("%+v", p)
 	}
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBadScriptsNameTheField(t *testing.T) {
+func TestParseNamesFieldOfInvalidSetting(t *testing.T) {
 	for script, field := range map[string]string{
 		"idle_return_s = 'long'":           "policy.idle_return_s",
 		"idle_return_s = -1":               "policy.idle_return_s",
--- a/internal/policy/setting.go
+++ b/internal/policy/setting.go
@@ -31,13 +31,13 @@
 		if !ok {
 			continue
 		}
-		out[name] = setting{name: name, field: field, min: bound(tag, "min"), max: bound(tag, "max")}
+		out[name] = setting{name: name, field: field, min: parseBound(tag, "min"), max: parseBound(tag, "max")}
 	}
 	return out
 })
 
-// bound reads a bound from the tags of a setting; 0: it has none.
-func bound(tag reflect.StructTag, key string) float64 {
+// parseBound reads a parseBound from the tags of a setting; 0: it has none.
+func parseBound(tag reflect.StructTag, key string) float64 {
 	text, ok := tag.Lookup(key)
 	if !ok {
 		return 0
@@ -49,8 +49,8 @@
 	return v
 }
 
-// knownNames lists what a script may set.
-func knownNames() []string {
+// settingNames lists what a script may set.
+func settingNames() []string {
 	names := slices.AppendSeq(slices.Clone(featuregate.SectionNames()), maps.Keys(settings()))
 	slices.Sort(names)
 	return names
@@ -67,7 +67,7 @@
 		field.SetBool(bool(b))
 		return nil
 	}
-	number, err := s.number(value)
+	number, err := s.boundedNumber(value)
 	if err != nil {
 		return err
 	}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// number checks that a value is a number within the bounds.
-func (s setting) number(value starlark.Value) (float64, error) {
+// boundedNumber checks that a value is a boundedNumber within the bounds.
+func (s setting) boundedNumber(value starlark.Value) (float64, error) {
 	number, ok := starlark.AsFloat(value)
 	if _, isBool := value.(starlark.Bool); !ok || isBool {
 		return 0, fieldErrorf(s.name, "must be a number, not %s", value.Type())
