--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
-// Package config reads the settings file that the platform hands to every controller
-// node, and checks it, so that a mistake is named by its field before anything starts.
-// It owns the file's form and what is worked out from it alone. The operators' own
-// settings are those of package policy, which says what is wrong by the same FieldError.
+// Package config reads and validates the settings file that the platform passes to every
+// controller node, so that an invalid value is reported with its field name before the node
+// starts. The package owns the file format and all values that are derived from the file
+// alone. The operators' own settings belong to package policy, which reports invalid values
+// with the same FieldError type.
 package config
 
 import (
@@ -11,15 +12,15 @@
 	"os"
 )
 
-// maxFileBytes bounds the settings file.
+// maxFileBytes is the maximum size of the settings file.
 const maxFileBytes = 4 << 20
 
-// Settings are the settings of one controller node.
+// Settings holds the settings of one controller node.
 type Settings struct {
 	NodeName     string   `json:"label"`
 	Zone         string   `json:"location"`
-	ClientListen string   `json:"client_listen"` // address for users and workers
-	PeerListen   string   `json:"mesh_addr"`     // address for other nodes
+	ClientListen string   `json:"client_listen"` // listen address for users and workers
+	PeerListen   string   `json:"mesh_addr"`     // listen address for other controller nodes
 	Peers        []Peer   `json:"peers"`
 	External     External `json:"external"`
 	Params       Params   `json:"params"`
@@ -32,13 +33,13 @@
 	Addr     string `json:"peer_addr"`
 }
 
-// External holds the addresses of the regional services.
+// External holds the addresses of the regional services that the node depends on.
 type External struct {
 	Cloud        string `json:"cloud"`
 	StateService string `json:"state"`
 }
 
-// PeerNames lists the names of the other nodes.
+// PeerNames returns the names of the other controller nodes.
 func (s *Settings) PeerNames() []string {
 	names := make([]string, 0, len(s.Peers))
 	for _, p := range s.Peers {
@@ -47,7 +48,7 @@
 	return names
 }
 
-// Load reads and checks the settings file at path. An error is a FieldError.
+// Load reads and validates the settings file at path. Every error is a *FieldError.
 func Load(path string) (*Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -57,7 +58,8 @@
 	return Read(f)
 }
 
-// Read reads and checks settings. Unknown fields are ignored. An error is a FieldError.
+// Read reads and validates settings in JSON. Unknown fields are ignored. Every error is a
+// *FieldError.
 func Read(r io.Reader) (*Settings, error) {
 	data, err := io.ReadAll(io.LimitReader(r, maxFileBytes+1))
 	if err != nil {
@@ -76,8 +78,8 @@
 	return s, nil
 }
 
-// jsonFieldError names the field whose value is of another type, if that is what is
-// wrong.
+// jsonFieldError converts a decoding error to a FieldError. The FieldError names the field
+// whose value has the wrong JSON type, or "config" if the error has another cause.
 func jsonFieldError(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// settingsJSON are good settingsJSON with a change.
+// settingsJSON returns valid settings in JSON, after change has modified them.
 func settingsJSON(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	var m map[string]any
@@ -38,11 +38,14 @@
 	}
 }
 
-// setParam sets one field of a section of the parameters.
+// setParam returns a change for settingsJSON that sets one field of a section of the
+// parameters.
 func setParam(section, key string, value any) func(map[string]any) {
 	return func(m map[string]any) { m["params"].(map[string]any)[section].(map[string]any)[key] = value }
 }
 
+// TestReadNamesFieldOfInvalidSetting checks that each invalid setting is reported on one line
+// that names its field, so that operators can find it.
 func TestReadNamesFieldOfInvalidSetting(t *testing.T) {
 	for field, change := range map[string]func(map[string]any){
 		"label":                             func(m map[string]any) { delete(m, "label") },
@@ -86,17 +89,17 @@
 	}
 }
 
-// TestReadRejectsIncompatibleWorkerTimes: times that are good each for itself may leave no
-// room for what the rules ask.
+// TestReadRejectsIncompatibleWorkerTimes checks that worker times are rejected which are each
+// valid but together leave no time for a lost heartbeat, a failover or a cancellation.
 func TestReadRejectsIncompatibleWorkerTimes(t *testing.T) {
-	for what, workers := range map[string]map[string]any{
+	for wantMessage, workers := range map[string]map[string]any{
 		"room for a lost report": {"report_s": 5.0, "lease_s": 9.0, "cancel_s": 52.0},
-		"room for a takeover":    {"report_s": 1.0, "lease_s": 3.0, "cancel_s": 52.0},
+		"time for a failover":    {"report_s": 1.0, "lease_s": 3.0, "cancel_s": 52.0},
 		"no longer than lease_s": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 8.0},
 	} {
 		_, err := Read(strings.NewReader(settingsJSON(t, func(m map[string]any) { m["params"].(map[string]any)["workers"] = workers })))
-		if err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%v: %v, want %q", workers, err, what)
+		if err == nil || !strings.Contains(err.Error(), wantMessage) {
+			t.Errorf("%v: %v, want %q", workers, err, wantMessage)
 		}
 	}
 }
@@ -114,27 +117,27 @@
 func TestReadRejectsInputThatIsNotAnObject(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", "null"} {
 		if _, err := Read(strings.NewReader(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-// TestStrictestReturnsSmallerLimits: without state.next the limits are those of now; with it, the
-// smaller of each.
+// TestStrictestReturnsSmallerLimits checks that Strictest returns the current limits without
+// state.next, and the smaller of each pair with it.
 func TestStrictestReturnsSmallerLimits(t *testing.T) {
-	now := State{RPS: 150, WriteRPS: 20, MaxValueKB: 8, MaxTxnOps: 8}
-	if now.Strictest() != now {
-		t.Errorf("%+v without later limits", now.Strictest())
+	current := State{RPS: 150, WriteRPS: 20, MaxValueKB: 8, MaxTxnOps: 8}
+	if current.Strictest() != current {
+		t.Errorf("%+v without announced limits, want the current ones", current.Strictest())
 	}
-	later := now
-	later.Next = &StateLimits{WriteRPS: 30, MaxValueKB: 2, MaxTxnOps: 4}
-	if got := later.Strictest(); got.WriteRPS != 20 || got.MaxValueKB != 2 || got.MaxTxnOps != 4 || got.RPS != 150 {
-		t.Errorf("%+v, want the smaller of each", got)
+	announced := current
+	announced.Next = &StateLimits{WriteRPS: 30, MaxValueKB: 2, MaxTxnOps: 4}
+	if got := announced.Strictest(); got.WriteRPS != 20 || got.MaxValueKB != 2 || got.MaxTxnOps != 4 || got.RPS != 150 {
+		t.Errorf("%+v, want the smaller of each pair", got)
 	}
 }
 
-// TestMaxTxnValuesFitsInTransaction: values of the largest size that go into one transaction stay below
-// what it may hold in all.
+// TestMaxTxnValuesFitsInTransaction checks that the values of the largest size that go into
+// one transaction do not exceed the transaction's total size.
 func TestMaxTxnValuesFitsInTransaction(t *testing.T) {
 	for _, c := range []struct {
 		kb   float64
@@ -142,7 +145,7 @@
 		want int
 	}{{2, 4, 4}, {8, 8, 7}, {16, 16, 3}, {64, 8, 1}} {
 		if n := (State{MaxValueKB: c.kb, MaxTxnOps: c.ops}).MaxTxnValues(); n != c.want {
-			t.Errorf("%v KiB, %d changes: %d values, want %d", c.kb, c.ops, n, c.want)
+			t.Errorf("values of %v KiB, %d operations: %d values in a transaction, want %d", c.kb, c.ops, n, c.want)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -23,8 +23,8 @@
 	return string(data)
 }
 
-// renderCanonical renders settings as they were understood: every field, and what is worked
-// out from them.
+// renderCanonical returns the settings in the file at path as text: every field as it was
+// parsed, and the values that are derived from the fields.
 func renderCanonical(t *testing.T, path string) string {
 	t.Helper()
 	s, err := config.Load(path)
@@ -42,15 +42,15 @@
 		state.MaxValueBytes(), state.Strictest().MaxValueBytes(), state.MaxTxnValues(), state.Strictest().MaxTxnValues(), s.PeerNames())
 }
 
-// TestSettingsMatchGoldenFiles: settings files are understood as earlier versions did, and what
-// they were understood as reads back as the same.
+// TestSettingsMatchGoldenFiles checks that settings files are parsed as in earlier versions,
+// and that the parsed settings, written to a file, are parsed to the same values again.
 func TestSettingsMatchGoldenFiles(t *testing.T) {
 	for _, path := range []string{"../../examples/node-0.json", "testdata/golden/full.json"} {
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
 		want := readFile(t, "testdata/golden/"+name+".canonical")
 		got := renderCanonical(t, path)
 		if got != want {
-			t.Errorf("%s is read as\n%s\nwant\n%s", path, got, want)
+			t.Errorf("%s is parsed as\n%s\nwant\n%s", path, got, want)
 		}
 		text, _, _ := strings.Cut(got, "\nreport interval")
 		copyPath := filepath.Join(t.TempDir(), "settings.json")
@@ -58,12 +58,13 @@
 			t.Fatal(err)
 		}
 		if renderCanonical(t, copyPath) != want {
-			t.Errorf("%s does not read back as what it was read as", path)
+			t.Errorf("%s: the parsed settings, written to a file, are parsed to other values", path)
 		}
 	}
 }
 
-// setAtPath sets the value at a path such as params.teams.0.cpus; nil takes it away.
+// setAtPath sets the value at a path such as params.teams.0.cpus. For a key of an object, nil
+// removes the key.
 func setAtPath(t *testing.T, doc any, path string, value any) {
 	t.Helper()
 	keys := strings.Split(path, ".")
@@ -91,7 +92,7 @@
 	case []any:
 		return in[parseIndex(t, key)]
 	}
-	t.Fatalf("nothing at %s", key)
+	t.Fatalf("the parent of %s is neither an object nor an array", key)
 	return nil
 }
 
@@ -104,11 +105,12 @@
 	return i
 }
 
-// packageQualifier is a Go package's name before a type's; where a type is declared is no part
-// of a line.
+// packageQualifier matches the name of a Go package before a type name. It is removed from
+// error messages, because the golden file does not depend on the package of a type.
 var packageQualifier = regexp.MustCompile(`\b[a-z]+\.([A-Z])`)
 
-// readErrorLine is what is said of the full settings with one value changed.
+// readErrorLine returns the error message for the full settings after the value at path was
+// replaced, or "good" if they are valid. An empty path replaces the whole document.
 func readErrorLine(t *testing.T, path, value string) string {
 	t.Helper()
 	var doc, v any
@@ -138,7 +140,8 @@
 	return packageQualifier.ReplaceAllString(err.Error(), "$1")
 }
 
-// TestErrorsMatchGoldenFile: what is said of bad settings, each line with its field.
+// TestErrorsMatchGoldenFile checks the error message for each invalid setting, and that the
+// message is one line that begins with the field.
 func TestErrorsMatchGoldenFile(t *testing.T) {
 	for line := range strings.Lines(readFile(t, "testdata/golden/errors.txt")) {
 		fields := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
--- a/internal/config/stateservice.go
+++ b/internal/config/stateservice.go
@@ -2,16 +2,16 @@
 
 // State holds the limits of the state service.
 type State struct {
-	RPS        float64 `json:"rps"`       // requests a second
-	WriteRPS   float64 `json:"write_rps"` // changes a second, at most
-	MaxValueKB float64 `json:"value_kb"`  // of one value, in KiB
-	MaxTxnOps  int     `json:"txn_ops"`   // operations of one transaction
-	// Next holds the limits that it will have from some moment on, once all nodes have
-	// the version that knows them; nil: they stay.
+	RPS        float64 `json:"rps"`       // maximum number of requests per second
+	WriteRPS   float64 `json:"write_rps"` // maximum number of changes per second
+	MaxValueKB float64 `json:"value_kb"`  // maximum size of one value, in KiB
+	MaxTxnOps  int     `json:"txn_ops"`   // maximum number of operations in one transaction
+	// Next holds announced limits. They come into force at an unspecified time after all
+	// nodes run a version that supports them. Nil means that the limits stay as they are.
 	Next *StateLimits `json:"next"`
 }
 
-// StateLimits are limits of the state service that change.
+// StateLimits holds the limits of the state service that an announcement can change.
 type StateLimits struct {
 	WriteRPS   float64 `json:"write_rps"`
 	MaxValueKB float64 `json:"value_kb"`
@@ -20,15 +20,16 @@
 
 const (
 	kibibyte = 1 << 10
-	// maxTxnBytes is how much a transaction of the state service may hold in all, and
-	// txnOverheadBytes what of that is left to its conditions and keys.
+	// maxTxnBytes is the maximum total size of a transaction of the state service.
+	// txnOverheadBytes is the part of it that is reserved for conditions and keys.
 	maxTxnBytes      = 64 * kibibyte
 	txnOverheadBytes = 4 * kibibyte
-	// minValueKB holds the record of any job, with a chunk of its tasks.
+	// minValueKB is a value size that fits the record of any job and one chunk of its tasks.
 	minValueKB = 1
 )
 
-// Strictest returns the limits that hold now and later: the smaller of each.
+// Strictest returns limits that comply with both the current and the announced limits: the
+// smaller of each pair.
 func (s State) Strictest() State {
 	if next := s.Next; next != nil {
 		s.WriteRPS = min(s.WriteRPS, next.WriteRPS)
@@ -38,15 +39,16 @@
 	return s
 }
 
-// MaxValueBytes is the largest value the state service takes.
+// MaxValueBytes returns the size of the largest value that the state service accepts.
 func (s State) MaxValueBytes() int { return int(s.MaxValueKB * kibibyte) }
 
-// MaxTxnValues is how many values of the largest size one transaction holds.
+// MaxTxnValues returns how many values of the largest size fit in one transaction; it
+// returns at least 1.
 func (s State) MaxTxnValues() int {
 	return max(1, min(s.MaxTxnOps, (maxTxnBytes-txnOverheadBytes)/max(1, s.MaxValueBytes())))
 }
 
-// validateNext checks the limits to come.
+// validateNext validates the announced limits.
 func (s State) validateNext() error {
 	if s.Next == nil {
 		return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxNumber bounds every number of the settings: what is larger can't be meant, and
-	// sizes made from it would overflow.
+	// maxNumber bounds every number in the settings: a larger number is a mistake, and
+	// sizes that are computed from it would overflow.
 	maxNumber = 1e9
-	// maxSockets, maxValueKB and maxTxnOps bound what memory is set aside by.
+	// maxSockets, maxValueKB and maxTxnOps bound the settings that determine how much
+	// memory is allocated.
 	maxSockets = 1 << 20
 	maxValueKB = 1 << 20
 	maxTxnOps  = 1 << 20
-	// minSockets serve the state service, the cloud and a few workers and users; each
-	// peer takes some more.
+	// minSockets is enough for connections to the state service, the cloud and a few
+	// workers and users; each peer requires minSocketsPerPeer more.
 	minSockets        = 16
 	minSocketsPerPeer = 4
-	// minMemoryMB holds the program with nothing to do.
+	// minMemoryMB is enough for the program while it is idle.
 	minMemoryMB = 16
 )
 
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// validateMachineLimits refuses a machine on which the program could not serve at all.
+// validateMachineLimits rejects a machine that is too small for the program to serve any
+// request.
 func (s *Settings) validateMachineLimits() error {
 	limits := s.Params.MachineLimits
 	if needed := minSockets + minSocketsPerPeer*len(s.Peers); limits.MaxSockets < needed {
@@ -168,13 +170,14 @@
 	return nil
 }
 
-// numericField is a number by the last part of its field.
+// numericField is the value of a numeric setting, with the last part of the setting's
+// field name.
 type numericField struct {
 	field string
 	value float64
 }
 
-// requirePositive refuses what is not a number above 0 and up to limit.
+// requirePositive returns a FieldError unless value is above 0 and at most limit.
 func requirePositive(field string, value, limit float64) error {
 	if !(value > 0) || value > limit {
 		return FieldErrorf(field, "%v is not a number above 0 and up to %v", value, limit)
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// requireNonNegative refuses what is not a number from 0 to maxNumber.
+// requireNonNegative returns a FieldError unless value is from 0 to maxNumber.
 func requireNonNegative(field string, value float64) error {
 	if !(value >= 0) || value > maxNumber {
 		return FieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,7 +1,7 @@
-// Package featuregate holds the features that operators enable in their script, a
-// section for each. It owns the sections' JSON Schema, defaults and checks, so that a
-// mistake is named by its field before anything starts. Evaluating the script is left to
-// package policy, and what a feature does to the packages that have it.
+// Package featuregate holds the features that operators enable in their script, which has
+// one section per feature. The package owns the JSON Schema, the defaults and the validation
+// of the sections, so that an invalid value is reported with its field name before the node
+// starts. Package policy evaluates the script; other packages implement the features.
 package featuregate
 
 import (
@@ -11,18 +11,18 @@
 	"badgerbay/internal/config"
 )
 
-// Features are the features of one node. The zero value enables none.
+// Features holds the features that are enabled on one node. The zero value enables none.
 type Features struct {
-	WarmStandby *WarmStandby // nil: off
+	WarmStandby *WarmStandby // nil: disabled
 	TeamQuotas  bool
 }
 
-// SectionNames lists the sections that exist.
+// SectionNames returns the names of all sections that a script may set, sorted.
 func SectionNames() []string { return slices.Sorted(maps.Keys(compiledSchema().Properties)) }
 
-// Decode checks the sections, given as JSON values by their names, and returns the
-// features that they enable. A section that is null is off. An error is a
-// config.FieldError, whose field begins with the section.
+// Decode validates the sections, which are JSON values keyed by section name, and returns the
+// features that they enable. A null section leaves its feature disabled. Every error is a
+// *config.FieldError whose field begins with the section name.
 func Decode(sections map[string]any) (Features, error) {
 	enabled := make(map[string]any, len(sections))
 	for name, section := range sections {
@@ -41,8 +41,8 @@
 	return f, nil
 }
 
-// Check tells whether the features can work with the parameters of the deployment. An
-// error is a config.FieldError.
+// Check returns an error if the enabled features can't work with the parameters of the
+// deployment. The error is a *config.FieldError.
 func (f Features) Check(p config.Params) error {
 	if f.TeamQuotas {
 		if err := checkTeamQuotas(p); err != nil {
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -9,6 +9,8 @@
 	"badgerbay/internal/config"
 )
 
+// TestDecodeAppliesDefaults checks that a null section leaves its feature disabled, and that
+// omitted settings of a section get their defaults.
 func TestDecodeAppliesDefaults(t *testing.T) {
 	off, err := Decode(map[string]any{"warm_standby": nil})
 	if err != nil || off.WarmStandby != nil {
@@ -24,7 +26,8 @@
 	}
 }
 
-// TestDecodeNamesFieldOfInvalidSetting: each mistake is one line that begins with the field.
+// TestDecodeNamesFieldOfInvalidSetting checks that each invalid setting is reported on one
+// line that begins with its field.
 func TestDecodeNamesFieldOfInvalidSetting(t *testing.T) {
 	for field, sections := range map[string]map[string]any{
 		"cold_standby":             {"cold_standby": map[string]any{}},
@@ -46,12 +49,12 @@
 	}
 }
 
-// TestCheckRejectsIncompatibleSettings: what keeps to the schema may still not fit together, or
-// not fit the deployment.
+// TestCheckRejectsIncompatibleSettings checks that settings are rejected which conform to the
+// schema but are incompatible with one another or with the deployment.
 func TestCheckRejectsIncompatibleSettings(t *testing.T) {
 	deployment := config.Params{StateService: config.State{WriteRPS: 20}, MachineLimits: config.Limits{MemoryMB: 98}}
-	slow := deployment
-	slow.StateService.Next = &config.StateLimits{WriteRPS: 8}
+	slowStore := deployment
+	slowStore.StateService.Next = &config.StateLimits{WriteRPS: 8}
 	for _, c := range []struct {
 		field   string
 		section map[string]any
@@ -62,7 +65,7 @@
 		{"takeover_s", map[string]any{"heartbeat_s": 2.0}, deployment},
 		{"poll_s", map[string]any{"poll_s": 1.0}, deployment},
 		{"heartbeat_s", map[string]any{"heartbeat_s": 0.4}, deployment},
-		{"heartbeat_s", map[string]any{}, slow},
+		{"heartbeat_s", map[string]any{}, slowStore},
 		{"replica_mb", map[string]any{"replica_mb": 40.0}, deployment},
 	} {
 		features, err := Decode(map[string]any{"warm_standby": c.section})
@@ -73,9 +76,9 @@
 		var fieldErr *config.FieldError
 		switch {
 		case c.field == "" && err != nil:
-			t.Errorf("the defaults are refused: %v", err)
+			t.Errorf("the defaults are rejected: %v", err)
 		case c.field != "" && (!errors.As(err, &fieldErr) || fieldErr.Field != "policy.warm_standby."+c.field):
-			t.Errorf("%v: %v, want %s named", c.section, err, c.field)
+			t.Errorf("%v: %v, want an error that names %s", c.section, err, c.field)
 		}
 	}
 }
--- a/internal/featuregate/golden_test.go
+++ b/internal/featuregate/golden_test.go
@@ -11,7 +11,7 @@
 	"badgerbay/internal/featuregate"
 )
 
-// readGoldenRows reads a table of so many columns.
+// readGoldenRows returns the rows of a golden file with tab-separated columns.
 func readGoldenRows(t *testing.T, name string, columns int) [][]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + name)
@@ -29,7 +29,7 @@
 	return rows
 }
 
-// decodeJSON decodes sections that are written in JSON.
+// decodeJSON decodes the sections in a JSON text.
 func decodeJSON(t *testing.T, text string) (featuregate.Features, error) {
 	t.Helper()
 	var sections map[string]any
@@ -39,7 +39,8 @@
 	return featuregate.Decode(sections)
 }
 
-// decodeResult renders what sections enable, or what is wrong with them.
+// decodeResult returns the features that the sections enable as text, or the error message if
+// the sections are invalid.
 func decodeResult(t *testing.T, text string) string {
 	t.Helper()
 	features, err := decodeJSON(t, text)
@@ -53,7 +54,8 @@
 	return fmt.Sprintf("warm_standby %s; team_quotas %t", standby, features.TeamQuotas)
 }
 
-// checkResult renders what is said of sections under the parameters of a deployment.
+// checkResult returns the error message of Check for the sections and the parameters of a
+// deployment, or "good" if there is no error.
 func checkResult(t *testing.T, sections, params string) string {
 	t.Helper()
 	features, err := decodeJSON(t, sections)
@@ -70,7 +72,8 @@
 	return "good"
 }
 
-// TestDecodeMatchesGoldenFile: what sections enable, and what is said of bad ones.
+// TestDecodeMatchesGoldenFile checks which features sections enable, and the error messages
+// for invalid sections.
 func TestDecodeMatchesGoldenFile(t *testing.T) {
 	for _, row := range readGoldenRows(t, "decoded.txt", 2) {
 		if got := decodeResult(t, row[0]); got != row[1] {
@@ -82,7 +85,8 @@
 	}
 }
 
-// TestCheckMatchesGoldenFile: what is said of sections that can't work in a deployment.
+// TestCheckMatchesGoldenFile checks the error messages for sections that can't work in a
+// deployment.
 func TestCheckMatchesGoldenFile(t *testing.T) {
 	for _, row := range readGoldenRows(t, "checked.txt", 3) {
 		if got := checkResult(t, row[0], row[1]); got != row[2] {
--- a/internal/featuregate/schema.go
+++ b/internal/featuregate/schema.go
@@ -22,7 +22,8 @@
 
 const schemaURL = "features.schema.json"
 
-// compiledSchema compiles the schema once. Its properties are the sections.
+// compiledSchema returns the schema, which is compiled on the first call. The properties of
+// the schema are the sections.
 var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
@@ -35,7 +36,7 @@
 	return c.MustCompile(schemaURL)
 })
 
-// firstFieldError names the first field that does not keep to the schema.
+// firstFieldError returns a FieldError for the first field that violates the schema.
 func firstFieldError(err error) error {
 	var violation *jsonschema.ValidationError
 	if !errors.As(err, &violation) {
--- a/internal/featuregate/teamquotas.go
+++ b/internal/featuregate/teamquotas.go
@@ -7,7 +7,8 @@
 	"badgerbay/internal/quota"
 )
 
-// checkTeamQuotas refuses limits that can't be allocated to holders.
+// checkTeamQuotas returns an error if the teams' limits can't be allocated to quota holders.
+// Every node counts as a holder.
 func checkTeamQuotas(p config.Params) error {
 	if p.Nodes > quota.MaxHolders {
 		return config.FieldErrorf("params.nodes", "%d holders are more than a team's record can name: at most %d", p.Nodes, quota.MaxHolders)
--- a/internal/featuregate/warmstandby.go
+++ b/internal/featuregate/warmstandby.go
@@ -9,16 +9,16 @@
 	"badgerbay/internal/kvstore"
 )
 
-// WarmStandby are the settings of the warm standby.
+// WarmStandby holds the settings of the warm standby.
 type WarmStandby struct {
-	HeartbeatInterval time.Duration // between two heartbeats of the leader
-	HeartbeatTTL      time.Duration // a leader acts for so long after a heartbeat, at most
-	PollInterval      time.Duration // between two reads of the heartbeat
-	SyncInterval      time.Duration // between two reads of the changes of the records
-	MaxReplicaMB      float64       // what the replica may hold, in MiB
+	HeartbeatInterval time.Duration // time between two heartbeats of the leader
+	HeartbeatTTL      time.Duration // maximum time for which a leader acts after a heartbeat
+	PollInterval      time.Duration // time between two reads of the heartbeat
+	SyncInterval      time.Duration // time between two reads of the changed records
+	MaxReplicaMB      float64       // maximum size of the replica, in MiB
 }
 
-// Defaults of the warm standby, for what a section leaves out.
+// Defaults for the settings that a section of the warm standby omits.
 const (
 	defaultHeartbeatInterval = 800 * time.Millisecond
 	defaultHeartbeatTTL      = 2600 * time.Millisecond
@@ -29,20 +29,20 @@
 
 const (
 	mebibyte = 1 << 20
-	// maxHeartbeatWriteShare is the part of the state service's changes that heartbeats
-	// may take.
+	// maxHeartbeatWriteShare is the maximum share of the state service's changes per second
+	// that heartbeats may use.
 	maxHeartbeatWriteShare = 0.1
-	// minPollsPerTTL is how often a standby reads the heartbeat within its TTL, at
-	// least.
+	// minPollsPerTTL is the minimum number of times that a standby reads the heartbeat
+	// within HeartbeatTTL.
 	minPollsPerTTL = 3
-	// minMemoryToReplicaRatio is how many times what the replica may hold a node must have.
+	// minMemoryToReplicaRatio is the minimum ratio of a node's memory to MaxReplicaMB.
 	minMemoryToReplicaRatio = 3
 )
 
-// ReplicaBytes is MaxReplicaMB in bytes.
+// ReplicaBytes returns MaxReplicaMB in bytes.
 func (w *WarmStandby) ReplicaBytes() int { return int(w.MaxReplicaMB * mebibyte) }
 
-// decodeWarmStandby reads a section that keeps to the schema.
+// decodeWarmStandby returns the settings of a section that conforms to the schema.
 func decodeWarmStandby(section map[string]any) *WarmStandby {
 	return &WarmStandby{
 		HeartbeatInterval: durationSetting(section, "heartbeat_s", defaultHeartbeatInterval),
@@ -67,7 +67,8 @@
 	return fallback
 }
 
-// check refuses times that do not fit together, and what the deployment can't bear.
+// check returns an error if the times are incompatible with one another, or if the settings
+// exceed what the deployment can support.
 func (w *WarmStandby) check(p config.Params) error {
 	minTTL := election.MinHeartbeatTTL(w.HeartbeatInterval, kvstore.RequestTimeout)
 	if w.HeartbeatTTL < minTTL {
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -21,8 +21,8 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// renderSettings lists the settings of a script by their Starlark names, and the features
-// that it enables.
+// renderSettings returns one line for each setting of a script, with its Starlark name, and
+// one for each feature that the script enables.
 func renderSettings(t *testing.T, script string) []string {
 	t.Helper()
 	p, err := policy.Parse("site.star", script)
@@ -43,7 +43,7 @@
 	return append(out, fmt.Sprintf("team_quotas %t", p.Features.TeamQuotas))
 }
 
-// readSiteScript sets every setting anew.
+// readSiteScript returns a script that overrides every setting.
 func readSiteScript(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/site.star")
@@ -53,7 +53,7 @@
 	return string(data)
 }
 
-// parseResult is what is said of a script.
+// parseResult returns the error message for a script, or "good" if it is valid.
 func parseResult(script string) string {
 	if _, err := policy.Parse("site.star", script); err != nil {
 		return err.Error()
@@ -61,7 +61,7 @@
 	return "good"
 }
 
-// TestSettingsMatchGoldenFiles: scripts are understood as earlier versions did.
+// TestSettingsMatchGoldenFiles checks that scripts set the same values as in earlier versions.
 func TestSettingsMatchGoldenFiles(t *testing.T) {
 	for name, script := range map[string]string{"default.txt": "", "site.txt": readSiteScript(t)} {
 		got, want := renderSettings(t, script), readGoldenLines(t, name)
@@ -71,20 +71,21 @@
 	}
 }
 
-// TestErrorsMatchGoldenFile: what is said of bad scripts, each line with its setting.
+// TestErrorsMatchGoldenFile checks the error message for each invalid script, and that the
+// message begins with the setting.
 func TestErrorsMatchGoldenFile(t *testing.T) {
 	for _, line := range readGoldenLines(t, "errors.txt") {
 		quoted, want, ok := strings.Cut(line, "\t")
 		script, err := strconv.Unquote(quoted)
 		if !ok || err != nil {
-			t.Fatalf("%q is no script and line: %v", line, err)
+			t.Fatalf("%q is not a quoted script, a tab and a result: %v", line, err)
 		}
 		got := parseResult(script)
 		if got != want {
 			t.Errorf("%s: %q, want %q", quoted, got, want)
 		}
 		if got != "good" && !strings.HasPrefix(got, "policy.") {
-			t.Errorf("%s: %q names no field", quoted, got)
+			t.Errorf("%s: %q does not begin with the setting", quoted, got)
 		}
 	}
 }
--- a/internal/policy/json.go
+++ b/internal/policy/json.go
@@ -6,11 +6,11 @@
 	"go.starlark.net/starlark"
 )
 
-// maxSectionDepth bounds how deep a section may be nested: a list of a script may hold
-// itself.
+// maxSectionDepth bounds how deep a section may be nested, because a list in a script may
+// contain itself.
 const maxSectionDepth = 8
 
-// jsonValue turns what a script evaluates to into the JSON value of the same shape.
+// jsonValue converts a Starlark value to the JSON value of the same structure.
 func jsonValue(v starlark.Value) (any, error) { return jsonValueAtDepth(v, 0) }
 
 func jsonValueAtDepth(v starlark.Value, depth int) (any, error) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy reads the operators' own settings: a Starlark script that is evaluated
-// once at start, with its steps bounded, and checked. It owns the settings' names, bounds
-// and defaults; what the sections of features mean is package featuregate's, and what
-// the platform sets package config's.
+// Package policy reads the operators' own settings. They are a Starlark script that is
+// evaluated once at startup, with a bounded number of execution steps, and then validated.
+// The package owns the names, bounds and defaults of the settings. Package featuregate
+// defines the sections of features, and package config the settings from the platform.
 package policy
 
 import (
@@ -20,39 +20,39 @@
 //go:embed default.star
 var defaultScript string
 
-// Policy holds the operators' settings. The tags name the globals of the script and
-// bound their values; durations are in seconds there.
+// Policy holds the operators' settings. The tags of a field give the name of the script's
+// global variable and the bounds of its value. Durations are in seconds in the script.
 type Policy struct {
-	// LeaseTTL is the life of the leader's lease, LeaseRenewInterval the time between
-	// two renewals, and LeaderPollInterval that between two reads of the leader key by
-	// a node that does not lead. All are upper bounds: where the leases of the workers
-	// are short, they are shortened.
+	// LeaseTTL is the TTL of the leader's lease, LeaseRenewInterval the time between two
+	// renewals, and LeaderPollInterval the time between two reads of the leader key by a
+	// node that is not the leader. All three are upper bounds: they are shortened if the
+	// leases of the workers are short.
 	LeaseTTL           time.Duration `star:"lease_s" min:"2" max:"60"`
 	LeaseRenewInterval time.Duration `star:"renew_s" min:"0.5" max:"20"`
 	LeaderPollInterval time.Duration `star:"leader_poll_s" min:"0.1" max:"10"`
 
-	// MinRoundInterval is the least time between two scheduling rounds, MaxFoldDelay
-	// how long a job's checkpoint may lag before it is folded, and RingSlots the number
-	// of round records that are kept.
+	// MinRoundInterval is the minimum time between two scheduling rounds, and RingSlots
+	// the number of round records that are kept. MaxFoldDelay is how long a job's
+	// checkpoint may lag before it is written by a fold, a transaction that stores the
+	// checkpoints of several jobs.
 	MinRoundInterval time.Duration `star:"round_gap_s" min:"0.005" max:"5"`
 	MaxFoldDelay     time.Duration `star:"fold_age_s" min:"0.05" max:"10"`
 	RingSlots        int           `star:"ring_slots" min:"4" max:"256"`
 
 	// A machine without a task is deprovisioned after IdleTimeout, but no later than
-	// IdleBootFactor times what its type takes to boot, and no sooner than
-	// MinIdleTimeout.
+	// IdleBootFactor times the boot time of its type, and no sooner than MinIdleTimeout.
 	IdleTimeout    time.Duration `star:"idle_return_s" min:"5" max:"3600"`
 	MinIdleTimeout time.Duration `star:"idle_least_s" min:"1" max:"3600"`
 	IdleBootFactor float64       `star:"idle_boots" min:"0" max:"100"`
-	// DrainInterval is the least time between two machines that are drained because
-	// their tasks fit on others.
+	// DrainInterval is the minimum time between two drains of machines whose tasks fit on
+	// other machines.
 	DrainInterval time.Duration `star:"vacate_every_s" min:"1" max:"3600"`
-	// ProvisionBackoff is how long a machine type of which the cloud had none is not
-	// requested again.
+	// ProvisionBackoff is how long a machine type is not requested again after the cloud
+	// had no machine of that type.
 	ProvisionBackoff time.Duration `star:"hire_backoff_s" min:"1" max:"600"`
-	// A machine is given up when it takes more than BootTimeoutFactor times its usual
-	// boot time, and at least MinBootTimeout, to boot. After LateBootFactor times the
-	// usual time work does not wait for it any longer.
+	// A boot times out, and the machine is deprovisioned, after BootTimeoutFactor times the
+	// usual boot time, and no sooner than MinBootTimeout. After LateBootFactor times the
+	// usual boot time pending work no longer waits for the machine.
 	BootTimeoutFactor float64       `star:"boot_factor" min:"1.5" max:"20"`
 	LateBootFactor    float64       `star:"boot_late" min:"1" max:"20"`
 	MinBootTimeout    time.Duration `star:"boot_floor_s" min:"1" max:"600"`
@@ -60,30 +60,32 @@
 	// deprovisioned.
 	SilenceTimeout time.Duration `star:"silent_release_s" min:"5" max:"600"`
 
-	// EpochAdvanceInterval is the least time between two advances of the epoch that
-	// make it safe to forget exits.
+	// EpochAdvanceInterval is the minimum time between two advances of the epoch that only
+	// make it safe to discard the tombstones of exited tasks: workers reject commands under
+	// an older epoch, so a delayed start command can't run such a task again.
 	EpochAdvanceInterval time.Duration `star:"reseal_s" min:"5" max:"600"`
 	// PreemptionDelay is how long a job waits before it preempts work of lower priority.
 	PreemptionDelay time.Duration `star:"preempt_after_s" min:"0" max:"600"`
-	// SpareTasks is how many tasks of room are kept free for classes that must start
-	// faster than a machine boots.
+	// SpareTasks is the number of tasks for which capacity is kept free, for classes whose
+	// jobs must start faster than a machine boots.
 	SpareTasks int `star:"spare_tasks" min:"0" max:"1000"`
-	// GuaranteeShare is the share of the teams' guarantees that is kept as machines,
-	// for GuaranteeHoldTime after a team's last work.
+	// GuaranteeShare is the share of the teams' guarantees for which machines are kept. They
+	// are kept for GuaranteeHoldTime after a team last had work.
 	GuaranteeShare    float64       `star:"guarantee_share" min:"0" max:"2"`
 	GuaranteeHoldTime time.Duration `star:"guarantee_hold_s" min:"0" max:"3600"`
-	// PreferSpot places tasks that may use spot machines there first.
+	// PreferSpot means that tasks which may use spot machines are placed there first.
 	PreferSpot bool `star:"prefer_spot"`
 
-	// Features are the sections of package featuregate, each a dictionary.
+	// Features holds the features that the script enables. Each has a section, which is a
+	// dictionary; see package featuregate.
 	Features featuregate.Features
 }
 
-// Default returns the embedded policy.
+// Default returns the embedded default policy.
 func Default() (*Policy, error) { return Parse("default.star", defaultScript) }
 
-// Load reads the script at path, over the defaults; "" means the defaults. An error is a
-// config.FieldError.
+// Load evaluates the script at path on top of the defaults. An empty path means the defaults
+// alone. Every error is a *config.FieldError.
 func Load(path string) (*Policy, error) {
 	if path == "" {
 		return Default()
@@ -95,7 +97,7 @@
 	return Parse(path, string(data))
 }
 
-// Parse evaluates a script over the defaults. An error is a config.FieldError.
+// Parse evaluates a script on top of the defaults. Every error is a *config.FieldError.
 func Parse(name, script string) (*Policy, error) {
 	p := new(Policy)
 	if err := p.apply("default.star", defaultScript); err != nil {
@@ -110,7 +112,9 @@
 	return p, nil
 }
 
-// apply sets what a script sets. Names that begin with _, and functions, are its own.
+// apply evaluates a script and sets the settings that it assigns. Globals whose names begin
+// with _ are private to the script, and so are functions unless they have the name of a
+// setting.
 func (p *Policy) apply(name, script string) error {
 	globals, err := evaluate(name, script)
 	if err != nil {
@@ -142,7 +146,8 @@
 	return p.setFeatures(sections)
 }
 
-// setFeatures takes in the features that a script sets.
+// setFeatures sets the features from the sections of a script. Without a section it keeps the
+// features that are set.
 func (p *Policy) setFeatures(sections map[string]any) error {
 	if len(sections) == 0 {
 		return nil
@@ -158,7 +163,7 @@
 	return nil
 }
 
-// fieldErrorf names a setting of the script, or the script itself.
+// fieldErrorf returns a FieldError for a setting of the script, or for the script itself.
 func fieldErrorf(field, format string, args ...any) error {
 	return config.FieldErrorf("policy."+field, format, args...)
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -36,6 +36,8 @@
 	}
 }
 
+// TestParseNamesFieldOfInvalidSetting checks that each invalid script is reported on one line
+// that begins with the setting, or with policy.script if the evaluation fails.
 func TestParseNamesFieldOfInvalidSetting(t *testing.T) {
 	for script, field := range map[string]string{
 		"idle_return_s = 'long'":           "policy.idle_return_s",
@@ -71,12 +73,14 @@
 	}
 }
 
+// FuzzParse checks that no script makes Parse panic or return a policy whose lease TTL is
+// shorter than two renewal intervals.
 func FuzzParse(f *testing.F) {
 	f.Add("idle_return_s = 30")
 	f.Add("def f(n):\n  return f(n)\nx = f(1)")
 	f.Fuzz(func(t *testing.T, script string) {
 		if p, err := Parse("fuzz.star", script); err == nil && p.LeaseRenewInterval*2 > p.LeaseTTL {
-			t.Errorf("policy that can't work: %+v", p)
+			t.Errorf("lease renewal interval is more than half of the lease TTL: %+v", p)
 		}
 	})
 }
--- a/internal/policy/script.go
+++ b/internal/policy/script.go
@@ -7,13 +7,13 @@
 	"go.starlark.net/syntax"
 )
 
-// Bounds of a script: a mistake in it must not keep the node from starting or ending.
+// Bounds of a script: a faulty script must not prevent the node from starting or stopping.
 const (
 	maxScriptSteps = 1_000_000
 	maxScriptBytes = 256 << 10
 )
 
-// evaluate runs a script and returns its globals. What it prints is dropped.
+// evaluate runs a script and returns its globals. The output of print is discarded.
 func evaluate(name, script string) (starlark.StringDict, error) {
 	if len(script) > maxScriptBytes {
 		return nil, fieldErrorf("script", "larger than %d bytes", maxScriptBytes)
@@ -29,5 +29,5 @@
 
 var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// oneLine puts a message of several lines on one.
+// oneLine replaces each line break in a message by a space.
 func oneLine(s string) string { return lineBreaks.Replace(s) }
--- a/internal/policy/setting.go
+++ b/internal/policy/setting.go
@@ -15,14 +15,14 @@
 	"badgerbay/internal/featuregate"
 )
 
-// setting is a field of Policy that a script may set, as its tags describe it.
+// setting describes a field of Policy that a script may set, according to the field's tags.
 type setting struct {
 	name     string
-	field    int // of Policy
+	field    int // index of the field in Policy
 	min, max float64
 }
 
-// settings returns the settings by their names.
+// settings returns the settings, keyed by name.
 var settings = sync.OnceValue(func() map[string]setting {
 	out := map[string]setting{}
 	for field := range reflect.TypeFor[Policy]().NumField() {
@@ -36,7 +36,8 @@
 	return out
 })
 
-// parseBound reads a parseBound from the tags of a setting; 0: it has none.
+// parseBound returns the bound that a setting's tag gives under key, or 0 if there is no such
+// key.
 func parseBound(tag reflect.StructTag, key string) float64 {
 	text, ok := tag.Lookup(key)
 	if !ok {
@@ -44,19 +45,19 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic(fmt.Sprintf("policy: tag %s of a setting: %v", key, err))
+		panic(fmt.Sprintf("policy: invalid %s tag of a setting: %v", key, err))
 	}
 	return v
 }
 
-// settingNames lists what a script may set.
+// settingNames returns the sorted names of the settings and sections that a script may set.
 func settingNames() []string {
 	names := slices.AppendSeq(slices.Clone(featuregate.SectionNames()), maps.Keys(settings()))
 	slices.Sort(names)
 	return names
 }
 
-// set gives the setting a value of a script.
+// set assigns a value from a script to the setting's field of p.
 func (s setting) set(p *Policy, value starlark.Value) error {
 	field := reflect.ValueOf(p).Elem().Field(s.field)
 	if field.Kind() == reflect.Bool {
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// boundedNumber checks that a value is a boundedNumber within the bounds.
+// boundedNumber returns a value from a script as a number, or an error unless it is a number
+// within the setting's bounds.
 func (s setting) boundedNumber(value starlark.Value) (float64, error) {
 	number, ok := starlark.AsFloat(value)
 	if _, isBool := value.(starlark.Bool); !ok || isBool {
