--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -23,9 +23,9 @@
 	return string(data)
 }
 
-// canonical renders settings as they were understood: every field, and what is worked
-// out from them.
-func canonical(t *testing.T, path string) string {
+// renderCanonical returns the settings in the file at path as text: every field as it was
+// parsed, and the values that are derived from the fields.
+func renderCanonical(t *testing.T, path string) string {
 	t.Helper()
 	s, err := config.Load(path)
 	if err != nil {
@@ -42,33 +42,34 @@
 		state.MaxValueBytes(), state.Strictest().MaxValueBytes(), state.MaxTxnValues(), state.Strictest().MaxTxnValues(), s.PeerNames())
 }
 
-// TestGoldenSettings: settings files are understood as earlier versions did, and what
-// they were understood as reads back as the same.
-func TestGoldenSettings(t *testing.T) {
+// TestSettingsMatchGoldenFiles checks that settings files are parsed as in earlier versions,
+// and that the parsed settings, written to a file, are parsed to the same values again.
+func TestSettingsMatchGoldenFiles(t *testing.T) {
 	for _, path := range []string{"../../examples/node-0.json", "testdata/golden/full.json"} {
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
 		want := readFile(t, "testdata/golden/"+name+".canonical")
-		got := canonical(t, path)
+		got := renderCanonical(t, path)
 		if got != want {
-			t.Errorf("%s is read as\n%s\nwant\n%s", path, got, want)
+			t.Errorf("%s is parsed as\n%s\nwant\n%s", path, got, want)
 		}
 		text, _, _ := strings.Cut(got, "\nreport interval")
-		again := filepath.Join(t.TempDir(), "settings.json")
-		if err := os.WriteFile(again, []byte(text), 0o600); err != nil {
+		copyPath := filepath.Join(t.TempDir(), "settings.json")
+		if err := os.WriteFile(copyPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if canonical(t, again) != want {
-			t.Errorf("%s does not read back as what it was read as", path)
+		if renderCanonical(t, copyPath) != want {
+			t.Errorf("%s: the parsed settings, written to a file, are parsed to other values", path)
 		}
 	}
 }
 
-// change sets the value at a path such as params.teams.0.cpus; nil takes it away.
-func change(t *testing.T, doc any, path string, value any) {
+// setAtPath sets the value at a path such as params.teams.0.cpus. For a key of an object, nil
+// removes the key.
+func setAtPath(t *testing.T, doc any, path string, value any) {
 	t.Helper()
 	keys := strings.Split(path, ".")
 	for _, key := range keys[:len(keys)-1] {
-		doc = member(t, doc, key)
+		doc = childOf(t, doc, key)
 	}
 	last := keys[len(keys)-1]
 	switch in := doc.(type) {
@@ -79,23 +80,23 @@
 			in[last] = value
 		}
 	case []any:
-		in[index(t, last)] = value
+		in[parseIndex(t, last)] = value
 	}
 }
 
-func member(t *testing.T, doc any, key string) any {
+func childOf(t *testing.T, doc any, key string) any {
 	t.Helper()
 	switch in := doc.(type) {
 	case map[string]any:
 		return in[key]
 	case []any:
-		return in[index(t, key)]
+		return in[parseIndex(t, key)]
 	}
-	t.Fatalf("nothing at %s", key)
+	t.Fatalf("the parent of %s is neither an object nor an array", key)
 	return nil
 }
 
-func index(t *testing.T, key string) int {
+func parseIndex(t *testing.T, key string) int {
 	t.Helper()
 	i, err := strconv.Atoi(key)
 	if err != nil {
@@ -104,12 +105,13 @@
 	return i
 }
 
-// goPackage is a Go package's name before a type's; where a type is declared is no part
-// of a line.
-var goPackage = regexp.MustCompile(`\b[a-z]+\.([A-Z])`)
+// packageQualifier matches the name of a Go package before a type name. It is removed from
+// error messages, because the golden file does not depend on the package of a type.
+var packageQualifier = regexp.MustCompile(`\b[a-z]+\.([A-Z])`)
 
-// errorLine is what is said of the full settings with one value changed.
-func errorLine(t *testing.T, path, value string) string {
+// readErrorLine returns the error message for the full settings after the value at path was
+// replaced, or "good" if they are valid. An empty path replaces the whole document.
+func readErrorLine(t *testing.T, path, value string) string {
 	t.Helper()
 	var doc, v any
 	if err := json.Unmarshal([]byte(readFile(t, "testdata/golden/full.json")), &doc); err != nil {
@@ -119,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if path != "" {
-		change(t, doc, path, v)
+		setAtPath(t, doc, path, v)
 	} else {
 		doc = v
 	}
@@ -135,17 +137,18 @@
 	if !errors.As(err, &fe) || !strings.HasPrefix(err.Error(), fe.Field+": ") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%s = %s: %v, want one line that begins with the field", path, value, err)
 	}
-	return goPackage.ReplaceAllString(err.Error(), "$1")
+	return packageQualifier.ReplaceAllString(err.Error(), "$1")
 }
 
-// TestGoldenErrorLines: what is said of bad settings, each line with its field.
-func TestGoldenErrorLines(t *testing.T) {
+// TestErrorsMatchGoldenFile checks the error message for each invalid setting, and that the
+// message is one line that begins with the field.
+func TestErrorsMatchGoldenFile(t *testing.T) {
 	for line := range strings.Lines(readFile(t, "testdata/golden/errors.txt")) {
 		fields := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 		if len(fields) != 3 {
 			t.Fatalf("%q has %d fields, want 3", line, len(fields))
 		}
-		if got := errorLine(t, fields[0], fields[1]); got != fields[2] {
+		if got := readErrorLine(t, fields[0], fields[1]); got != fields[2] {
 			t.Errorf("%s = %s: %q, want %q", fields[0], fields[1], got, fields[2])
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxNumber bounds every number of the settings: what is larger can't be meant, and
-	// sizes made from it would overflow.
+	// maxNumber bounds every number in the settings: a larger number is a mistake, and
+	// sizes that are computed from it would overflow.
 	maxNumber = 1e9
-	// maxSockets, maxValueKB and maxTxnOps bound what memory is set aside by.
+	// maxSockets, maxValueKB and maxTxnOps bound the settings that determine how much
+	// memory is allocated.
 	maxSockets = 1 << 20
 	maxValueKB = 1 << 20
 	maxTxnOps  = 1 << 20
-	// minSockets serve the state service, the cloud and a few workers and users; each
-	// peer takes some more.
+	// minSockets is enough for connections to the state service, the cloud and a few
+	// workers and users; each peer requires minSocketsPerPeer more.
 	minSockets        = 16
 	minSocketsPerPeer = 4
-	// minMemoryMB holds the program with nothing to do.
+	// minMemoryMB is enough for the program while it is idle.
 	minMemoryMB = 16
 )
 
@@ -43,7 +44,7 @@
 	if err := s.Params.validate(); err != nil {
 		return err
 	}
-	return s.validateCapacity()
+	return s.validateMachineLimits()
 }
 
 func (s *Settings) validatePeers() error {
@@ -69,8 +70,9 @@
 	return nil
 }
 
-// validateCapacity refuses a machine on which the program could not serve at all.
-func (s *Settings) validateCapacity() error {
+// validateMachineLimits rejects a machine that is too small for the program to serve any
+// request.
+func (s *Settings) validateMachineLimits() error {
 	limits := s.Params.MachineLimits
 	if needed := minSockets + minSocketsPerPeer*len(s.Peers); limits.MaxSockets < needed {
 		return FieldErrorf("params.machine_limits.max_sockets", "%d are too few to serve with %d peers: at least %d", limits.MaxSockets, len(s.Peers), needed)
@@ -119,7 +121,7 @@
 			return FieldErrorf(field+".name", "%q is missing or used twice", t.Name)
 		}
 		seen[t.Name] = true
-		for _, n := range []namedNumber{
+		for _, n := range []numericField{
 			{"cpus", t.CPUGuarantee},
 			{"cpus_max", t.CPULimit},
 			{"gpus", t.GPUGuarantee},
@@ -155,7 +157,7 @@
 			return err
 		}
 	}
-	for _, n := range []namedNumber{
+	for _, n := range []numericField{
 		{"workers.gang_wait_s", p.Workers.GangWaitSeconds},
 		{"workers.gang_peer_s", p.Workers.GangPeerSeconds},
 		{"cloud.list_lag_s", p.Cloud.ListLagSeconds},
@@ -168,13 +170,14 @@
 	return nil
 }
 
-// namedNumber is a number by the last part of its field.
-type namedNumber struct {
+// numericField is the value of a numeric setting, with the last part of the setting's
+// field name.
+type numericField struct {
 	field string
 	value float64
 }
 
-// requirePositive refuses what is not a number above 0 and up to limit.
+// requirePositive returns a FieldError unless value is above 0 and at most limit.
 func requirePositive(field string, value, limit float64) error {
 	if !(value > 0) || value > limit {
 		return FieldErrorf(field, "%v is not a number above 0 and up to %v", value, limit)
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// requireNonNegative refuses what is not a number from 0 to maxNumber.
+// requireNonNegative returns a FieldError unless value is from 0 to maxNumber.
 func requireNonNegative(field string, value float64) error {
 	if !(value >= 0) || value > maxNumber {
 		return FieldErrorf(field, "%v is not a number from 0 to %v", value, maxNumber)
--- a/internal/featuregate/teamquotas.go
+++ b/internal/featuregate/teamquotas.go
@@ -7,20 +7,21 @@
 	"badgerbay/internal/quota"
 )
 
-// checkTeamQuotas refuses limits that can't be allocated to holders.
+// checkTeamQuotas returns an error if the teams' limits can't be allocated to quota holders.
+// Every node counts as a holder.
 func checkTeamQuotas(p config.Params) error {
 	if p.Nodes > quota.MaxHolders {
 		return config.FieldErrorf("params.nodes", "%d holders are more than a team's record can name: at most %d", p.Nodes, quota.MaxHolders)
 	}
 	for i, team := range p.Teams {
-		if err := checkTeam(fmt.Sprintf("params.teams[%d]", i), team); err != nil {
+		if err := checkTeamLimits(fmt.Sprintf("params.teams[%d]", i), team); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkTeam(field string, team config.Team) error {
+func checkTeamLimits(field string, team config.Team) error {
 	if team.CPULimit > 0 && team.CPUGuarantee > team.CPULimit {
 		return config.FieldErrorf(field+".cpus", "a guarantee of %v is beyond the limit of %v", team.CPUGuarantee, team.CPULimit)
 	}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -12,7 +12,7 @@
 	"badgerbay/internal/policy"
 )
 
-func goldenLines(t *testing.T, name string) []string {
+func readGoldenLines(t *testing.T, name string) []string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + name)
 	if err != nil {
@@ -21,9 +21,9 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// settingsOf lists the settings of a script by their Starlark names, and the features
-// that it enables.
-func settingsOf(t *testing.T, script string) []string {
+// renderSettings returns one line for each setting of a script, with its Starlark name, and
+// one for each feature that the script enables.
+func renderSettings(t *testing.T, script string) []string {
 	t.Helper()
 	p, err := policy.Parse("site.star", script)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return append(out, fmt.Sprintf("team_quotas %t", p.Features.TeamQuotas))
 }
 
-// siteScript sets every setting anew.
-func siteScript(t *testing.T) string {
+// readSiteScript returns a script that overrides every setting.
+func readSiteScript(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/site.star")
 	if err != nil {
@@ -53,38 +53,39 @@
 	return string(data)
 }
 
-// parsed is what is said of a script.
-func parsed(script string) string {
+// parseResult returns the error message for a script, or "good" if it is valid.
+func parseResult(script string) string {
 	if _, err := policy.Parse("site.star", script); err != nil {
 		return err.Error()
 	}
 	return "good"
 }
 
-// TestGoldenSettings: scripts are understood as earlier versions did.
-func TestGoldenSettings(t *testing.T) {
-	for name, script := range map[string]string{"default.txt": "", "site.txt": siteScript(t)} {
-		got, want := settingsOf(t, script), goldenLines(t, name)
+// TestSettingsMatchGoldenFiles checks that scripts set the same values as in earlier versions.
+func TestSettingsMatchGoldenFiles(t *testing.T) {
+	for name, script := range map[string]string{"default.txt": "", "site.txt": readSiteScript(t)} {
+		got, want := renderSettings(t, script), readGoldenLines(t, name)
 		if !slices.Equal(got, want) {
 			t.Errorf("%s: settings are\n%s\nwant\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
 		}
 	}
 }
 
-// TestGoldenErrorLines: what is said of bad scripts, each line with its setting.
-func TestGoldenErrorLines(t *testing.T) {
-	for _, line := range goldenLines(t, "errors.txt") {
+// TestErrorsMatchGoldenFile checks the error message for each invalid script, and that the
+// message begins with the setting.
+func TestErrorsMatchGoldenFile(t *testing.T) {
+	for _, line := range readGoldenLines(t, "errors.txt") {
 		quoted, want, ok := strings.Cut(line, "\t")
 		script, err := strconv.Unquote(quoted)
 		if !ok || err != nil {
-			t.Fatalf("%q is no script and line: %v", line, err)
+			t.Fatalf("%q is not a quoted script, a tab and a result: %v", line, err)
 		}
-		got := parsed(script)
+		got := parseResult(script)
 		if got != want {
 			t.Errorf("%s: %q, want %q", quoted, got, want)
 		}
 		if got != "good" && !strings.HasPrefix(got, "policy.") {
-			t.Errorf("%s: %q names no field", quoted, got)
+			t.Errorf("%s: %q does not begin with the setting", quoted, got)
 		}
 	}
 }
