--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -38,7 +38,7 @@
 	w, state := s.Params.Workers, s.Params.StateService
 	return fmt.Sprintf("%s\nreport interval %v, at most %v\nlease %v\ncancellation %v\nreturn %v\ntakeover %v\nlist lag %v\n"+
 		"value bytes %d, now and later %d\nvalues in a transaction %d, now and later %d\npeers %q\n",
-		data, w.HeartbeatInterval(), w.MaxHeartbeatGap(), w.LeaseTTL(), w.CancelTimeout(), w.ReconnectTime(), w.FailoverTime(), s.Params.Cloud.ListLag(),
+		data, w.HeartbeatInterval(), w.MaxHeartbeatGap(), w.LeaseTTL(), w.CancelTimeout(), w.MaxReconnectTime(), w.MaxFailoverTime(), s.Params.Cloud.ListLag(),
 		state.MaxValueBytes(), state.Strictest().MaxValueBytes(), state.MaxTxnValues(), state.Strictest().MaxTxnValues(), s.PeerNames())
 }
 
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -41,22 +41,22 @@
 	return interval + interval/4
 }
 
-// ReconnectTime returns the longest time that a worker can be without a response when the
+// MaxReconnectTime returns the longest time that a worker can be without a response when the
 // node that it sends its heartbeats to fails, until it has tried the next node.
-func (w Workers) ReconnectTime() time.Duration {
+func (w Workers) MaxReconnectTime() time.Duration {
 	return w.MaxHeartbeatGap() + heartbeatTimeout + nextNodeDelay
 }
 
-// FailoverTime returns how long a failover may leave all nodes unable to answer a worker
+// MaxFailoverTime returns how long a failover may leave all nodes unable to answer a worker
 // before the lease of the worker expires. It is LeaseTTL less the three parts of
-// ReconnectTime:
+// MaxReconnectTime:
 //  1. The last heartbeat that was answered was sent up to MaxHeartbeatGap before the leader
 //     failed.
 //  2. The failed leader never answers the next heartbeat, which times out after
 //     heartbeatTimeout.
 //  3. After nextNodeDelay the worker tries another node, and this first attempt reaches the
 //     successor.
-func (w Workers) FailoverTime() time.Duration { return w.LeaseTTL() - w.ReconnectTime() }
+func (w Workers) MaxFailoverTime() time.Duration { return w.LeaseTTL() - w.MaxReconnectTime() }
 
 // CancelTimeout returns the time within which the tasks of a cancelled job must have ended.
 func (w Workers) CancelTimeout() time.Duration { return clock.Seconds(w.CancelSeconds) }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -68,7 +68,7 @@
 // electionTiming returns the timing of the leader lease and, if warm standby is enabled, of the leader's heartbeats.
 func electionTiming(settings *config.Settings, pol *policy.Policy) election.Timing {
 	timing := election.Timing{LeaseTTL: pol.LeaseTTL, RenewInterval: pol.LeaseRenewInterval, PollInterval: pol.LeaderPollInterval}
-	timing = timing.ShortenedTo(settings.Params.Workers.FailoverTime())
+	timing = timing.ShortenedTo(settings.Params.Workers.MaxFailoverTime())
 	if w := pol.Features.WarmStandby; w != nil {
 		timing.Heartbeat = election.HeartbeatTiming{Interval: w.HeartbeatInterval, TTL: w.HeartbeatTTL, PollInterval: w.PollInterval}
 	}
--- a/internal/controller/epoch.go
+++ b/internal/controller/epoch.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	a.nextCheckAt = now.Add(epochCheckInterval)
-	if !hasUnconfirmedStop(now, epoch, table) && (machines.TombstoneCount() == 0 || since < a.policy.EpochAdvanceInterval) {
+	if !hasUnconfirmedStop(now, epoch, table) && (machines.TombstoneCount() == 0 || since < a.policy.MinEpochAdvanceInterval) {
 		return false
 	}
 	a.budget.TakeWrites(now, kvstore.PurposeLeadership, 1)
--- a/internal/controller/leadercomponents_test.go
+++ b/internal/controller/leadercomponents_test.go
@@ -123,7 +123,7 @@
 	advance := newEpochAdvance(env, now)
 	table := newJobTable(env)
 	machines := fleet.New(fleetTiming(env), 77, now, table.get)
-	for _, after := range []time.Duration{0, minEpochDuration, env.policy.EpochAdvanceInterval, time.Hour} {
+	for _, after := range []time.Duration{0, minEpochDuration, env.policy.MinEpochAdvanceInterval, time.Hour} {
 		if advance.beginIfDue(now.Add(after), 77, table, machines) {
 			t.Errorf("epoch advanced after %v although no exit waits for removal and no stop command is stuck", after)
 		}
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -144,7 +144,7 @@
 	if len(stagingRevisions) < 2 {
 		t.Errorf("%d chunk transactions, want at least 2", len(stagingRevisions))
 	}
-	if !tm.jobs.get("wk-000001").FoldInFlight {
+	if !tm.jobs.get("wk-000001").WriteInFlight {
 		t.Error("the head of the record is not being written")
 	}
 	if chunk.Key("stage", 1) == stagingKey {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -96,10 +96,10 @@
 	return s, holder
 }
 
-// TestIdleAllotmentsAreRecalled checks that the leader regains an unused allocation within ten seconds once other
+// TestIdleAllocationsAreRecalled checks that the leader regains an unused allocation within ten seconds once other
 // work of the team needs it, whether the holder responds, has crashed, is paused or is unreachable. A holder that was
 // wrongly considered dead must not be able to use the allocation afterwards.
-func TestIdleAllotmentsAreRecalled(t *testing.T) {
+func TestIdleAllocationsAreRecalled(t *testing.T) {
 	t.Parallel()
 	const bound = 10 * time.Second
 	for name, injectFault := range map[string]func(*simulation, *simulatedNode){
@@ -148,9 +148,9 @@
 	return id
 }
 
-// TestQuotaCheckFindsOverallotment checks that the check of the stored quota records detects two violations: a holder
+// TestQuotaCheckDetectsOverallocation checks that the check of the stored quota records detects two violations: a holder
 // that reserves more than it has been allocated, and a leader that allocates what another holder already has.
-func TestQuotaCheckFindsOverallotment(t *testing.T) {
+func TestQuotaCheckDetectsOverallocation(t *testing.T) {
 	t.Parallel()
 	teams := simulationSettings().Params.TeamsByName()
 	s, holder := simulationWithIdleHolder(t, 1)
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -21,10 +21,10 @@
 	"badgerbay/internal/wire"
 )
 
-// TestLateMachinesAreNotWaitedFor checks that services start although the first requested machines never come up. It
+// TestServiceStartsDespiteFailedBoot checks that services start although the first requested machines never come up. It
 // guards against a failure in which the scheduler expected such machines for four times their boot time, so that
 // services waited for them.
-func TestLateMachinesAreNotWaitedFor(t *testing.T) {
+func TestServiceStartsDespiteFailedBoot(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 3)
 	bootFails := true
@@ -46,11 +46,11 @@
 	}
 }
 
-// TestLateHeartbeatsKeepMachines checks that slightly delayed heartbeats do not lead to the deprovisioning of healthy
+// TestDelayedHeartbeatsDoNotDeprovisionMachines checks that slightly delayed heartbeats do not lead to the deprovisioning of healthy
 // machines. It guards against a failure with a fixed silence timeout of 6 s: workers send heartbeats every 5 s with a
 // jitter of a quarter, so machines with a slightly late heartbeat were considered dead and were deprovisioned
 // together with all their tasks.
-func TestLateHeartbeatsKeepMachines(t *testing.T) {
+func TestDelayedHeartbeatsDoNotDeprovisionMachines(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 4)
 	s.settings.Params.Workers.HeartbeatSeconds = 5
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestRecordOfLaterSchemaStopsTheNode checks that a leader that reads a record of a newer schema version stops its
+// TestNewerSchemaRecordStopsNode checks that a leader that reads a record of a newer schema version stops its
 // node: a program that can't read the decisions of a newer release must not make decisions itself.
-func TestRecordOfLaterSchemaStopsTheNode(t *testing.T) {
+func TestNewerSchemaRecordStopsNode(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
 	g.core.term.recovery.loaded = false
@@ -87,10 +87,10 @@
 	t.Error("the node did not stop at a record of a newer schema version")
 }
 
-// TestDamagedRoundIsWaitedOut checks the recovery from a round record that can't be read. Nothing is placed until
+// TestUnreadableRoundDelaysPlacement checks the recovery from a round record that can't be read. Nothing is placed until
 // every task that the round may have started has ended for certain: after the lease TTL of the workers plus the
 // duration of a lease delegation grant. The number of the round is never used again.
-func TestDamagedRoundIsWaitedOut(t *testing.T) {
+func TestUnreadableRoundDelaysPlacement(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 3)
 	tm := g.core.term
@@ -123,11 +123,11 @@
 	}
 }
 
-// TestStatusWhileEndIsBeingStored checks that the leader does not answer status queries from memory while the final
+// TestStatusWhileFinalPhaseIsBeingStored checks that the leader does not answer status queries from memory while the final
 // phase of a job is being stored, but has the record read. It guards against contradictory answers: another node
 // could read the stored record and answer "done" before the leader received the result of its write, and the leader
 // then answered "queued".
-func TestStatusWhileEndIsBeingStored(t *testing.T) {
+func TestStatusWhileFinalPhaseIsBeingStored(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
 	g.submit(1, arraySpec)
@@ -172,10 +172,10 @@
 	}
 }
 
-// TestGangReplacementOutlivesItsLeader checks that a new leader that replays the rounds of a gang restores a replaced
+// TestGangReplacementSurvivesFailover checks that a new leader that replays the rounds of a gang restores a replaced
 // task on its new machine, under the attempt of the gang, and no longer on the machine that lost it. The new leader
 // must not replace further tasks of this gang, because it does not know since when the gang has been waiting.
-func TestGangReplacementOutlivesItsLeader(t *testing.T) {
+func TestGangReplacementSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 3)
 	tm := g.core.term
@@ -255,10 +255,10 @@
 	}
 }
 
-// TestThirdOfMachinesFails checks that many machines that fail together are deprovisioned long before their leases
+// TestCorrelatedMachineFailures checks that many machines that fail together are deprovisioned long before their leases
 // expire, which proves early that their tasks have ended. Machines are not deprovisioned if a whole zone, or every
 // machine, stops sending heartbeats, because that may be a network partition.
-func TestThirdOfMachinesFails(t *testing.T) {
+func TestCorrelatedMachineFailures(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(int) bool{
 		"third of machines": func(i int) bool { return i%3 == 0 },
@@ -272,8 +272,8 @@
 			g.unresponsiveMachines = map[int]bool{}
 			var busy []*fleet.Machine
 			for i, r := range g.machines {
-				g.deadMachines[i] = fails(i)
-				if m := g.core.term.fleet.Machine(r.Machine); g.deadMachines[i] && m.Busy() && !m.Deprovisioning {
+				g.unresponsiveMachines[i] = fails(i)
+				if m := g.core.term.fleet.Machine(r.Machine); g.unresponsiveMachines[i] && m.Busy() && !m.Deprovisioning {
 					busy = append(busy, m)
 				}
 			}
@@ -303,10 +303,10 @@
 	}
 }
 
-// TestMachinesHeardAgain checks that, while silent machines reconnect one after the other, at the end of a network
+// TestNoDeprovisioningWhileMachinesReconnect checks that, while silent machines reconnect one after the other, at the end of a network
 // partition or through other nodes, those that have not reconnected yet are not considered dead. It guards against a
 // failure in which half the fleet was deprovisioned together with all its tasks.
-func TestMachinesHeardAgain(t *testing.T) {
+func TestNoDeprovisioningWhileMachinesReconnect(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 100)
 	g.fillMachines(100)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -137,7 +137,7 @@
 
 // mayDrain reports whether DrainInterval has passed since the last drain, and since this node became leader.
 func (l *schedulingLoop) mayDrain(now, acquiredAt clock.Instant) bool {
-	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.DrainInterval
+	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.MinDrainInterval
 }
 
 // recordTeamActivity records that a team has placed or queued tasks.
--- a/internal/controller/shortlease_test.go
+++ b/internal/controller/shortlease_test.go
@@ -34,11 +34,11 @@
 	return s
 }
 
-// TestLostLeaderWithShortLeases checks that no worker loses its lease when the leader is isolated from the network.
+// TestIsolatedLeaderWithShortLeases checks that no worker loses its lease when the leader is isolated from the network.
 // Each worker waits 4 s for a reply that never arrives, and tries the next node a second later. It guards against a
 // leader lease of 6 s regardless of the lease of the workers: no node could answer the workers when they tried the
 // next one, they returned to the isolated leader, and two thirds of them lost their tasks.
-func TestLostLeaderWithShortLeases(t *testing.T) {
+func TestIsolatedLeaderWithShortLeases(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
 		s := simulationWithShortLeases(t, 400+seed, 5*time.Minute)
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -47,7 +47,7 @@
 		n.holder = quota.NewHolder(n.name, s.settings.Params.StateService.MaxValueBytes())
 	}
 	if w := s.policy.Features.WarmStandby; w != nil && !s.onPreviousVersion[n.index] {
-		n.follower = standby.NewFollower(w.SyncInterval, w.ReplicaBytes())
+		n.follower = standby.NewFollower(w.SyncInterval, w.MaxReplicaBytes())
 	}
 	var tick func()
 	tick = func() {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -61,7 +61,7 @@
 	workers := env.settings.Params.Workers
 	timing := fleet.Timing{HeartbeatInterval: workers.HeartbeatInterval(), LeaseTTL: workers.LeaseTTL()}
 	if env.policy.Features.WarmStandby != nil {
-		timing.RejoinGrace = workers.ReconnectTime()
+		timing.RejoinGrace = workers.MaxReconnectTime()
 	}
 	return timing
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -99,7 +99,7 @@
 			s.repeatWhileFaultsActive(6*sec, 14*sec, func() { s.crashLeader(4 * sec) })
 		},
 		"store outage and restart of the previous version": func(s *simulation) {
-			s.schedule(22*sec, func() { s.storeOutage(9 * sec) })
+			s.schedule(22*sec, func() { s.beginStoreOutage(9 * sec) })
 			s.schedule(25*sec, func() {
 				// Node 2 crashes before its upgrade and restarts with the previous version.
 				s.crash(s.nodes[2], 200*time.Millisecond)
--- a/internal/controller/zonerestriction_test.go
+++ b/internal/controller/zonerestriction_test.go
@@ -13,7 +13,7 @@
 	begin func(*simulation)
 }{
 	{"machine loss", func(s *simulation) {
-		s.repeatWhileFaulty(10*sec, 20*sec, func() {
+		s.repeatWhileFaultsActive(10*sec, 20*sec, func() {
 			for _, id := range s.randomMachines(0.5) {
 				s.reclaimMachine(id)
 			}
@@ -29,8 +29,8 @@
 		})
 	}},
 	{"leader change", func(s *simulation) {
-		s.repeatWhileFaulty(8*sec, 16*sec, func() { s.crashLeader(3 * sec) })
-		s.repeatWhileFaulty(20*sec, 30*sec, func() { s.reclaimMachine(s.upMachines()[0]) })
+		s.repeatWhileFaultsActive(8*sec, 16*sec, func() { s.crashLeader(3 * sec) })
+		s.repeatWhileFaultsActive(20*sec, 30*sec, func() { s.reclaimMachine(s.upMachines()[0]) })
 	}},
 	{"stale heartbeats", func(s *simulation) {
 		s.lateHeartbeatProbability, s.maxHeartbeatDelay = 0.4, 60*sec
@@ -44,13 +44,13 @@
 		})
 	}},
 	{"allowed zone partitioned", func(s *simulation) {
-		s.repeatWhileFaulty(40*sec, 50*sec, func() {
+		s.repeatWhileFaultsActive(40*sec, 50*sec, func() {
 			s.partitionedZone = "a"
 			s.schedule(25*sec, s.healPartition)
 		})
 	}},
 	{"other zone partitioned", func(s *simulation) {
-		s.repeatWhileFaulty(40*sec, 50*sec, func() {
+		s.repeatWhileFaultsActive(40*sec, 50*sec, func() {
 			s.partitionedZone = "b"
 			s.schedule(25*sec, s.healPartition)
 		})
--- a/internal/featuregate/warmstandby.go
+++ b/internal/featuregate/warmstandby.go
@@ -39,8 +39,8 @@
 	minMemoryToReplicaRatio = 3
 )
 
-// ReplicaBytes returns MaxReplicaMB in bytes.
-func (w *WarmStandby) ReplicaBytes() int { return int(w.MaxReplicaMB * mebibyte) }
+// MaxReplicaBytes returns MaxReplicaMB in bytes.
+func (w *WarmStandby) MaxReplicaBytes() int { return int(w.MaxReplicaMB * mebibyte) }
 
 // decodeWarmStandby returns the settings of a section that conforms to the schema.
 func decodeWarmStandby(section map[string]any) *WarmStandby {
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -109,7 +109,7 @@
 	return &Delegate{
 		zone:                  zone,
 		startedAt:             now,
-		canProbeBeforeRenewal: workers.FailoverTime() > probeDuration,
+		canProbeBeforeRenewal: workers.MaxFailoverTime() > probeDuration,
 		contacts:              map[ident.MachineID]contact{},
 	}
 }
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -48,7 +48,7 @@
 		core:        core,
 		store:       store,
 		cloud:       client,
-		follower:    standby.NewFollower(options.SyncInterval, options.ReplicaBytes()),
+		follower:    standby.NewFollower(options.SyncInterval, options.MaxReplicaBytes()),
 	}
 	a.publish()
 	a.machines.Store(&controller.MachineSnapshot{})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -44,9 +44,9 @@
 	IdleTimeout    time.Duration `star:"idle_return_s" min:"5" max:"3600"`
 	MinIdleTimeout time.Duration `star:"idle_least_s" min:"1" max:"3600"`
 	IdleBootFactor float64       `star:"idle_boots" min:"0" max:"100"`
-	// DrainInterval is the minimum time between two drains of machines whose tasks fit on
+	// MinDrainInterval is the minimum time between two drains of machines whose tasks fit on
 	// other machines.
-	DrainInterval time.Duration `star:"vacate_every_s" min:"1" max:"3600"`
+	MinDrainInterval time.Duration `star:"vacate_every_s" min:"1" max:"3600"`
 	// ProvisionBackoff is how long a machine type is not requested again after the cloud
 	// had no machine of that type.
 	ProvisionBackoff time.Duration `star:"hire_backoff_s" min:"1" max:"600"`
@@ -60,10 +60,10 @@
 	// deprovisioned.
 	SilenceTimeout time.Duration `star:"silent_release_s" min:"5" max:"600"`
 
-	// EpochAdvanceInterval is the minimum time between two advances of the epoch that only
+	// MinEpochAdvanceInterval is the minimum time between two advances of the epoch that only
 	// make it safe to discard the tombstones of exited tasks: workers reject commands under
 	// an older epoch, so a delayed start command can't run such a task again.
-	EpochAdvanceInterval time.Duration `star:"reseal_s" min:"5" max:"600"`
+	MinEpochAdvanceInterval time.Duration `star:"reseal_s" min:"5" max:"600"`
 	// PreemptionDelay is how long a job waits before it preempts work of lower priority.
 	PreemptionDelay time.Duration `star:"preempt_after_s" min:"0" max:"600"`
 	// SpareTasks is the number of tasks for which capacity is kept free, for classes whose
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.IdleTimeout != 30*time.Second || p.PreferSpot || p.EpochAdvanceInterval != 2*time.Minute || p.LeaseTTL != defaults.LeaseTTL {
+	if p.IdleTimeout != 30*time.Second || p.PreferSpot || p.MinEpochAdvanceInterval != 2*time.Minute || p.LeaseTTL != defaults.LeaseTTL {
 		t.Errorf("%+v", p)
 	}
 }
