--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -46,12 +46,12 @@
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
-	blind := testAdmissionRules()
-	blind.MachineTypes = nil
-	if got := blind.Check(&base); !errors.Is(got, ErrMachineTypesUnknown) {
+	rulesWithoutTypes := testAdmissionRules()
+	rulesWithoutTypes.MachineTypes = nil
+	if got := rulesWithoutTypes.Check(&base); !errors.Is(got, ErrMachineTypesUnknown) {
 		t.Errorf("machine types not known: %v, want %v", got, ErrMachineTypesUnknown)
 	}
-	if r := respond(t, NewSubmitRequest(&Submission{ID: "wk-000412", Spec: base}, blind, 0), Begin{}); r.Code != http.StatusServiceUnavailable || r.RetryAfter <= 0 {
+	if r := respond(t, NewSubmitRequest(&Submission{ID: "wk-000412", Spec: base}, rulesWithoutTypes, 0), Begin{}); r.Code != http.StatusServiceUnavailable || r.RetryAfter <= 0 {
 		t.Errorf("machine types not known: answered %+v, want 503", r)
 	}
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -14,8 +14,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// golden reads the lines "name hex" of a file in testdata/golden.
-func golden(t *testing.T, file string) map[string][]byte {
+// readGolden reads the lines "name hex" of a file in testdata/readGolden.
+func readGolden(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/golden/" + file)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 // TestGoldenSubmissions: submissions mean what they always meant, field by field.
 func TestGoldenSubmissions(t *testing.T) {
-	bodies := golden(t, "submissions.txt")
+	bodies := readGolden(t, "submissions.txt")
 	want := map[string]Submission{
 		"array-all-fields": {ID: "wk-000412", Spec: jobs.Spec{Class: "train", Team: "red", Priority: jobs.PriorityHigh,
 			Tasks: 16, CPUs: 2, GPUs: 0.5, MemoryGB: 4.25, MachineTypes: []ident.MachineType{"m", "m2"}, Zone: "a", ZoneAffinity: true, Spot: true,
@@ -64,7 +64,7 @@
 
 // TestGoldenAnswers: the bodies of answers are written as they always were.
 func TestGoldenAnswers(t *testing.T) {
-	bodies := golden(t, "answers.txt")
+	bodies := readGolden(t, "answers.txt")
 	statuses := map[string]Status{
 		"queued":    {State: Queued},
 		"running":   {State: Running, DoneTasks: 3, RunningTasks: 300},
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// rejectionWeight is the weight of the latest submission in the moving average.
-	rejectionWeight = 0.05
-	// maxRetrySpread is the range over which retries are spread if nearly all
+	// smoothingFactor is the weight of the latest submission in the moving average.
+	smoothingFactor = 0.05
+	// maxRetryJitter is the range over which retries are spread if nearly all
 	// submissions are rejected. It is short beside the minute for which users retry.
-	maxRetrySpread = 4 * time.Second
+	maxRetryJitter = 4 * time.Second
 	// overloadThreshold is the rejected share from which it is of no use to forward
 	// submissions to several nodes.
 	overloadThreshold = 0.5
@@ -24,7 +24,7 @@
 type RetryPacer struct {
 	mu            sync.Mutex
 	rng           *rand.Rand
-	rejectedShare float64 // moving average of the latest submissions
+	rejectionRate float64 // moving average of the latest submissions
 }
 
 // NewRetryPacer returns a pacer that has seen no rejections. It takes over rng.
@@ -43,17 +43,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.observe(1)
-	return time.Duration(p.rng.Float64() * p.rejectedShare * float64(maxRetrySpread))
+	return time.Duration(p.rng.Float64() * p.rejectionRate * float64(maxRetryJitter))
 }
 
 // Overloaded reports whether most submissions are being rejected.
 func (p *RetryPacer) Overloaded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rejectedShare > overloadThreshold
+	return p.rejectionRate > overloadThreshold
 }
 
 // observe updates the moving average; the caller holds the lock.
 func (p *RetryPacer) observe(rejected float64) {
-	p.rejectedShare += rejectionWeight * (rejected - p.rejectedShare)
+	p.rejectionRate += smoothingFactor * (rejected - p.rejectionRate)
 }
--- a/internal/api/retry_test.go
+++ b/internal/api/retry_test.go
@@ -16,11 +16,11 @@
 	early, late := 0, 0
 	for range 400 {
 		switch d := pacer.Rejected(); {
-		case d > maxRetrySpread:
-			t.Fatalf("retry delay %v beyond %v", d, maxRetrySpread)
-		case d < maxRetrySpread/4:
+		case d > maxRetryJitter:
+			t.Fatalf("retry delay %v beyond %v", d, maxRetryJitter)
+		case d < maxRetryJitter/4:
 			early++
-		case d > maxRetrySpread*3/4:
+		case d > maxRetryJitter*3/4:
 			late++
 		}
 	}
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -90,26 +90,26 @@
 func submissionFields(to *Submission) []field {
 	spec := &to.Spec
 	return []field{
-		{name: "id", decode: text(func(v string) (err error) { to.ID, err = ident.ParseJobID(v); return err })},
-		{name: "ledgerClass", decode: name(&spec.Class)},
-		{name: "desk", decode: name(&spec.Team)},
-		{name: "shape", decode: text(func(v string) error { return setKind(spec, v) })},
-		{name: "rank", decode: text(func(v string) error { return setPriority(spec, v) })},
-		{name: "entries", decode: taskCount(&spec.Tasks)},
-		{name: "cpus", decode: positiveAmount(&spec.CPUs)},
-		{name: "accelerators", decode: amount(&spec.GPUs)},
-		{name: "memoryGb", decode: amount(&spec.MemoryGB)},
-		{name: "samePlace", decode: flag(&spec.ZoneAffinity)},
-		{name: "apart", decode: flag(&spec.ZoneSpread)},
-		{name: "loaner", decode: flag(&spec.Spot)},
-		{name: "bundle", decode: name(&spec.Image)},
-		{name: "imageGb", decode: amount(&spec.ImageGB)},
-		{name: "expectedS", decode: amount(&spec.EstimatedRunSeconds)},
-		{name: "folioS", decode: amount(&spec.CheckpointIntervalSeconds)},
-		{name: "bindS", decode: amount(&spec.CheckpointSeconds)},
-		{name: "dueS", decode: amount(&spec.DeadlineSeconds), optional: true},
-		{name: "hall", decode: name(&spec.Zone), optional: true},
-		{name: "frames", decode: machineTypes(spec), optional: true},
+		{name: "id", decode: stringField(func(v string) (err error) { to.ID, err = ident.ParseJobID(v); return err })},
+		{name: "ledgerClass", decode: nameField(&spec.Class)},
+		{name: "desk", decode: nameField(&spec.Team)},
+		{name: "shape", decode: stringField(func(v string) error { return setKind(spec, v) })},
+		{name: "rank", decode: stringField(func(v string) error { return setPriority(spec, v) })},
+		{name: "entries", decode: taskCountField(&spec.Tasks)},
+		{name: "cpus", decode: positiveAmountField(&spec.CPUs)},
+		{name: "accelerators", decode: amountField(&spec.GPUs)},
+		{name: "memoryGb", decode: amountField(&spec.MemoryGB)},
+		{name: "samePlace", decode: boolField(&spec.ZoneAffinity)},
+		{name: "apart", decode: boolField(&spec.ZoneSpread)},
+		{name: "loaner", decode: boolField(&spec.Spot)},
+		{name: "bundle", decode: nameField(&spec.Image)},
+		{name: "imageGb", decode: amountField(&spec.ImageGB)},
+		{name: "expectedS", decode: amountField(&spec.EstimatedRunSeconds)},
+		{name: "folioS", decode: amountField(&spec.CheckpointIntervalSeconds)},
+		{name: "bindS", decode: amountField(&spec.CheckpointSeconds)},
+		{name: "dueS", decode: amountField(&spec.DeadlineSeconds), optional: true},
+		{name: "hall", decode: nameField(&spec.Zone), optional: true},
+		{name: "frames", decode: machineTypesField(spec), optional: true},
 	}
 }
 
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func machineTypes(spec *jobs.Spec) fieldDecoder {
+func machineTypesField(spec *jobs.Spec) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		n, err := d.DecodeArrayLen()
 		if err != nil {
@@ -162,8 +162,8 @@
 	}
 }
 
-// text decodes a string that is not empty and has no control characters.
-func text(set func(string) error) fieldDecoder {
+// stringField decodes a string that is not empty and has no control characters.
+func stringField(set func(string) error) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeString(d)
 		if err != nil {
@@ -178,11 +178,11 @@
 
 func isControl(r rune) bool { return r < ' ' }
 
-func name[T ~string](to *T) fieldDecoder {
-	return text(func(v string) error { *to = T(v); return nil })
+func nameField[T ~string](to *T) fieldDecoder {
+	return stringField(func(v string) error { *to = T(v); return nil })
 }
 
-func amount(to *float64) fieldDecoder {
+func amountField(to *float64) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
 		if err != nil {
@@ -196,8 +196,8 @@
 	}
 }
 
-func positiveAmount(to *float64) fieldDecoder {
-	decode := amount(to)
+func positiveAmountField(to *float64) fieldDecoder {
+	decode := amountField(to)
 	return func(d *msgpack.Decoder) error {
 		if err := decode(d); err != nil {
 			return err
@@ -209,7 +209,7 @@
 	}
 }
 
-func taskCount(to *int) fieldDecoder {
+func taskCountField(to *int) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeCount(d)
 		if err != nil {
@@ -223,7 +223,7 @@
 	}
 }
 
-func flag(to *bool) fieldDecoder {
+func boolField(to *bool) fieldDecoder {
 	return func(d *msgpack.Decoder) (err error) {
 		*to, err = wire.DecodeBool(d)
 		return err
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -44,11 +44,11 @@
 
 // Entry is the limiter's record of an open connection.
 type Entry struct {
-	kind        ClientKind
-	idleSince   clock.Instant
-	idleElement *list.Element // in the idle list of its kind; nil during a request
-	closeConn   func()
-	removed     bool
+	kind            ClientKind
+	idleSince       clock.Instant
+	idleElement     *list.Element // in the idle list of its kind; nil during a request
+	closeConnection func()
+	removed         bool
 }
 
 // Limiter decides which connections are admitted, kept and evicted. It does no I/O and
@@ -72,7 +72,7 @@
 	return l
 }
 
-// Admit registers a new connection, which closeConn closes. If there is no room it
+// Admit registers a new connection, which closeConnection closes. If there is no room it
 // makes some by removing the entry evict, whose connection the caller must close. If
 // none can be evicted, it returns nil and the caller must close the new connection.
 func (l *Limiter) Admit(now clock.Instant, closeConn func()) (entry, evict *Entry) {
@@ -84,7 +84,7 @@
 		l.Evicted++
 		l.Remove(evict)
 	}
-	entry = &Entry{closeConn: closeConn}
+	entry = &Entry{closeConnection: closeConn}
 	l.openCount++
 	l.countByKind[Unidentified]++
 	l.markIdle(now, entry)
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -57,7 +57,7 @@
 	entry, evict := l.limiter.Admit(l.now(), func() { conn.Close() })
 	l.mu.Unlock()
 	if evict != nil {
-		evict.closeConn()
+		evict.closeConnection()
 	}
 	return entry
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -15,8 +15,8 @@
 	"badgerbay/internal/wire"
 )
 
-// readProduction reads a message as the production version sent it.
-func readProduction(t *testing.T, name string) []byte {
+// readProductionMessage reads a message as the production version sent it.
+func readProductionMessage(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/" + name)
 	if err != nil {
@@ -25,11 +25,11 @@
 	return data
 }
 
-// roundTrip reads a gRPC message of the production version, and checks that it is
+// checkProtoRoundTrip reads a gRPC message of the production version, and checks that it is
 // written again byte by byte, without unknown fields.
-func roundTrip[M proto.Message](t *testing.T, name string, m M) M {
+func checkProtoRoundTrip[M proto.Message](t *testing.T, name string, m M) M {
 	t.Helper()
-	data := readProduction(t, name)
+	data := readProductionMessage(t, name)
 	if err := proto.Unmarshal(data, m); err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +42,14 @@
 // TestBatchesFromPreviousVersion: what the production version sends through the
 // key-value store is read, and written again as it was.
 func TestBatchesFromPreviousVersion(t *testing.T) {
-	b, err := DecompressBatch(readProduction(t, "batch.msgpack"))
+	batch, err := DecompressBatch(readProductionMessage(t, "batch.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Node != "n0" || b.AckedBatchID != "k3v9-16" || b.SchemaVersion != 0 || len(b.Heartbeats) != 2 || len(b.CancelRequests) != 1 || b.CancelRequests[0].Job != "wk-000398" {
-		t.Errorf("batch %+v", b)
+	if batch.Node != "n0" || batch.AckedBatchID != "k3v9-16" || batch.SchemaVersion != 0 || len(batch.Heartbeats) != 2 || len(batch.CancelRequests) != 1 || batch.CancelRequests[0].Job != "wk-000398" {
+		t.Errorf("batch %+v", batch)
 	}
-	r, err := b.Heartbeats[1].Unpack()
+	r, err := batch.Heartbeats[1].Unpack()
 	if err != nil || r.Session != 3 || r.HeartbeatSeq != 12 || r.FencingToken != 40 || !r.Spot || r.InterruptionIn != 12500*time.Millisecond || len(r.Tasks) != 2 {
 		t.Fatalf("heartbeat %+v, %v", r, err)
 	}
@@ -60,27 +60,27 @@
 	if !stored[fleet.ExitStopped] || stored[fleet.ExitDone] {
 		t.Errorf("exits %+v", r.Tasks)
 	}
-	checkReencoded(t, "batch.msgpack", b)
+	checkCompressedUnchanged(t, "batch.msgpack", batch)
 
-	a, err := DecompressReply(readProduction(t, "answers.msgpack"))
+	reply, err := DecompressReply(readProductionMessage(t, "answers.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	commands := a.Heartbeats[0].UnpackCommands()
-	if a.ID != b.ID || len(a.Heartbeats) != 2 || a.Heartbeats[0].Code != 200 || len(commands) != 3 || commands[1].GracePeriod != 10*time.Second {
-		t.Errorf("reply %+v, commands %+v", a, commands)
+	commands := reply.Heartbeats[0].UnpackCommands()
+	if reply.ID != batch.ID || len(reply.Heartbeats) != 2 || reply.Heartbeats[0].Code != 200 || len(commands) != 3 || commands[1].GracePeriod != 10*time.Second {
+		t.Errorf("reply %+v, commands %+v", reply, commands)
 	}
-	checkReencoded(t, "answers.msgpack", a)
+	checkCompressedUnchanged(t, "answers.msgpack", reply)
 }
 
-// checkReencoded checks that a value is squeezed into the text that it was read from.
-func checkReencoded(t *testing.T, name string, v any) {
+// checkCompressedUnchanged checks that a value is squeezed into the text that it was read from.
+func checkCompressedUnchanged(t *testing.T, name string, v any) {
 	t.Helper()
 	text, err := wire.CompressMessage(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readProduction(t, name)) {
+	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readProductionMessage(t, name)) {
 		t.Errorf("%s: not written as it was read: %v", name, err)
 	}
 }
@@ -89,45 +89,45 @@
 // and answered, and what this version sends is the same but for the schema version,
 // which that version skips.
 func TestCallsFromPreviousVersion(t *testing.T) {
-	req := roundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
-	q, err := DecodeBatch(req.Batch)
-	if err != nil || !q.WantsDelegation || q.Node != "n1" {
-		t.Errorf("batch %+v, %v", q, err)
+	req := checkProtoRoundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
+	batch, err := DecodeBatch(req.Batch)
+	if err != nil || !batch.WantsDelegation || batch.Node != "n1" {
+		t.Errorf("batch %+v, %v", batch, err)
 	}
-	reply := roundTrip(t, "grant-reply.pb", &meshpb.RelayReply{})
-	a, err := DecodeReply(reply.Answers)
-	if err != nil || a.Delegation == nil {
-		t.Fatalf("%+v, %v", a, err)
+	reply := checkProtoRoundTrip(t, "grant-reply.pb", &meshpb.RelayReply{})
+	batchReply, err := DecodeReply(reply.Answers)
+	if err != nil || batchReply.Delegation == nil {
+		t.Fatalf("%+v, %v", batchReply, err)
 	}
-	said, err := a.Delegation.Unpack()
-	if err != nil || said.Epoch != 77 || said.GrantDuration <= 0 || a.Delegation.SchemaVersion != 0 {
-		t.Errorf("grant %+v of schema version %d, %v", said, a.Delegation.SchemaVersion, err)
+	status, err := batchReply.Delegation.Unpack()
+	if err != nil || status.Epoch != 77 || status.GrantDuration <= 0 || batchReply.Delegation.SchemaVersion != 0 {
+		t.Errorf("grant %+v of schema version %d, %v", status, batchReply.Delegation.SchemaVersion, err)
 	}
-	again, err := msgpack.Marshal(a)
+	again, err := msgpack.Marshal(batchReply)
 	if err != nil || !bytes.Equal(again, reply.Answers) {
 		t.Errorf("the grant is not written as it was read: %v", err)
 	}
 	// The production version knows these fields of a grant, and skips others.
-	var old struct {
+	var productionReply struct {
 		Delegation struct {
 			Epoch  uint64 `msgpack:"e"`
 			LifeMs int64  `msgpack:"l"`
 		} `msgpack:"v"`
 	}
-	data, err := msgpack.Marshal(BatchReply{Delegation: PackDelegationStatus(said)})
+	data, err := msgpack.Marshal(BatchReply{Delegation: PackDelegationStatus(status)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(data, &old); err != nil || old.Delegation.Epoch != 77 || old.Delegation.LifeMs != said.GrantDuration.Milliseconds() {
-		t.Errorf("the production version reads %+v, %v", old, err)
+	if err := msgpack.Unmarshal(data, &productionReply); err != nil || productionReply.Delegation.Epoch != 77 || productionReply.Delegation.LifeMs != status.GrantDuration.Milliseconds() {
+		t.Errorf("the production version reads %+v, %v", productionReply, err)
 	}
-	if r := roundTrip(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
+	if r := checkProtoRoundTrip(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
 		t.Errorf("cancellation %v", r)
 	}
-	if r := roundTrip(t, "cancel-reply.pb", &meshpb.AskReply{}); r.Standing != "cancelled" || r.Outcome != meshpb.Outcome_OUTCOME_KNOWN {
+	if r := checkProtoRoundTrip(t, "cancel-reply.pb", &meshpb.AskReply{}); r.Standing != "cancelled" || r.Outcome != meshpb.Outcome_OUTCOME_KNOWN {
 		t.Errorf("its answer %v", r)
 	}
-	roundTrip(t, "health-reply.pb", &meshpb.HealthReply{})
+	checkProtoRoundTrip(t, "health-reply.pb", &meshpb.HealthReply{})
 }
 
 // TestMessagesFromLaterVersions: what a later version adds is skipped, and what is
--- a/internal/peer/delegation.go
+++ b/internal/peer/delegation.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/wire"
 )
 
-// maxDelegationMs bounds the times of a delegation: some decades.
-const maxDelegationMs = 1 << 40
+// maxDurationMs bounds the times of a delegation: some decades.
+const maxDurationMs = 1 << 40
 
 // DelegationStatus is a node's reply to another that wants a lease delegation; see
 // package leasedelegation. Times are in milliseconds.
@@ -46,7 +46,7 @@
 // Unpack returns the status that the message carries. Errors wrap ErrMalformed; the
 // caller must then assume that there is no grant.
 func (s *DelegationStatus) Unpack() (leasedelegation.Status, error) {
-	if !validDelegationMs(s.TTLMs) || !validDelegationMs(s.IdleMs) {
+	if !validDurationMs(s.TTLMs) || !validDurationMs(s.IdleMs) {
 		return leasedelegation.Status{}, fmt.Errorf("%w: delegation with a time out of range", ErrMalformed)
 	}
 	return leasedelegation.Status{
@@ -57,7 +57,7 @@
 	}, nil
 }
 
-func validDelegationMs(ms int64) bool { return ms >= 0 && ms <= maxDelegationMs }
+func validDurationMs(ms int64) bool { return ms >= 0 && ms <= maxDurationMs }
 
 // MachineIDsFit reports whether a list of excluded machines fits into one message,
 // beside what else that holds.
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -25,8 +25,8 @@
 	"badgerbay/internal/wire"
 )
 
-// golden reads the lines "name text" of a file in testdata/golden.
-func golden(t *testing.T, file string) map[string]string {
+// readGolden reads the lines "name text" of a file in testdata/readGolden.
+func readGolden(t *testing.T, file string) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + file)
 	if err != nil {
@@ -53,7 +53,7 @@
 				TaskGroups: []TaskGroup{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: indexset.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
 			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, HeartbeatSeq: 12, FencingToken: 40, SpotNoticeSeconds: &notice,
 				TaskGroups: []TaskGroup{
-					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, Stored: true, Indexes: indexset.Set{{First: 2, Last: 2}}},
+					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true, Indexes: indexset.Set{{First: 2, Last: 2}}},
 					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.ExitDone, Indexes: indexset.Set{{First: 300, Last: 70000}}}}},
 		},
 		CancelRequests: []CancelRequest{{Job: "wk-000398"}},
@@ -84,7 +84,7 @@
 // TestGoldenMessages: batches and their answers, plain, compressed into a value, and
 // in JSON, are written as they always were, and read back as they were written.
 func TestGoldenMessages(t *testing.T) {
-	want := golden(t, "messages.txt")
+	want := readGolden(t, "messages.txt")
 	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(BatchReply{}, "Quota")}
 	encodeValue := func(v any) ([]byte, error) {
 		text, err := wire.CompressMessage(v)
@@ -136,7 +136,7 @@
 // TestGoldenCalls: the gRPC messages are written as they always were, and read back
 // without unknown fields.
 func TestGoldenCalls(t *testing.T) {
-	want := golden(t, "calls.txt")
+	want := readGolden(t, "calls.txt")
 	messages := []proto.Message{
 		&meshpb.AskRequest{Job: "wk-000412", Withdraw: true},
 		&meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_BUSY, Standing: "running", Done: 3, Running: 300},
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := describe(meshpb.File_mesh_proto)
+	got := describeProtocol(meshpb.File_mesh_proto)
 	if diff := cmp.Diff(strings.Split(string(data), "\n"), strings.Split(got, "\n")); diff != "" {
 		t.Error(diff)
 	}
@@ -185,8 +185,8 @@
 	}
 }
 
-// describe lists what a protocol file promises to other versions.
-func describe(file protoreflect.FileDescriptor) string {
+// describeProtocol lists what a protocol file promises to other versions.
+func describeProtocol(file protoreflect.FileDescriptor) string {
 	var out strings.Builder
 	for i := range file.Services().Len() {
 		service := file.Services().Get(i)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -37,12 +37,12 @@
 
 // TaskGroup is a set of tasks that have everything but their index in common.
 type TaskGroup struct {
-	Job     ident.JobID     `msgpack:"j" json:"j"`
-	Attempt ident.Attempt   `msgpack:"a" json:"a"`
-	State   fleet.TaskState `msgpack:"s" json:"s"`
-	Cause   fleet.ExitCause `msgpack:"c,omitempty" json:"c,omitempty"`
-	Stored  bool            `msgpack:"d,omitempty" json:"d,omitempty"` // the checkpoint is
-	Indexes indexset.Set    `msgpack:"i" json:"i"`
+	Job              ident.JobID     `msgpack:"j" json:"j"`
+	Attempt          ident.Attempt   `msgpack:"a" json:"a"`
+	State            fleet.TaskState `msgpack:"s" json:"s"`
+	Cause            fleet.ExitCause `msgpack:"c,omitempty" json:"c,omitempty"`
+	CheckpointStored bool            `msgpack:"d,omitempty" json:"d,omitempty"` // the checkpoint is
+	Indexes          indexset.Set    `msgpack:"i" json:"i"`
 }
 
 // HeartbeatReply is the leader's reply to a heartbeat. Code is an HTTP status code.
@@ -64,11 +64,11 @@
 
 // taskGroupKey is what the tasks of a group have in common.
 type taskGroupKey struct {
-	job     ident.JobID
-	attempt ident.Attempt
-	state   fleet.TaskState
-	cause   fleet.ExitCause
-	stored  bool
+	job              ident.JobID
+	attempt          ident.Attempt
+	state            fleet.TaskState
+	cause            fleet.ExitCause
+	checkpointStored bool
 }
 
 // PackHeartbeat returns the compact form of a heartbeat.
@@ -89,7 +89,7 @@
 			i = len(packed.TaskGroups)
 			positions[key] = i
 			packed.TaskGroups = append(packed.TaskGroups, TaskGroup{
-				Job: key.job, Attempt: key.attempt, State: key.state, Cause: key.cause, Stored: key.stored,
+				Job: key.job, Attempt: key.attempt, State: key.state, Cause: key.cause, CheckpointStored: key.checkpointStored,
 			})
 		}
 		packed.TaskGroups[i].Indexes.Add(task.Task.Index)
@@ -116,7 +116,7 @@
 		}
 		for index := range group.Indexes.All() {
 			hb.Tasks = append(hb.Tasks, fleet.TaskStatus{
-				Task: ident.TaskID{Job: group.Job, Index: index}, Attempt: group.Attempt, State: group.State, Cause: group.Cause, CheckpointStored: group.Stored,
+				Task: ident.TaskID{Job: group.Job, Index: index}, Attempt: group.Attempt, State: group.State, Cause: group.Cause, CheckpointStored: group.CheckpointStored,
 			})
 		}
 	}
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -47,7 +47,7 @@
 	waiting := slices.DeleteFunc(slices.Clone(queue), func(r PendingRequest) bool { return !now.Before(r.Deadline) })
 	slices.SortStableFunc(waiting, func(a, b PendingRequest) int { return cmp.Compare(a.sendOrder(), b.sendOrder()) })
 	for count := len(waiting); count > 0; {
-		value, err := wire.CompressMessage(newMessage(header, waiting[:count]))
+		value, err := wire.CompressMessage(newPeerBatch(header, waiting[:count]))
 		switch {
 		case err != nil:
 			return Batch{}, fmt.Errorf("encoding batch %s: %w", header.ID, err)
@@ -62,7 +62,7 @@
 	return Batch{}, nil
 }
 
-func newMessage(header BatchHeader, requests []PendingRequest) *peer.Batch {
+func newPeerBatch(header BatchHeader, requests []PendingRequest) *peer.Batch {
 	batch := &peer.Batch{
 		ID:            header.ID,
 		Node:          header.Node,
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -35,7 +35,7 @@
 	leader       string
 	redirectedAt clock.Instant
 	relayedSince clock.Instant // 0: not relayed
-	peerFailed   bool          // this node could not reach the leader over gRPC either
+	grpcFailed   bool          // this node could not reach the leader over gRPC either
 }
 
 // ShouldRedirect reports whether a worker should be redirected to the leader rather
@@ -53,7 +53,7 @@
 		r.routes[id] = &route{leader: leader, redirectedAt: now}
 		return true
 	case known.relayedSince != 0:
-		if now.Sub(known.relayedSince) < relayPeriod || known.peerFailed && !peerReachable() {
+		if now.Sub(known.relayedSince) < relayPeriod || known.grpcFailed && !peerReachable() {
 			return false
 		}
 	case now.Sub(known.redirectedAt) < redirectFailureWindow:
@@ -69,6 +69,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known := r.routes[id]; known != nil {
-		known.peerFailed = true
+		known.grpcFailed = true
 	}
 }
