--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -13,30 +13,31 @@
 	"badgerbay/internal/roundlog"
 )
 
-// Errors of AdmissionRules.Check, to be compared with errors.Is.
+// Errors that AdmissionRules.Check returns; compare them with errors.Is.
 var (
-	// ErrInfeasible says that a job can never run in this cluster.
+	// ErrInfeasible is returned when a job can never run in this cluster.
 	ErrInfeasible = errors.New("job can never run")
-	// ErrMachineTypesUnknown says that the cloud's machine types were not listed yet,
-	// so that admission can't be decided.
-	ErrMachineTypesUnknown = errors.New("machine types not listed yet")
+	// ErrMachineTypesUnknown is returned when the cloud's machine types have not been
+	// listed yet, so that admission cannot be decided.
+	ErrMachineTypesUnknown = errors.New("machine types have not been listed yet")
 )
 
 // limitTolerance absorbs the rounding errors of sums of decimal amounts.
 const limitTolerance = 1e-6
 
-// AdmissionRules are what a submission is checked against.
+// AdmissionRules holds the configuration and the machine types that submissions are
+// checked against.
 type AdmissionRules struct {
 	Teams        map[ident.Team]config.Team
 	Zones        []ident.Zone
-	MachineTypes []*fleet.MachineType // nil: not listed yet
-	// StateLimits are the limits of the key-value store that job and round records
-	// must keep to.
+	MachineTypes []*fleet.MachineType // nil if not listed yet
+	// StateLimits are the limits of the key-value store that job records and round
+	// records must not exceed.
 	StateLimits config.State
 }
 
-// Check returns nil if the job can run, an error that wraps ErrInfeasible if it never
-// can, and ErrMachineTypesUnknown if that can't be decided yet.
+// Check returns nil if the job can run, an error that wraps ErrInfeasible if it can
+// never run, and ErrMachineTypesUnknown if this cannot be decided yet.
 func (r *AdmissionRules) Check(s *jobs.Spec) error {
 	if err := r.checkTeamLimit(s); err != nil {
 		return err
@@ -46,7 +47,7 @@
 	}
 	perMachine := r.maxTasksPerMachine(s)
 	if perMachine == 0 {
-		return fmt.Errorf("%w: no machine is large enough for a task", ErrInfeasible)
+		return fmt.Errorf("%w: no machine type that the job allows is large enough for a task", ErrInfeasible)
 	}
 	if s.Gang {
 		return r.checkGang(s, perMachine)
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// checkTeamLimit checks what must run at once: all tasks of a service or gang, and
-// one task of an array.
+// checkTeamLimit checks the resources of the tasks that must run concurrently against
+// the team's limits: all tasks of a service or gang, and one task of an array.
 func (r *AdmissionRules) checkTeamLimit(s *jobs.Spec) error {
 	team, ok := r.Teams[s.Team]
 	if !ok {
@@ -67,18 +68,19 @@
 	}
 	need := s.TaskResources().Multiply(concurrentTasks)
 	if exceeds(need.CPUs, team.CPULimit) || exceeds(need.GPUs, team.GPULimit) {
-		return fmt.Errorf("%w: beyond the limit of team %q", ErrInfeasible, s.Team)
+		return fmt.Errorf("%w: required resources exceed the limit of team %q", ErrInfeasible, s.Team)
 	}
 	return nil
 }
 
-// exceeds reports whether an amount is beyond a limit; a limit of 0 means none.
+// exceeds reports whether an amount exceeds a limit; a limit of 0 means unlimited.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+limitTolerance }
 
-// checkGang checks a gang of which one machine holds up to perMachine tasks.
+// checkGang checks a gang's zone constraints and the size of its records, given that
+// one machine holds up to perMachine of its tasks.
 func (r *AdmissionRules) checkGang(s *jobs.Spec, perMachine int) error {
 	if s.MaxTasksPerZone() < s.Tasks && !r.canSpreadAcrossZones(s) {
-		return fmt.Errorf("%w: a gang to be spread over zones has only one", ErrInfeasible)
+		return fmt.Errorf("%w: the gang requires zone spread but is limited to one zone", ErrInfeasible)
 	}
 	if !roundlog.GangRecordsFit(s, perMachine, kvstore.JSONSize(s), r.StateLimits) {
 		return fmt.Errorf("%w: the gang's records exceed the limits of the key-value store", ErrInfeasible)
@@ -86,8 +88,8 @@
 	return nil
 }
 
-// maxTasksPerMachine returns how many tasks fit on the largest machine that the job
-// may use. It assumes on-demand machines, which every job may use.
+// maxTasksPerMachine returns the largest number of tasks that fit on one machine of
+// any type that the job may use. It assumes on-demand machines, which every job may use.
 func (r *AdmissionRules) maxTasksPerMachine(s *jobs.Spec) int {
 	most := 0
 	for _, t := range r.MachineTypes {
@@ -100,7 +102,7 @@
 }
 
 // canSpreadAcrossZones reports whether a gang with zone spread may use more than one
-// zone. All its tasks run at once, so one zone is not enough.
+// zone. It needs more than one because all its tasks run concurrently.
 func (r *AdmissionRules) canSpreadAcrossZones(s *jobs.Spec) bool {
 	return !s.ZoneAffinity && s.Zone == "" && len(r.Zones) > 1
 }
--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -16,42 +16,45 @@
 		MachineTypes: []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}}
 }
 
+// TestAdmissionRules checks which jobs are rejected as infeasible. It also checks that a
+// submission gets a 503 with a retry delay, not a rejection, as long as the machine types
+// are unknown.
 func TestAdmissionRules(t *testing.T) {
 	base := jobs.Spec{Team: "red", Tasks: 100, CPUs: 2, MemoryGB: 4}
 	for name, c := range map[string]struct {
 		change func(*jobs.Spec)
 		want   error
 	}{
-		"array beyond the limit as a whole": {func(*jobs.Spec) {}, nil},
-		"service beyond the limit":          {func(s *jobs.Spec) { s.Service = true }, ErrInfeasible},
-		"service within the limit":          {func(s *jobs.Spec) { s.Service, s.Tasks = true, 4 }, nil},
-		"gang beyond the limit":             {func(s *jobs.Spec) { s.Gang = true }, ErrInfeasible},
-		"gang within the limit":             {func(s *jobs.Spec) { s.Gang, s.Tasks = true, 4 }, nil},
-		"gang beyond what records hold": {func(s *jobs.Spec) {
+		"array whose total exceeds limit": {func(*jobs.Spec) {}, nil},
+		"service exceeds the limit":       {func(s *jobs.Spec) { s.Service = true }, ErrInfeasible},
+		"service within the limit":        {func(s *jobs.Spec) { s.Service, s.Tasks = true, 4 }, nil},
+		"gang exceeds the limit":          {func(s *jobs.Spec) { s.Gang = true }, ErrInfeasible},
+		"gang within the limit":           {func(s *jobs.Spec) { s.Gang, s.Tasks = true, 4 }, nil},
+		"gang exceeds the record limits": {func(s *jobs.Spec) {
 			s.Team, s.Gang, s.Tasks = "wide", true, 2000
 		}, ErrInfeasible},
-		"large gang":                  {func(s *jobs.Spec) { s.Team, s.Gang, s.Tasks = "wide", true, 100 }, nil},
-		"gang of one":                 {func(s *jobs.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 1 }, nil},
-		"gang in one zone and spread": {func(s *jobs.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 4 }, ErrInfeasible},
-		"gang in a zone nobody has":   {func(s *jobs.Spec) { s.Gang, s.Zone, s.Tasks = true, "z", 4 }, ErrInfeasible},
-		"unknown team":                {func(s *jobs.Spec) { s.Team = "green" }, ErrInfeasible},
-		"too large for any machine":   {func(s *jobs.Spec) { s.CPUs = 5 }, ErrInfeasible},
-		"unknown type":                {func(s *jobs.Spec) { s.MachineTypes = []ident.MachineType{"x"} }, ErrInfeasible},
-		"unknown zone":                {func(s *jobs.Spec) { s.Zone = "z" }, ErrInfeasible},
-		"accelerators nobody has":     {func(s *jobs.Spec) { s.GPUs = 1 }, ErrInfeasible},
+		"large gang":                         {func(s *jobs.Spec) { s.Team, s.Gang, s.Tasks = "wide", true, 100 }, nil},
+		"gang of one":                        {func(s *jobs.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 1 }, nil},
+		"gang with zone affinity and spread": {func(s *jobs.Spec) { s.Gang, s.ZoneAffinity, s.ZoneSpread, s.Tasks = true, true, true, 4 }, ErrInfeasible},
+		"gang in an unknown zone":            {func(s *jobs.Spec) { s.Gang, s.Zone, s.Tasks = true, "z", 4 }, ErrInfeasible},
+		"unknown team":                       {func(s *jobs.Spec) { s.Team = "green" }, ErrInfeasible},
+		"task too large for any machine":     {func(s *jobs.Spec) { s.CPUs = 5 }, ErrInfeasible},
+		"unknown machine type":               {func(s *jobs.Spec) { s.MachineTypes = []ident.MachineType{"x"} }, ErrInfeasible},
+		"unknown zone":                       {func(s *jobs.Spec) { s.Zone = "z" }, ErrInfeasible},
+		"GPUs that no machine type has":      {func(s *jobs.Spec) { s.GPUs = 1 }, ErrInfeasible},
 	} {
 		s := base
 		c.change(&s)
 		if got := testAdmissionRules().Check(&s); !errors.Is(got, c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: error %v, want %v", name, got, c.want)
 		}
 	}
 	rulesWithoutTypes := testAdmissionRules()
 	rulesWithoutTypes.MachineTypes = nil
 	if got := rulesWithoutTypes.Check(&base); !errors.Is(got, ErrMachineTypesUnknown) {
-		t.Errorf("machine types not known: %v, want %v", got, ErrMachineTypesUnknown)
+		t.Errorf("unknown machine types: error %v, want %v", got, ErrMachineTypesUnknown)
 	}
 	if r := respond(t, NewSubmitRequest(&Submission{ID: "wk-000412", Spec: base}, rulesWithoutTypes, 0), Begin{}); r.Code != http.StatusServiceUnavailable || r.RetryAfter <= 0 {
-		t.Errorf("machine types not known: answered %+v, want 503", r)
+		t.Errorf("unknown machine types: response %+v, want 503 with a retry delay", r)
 	}
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -14,7 +14,7 @@
 	"badgerbay/internal/jobs"
 )
 
-// readGolden reads the lines "name hex" of a file in testdata/readGolden.
+// readGolden reads a file in testdata/golden, whose lines have the form "name hex".
 func readGolden(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/golden/" + file)
@@ -33,7 +33,8 @@
 	return lines
 }
 
-// TestGoldenSubmissions: submissions mean what they always meant, field by field.
+// TestGoldenSubmissions checks that recorded submissions decode to the same values, field
+// by field. It guards against changes to the wire format that existing clients use.
 func TestGoldenSubmissions(t *testing.T) {
 	bodies := readGolden(t, "submissions.txt")
 	want := map[string]Submission{
@@ -58,11 +59,12 @@
 		}
 	}
 	if len(bodies) != len(want) {
-		t.Errorf("%d golden submissions, %d are known", len(bodies), len(want))
+		t.Errorf("%d golden submissions, %d are checked", len(bodies), len(want))
 	}
 }
 
-// TestGoldenAnswers: the bodies of answers are written as they always were.
+// TestGoldenAnswers checks that response bodies are encoded byte for byte as recorded. It
+// guards against changes to the wire format that existing clients use.
 func TestGoldenAnswers(t *testing.T) {
 	bodies := readGolden(t, "answers.txt")
 	statuses := map[string]Status{
@@ -76,12 +78,12 @@
 		if err != nil || !bytes.Equal(got, bodies[name]) {
 			t.Errorf("%s: encoded as %x, %v", name, got, err)
 		}
-		var read map[string]any
-		if err := msgpack.Unmarshal(bodies[name], &read); err != nil || len(read) != 4 || read["id"] != "wk-000412" || read["standing"] != name {
-			t.Errorf("%s: read as %v, %v", name, read, err)
+		var decoded map[string]any
+		if err := msgpack.Unmarshal(bodies[name], &decoded); err != nil || len(decoded) != 4 || decoded["id"] != "wk-000412" || decoded["standing"] != name {
+			t.Errorf("%s: decoded as %v, %v", name, decoded, err)
 		}
 	}
 	if len(bodies) != len(statuses) {
-		t.Errorf("%d golden answers, %d are known", len(bodies), len(statuses))
+		t.Errorf("%d golden responses, %d are checked", len(bodies), len(statuses))
 	}
 }
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -6,10 +6,10 @@
 	"badgerbay/internal/jobs"
 )
 
-// RequestKind tells what a user asks for.
+// RequestKind is the operation that a user requests.
 type RequestKind int
 
-// The kinds of requests.
+// The request kinds.
 const (
 	Submit RequestKind = iota
 	QueryStatus
@@ -24,13 +24,14 @@
 	Begin struct{}
 	// RecordCreated is the outcome of CreateRecord.
 	RecordCreated struct{ Result CreateResult }
-	// RecordLoaded is the outcome of LoadRecord. OK is false if the record could not
-	// be read. Record is nil if the job was never accepted.
+	// RecordLoaded is the outcome of LoadRecord. OK is false if the read failed. If OK
+	// is true, a nil Record means that the job was never accepted.
 	RecordLoaded struct {
 		OK     bool
 		Record *jobs.Record
 	}
-	// LeaderReplied is the outcome of QueryLeader. Status is set for JobFound.
+	// LeaderReplied is the outcome of QueryLeader. Status is set only if Outcome is
+	// JobFound.
 	LeaderReplied struct {
 		Outcome QueryOutcome
 		Status  Status
@@ -46,46 +47,49 @@
 type CreateResult int
 
 const (
-	// Stored says that the record was created.
+	// Stored means that the record was created.
 	Stored CreateResult = iota
-	// AlreadyExists says that a record with this ID was there before.
+	// AlreadyExists means that a record with this ID existed before.
 	AlreadyExists
-	// Rejected says that nothing was stored: the write budget was exhausted, or the
-	// key-value store refused.
+	// Rejected means that nothing was stored, because the write budget was exhausted
+	// or the key-value store rejected the transaction.
 	Rejected
-	// Indeterminate says that the reply was lost: the transaction may have been
-	// executed, or may still be.
+	// Indeterminate means that the reply was lost: the transaction may have been
+	// executed, or may still be executed later.
 	Indeterminate
 )
 
-// QueryOutcome is how the leader answered a status query or a cancel request.
+// QueryOutcome is the outcome of a status query or a cancel request to the leader.
 type QueryOutcome int
 
 const (
-	// JobFound says that the reply holds the job's status.
+	// JobFound means that the reply contains the job's status.
 	JobFound QueryOutcome = iota
-	// JobNotFound says that the leader does not know the job. The record decides.
+	// JobNotFound means that the leader does not know the job. The job's record in the
+	// key-value store decides whether the job exists.
 	JobNotFound
-	// NoLeader says that no leader could be asked. Nothing was done.
+	// NoLeader means that no leader could be reached. The request had no effect.
 	NoLeader
-	// LeaderBusy says that the leader did not get to the request. Nothing was done.
+	// LeaderBusy means that the leader did not process the request, which had no effect.
 	LeaderBusy
 )
 
-// Action is what the server must do next for a request: one of the types below.
+// Action is the next step that the server must perform for a request: one of the types
+// below.
 type Action interface{ action() }
 
 type (
 	// CreateRecord stores the job's record if no record with its ID exists. The
-	// server continues with RecordCreated.
+	// server passes the outcome to Request.Step as RecordCreated.
 	CreateRecord struct{ Record *jobs.Record }
-	// LoadRecord reads the job's record. The server continues with RecordLoaded.
+	// LoadRecord reads the job's record. The server passes the outcome to Request.Step
+	// as RecordLoaded.
 	LoadRecord struct{}
-	// QueryLeader sends a status query or a cancel request to the leader. The server
-	// continues with LeaderReplied.
+	// QueryLeader sends a status query or, if Cancel is set, a cancel request to the
+	// leader. The server passes the outcome to Request.Step as LeaderReplied.
 	QueryLeader struct{ Cancel bool }
-	// Response ends the request. Code is an HTTP status code; Status is sent with 200
-	// and 201. RetryAfter is zero unless the user should try again.
+	// Response completes the request. Code is an HTTP status code; Status is sent with
+	// codes 200 and 201. RetryAfter is zero unless the user should retry.
 	Response struct {
 		Code       int
 		Status     Status
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -1,8 +1,8 @@
-// Package api holds the logic of the users' HTTP API, which every node serves:
-// submissions, status queries and cancel requests. It owns the wire format of the
-// requests and responses, the admission rules, and the state machine that takes one
-// request to its response. It does no I/O: package node receives the requests and
-// carries out what the state machine asks for.
+// Package api implements the logic of the users' HTTP API, which every node serves:
+// submissions, status queries and cancel requests. It defines the wire format of the
+// requests and responses, the admission rules, and the state machine that processes a
+// request until its response. It does no I/O: package node receives the requests and
+// executes the actions that the state machine returns.
 package api
 
 import (
@@ -19,20 +19,23 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// loadPurpose tells why the job's record is read, and so what it means if there
-// is none.
+// loadPurpose is the reason for which a job's record is read. It determines the
+// response if no record exists.
 type loadPurpose int
 
 const (
-	// answerFromRecord: the leader did not answer. Without a record there is no job.
+	// answerFromRecord: the leader was not reached or does not know the job. If no
+	// record exists, the job does not exist.
 	answerFromRecord loadPurpose = iota
-	// verifyCreation: the record existed before, or may have been created.
+	// verifyCreation: the record existed before this submission, or the outcome of
+	// its creation is unknown.
 	verifyCreation
-	// confirmRejection: the submission can never run, unless it was accepted earlier.
+	// confirmRejection: the job can never run under the current rules. The submission
+	// is rejected unless the job was accepted earlier.
 	confirmRejection
 )
 
-// Request is the state machine of one request. It is not safe for concurrent use.
+// Request is the state machine of one user request. It is not safe for concurrent use.
 type Request struct {
 	kind          RequestKind
 	submission    *Submission
@@ -43,7 +46,7 @@
 }
 
 // NewSubmitRequest returns the state machine of a submission that was received at
-// the Unix time wallMs, in milliseconds.
+// wallMs, a Unix time in milliseconds.
 func NewSubmitRequest(sub *Submission, rules *AdmissionRules, wallMs int64) *Request {
 	return &Request{kind: Submit, submission: sub, admission: rules, submittedAtMs: wallMs, retryAfter: minRetryAfter}
 }
@@ -53,7 +56,7 @@
 	return &Request{kind: kind, retryAfter: minRetryAfter}
 }
 
-// SetRetryAfter sets the delay that a 503 asks the user for, at least a second.
+// SetRetryAfter sets the retry delay of 503 responses, which is at least one second.
 func (r *Request) SetRetryAfter(d time.Duration) { r.retryAfter = max(d, minRetryAfter) }
 
 // Step handles an input and returns the next action.
@@ -80,8 +83,8 @@
 	case err == nil:
 		return CreateRecord{Record: jobs.NewRecord(r.submission.Spec, r.submittedAtMs)}
 	case errors.Is(err, ErrInfeasible):
-		// A job that was accepted is never rejected later, even if machine types
-		// or limits have changed since.
+		// A resubmitted job that was accepted before must not be rejected, even if
+		// machine types or limits have changed since.
 		return r.loadRecord(confirmRejection)
 	}
 	return r.unavailable()
@@ -104,7 +107,7 @@
 	case in.Record == nil:
 		return r.recordMissing()
 	case r.kind == Cancel && !in.Record.Phase.Final():
-		return r.unavailable() // only the leader cancels
+		return r.unavailable() // only the leader can cancel an active job
 	}
 	return Response{Code: http.StatusOK, Status: StatusOfRecord(in.Record)}
 }
@@ -114,8 +117,8 @@
 	case confirmRejection:
 		return Response{Code: http.StatusUnprocessableEntity}
 	case verifyCreation:
-		// The transaction may still be executed and accept the job, so the user
-		// must retry: a rejection could turn out to be wrong.
+		// The transaction may still be executed and so accept the job. The user
+		// must retry, because a rejection now could prove wrong later.
 		return r.unavailable()
 	}
 	return Response{Code: http.StatusNotFound}
@@ -128,8 +131,8 @@
 	case LeaderBusy:
 		return r.unavailable()
 	}
-	// The leader reports only what is stored, so the record is never older than
-	// anything that a user was told before.
+	// The leader reports only stored state, so the record is never older than a
+	// status that a user received before.
 	return r.loadRecord(answerFromRecord)
 }
 
@@ -142,7 +145,7 @@
 	return Response{Code: http.StatusServiceUnavailable, RetryAfter: r.retryAfter}
 }
 
-// RetryAfterSeconds converts a delay to the value of the Retry-After header: whole
+// RetryAfterSeconds returns the value of the Retry-After header for a delay: whole
 // seconds, rounded up, between 1 and 30.
 func RetryAfterSeconds(d time.Duration) int {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// smoothingFactor is the weight of the latest submission in the moving average.
+	// smoothingFactor is the weight of the latest submission in the exponential moving
+	// average of the rejection rate.
 	smoothingFactor = 0.05
-	// maxRetryJitter is the range over which retries are spread if nearly all
-	// submissions are rejected. It is short beside the minute for which users retry.
+	// maxRetryJitter is the interval over which retries are spread when nearly all
+	// submissions are rejected. It is short compared with the minute for which users
+	// retry.
 	maxRetryJitter = 4 * time.Second
-	// overloadThreshold is the rejected share from which it is of no use to forward
-	// submissions to several nodes.
+	// overloadThreshold is the rejection rate above which it is useless to forward a
+	// submission to several nodes.
 	overloadThreshold = 0.5
 )
 
-// RetryPacer computes the retry delay of submissions that are rejected because the
-// write budget is exhausted. The more are rejected, the wider it spreads their
-// retries: those that come back together are rejected together. It is safe for
-// concurrent use.
+// RetryPacer computes random retry delays for submissions that are rejected because the
+// write budget is exhausted. The higher the rejection rate, the wider it spreads the
+// retries, because submissions that are retried at the same time would be rejected
+// together again. It is safe for concurrent use.
 type RetryPacer struct {
 	mu            sync.Mutex
 	rng           *rand.Rand
-	rejectionRate float64 // moving average of the latest submissions
+	rejectionRate float64 // exponential moving average over submissions, 0 to 1
 }
 
-// NewRetryPacer returns a pacer that has seen no rejections. It takes over rng.
+// NewRetryPacer returns a pacer with a rejection rate of 0. The caller must not use rng
+// afterwards.
 func NewRetryPacer(rng *rand.Rand) *RetryPacer { return &RetryPacer{rng: rng} }
 
 // Accepted records that the write of a submission was within the budget.
@@ -37,8 +40,8 @@
 	p.observe(0)
 }
 
-// Rejected records that a submission was rejected. It returns the delay that the user
-// should wait beyond the time at which the budget allows the next write.
+// Rejected records that a submission was rejected. It returns the delay to add to the
+// time until the write budget allows the next write; the user should retry after the sum.
 func (p *RetryPacer) Rejected() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,14 +49,15 @@
 	return time.Duration(p.rng.Float64() * p.rejectionRate * float64(maxRetryJitter))
 }
 
-// Overloaded reports whether most submissions are being rejected.
+// Overloaded reports whether more than half of the recent submissions were rejected.
 func (p *RetryPacer) Overloaded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rejectionRate > overloadThreshold
 }
 
-// observe updates the moving average; the caller holds the lock.
+// observe updates the moving average with 0 for an accepted and 1 for a rejected
+// submission. The caller must hold p.mu.
 func (p *RetryPacer) observe(rejected float64) {
 	p.rejectionRate += smoothingFactor * (rejected - p.rejectionRate)
 }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -7,7 +7,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// JobState is the state of a job as its user sees it, and as it is on the wire.
+// JobState is the state of a job that is reported to users. Its values are sent on the
+// wire.
 type JobState string
 
 // The states of a job.
@@ -18,20 +19,20 @@
 	Cancelled JobState = "cancelled"
 )
 
-// Status is the answer to a status query.
+// Status is the status of a job that is reported to users.
 type Status struct {
 	State                   JobState
 	DoneTasks, RunningTasks int
 }
 
-// StatusOfJob returns the status of a job from the leader's working copy. A final
-// phase counts only once it is stored: a successor of the leader must not take it
-// back.
+// StatusOfJob returns the status of a job from the leader's in-memory state. It uses the
+// stored phase, so a final phase is reported only after it has been stored: otherwise a
+// later leader, which reads the stored phase, could report the job as active again.
 func StatusOfJob(j *jobs.Job) Status {
 	return newStatus(j.Stored.Phase, j.Done.Len(), j.RunningTasks())
 }
 
-// StatusOfRecord returns the status of a job from its record.
+// StatusOfRecord returns the status of a job from its stored record.
 func StatusOfRecord(r *jobs.Record) Status {
 	if info := r.ChunkInfo; info != nil {
 		return newStatus(r.Phase, info.DoneTasks, info.LiveTasks)
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -8,13 +8,14 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestDoneOnlyAfterCheckpoint: a job whose last task has just completed is
-// not done before its checkpoint says so.
+// TestDoneOnlyAfterCheckpoint checks that a job whose last task has completed is reported
+// as done only after its final phase has been stored. Otherwise a later leader, which reads
+// the stored phase, could report the job as active again.
 func TestDoneOnlyAfterCheckpoint(t *testing.T) {
 	j := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: 1}, 0), 1, 0)
 	j.CompleteTask(1, 0)
 	if got := StatusOfJob(j); got.State == Done {
-		t.Error("done before it is stored")
+		t.Error("job reported as done before its phase was stored")
 	}
 	j.Stored.Phase = j.Phase
 	if diff := cmp.Diff(Status{State: Done, DoneTasks: 1}, StatusOfJob(j)); diff != "" {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// MaxBodyBytes bounds the bodies of users' requests.
+	// MaxBodyBytes is the maximum size of the body of a user's request.
 	MaxBodyBytes    = 64 << 10
 	maxTasks        = 100_000
 	maxNameBytes    = 128
 	maxMachineTypes = 32
-	// maxAmount bounds amounts, so that sums of them stay exact enough.
+	// maxAmount limits every amount, so that sums of amounts stay sufficiently exact
+	// in floating point.
 	maxAmount = 1e9
 )
 
-// Submission is a job as its user submits it.
+// Submission is a job that a user submits.
 type Submission struct {
 	ID   ident.JobID
 	Spec jobs.Spec
 }
 
-// ErrMalformed is wrapped by all errors of DecodeSubmission.
+// ErrMalformed is returned, wrapped, by DecodeSubmission when a submission is malformed.
 var ErrMalformed = errors.New("malformed submission")
 
 // DecodeSubmission decodes the MessagePack body of a submission. It is strict: every
-// required field must be present, and every known field must have the right type,
-// sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
+// required field must be present, and every known field must have a value of the right
+// type, sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
 func DecodeSubmission(data []byte) (*Submission, error) {
 	submission := new(Submission)
 	if err := decodeFields(data, submissionFields(submission)); err != nil {
@@ -47,17 +48,17 @@
 	return submission, nil
 }
 
-// fieldDecoder decodes the value of one field.
+// fieldDecoder decodes and stores the value of one field.
 type fieldDecoder = func(*msgpack.Decoder) error
 
 // field is one known field of a submission.
 type field struct {
-	name     string // on the wire
+	name     string // the key on the wire
 	decode   fieldDecoder
-	optional bool // it may be left out, or null
+	optional bool // whether the field may be absent or null
 }
 
-// decodeFields decodes a map that is the whole of data.
+// decodeFields decodes a map of fields. The map must span all of data.
 func decodeFields(data []byte, fields []field) error {
 	decoders := make(map[string]fieldDecoder, len(fields))
 	present := make(map[string]bool, len(fields))
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// submissionFields maps the names on the wire to the fields of a submission.
+// submissionFields returns the known fields of a submission: their wire names, and
+// decoders that store their values in to.
 func submissionFields(to *Submission) []field {
 	spec := &to.Spec
 	return []field{
@@ -121,7 +123,7 @@
 	case "group":
 		spec.Gang = true
 	default:
-		return fmt.Errorf("%.32q is not a shape", v)
+		return fmt.Errorf("unknown shape %.32q", v)
 	}
 	return nil
 }
@@ -136,12 +138,13 @@
 func setPriority(spec *jobs.Spec, v string) error {
 	priority, ok := priorityByName[v]
 	if !ok {
-		return fmt.Errorf("%.32q is not a rank", v)
+		return fmt.Errorf("unknown rank %.32q", v)
 	}
 	spec.Priority = priority
 	return nil
 }
 
+// machineTypesField returns a decoder of a list of machine type names.
 func machineTypesField(spec *jobs.Spec) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		n, err := d.DecodeArrayLen()
@@ -149,12 +152,12 @@
 			return err
 		}
 		if n < 1 || n > maxMachineTypes {
-			return fmt.Errorf("list of %d, want 1 to %d", n, maxMachineTypes)
+			return fmt.Errorf("list has %d elements, want 1 to %d", n, maxMachineTypes)
 		}
 		for range n {
 			v, err := wire.DecodeString(d)
 			if err != nil || v == "" || len(v) > maxNameBytes {
-				return errors.New("not a list of names")
+				return errors.New("list element is not a string, empty or too long")
 			}
 			spec.MachineTypes = append(spec.MachineTypes, ident.MachineType(v))
 		}
@@ -162,7 +165,8 @@
 	}
 }
 
-// stringField decodes a string that is not empty and has no control characters.
+// stringField returns a decoder that passes a string to set. The string must not be
+// empty, longer than maxNameBytes, or contain control characters.
 func stringField(set func(string) error) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeString(d)
@@ -170,7 +174,7 @@
 			return err
 		}
 		if v == "" || len(v) > maxNameBytes || strings.ContainsFunc(v, isControl) {
-			return errors.New("empty, too long, or with control characters")
+			return errors.New("string is empty, too long or contains control characters")
 		}
 		return set(v)
 	}
@@ -178,10 +182,12 @@
 
 func isControl(r rune) bool { return r < ' ' }
 
+// nameField returns a decoder of a name; see stringField for the accepted strings.
 func nameField[T ~string](to *T) fieldDecoder {
 	return stringField(func(v string) error { *to = T(v); return nil })
 }
 
+// amountField returns a decoder of a number between 0 and maxAmount.
 func amountField(to *float64) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
@@ -189,13 +195,14 @@
 			return err
 		}
 		if v > maxAmount {
-			return fmt.Errorf("%v is out of range", v)
+			return fmt.Errorf("%v exceeds the maximum of %v", v, maxAmount)
 		}
 		*to = v
 		return nil
 	}
 }
 
+// positiveAmountField returns a decoder of a number above 0 and up to maxAmount.
 func positiveAmountField(to *float64) fieldDecoder {
 	decode := amountField(to)
 	return func(d *msgpack.Decoder) error {
@@ -203,12 +210,13 @@
 			return err
 		}
 		if *to == 0 {
-			return errors.New("0 is out of range")
+			return errors.New("0 is not allowed")
 		}
 		return nil
 	}
 }
 
+// taskCountField returns a decoder of an integer between 1 and maxTasks.
 func taskCountField(to *int) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeCount(d)
@@ -223,6 +231,7 @@
 	}
 }
 
+// boolField returns a decoder of a boolean.
 func boolField(to *bool) fieldDecoder {
 	return func(d *msgpack.Decoder) (err error) {
 		*to, err = wire.DecodeBool(d)
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,7 +1,7 @@
-// Package connlimit bounds the open connections of a listener. A connection never waits
-// for a place: it is admitted, where necessary by evicting one that has been idle for
-// long, or closed at once. The package owns the accounting of connections by kind of
-// client; to tell the kind from a request is left to the caller.
+// Package connlimit limits the open connections of a listener. A new connection is never
+// queued: it is admitted, if necessary by evicting a connection that has been idle for
+// long, or it is closed at once. The package counts connections by kind of client; the
+// caller determines the kind from a request.
 package connlimit
 
 import (
@@ -11,7 +11,8 @@
 	"badgerbay/internal/clock"
 )
 
-// ClientKind tells who uses a connection, by its last request.
+// ClientKind is the kind of client that uses a connection. The connection's latest
+// request determines it.
 type ClientKind int
 
 // The kinds of clients. A connection is Unidentified until its first request.
@@ -22,23 +23,25 @@
 	kindCount
 )
 
-// Limits bound the connections of a listener.
+// Limits are the connection limits of a listener.
 type Limits struct {
 	MaxConnections int
-	// IdleTimeout is how long a connection of a user or worker must be idle before it
-	// may be evicted.
+	// IdleTimeout is the time for which a connection of a user or worker must be idle
+	// before it may be evicted.
 	IdleTimeout time.Duration
 }
 
 const (
-	// pressureThreshold is the share of MaxConnections from which the shares of users
-	// and workers bind: a connection beyond them is closed after its next response.
+	// pressureThreshold is the fraction of MaxConnections above which workerShare and
+	// userShare are enforced: a connection that exceeds the share of its kind is closed
+	// after its next response.
 	pressureThreshold = 0.9
-	// workerShare and userShare leave a rest to connections without a request so far.
+	// workerShare and userShare are fractions of MaxConnections. Together they are less
+	// than 1, which leaves room for connections that have not sent a request yet.
 	workerShare = 0.75
 	userShare   = 0.15
-	// firstRequestTimeout is how long a connection may be open without a request
-	// before it may be evicted.
+	// firstRequestTimeout is the time for which a connection may be open without a
+	// request before it may be evicted.
 	firstRequestTimeout = time.Second
 )
 
@@ -46,20 +49,20 @@
 type Entry struct {
 	kind            ClientKind
 	idleSince       clock.Instant
-	idleElement     *list.Element // in the idle list of its kind; nil during a request
+	idleElement     *list.Element // in the idle list of its kind; nil during a request and after removal
 	closeConnection func()
 	removed         bool
 }
 
-// Limiter decides which connections are admitted, kept and evicted. It does no I/O and
-// reads no clock. It is not safe for concurrent use.
+// Limiter decides which connections are admitted, kept and evicted. It does no I/O, and
+// callers pass it the current time. It is not safe for concurrent use.
 type Limiter struct {
 	limits      Limits
 	openCount   int
 	countByKind [kindCount]int
-	idleByKind  [kindCount]*list.List // of *Entry, the longest idle first
-	// Evicted counts connections closed to make room, Rejected those for which there
-	// was no room.
+	idleByKind  [kindCount]*list.List // of *Entry, the longest-idle first
+	// Evicted counts the connections that were evicted to admit another one, Rejected
+	// those that were not admitted.
 	Evicted, Rejected int
 }
 
@@ -72,10 +75,11 @@
 	return l
 }
 
-// Admit registers a new connection, which closeConnection closes. If there is no room it
-// makes some by removing the entry evict, whose connection the caller must close. If
-// none can be evicted, it returns nil and the caller must close the new connection.
-func (l *Limiter) Admit(now clock.Instant, closeConn func()) (entry, evict *Entry) {
+// Admit registers a new connection, which closeConnection closes, and returns its entry.
+// If the limit is reached, it removes the entry that evictionCandidate selects and returns
+// it as evict; the caller must close its connection. If no entry may be evicted, Admit
+// returns nil and the caller must close the new connection.
+func (l *Limiter) Admit(now clock.Instant, closeConnection func()) (entry, evict *Entry) {
 	if l.openCount >= l.limits.MaxConnections {
 		if evict = l.evictionCandidate(now); evict == nil {
 			l.Rejected++
@@ -84,15 +88,16 @@
 		l.Evicted++
 		l.Remove(evict)
 	}
-	entry = &Entry{closeConnection: closeConn}
+	entry = &Entry{closeConnection: closeConnection}
 	l.openCount++
 	l.countByKind[Unidentified]++
 	l.markIdle(now, entry)
 	return entry, evict
 }
 
-// evictionCandidate returns the connection to evict, or nil if none has been idle for
-// long enough. Unidentified ones go first: a flood of them must not push out workers.
+// evictionCandidate returns the entry to evict, or nil if none has been idle for long
+// enough. Unidentified connections are evicted first, so that a flood of them does not
+// displace workers.
 func (l *Limiter) evictionCandidate(now clock.Instant) *Entry {
 	for _, kind := range []ClientKind{Unidentified, Worker, User} {
 		timeout := l.limits.IdleTimeout
@@ -126,11 +131,11 @@
 	}
 }
 
-// BeginRequest notes the start of a request, and reports whether the connection may be
-// kept after the response.
+// BeginRequest records the start of a request, and reports whether the connection may be
+// kept open after the response.
 func (l *Limiter) BeginRequest(entry *Entry, kind ClientKind) (keep bool) {
 	if entry.removed {
-		return false // evicted just as its request came
+		return false // evicted while its request arrived
 	}
 	l.clearIdle(entry)
 	l.countByKind[entry.kind]--
@@ -146,19 +151,19 @@
 	return !l.exceeds(l.countByKind[kind], share)
 }
 
-// exceeds reports whether a count is beyond a share of MaxConnections.
+// exceeds reports whether a count exceeds a share of MaxConnections.
 func (l *Limiter) exceeds(count int, share float64) bool {
 	return float64(count) > share*float64(l.limits.MaxConnections)
 }
 
-// EndRequest notes that the request was answered.
+// EndRequest records that the request was answered, which makes the connection idle.
 func (l *Limiter) EndRequest(now clock.Instant, entry *Entry) {
 	if !entry.removed && entry.idleElement == nil {
 		l.markIdle(now, entry)
 	}
 }
 
-// Remove notes that a connection is closed. Calls after the first have no effect.
+// Remove removes the entry of a closed connection. Calls after the first have no effect.
 func (l *Limiter) Remove(entry *Entry) {
 	if entry.removed {
 		return
@@ -169,8 +174,8 @@
 	entry.removed = true
 }
 
-// OpenCount returns the number of connections.
+// OpenCount returns the number of open connections.
 func (l *Limiter) OpenCount() int { return l.openCount }
 
-// Count returns the number of connections of a kind.
+// Count returns the number of open connections of a kind.
 func (l *Limiter) Count(kind ClientKind) int { return l.countByKind[kind] }
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -9,8 +9,9 @@
 	"badgerbay/internal/clock"
 )
 
-// Listener is a net.Listener whose connections a Limiter bounds. The HTTP server on it
-// must use ConnContext and Handler. It is safe for concurrent use.
+// Listener is a net.Listener whose connections are limited by a Limiter. The HTTP server
+// that uses it must set ConnContext and wrap its handler with Handler. It is safe for
+// concurrent use.
 type Listener struct {
 	net.Listener
 	now     func() clock.Instant
@@ -18,12 +19,12 @@
 	limiter *Limiter
 }
 
-// NewListener bounds the connections of a listener.
+// NewListener returns a Listener that limits the connections of the given listener.
 func NewListener(listener net.Listener, limits Limits, now func() clock.Instant) *Listener {
 	return &Listener{Listener: listener, now: now, limiter: NewLimiter(limits)}
 }
 
-// limitedConn is a connection that leaves the limiter when it is closed.
+// limitedConn is a connection that removes its entry from the limiter when it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *Listener
@@ -37,7 +38,7 @@
 }
 
 // Accept implements net.Listener. A connection that is not admitted is closed at once,
-// so that its client need not wait to find out.
+// so that its client does not wait for a timeout.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -51,7 +52,8 @@
 	}
 }
 
-// admit returns nil if there is no room for the connection.
+// admit returns the entry of a new connection, or nil if it is not admitted. It closes
+// the connection that is evicted, if any.
 func (l *Listener) admit(conn net.Conn) *Entry {
 	l.mu.Lock()
 	entry, evict := l.limiter.Admit(l.now(), func() { conn.Close() })
@@ -82,7 +84,8 @@
 
 type entryContextKey struct{}
 
-// ConnContext is the ConnContext of the http.Server on the listener.
+// ConnContext returns a context that carries the connection's entry for Handler. It must
+// be the ConnContext of the http.Server that uses the listener.
 func (*Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if limited, ok := c.(*limitedConn); ok {
 		return context.WithValue(ctx, entryContextKey{}, limited.entry)
@@ -90,9 +93,9 @@
 	return ctx
 }
 
-// Handler wraps the handler of the http.Server on the listener. It records who uses each
-// connection, as told by kindOf, and closes connections beyond the share of their kind
-// after the response.
+// Handler wraps the handler of the http.Server that uses the listener. It records the kind
+// of client on each connection, which kindOf returns, and closes a connection after the
+// response if the limiter does not keep it.
 func (l *Listener) Handler(kindOf func(*http.Request) ClientKind, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		entry, ok := r.Context().Value(entryContextKey{}).(*Entry)
@@ -108,10 +111,11 @@
 	})
 }
 
-// Stats are counts of connections: the open ones, and those closed since the start.
+// Stats counts connections: Open, Users and Workers those that are open now, Evicted and
+// Rejected those that were closed since the start.
 type Stats struct{ Open, Users, Workers, Evicted, Rejected int }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (l *Listener) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/listener_test.go
+++ b/internal/connlimit/listener_test.go
@@ -15,16 +15,17 @@
 	"badgerbay/internal/clock"
 )
 
-// TestListenerServesMoreWorkersThanConnections: with more workers than connections,
-// and idle connections among them, all workers are answered, and so are users and
-// probes. A listener that stops accepting would leave them without an answer.
+// TestListenerServesMoreWorkersThanConnections checks that all workers, users and probes
+// get responses although there are more workers than allowed connections, and some
+// connections are idle. It guards against a listener that stops accepting at its limit,
+// so that clients never get a response.
 func TestListenerServesMoreWorkersThanConnections(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	limited := NewListener(l, Limits{MaxConnections: 40, IdleTimeout: time.Minute}, func() clock.Instant { return clock.Instant(time.Hour + time.Since(begun)) })
+	start := time.Now()
+	limited := NewListener(l, Limits{MaxConnections: 40, IdleTimeout: time.Minute}, func() clock.Instant { return clock.Instant(time.Hour + time.Since(start)) })
 	kind := func(r *http.Request) ClientKind {
 		if r.URL.Path == "/agent/beat" {
 			return Worker
@@ -51,23 +52,23 @@
 	for range 10 {
 		resp, err := (&http.Client{Timeout: 2 * time.Second}).Get("http://" + addr + "/up")
 		if err != nil {
-			t.Fatalf("a probe among the workers: %v", err)
+			t.Fatalf("probe failed: %v", err)
 		}
 		resp.Body.Close()
 	}
 	if s := limited.Stats(); s.Open > 40 || s.Workers > 36 {
-		t.Errorf("%+v: more than there is room for", s)
+		t.Errorf("%+v: want at most 40 open connections and 36 workers", s)
 	}
 }
 
-// sendHeartbeats acts as a worker that sends three heartbeats. It uses one connection
-// for as long as that is kept, and connects again when it was closed.
+// sendHeartbeats acts as a worker that sends three heartbeats. It reuses its connection
+// and reconnects when the server has closed it.
 func sendHeartbeats(t *testing.T, addr string, worker int) {
 	const heartbeats, maxTries = 3, 100
 	var conn net.Conn
 	for answered, tries := 0, 0; answered < heartbeats; tries++ {
 		if tries == maxTries {
-			t.Errorf("worker %d was not answered", worker)
+			t.Errorf("worker %d got too few responses in %d tries", worker, maxTries)
 			return
 		}
 		if conn == nil {
@@ -81,7 +82,7 @@
 		fmt.Fprintf(conn, "POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("worker %d was left without an answer", worker)
+			t.Errorf("worker %d got no response before its deadline", worker)
 			return
 		}
 		if err == nil {
