--- a/internal/peer/batch.go
+++ b/internal/peer/batch.go
@@ -12,45 +12,46 @@
 	"badgerbay/internal/wire"
 )
 
-// Prefixes of the keys through which a node that can't reach the leader exchanges
-// batches and replies with it. The node's name follows: each node has one key each way.
+// Prefixes of the keys through which a node that cannot reach the leader sends it batches
+// and receives replies. The node's name follows the prefix, so each node has one key for
+// batches and one for replies.
 const (
 	BatchKeyPrefix = "relay/up/"
 	ReplyKeyPrefix = "relay/down/"
 )
 
-// maxDecompressedBytes bounds a batch, or a reply, that was compressed into a value.
+// maxDecompressedBytes is the maximum decompressed size of a batch or reply that is read
+// from a value of the key-value store.
 const maxDecompressedBytes = 1 << 20
 
-// ErrMalformed is wrapped by all errors of the functions that decode what another
-// node has sent.
+// ErrMalformed is returned, wrapped, when a message from another node is malformed.
 var ErrMalformed = errors.New("malformed peer message")
 
-// Batch is what a node sends to the leader: heartbeats of workers and cancel requests
-// that it relays, and requests of its own. It is encoded compactly, since it must fit
-// into one value of the key-value store.
+// Batch is a message from a node to the leader. It contains worker heartbeats and cancel
+// requests that the node relays, and requests of the node itself. Its encoding is compact,
+// because it must fit into one value of the key-value store.
 type Batch struct {
 	ID             string                          `msgpack:"id" json:"id"`
 	Node           string                          `msgpack:"n" json:"n"` // the sender
 	Heartbeats     wire.BoundedList[Heartbeat]     `msgpack:"r,omitempty" json:"r,omitempty"`
 	CancelRequests wire.BoundedList[CancelRequest] `msgpack:"a,omitempty" json:"a,omitempty"`
-	// WantsDelegation asks for a lease delegation, and for the receiver's own use of
-	// delegations.
+	// WantsDelegation requests a lease delegation, and a report of the receiver's own
+	// use of delegations.
 	WantsDelegation bool `msgpack:"v,omitempty" json:"v,omitempty"`
-	// AckedBatchID is the last batch whose reply the sender had received through the
-	// key-value store before it measured IdleMs.
+	// AckedBatchID is the ID of the last batch whose reply the sender had received
+	// through the key-value store before it measured IdleMs.
 	AckedBatchID string `msgpack:"e,omitempty" json:"e,omitempty"`
-	// IdleMs is how long ago, in milliseconds, the sender last renewed a worker's lease
+	// IdleMs is the time in milliseconds since the sender last renewed a worker's lease
 	// under a delegation.
 	IdleMs int64 `msgpack:"q,omitempty" json:"q,omitempty"`
-	// SchemaVersion is the latest version that the sender supports; see package
+	// SchemaVersion is the latest schema version that the sender supports; see package
 	// schemaversion.
 	SchemaVersion schemaversion.Version `msgpack:"f,omitempty" json:"f,omitempty"`
-	// Quota is the request of a holder of team quotas; see package quota.
+	// Quota is the request of the sender's quota holder, if any; see package quota.
 	Quota *quota.AllocationRequest `msgpack:"qa,omitempty" json:"-"`
 }
 
-// CancelRequest is a user's cancel request on its way to the leader.
+// CancelRequest is a user's cancel request that a node relays to the leader.
 type CancelRequest struct {
 	Job ident.JobID `msgpack:"j" json:"j"`
 }
@@ -64,32 +65,32 @@
 	Quota         *quota.AllocationResponse        `msgpack:"qa,omitempty" json:"-"`
 }
 
-// CancelReply is the leader's reply to a cancel request. State is the job's state as
-// users see it; it is empty if nothing was done and the user must try again.
+// CancelReply is the leader's reply to a cancel request. State is the job state that is
+// reported to users. It is empty if the request had no effect and the user must retry.
 type CancelReply struct {
 	Job       ident.JobID `msgpack:"j" json:"j"`
 	State     string      `msgpack:"s" json:"s"`
 	DoneTasks int         `msgpack:"d,omitempty" json:"d,omitempty"`
 }
 
-// DecodeBatch decodes a batch that came over gRPC. Errors wrap ErrMalformed.
+// DecodeBatch decodes a batch that was received over gRPC. Errors wrap ErrMalformed.
 func DecodeBatch(data []byte) (*Batch, error) {
 	return decode[Batch]("batch", data)
 }
 
-// DecodeReply decodes a reply that came over gRPC. Errors wrap ErrMalformed.
+// DecodeReply decodes a reply that was received over gRPC. Errors wrap ErrMalformed.
 func DecodeReply(data []byte) (*BatchReply, error) {
 	return decode[BatchReply]("batch reply", data)
 }
 
-// DecompressBatch decodes a batch from a value of the key-value store. Errors wrap
-// ErrMalformed.
+// DecompressBatch decompresses and decodes a batch from a value of the key-value store.
+// Errors wrap ErrMalformed.
 func DecompressBatch(value []byte) (*Batch, error) {
 	return decompress[Batch]("batch", value)
 }
 
-// DecompressReply decodes a reply from a value of the key-value store. Errors wrap
-// ErrMalformed.
+// DecompressReply decompresses and decodes a reply from a value of the key-value store.
+// Errors wrap ErrMalformed.
 func DecompressReply(value []byte) (*BatchReply, error) {
 	return decompress[BatchReply]("batch reply", value)
 }
--- a/internal/peer/batch_test.go
+++ b/internal/peer/batch_test.go
@@ -10,6 +10,8 @@
 	"badgerbay/internal/wire"
 )
 
+// FuzzDecodeBatch checks that decoding and unpacking of arbitrary data does not panic, and
+// that a heartbeat never expands to more than maxTasksPerHeartbeat tasks.
 func FuzzDecodeBatch(f *testing.F) {
 	data, err := msgpack.Marshal(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
 	if err != nil {
@@ -21,7 +23,7 @@
 		if b, err := DecodeBatch(data); err == nil {
 			for i := range b.Heartbeats {
 				if r, err := b.Heartbeats[i].Unpack(); err == nil && len(r.Tasks) > maxTasksPerHeartbeat {
-					t.Errorf("%d tasks", len(r.Tasks))
+					t.Errorf("heartbeat expanded to %d tasks, want at most %d", len(r.Tasks), maxTasksPerHeartbeat)
 				}
 			}
 		}
@@ -33,8 +35,8 @@
 	})
 }
 
-// FuzzDecompress: whatever the relay's keys hold, what it expands to is bounded, and
-// checked.
+// FuzzDecompress checks that the size to which a value of the key-value store is
+// decompressed is limited. It guards against values that exhaust the memory.
 func FuzzDecompress(f *testing.F) {
 	batch, err := wire.CompressMessage(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
 	if err != nil {
@@ -48,19 +50,19 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	tooMuch, err := msgpack.Marshal(bomb)
+	oversized, err := msgpack.Marshal(bomb)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
-	f.Add(tooMuch)
+	f.Add(oversized)
 	f.Add([]byte{0xa4, '!', '!', '!', '!'})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if b, err := DecompressBatch(data); err == nil && len(b.ID) > maxDecompressedBytes {
-			t.Errorf("an id of %d bytes", len(b.ID))
+			t.Errorf("batch with an ID of %d bytes", len(b.ID))
 		}
 		if a, err := DecompressReply(data); err == nil && len(a.ID) > maxDecompressedBytes {
-			t.Errorf("an id of %d bytes", len(a.ID))
+			t.Errorf("reply with an ID of %d bytes", len(a.ID))
 		}
 	})
 }
--- a/internal/peer/clients.go
+++ b/internal/peer/clients.go
@@ -1,8 +1,8 @@
-// Package peer is the protocol that the controller nodes speak with one another: gRPC
-// calls, and batches of heartbeats and cancel requests that travel in a call or in a
-// value of the key-value store. It owns the clients, the server set-up and the
-// messages; the generated code is in meshpb. What a call means is left to package
-// node, and who is relayed and when to package relay.
+// Package peer implements the protocol between the controller nodes: gRPC calls, and
+// batches of heartbeats and cancel requests that are sent in a call or through a value of
+// the key-value store. It provides the clients, the server setup and the messages; package
+// meshpb contains the generated code. Package node implements the calls, and package relay
+// decides which workers are relayed and when.
 package peer
 
 import (
@@ -25,10 +25,11 @@
 
 const (
 	maxMessageBytes = 256 << 10
-	bufferBytes     = 8 << 10 // of each connection, each way
+	bufferBytes     = 8 << 10 // per connection and direction
 
-	// callTimeout bounds a call that is answered from memory, storeCallTimeout one for
-	// which the peer waits for its leader loop or the key-value store.
+	// callTimeout is the timeout of calls that the peer answers from memory;
+	// storeCallTimeout is the timeout of calls for which the peer waits for its leader
+	// loop or the key-value store.
 	callTimeout      = 600 * time.Millisecond
 	storeCallTimeout = 2 * callTimeout
 
@@ -39,18 +40,18 @@
 
 var reconnectBackoff = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}
 
-// ErrUnknownPeer says that the settings name no such node.
+// ErrUnknownPeer is returned when the settings contain no peer of the given name.
 var ErrUnknownPeer = errors.New("unknown peer")
 
-// Clients are the gRPC clients of the other nodes, by node name. They are safe for
-// concurrent use. Errors of their calls wrap gRPC's status errors, or ErrUnknownPeer.
+// Clients holds the gRPC clients for the other nodes, by node name. It is safe for
+// concurrent use. Errors of calls wrap gRPC status errors or ErrUnknownPeer.
 type Clients struct {
 	connections       map[string]*grpc.ClientConn
 	names             []string
-	connectionRefused map[string]*atomic.Bool // the last connection attempt was
+	connectionRefused map[string]*atomic.Bool // whether the last connection attempt was refused
 }
 
-// Dial returns clients for the peers. Connections are made when first used.
+// Dial returns clients for the peers. Connections are established on first use.
 func Dial(peers []config.Peer) (*Clients, error) {
 	c := &Clients{connections: map[string]*grpc.ClientConn{}, connectionRefused: map[string]*atomic.Bool{}}
 	for _, p := range peers {
@@ -58,7 +59,7 @@
 		conn, err := newConnection(p.Addr, refused)
 		if err != nil {
 			c.Close()
-			return nil, fmt.Errorf("connecting to peer %s: %w", p.NodeName, err)
+			return nil, fmt.Errorf("creating the client for peer %s: %w", p.NodeName, err)
 		}
 		c.connections[p.NodeName] = conn
 		c.connectionRefused[p.NodeName] = refused
@@ -89,9 +90,9 @@
 	}
 }
 
-// ConnectionRefused reports whether the last attempt to connect to the peer was
-// refused. Then something answered: a packet filter between the nodes, or a machine
-// whose process is down. In a network partition nothing answers.
+// ConnectionRefused reports whether the last attempt to connect to the peer was refused.
+// A refusal means that the attempt got a reply: from a packet filter between the nodes, or
+// from a machine whose process is down. In a network partition there is no reply.
 func (c *Clients) ConnectionRefused(name string) bool {
 	refused := c.connectionRefused[name]
 	return refused != nil && refused.Load()
@@ -100,11 +101,12 @@
 // Close closes all connections.
 func (c *Clients) Close() {
 	for _, conn := range c.connections {
-		_ = conn.Close() // it fails only if it is closed already
+		_ = conn.Close() // fails only if it is already closed
 	}
 }
 
-// Names lists the peers in the order of the settings. The caller must not change it.
+// Names returns the names of the peers in the order of the settings. The caller must not
+// modify the slice.
 func (c *Clients) Names() []string { return c.names }
 
 // QueryJob sends a status query or a cancel request to the peer.
@@ -112,14 +114,14 @@
 	return call(ctx, c, name, timeout, req, meshpb.MeshClient.Ask)
 }
 
-// NotifyJobChanged tells the peer that a job was stored.
+// NotifyJobChanged notifies the peer that a job was stored.
 func (c *Clients) NotifyJobChanged(ctx context.Context, name, job string) error {
 	_, err := call(ctx, c, name, callTimeout, &meshpb.NoticeRequest{Job: job}, meshpb.MeshClient.Notice)
 	return err
 }
 
-// ForwardSubmission sends the body of a user's submission to the peer, which stores
-// the job if it can.
+// ForwardSubmission sends the body of a user's submission to the peer, which tries to
+// store the job.
 func (c *Clients) ForwardSubmission(ctx context.Context, name string, submission []byte) (*meshpb.AcceptReply, error) {
 	return call(ctx, c, name, storeCallTimeout, &meshpb.AcceptRequest{Submission: submission}, meshpb.MeshClient.Accept)
 }
@@ -130,15 +132,15 @@
 	return reply.GetAnswers(), err
 }
 
-// Health asks the peer what it can reach.
+// Health queries whether the peer reaches the key-value store, and which leader it knows.
 func (c *Clients) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
 	return call(ctx, c, name, callTimeout, &meshpb.HealthRequest{}, meshpb.MeshClient.Health)
 }
 
-// method is a method of the gRPC client.
+// method is a method of the generated gRPC client.
 type method[Request, Reply any] func(meshpb.MeshClient, context.Context, *Request, ...grpc.CallOption) (*Reply, error)
 
-// call calls a method of the peer. The reply is nil if there is an error.
+// call calls a method of the peer with a timeout. If it returns an error, the reply is nil.
 func call[Request, Reply any](ctx context.Context, c *Clients, name string, timeout time.Duration, req *Request, invoke method[Request, Reply]) (*Reply, error) {
 	conn := c.connections[name]
 	if conn == nil {
--- a/internal/peer/clients_test.go
+++ b/internal/peer/clients_test.go
@@ -8,8 +8,9 @@
 	"badgerbay/internal/config"
 )
 
-// TestConnectionRefusedIsReported: a peer that refuses connections is told from one
-// behind a network partition: its workers may still be reached.
+// TestConnectionRefusedIsReported checks that ConnectionRefused reports a refused
+// connection attempt, and nothing before the first attempt. This distinguishes the peer
+// from one behind a network partition, because its workers may still be reachable.
 func TestConnectionRefusedIsReported(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -21,16 +22,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	if p.ConnectionRefused("n1") || p.ConnectionRefused("unheard-of") {
-		t.Error("refused before anything was tried")
+	if p.ConnectionRefused("n1") || p.ConnectionRefused("unknown-peer") {
+		t.Error("connection reported as refused before the first attempt")
 	}
 	l.Close()
 	if _, err := p.Health(t.Context(), "n1"); err == nil || !p.ConnectionRefused("n1") {
-		t.Errorf("%v, refused %v", err, p.ConnectionRefused("n1"))
+		t.Errorf("Health: error %v, connection refused %v", err, p.ConnectionRefused("n1"))
 	}
 }
 
-// TestUnknownPeer: a call of a node that the settings don't name fails at once.
+// TestUnknownPeer checks that a call to a node that is not in the settings fails with
+// ErrUnknownPeer.
 func TestUnknownPeer(t *testing.T) {
 	clients, err := Dial(nil)
 	if err != nil {
@@ -38,6 +40,6 @@
 	}
 	t.Cleanup(clients.Close)
 	if _, err := clients.RelayBatch(t.Context(), "n1", nil); !errors.Is(err, ErrUnknownPeer) {
-		t.Errorf("%v, want %v", err, ErrUnknownPeer)
+		t.Errorf("error %v, want %v", err, ErrUnknownPeer)
 	}
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -15,7 +15,7 @@
 	"badgerbay/internal/wire"
 )
 
-// readProductionMessage reads a message as the production version sent it.
+// readProductionMessage reads a recorded message of the production version.
 func readProductionMessage(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/" + name)
@@ -25,8 +25,9 @@
 	return data
 }
 
-// checkProtoRoundTrip reads a gRPC message of the production version, and checks that it is
-// written again byte by byte, without unknown fields.
+// checkProtoRoundTrip decodes a recorded gRPC message of the production version into m and
+// returns m. It checks that the message has no unknown fields, and that it is encoded again
+// to the same bytes.
 func checkProtoRoundTrip[M proto.Message](t *testing.T, name string, m M) M {
 	t.Helper()
 	data := readProductionMessage(t, name)
@@ -34,13 +35,14 @@
 		t.Fatal(err)
 	}
 	if again, err := proto.Marshal(m); err != nil || !bytes.Equal(again, data) || len(m.ProtoReflect().GetUnknown()) > 0 {
-		t.Errorf("%s: not written as it was read: %v", name, err)
+		t.Errorf("%s: encoded to other bytes, or has unknown fields: %v", name, err)
 	}
 	return m
 }
 
-// TestBatchesFromPreviousVersion: what the production version sends through the
-// key-value store is read, and written again as it was.
+// TestBatchesFromPreviousVersion checks that batches and replies that the production
+// version sends through the key-value store are decoded, and encoded again to the same
+// bytes. It guards against changes that break nodes of both versions in one cluster.
 func TestBatchesFromPreviousVersion(t *testing.T) {
 	batch, err := DecompressBatch(readProductionMessage(t, "batch.msgpack"))
 	if err != nil {
@@ -58,7 +60,7 @@
 		stored[e.Cause] = e.CheckpointStored
 	}
 	if !stored[fleet.ExitStopped] || stored[fleet.ExitDone] {
-		t.Errorf("exits %+v", r.Tasks)
+		t.Errorf("exited tasks %+v", r.Tasks)
 	}
 	checkCompressedUnchanged(t, "batch.msgpack", batch)
 
@@ -73,7 +75,8 @@
 	checkCompressedUnchanged(t, "answers.msgpack", reply)
 }
 
-// checkCompressedUnchanged checks that a value is squeezed into the text that it was read from.
+// checkCompressedUnchanged checks that v is compressed to the value in the file that it was
+// read from.
 func checkCompressedUnchanged(t *testing.T, name string, v any) {
 	t.Helper()
 	text, err := wire.CompressMessage(v)
@@ -81,13 +84,13 @@
 		t.Fatal(err)
 	}
 	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readProductionMessage(t, name)) {
-		t.Errorf("%s: not written as it was read: %v", name, err)
+		t.Errorf("%s: compressed to another value: %v", name, err)
 	}
 }
 
-// TestCallsFromPreviousVersion: the gRPC messages of the production version are read
-// and answered, and what this version sends is the same but for the schema version,
-// which that version skips.
+// TestCallsFromPreviousVersion checks that the gRPC messages of the production version are
+// decoded and encoded again to the same bytes, and that the production version can decode
+// a grant of this version, whose additional fields, such as the schema version, it skips.
 func TestCallsFromPreviousVersion(t *testing.T) {
 	req := checkProtoRoundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
 	batch, err := DecodeBatch(req.Batch)
@@ -105,9 +108,9 @@
 	}
 	again, err := msgpack.Marshal(batchReply)
 	if err != nil || !bytes.Equal(again, reply.Answers) {
-		t.Errorf("the grant is not written as it was read: %v", err)
+		t.Errorf("grant encoded to other bytes: %v", err)
 	}
-	// The production version knows these fields of a grant, and skips others.
+	// The production version knows only these fields of a grant and skips the others.
 	var productionReply struct {
 		Delegation struct {
 			Epoch  uint64 `msgpack:"e"`
@@ -119,19 +122,19 @@
 		t.Fatal(err)
 	}
 	if err := msgpack.Unmarshal(data, &productionReply); err != nil || productionReply.Delegation.Epoch != 77 || productionReply.Delegation.LifeMs != status.GrantDuration.Milliseconds() {
-		t.Errorf("the production version reads %+v, %v", productionReply, err)
+		t.Errorf("production version decodes %+v, %v", productionReply, err)
 	}
 	if r := checkProtoRoundTrip(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
-		t.Errorf("cancellation %v", r)
+		t.Errorf("cancel request %v", r)
 	}
 	if r := checkProtoRoundTrip(t, "cancel-reply.pb", &meshpb.AskReply{}); r.Standing != "cancelled" || r.Outcome != meshpb.Outcome_OUTCOME_KNOWN {
-		t.Errorf("its answer %v", r)
+		t.Errorf("cancel reply %v", r)
 	}
 	checkProtoRoundTrip(t, "health-reply.pb", &meshpb.HealthReply{})
 }
 
-// TestMessagesFromLaterVersions: what a later version adds is skipped, and what is
-// malformed is refused.
+// TestMessagesFromLaterVersions checks that unknown fields, which a later version may add,
+// are skipped, and that malformed messages fail with ErrMalformed.
 func TestMessagesFromLaterVersions(t *testing.T) {
 	data, err := msgpack.Marshal(map[string]any{"id": "x", "n": "n1", "f": 99, "new": []any{1, "two"}, "v": true})
 	if err != nil {
@@ -143,10 +146,10 @@
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x93, 1, 2}, {0x81, 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xff}} {
 		if _, err := DecodeBatch(bad); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%x as a batch: %v, want %v", bad, err, ErrMalformed)
+			t.Errorf("%x decoded as a batch: error %v, want %v", bad, err, ErrMalformed)
 		}
 		if _, err := DecompressReply(bad); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%x as a reply: %v, want %v", bad, err, ErrMalformed)
+			t.Errorf("%x decoded as a reply: error %v, want %v", bad, err, ErrMalformed)
 		}
 	}
 }
--- a/internal/peer/delegation.go
+++ b/internal/peer/delegation.go
@@ -10,28 +10,29 @@
 	"badgerbay/internal/wire"
 )
 
-// maxDurationMs bounds the times of a delegation: some decades.
+// maxDurationMs limits the durations in a DelegationStatus to about 35 years.
 const maxDurationMs = 1 << 40
 
-// DelegationStatus is a node's reply to another that wants a lease delegation; see
-// package leasedelegation. Times are in milliseconds.
+// DelegationStatus is a node's reply to another node that requests a lease delegation; see
+// package leasedelegation. Durations are in milliseconds.
 type DelegationStatus struct {
 	Epoch ident.Epoch `msgpack:"e" json:"e"`
-	// TTLMs is how long the grant lasts from the request for it; 0 means no grant.
+	// TTLMs is the duration of the grant, counted from the request for it; 0 means that
+	// no delegation is granted.
 	TTLMs int64 `msgpack:"l" json:"l"`
-	// IdleMs is how long ago the replying node last renewed a worker's lease under a
+	// IdleMs is the time since the replying node last renewed a worker's lease under a
 	// delegation.
 	IdleMs int64 `msgpack:"q" json:"q"`
-	// Excluded are the machines whose leases must not be renewed under the grant.
+	// Excluded lists the machines whose leases must not be renewed under the grant.
 	Excluded      wire.BoundedList[ident.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
 	SchemaVersion schemaversion.Version             `msgpack:"f,omitempty" json:"f,omitempty"`
-	// EnforcesQuotas says that the node, as leader, keeps to the team quotas that were
+	// EnforcesQuotas is true if the node, as leader, enforces the team quotas that are
 	// allocated to holders.
 	EnforcesQuotas bool `msgpack:"k,omitempty" json:"k,omitempty"`
 }
 
-// PackDelegationStatus returns the message that carries a status, together with what
-// this program supports.
+// PackDelegationStatus returns the message for a status. It adds the schema version and
+// the quota enforcement that this version of the program supports.
 func PackDelegationStatus(s leasedelegation.Status) *DelegationStatus {
 	return &DelegationStatus{
 		Epoch:          s.Epoch,
@@ -43,11 +44,11 @@
 	}
 }
 
-// Unpack returns the status that the message carries. Errors wrap ErrMalformed; the
-// caller must then assume that there is no grant.
+// Unpack returns the status in the message. Errors wrap ErrMalformed; on an error the
+// caller must assume that there is no grant.
 func (s *DelegationStatus) Unpack() (leasedelegation.Status, error) {
 	if !validDurationMs(s.TTLMs) || !validDurationMs(s.IdleMs) {
-		return leasedelegation.Status{}, fmt.Errorf("%w: delegation with a time out of range", ErrMalformed)
+		return leasedelegation.Status{}, fmt.Errorf("%w: delegation status has a duration out of range", ErrMalformed)
 	}
 	return leasedelegation.Status{
 		Epoch:            s.Epoch,
@@ -59,10 +60,10 @@
 
 func validDurationMs(ms int64) bool { return ms >= 0 && ms <= maxDurationMs }
 
-// MachineIDsFit reports whether a list of excluded machines fits into one message,
-// beside what else that holds.
+// MachineIDsFit reports whether a list of excluded machines fits into one message. The list
+// may take up half of the maximum message size; the rest is for the other fields.
 func MachineIDsFit(ids []ident.MachineID) bool {
-	const headerBytes = 3 // of a MessagePack string of up to 64 KiB
+	const headerBytes = 3 // header of a MessagePack string of less than 64 KiB
 	size := 0
 	for _, id := range ids {
 		size += len(id) + headerBytes
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -25,7 +25,7 @@
 	"badgerbay/internal/wire"
 )
 
-// readGolden reads the lines "name text" of a file in testdata/readGolden.
+// readGolden reads a file in testdata/golden, whose lines have the form "name text".
 func readGolden(t *testing.T, file string) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + file)
@@ -43,7 +43,7 @@
 	return lines
 }
 
-// goldenBatch has a value in every field that a node sends.
+// goldenBatch returns a batch with a value in every field.
 func goldenBatch() *Batch {
 	notice := 12.5
 	return &Batch{
@@ -63,7 +63,7 @@
 	}
 }
 
-// goldenReply has a value in every field that a leader answers.
+// goldenReply returns a reply with a value in every field.
 func goldenReply() *BatchReply {
 	return &BatchReply{
 		ID: "k3v9-17",
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestGoldenMessages: batches and their answers, plain, compressed into a value, and
-// in JSON, are written as they always were, and read back as they were written.
+// TestGoldenMessages checks that batches, replies and delegation statuses are encoded byte
+// for byte as recorded, and decoded to the same messages: in MessagePack, compressed into a
+// value, and in JSON. It guards against changes that nodes of other versions cannot decode.
 func TestGoldenMessages(t *testing.T) {
 	want := readGolden(t, "messages.txt")
 	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(BatchReply{}, "Quota")}
@@ -125,7 +126,7 @@
 			t.Errorf("%s: %v", tt.name, err)
 		}
 		if diff := cmp.Diff(tt.message, got, append(tt.options, cmpopts.EquateComparable(indexset.Span{}))...); diff != "" {
-			t.Errorf("%s: decoded otherwise: %s", tt.name, diff)
+			t.Errorf("%s: decoded message differs: %s", tt.name, diff)
 		}
 	}
 	if len(want) != len(tests) {
@@ -133,8 +134,9 @@
 	}
 }
 
-// TestGoldenCalls: the gRPC messages are written as they always were, and read back
-// without unknown fields.
+// TestGoldenCalls checks that the gRPC messages are encoded byte for byte as recorded, and
+// decoded to the same messages without unknown fields. It guards against changes that
+// nodes of other versions cannot decode.
 func TestGoldenCalls(t *testing.T) {
 	want := readGolden(t, "calls.txt")
 	messages := []proto.Message{
@@ -165,8 +167,9 @@
 	}
 }
 
-// TestProtocolDescriptor: the package, the paths of the methods, and the names,
-// numbers and kinds of the fields stay as other versions know them.
+// TestProtocolDescriptor checks that the protocol package, the method paths, and the names,
+// numbers and kinds of fields and enum values are as recorded. It guards against changes
+// that are incompatible with nodes of other versions.
 func TestProtocolDescriptor(t *testing.T) {
 	data, err := os.ReadFile("testdata/golden/descriptor.txt")
 	if err != nil {
@@ -180,12 +183,13 @@
 		meshpb.Mesh_Relay_FullMethodName, meshpb.Mesh_Health_FullMethodName}
 	for _, path := range paths {
 		if !strings.Contains(got, "method "+path+" ") {
-			t.Errorf("%s is called, but not in the descriptor", path)
+			t.Errorf("method %s of the client is not in the descriptor", path)
 		}
 	}
 }
 
-// describeProtocol lists what a protocol file promises to other versions.
+// describeProtocol lists the parts of a protocol file that other versions depend on: its
+// methods, messages, fields and enum values.
 func describeProtocol(file protoreflect.FileDescriptor) string {
 	var out strings.Builder
 	for i := range file.Services().Len() {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// maxTasksPerHeartbeat bounds the tasks of one heartbeat, and the commands of its
-	// reply: groups name far more tasks than the bytes of a message could list.
+	// maxTasksPerHeartbeat limits the tasks of one heartbeat and the commands of its
+	// reply. The message size does not limit them, because a small group of index
+	// ranges can expand to a very large number of tasks.
 	maxTasksPerHeartbeat = 10_000
-	// maxTaskIndexes bounds the task indexes of a job.
+	// maxTaskIndexes is the exclusive upper bound of the task indexes of a job.
 	maxTaskIndexes = 1 << 20
 )
 
-// Heartbeat is the compact form of a fleet.Heartbeat: its tasks are in groups.
+// Heartbeat is the compact form of a fleet.Heartbeat, in which tasks are grouped.
 type Heartbeat struct {
 	Machine      ident.MachineID    `msgpack:"m" json:"m"`
 	Addr         string             `msgpack:"a" json:"a"`
@@ -30,18 +31,18 @@
 	HeartbeatSeq ident.HeartbeatSeq `msgpack:"y" json:"y"`
 	FencingToken ident.Epoch        `msgpack:"e" json:"e"`
 	// SpotNoticeSeconds is the time until the cloud interrupts the machine; nil means
-	// that it has given no notice.
+	// that the cloud has not announced an interruption.
 	SpotNoticeSeconds *float64                    `msgpack:"n,omitempty" json:"n,omitempty"`
 	TaskGroups        wire.BoundedList[TaskGroup] `msgpack:"g,omitempty" json:"g,omitempty"`
 }
 
-// TaskGroup is a set of tasks that have everything but their index in common.
+// TaskGroup is a set of tasks that differ only in their index.
 type TaskGroup struct {
 	Job              ident.JobID     `msgpack:"j" json:"j"`
 	Attempt          ident.Attempt   `msgpack:"a" json:"a"`
 	State            fleet.TaskState `msgpack:"s" json:"s"`
 	Cause            fleet.ExitCause `msgpack:"c,omitempty" json:"c,omitempty"`
-	CheckpointStored bool            `msgpack:"d,omitempty" json:"d,omitempty"` // the checkpoint is
+	CheckpointStored bool            `msgpack:"d,omitempty" json:"d,omitempty"` // whether the checkpoint is stored
 	Indexes          indexset.Set    `msgpack:"i" json:"i"`
 }
 
@@ -53,7 +54,7 @@
 	Commands wire.BoundedList[CommandGroup] `msgpack:"o,omitempty" json:"o,omitempty"`
 }
 
-// CommandGroup is the same command for tasks of one job and attempt.
+// CommandGroup is one command for several tasks of a job and attempt.
 type CommandGroup struct {
 	Kind               fleet.CommandKind `msgpack:"v" json:"v"`
 	Job                ident.JobID       `msgpack:"j" json:"j"`
@@ -62,7 +63,7 @@
 	Indexes            indexset.Set      `msgpack:"i" json:"i"`
 }
 
-// taskGroupKey is what the tasks of a group have in common.
+// taskGroupKey holds the properties that all tasks of a group share.
 type taskGroupKey struct {
 	job              ident.JobID
 	attempt          ident.Attempt
@@ -97,10 +98,11 @@
 	return packed
 }
 
-// Unpack undoes PackHeartbeat. Errors wrap ErrMalformed.
+// Unpack returns the heartbeat in its full form; it is the inverse of PackHeartbeat. Errors
+// wrap ErrMalformed.
 func (h *Heartbeat) Unpack() (*fleet.Heartbeat, error) {
 	if h.Machine == "" || h.Session == 0 {
-		return nil, fmt.Errorf("%w: heartbeat without machine or session", ErrMalformed)
+		return nil, fmt.Errorf("%w: heartbeat has no machine or no session", ErrMalformed)
 	}
 	hb := &fleet.Heartbeat{
 		Machine: h.Machine, Addr: h.Addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
@@ -112,7 +114,7 @@
 	}
 	for _, group := range h.TaskGroups {
 		if !canExpand(group.Indexes, len(hb.Tasks)) {
-			return nil, fmt.Errorf("%w: heartbeat with invalid or too many tasks", ErrMalformed)
+			return nil, fmt.Errorf("%w: heartbeat has invalid task indexes or too many tasks", ErrMalformed)
 		}
 		for index := range group.Indexes.All() {
 			hb.Tasks = append(hb.Tasks, fleet.TaskStatus{
@@ -123,8 +125,8 @@
 	return hb, nil
 }
 
-// PackCommands returns the compact form of commands. Only neighbors are grouped: the
-// commands keep their order.
+// PackCommands returns the compact form of commands. It groups only adjacent commands, so
+// that their order is preserved.
 func PackCommands(commands []fleet.Command) []CommandGroup {
 	var groups []CommandGroup
 	for _, c := range commands {
@@ -137,12 +139,15 @@
 	return groups
 }
 
-// sameCommand reports whether two groups differ at most in their indexes.
+// sameCommand reports whether two groups have the same command, so that they differ at
+// most in their indexes.
 func (g CommandGroup) sameCommand(other CommandGroup) bool {
 	return g.Kind == other.Kind && g.Job == other.Job && g.Attempt == other.Attempt && g.GracePeriodSeconds == other.GracePeriodSeconds
 }
 
-// UnpackCommands undoes PackCommands. Groups that are invalid or too large are left out.
+// UnpackCommands returns the commands in their full form; it is the inverse of
+// PackCommands. Groups with invalid indexes are skipped, and so are groups that would
+// exceed maxTasksPerHeartbeat.
 func (r *HeartbeatReply) UnpackCommands() []fleet.Command {
 	var commands []fleet.Command
 	for _, group := range r.Commands {
@@ -158,8 +163,9 @@
 	return commands
 }
 
-// canExpand reports whether a set from another node is valid, and small enough beside
-// the tasks that were expanded before it.
+// canExpand reports whether a set of indexes from another node is valid, and can be
+// expanded in addition to the tasks that were expanded before without exceeding
+// maxTasksPerHeartbeat.
 func canExpand(indexes indexset.Set, expanded int) bool {
 	return indexes.Valid(maxTaskIndexes) && expanded+indexes.Len() <= maxTasksPerHeartbeat
 }
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -12,9 +12,11 @@
 	"badgerbay/internal/ident"
 )
 
+// testTask returns the ID of the task of the test job with index i.
 func testTask(i ident.TaskIndex) ident.TaskID { return ident.TaskID{Job: "wk-000001", Index: i} }
 
-// TestHeartbeatRoundTrip: a relayed heartbeat reaches the leader as the worker sent it.
+// TestHeartbeatRoundTrip checks that a heartbeat that is packed, encoded, decoded and
+// unpacked equals the original. It guards against fields that are lost in the relay.
 func TestHeartbeatRoundTrip(t *testing.T) {
 	in := &fleet.Heartbeat{Machine: "host-1", Addr: "10.0.0.1:9", Type: "m", Zone: "a", Spot: true, Session: 2, HeartbeatSeq: 7, FencingToken: 9,
 		InterruptionNoticed: true, InterruptionIn: 12 * time.Second, Tasks: []fleet.TaskStatus{
@@ -37,13 +39,14 @@
 	}
 }
 
-// TestCommandsKeepOrder: relayed commands reach the worker in the leader's order.
+// TestCommandsKeepOrder checks that relayed commands keep the order in which the leader
+// issued them.
 func TestCommandsKeepOrder(t *testing.T) {
 	in := []fleet.Command{{Kind: fleet.CommandStop, Task: testTask(0), Attempt: 1, GracePeriod: 4 * time.Second}, {Kind: fleet.CommandStop, Task: testTask(1), Attempt: 1, GracePeriod: 4 * time.Second},
 		{Kind: fleet.CommandStart, Task: testTask(0), Attempt: 2}, {Kind: fleet.CommandStart, Task: testTask(1), Attempt: 2}, {Kind: fleet.CommandForget, Task: testTask(5), Attempt: 1}}
 	a := HeartbeatReply{Machine: "host-1", Code: 200, Epoch: 4, Commands: PackCommands(in)}
 	if len(a.Commands) != 3 {
-		t.Errorf("%d groups, want 3", len(a.Commands))
+		t.Errorf("commands packed into %d groups, want 3", len(a.Commands))
 	}
 	if diff := cmp.Diff(in, a.UnpackCommands(), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,12 +14,12 @@
 
 const (
 	handshakeTimeout     = 5 * time.Second
-	minKeepaliveInterval = 5 * time.Second // that clients may use
+	minKeepaliveInterval = 5 * time.Second // the shortest that clients may use
 )
 
-// Serve answers the calls of other nodes on the listener, up to maxCalls of each at the
-// same time. It returns nil once ctx is done, after it has closed the listener and all
-// connections, and otherwise the error that ended it.
+// Serve serves the calls of other nodes on the listener, with at most maxCalls concurrent
+// calls per connection. Once ctx is done, it closes the listener and all connections and
+// returns nil. Otherwise it returns the error that stopped it.
 func Serve(ctx context.Context, l net.Listener, impl meshpb.MeshServer, maxCalls int) error {
 	s := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes),
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -10,7 +10,7 @@
 	"badgerbay/internal/peer/meshpb"
 )
 
-// healthServer answers Health alone.
+// healthServer implements only the Health method.
 type healthServer struct{ meshpb.UnimplementedMeshServer }
 
 // Health implements meshpb.MeshServer.
@@ -18,8 +18,8 @@
 	return &meshpb.HealthReply{StateReached: true, Leader: "n1"}, nil
 }
 
-// TestServeStopsWithContext: calls are answered until the context ends; then Serve
-// returns without an error, and what comes after it is not answered.
+// TestServeStopsWithContext checks that Serve serves calls until its context is cancelled,
+// and then returns nil, and that later calls fail.
 func TestServeStopsWithContext(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,12 +42,12 @@
 	select {
 	case err := <-served:
 		if err != nil {
-			t.Errorf("stopped with %v", err)
+			t.Errorf("Serve returned %v after its context was cancelled, want nil", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("still serving after its context has ended")
+		t.Fatal("Serve did not return after its context was cancelled")
 	}
 	if reply, err := clients.Health(t.Context(), "n1"); err == nil {
-		t.Errorf("answered %v after the end", reply)
+		t.Errorf("got reply %v after Serve returned", reply)
 	}
 }
--- a/internal/relay/attestation.go
+++ b/internal/relay/attestation.go
@@ -7,10 +7,10 @@
 	"badgerbay/internal/peer"
 )
 
-// maxIdleMs bounds the idle time that a node may attest: some decades.
+// maxIdleMs limits the idle time that a node may report to about 35 years.
 const maxIdleMs = 1 << 40
 
-// AnsweredBatches holds, by node, the last batch that the leader answered through the
+// AnsweredBatches holds, by node, the last batch to which the leader replied through the
 // key-value store.
 type AnsweredBatches map[string]answeredBatch
 
@@ -19,21 +19,26 @@
 	answeredAt clock.Instant
 }
 
-// Record notes that the reply to a node's batch is sent at the given time.
+// Record records that the reply to a node's batch is sent at the given time.
 func (a AnsweredBatches) Record(node, batchID string, at clock.Instant) {
 	a[node] = answeredBatch{id: batchID, answeredAt: at}
 }
 
-// Attestation is a node's word on how it used its lease delegation: when it said so,
-// some time after Since, it had renewed no lease for the time IdleFor.
+// Attestation is a node's report that it did not use its lease delegation: at the time of
+// the report, which is after Since, it had renewed no lease for the duration IdleFor.
 type Attestation struct {
 	Since   clock.Instant
 	IdleFor time.Duration
 }
 
-// Attestation returns what the sender of a batch attests, if it acknowledges the last
-// reply. The node measured its idle time after it had received that reply, so its word
-// counts from when the reply was sent; the batch itself may have been delayed for long.
+// Attestation returns the report that a batch contains. It returns false if the batch does
+// not acknowledge the last reply, or if its idle time is out of range. The time of the
+// report is bounded as follows:
+//
+//  1. The batch may have been delayed for long, so the time at which it is received says
+//     nothing about the time at which the node measured its idle time.
+//  2. The node measured it after it had received the acknowledged reply.
+//  3. Hence it measured it after that reply was sent, which the leader recorded.
 func (a AnsweredBatches) Attestation(b *peer.Batch) (Attestation, bool) {
 	last := a[b.Node]
 	if b.AckedBatchID == "" || b.AckedBatchID != last.id || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -12,37 +12,37 @@
 	"badgerbay/internal/wire"
 )
 
-// A batch, or a reply, leaves free what is least of maxReservedBytes and one part in
-// reservedDivisor of a value.
+// A batch or a reply leaves a part of a value free: maxReservedBytes or the fraction
+// 1/reservedDivisor of the value, whichever is smaller.
 const (
 	maxReservedBytes = 1024
 	reservedDivisor  = 8
 )
 
-// MaxBatchBytes returns how large a batch or a reply may be if the key-value store
-// takes values of valueBytes.
+// MaxBatchBytes returns the maximum size of a batch or a reply if the key-value store
+// accepts values of up to valueBytes.
 func MaxBatchBytes(valueBytes int) int {
 	return valueBytes - min(maxReservedBytes, valueBytes/reservedDivisor)
 }
 
-// BatchHeader is what a batch says beside its requests.
+// BatchHeader holds the fields of a batch other than its requests.
 type BatchHeader struct {
 	ID           string
 	Node         string
-	AckedBatchID string        // the last batch whose reply was received
-	IdleFor      time.Duration // since the node renewed a lease under a delegation
+	AckedBatchID string        // the ID of the last batch whose reply was received
+	IdleFor      time.Duration // time since the node last renewed a lease under a delegation
 }
 
-// Batch is a batch that fits into one value.
+// Batch is an encoded batch that fits into one value of the key-value store.
 type Batch struct {
 	Value     wire.Packed
-	Sent      []PendingRequest // in the value
-	Remaining []PendingRequest // left for the next batch
+	Sent      []PendingRequest // the requests in Value
+	Remaining []PendingRequest // the requests for the next batch
 }
 
-// NewBatch compresses as many requests of the queue as fit into maxBytes, users'
-// requests first. Requests past their deadline are dropped. If not even the first
-// request fits, the batch is empty and the queue dropped with it.
+// NewBatch returns a batch of as many requests of the queue as fit into maxBytes when
+// compressed, with users' requests first. Requests past their deadline are dropped. If not
+// even the first request fits, the batch is empty and the whole queue is dropped.
 func NewBatch(now clock.Instant, header BatchHeader, queue []PendingRequest, maxBytes int) (Batch, error) {
 	waiting := slices.DeleteFunc(slices.Clone(queue), func(r PendingRequest) bool { return !now.Before(r.Deadline) })
 	slices.SortStableFunc(waiting, func(a, b PendingRequest) int { return cmp.Compare(a.sendOrder(), b.sendOrder()) })
@@ -80,9 +80,9 @@
 	return batch
 }
 
-// CompressReply compresses the reply to a batch into a value of maxBytes. It shortens
-// the heartbeat replies until they fit: workers that get none report again, in a later
-// batch.
+// CompressReply compresses the reply to a batch into a value of at most maxBytes. It
+// removes half of the heartbeat replies at a time until the value fits: workers without a
+// reply send another heartbeat, which goes into a later batch.
 func CompressReply(reply *peer.BatchReply, maxBytes int) (wire.Packed, error) {
 	value, err := wire.CompressMessage(reply)
 	for err == nil && len(reply.Heartbeats) > 0 && len(value) > maxBytes {
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -14,8 +14,10 @@
 	"badgerbay/internal/peer"
 )
 
-// TestBatchFitsValue: however many workers are partitioned from the leader, a batch
-// stays below the size of a value, and what does not fit goes with the next.
+// TestBatchFitsValue checks that a batch of many heartbeats does not exceed the size of a
+// value, that the requests that do not fit are left for the next batch, and that requests
+// past their deadline are dropped. It guards against batches that the key-value store
+// rejects when many workers are partitioned from the leader.
 func TestBatchFitsValue(t *testing.T) {
 	const valueBytes = 8192
 	now := clock.Instant(time.Hour)
@@ -41,20 +43,20 @@
 	}
 	got, err := peer.DecompressBatch(value)
 	if err != nil || len(got.Heartbeats) != len(batch.Sent) {
-		t.Fatalf("%+v, want %d heartbeats, %v", got, len(batch.Sent), err)
+		t.Fatalf("decoded %+v, %v, want %d heartbeats", got, err, len(batch.Sent))
 	}
 	if len(data) > valueBytes || len(batch.Sent) == 0 || len(batch.Sent)+len(batch.Remaining) != 200 {
-		t.Errorf("%d bytes, %d sent, %d left", len(data), len(batch.Sent), len(batch.Remaining))
+		t.Errorf("%d bytes, %d requests sent, %d remaining", len(data), len(batch.Sent), len(batch.Remaining))
 	}
 	late, err := NewBatch(now.Add(time.Minute), BatchHeader{ID: "id"}, queue, MaxBatchBytes(valueBytes))
 	if err != nil || len(late.Sent)+len(late.Remaining) != 0 {
-		t.Error("heartbeats are sent past their deadline")
+		t.Errorf("%d requests past their deadline were kept, error %v", len(late.Sent)+len(late.Remaining), err)
 	}
 }
 
-// TestBatchesCoverTwoThousandWorkers: the heartbeats of a partitioned half of 4,000
-// machines are sent in batches, each of which fits into a value, and each of them once;
-// users' requests go first.
+// TestBatchesCoverTwoThousandWorkers checks that the heartbeats of 2,000 workers, half of a
+// cluster of 4,000 machines that is partitioned, are each sent once, in batches that fit
+// into a value, and that users' requests are sent first.
 func TestBatchesCoverTwoThousandWorkers(t *testing.T) {
 	const workers, valueBytes, maxBatches = 2000, 8192, 60
 	now := clock.Instant(time.Hour)
@@ -70,10 +72,10 @@
 	for number := 1; len(queue) > 0; number++ {
 		batch, err := NewBatch(now, BatchHeader{ID: fmt.Sprint(number), Node: "n1"}, queue, MaxBatchBytes(valueBytes))
 		if err != nil || len(batch.Value) > valueBytes || len(batch.Sent) == 0 || number > maxBatches {
-			t.Fatalf("batch %d: %d sent in %d bytes, %v", number, len(batch.Sent), len(batch.Value), err)
+			t.Fatalf("batch %d: %d requests in %d bytes, error %v", number, len(batch.Sent), len(batch.Value), err)
 		}
 		if number == 1 && batch.Sent[0].Job != "wk-000002" {
-			t.Error("a cancel request waits behind heartbeats")
+			t.Error("cancel request was not sent before the heartbeats")
 		}
 		for _, request := range batch.Sent {
 			if request.Heartbeat != nil {
@@ -84,10 +86,10 @@
 	}
 	for id, n := range sent {
 		if n != 1 {
-			t.Errorf("%s was sent %d times", id, n)
+			t.Errorf("heartbeat of %s was sent %d times, want once", id, n)
 		}
 	}
 	if len(sent) != workers {
-		t.Errorf("%d of %d workers were relayed", len(sent), workers)
+		t.Errorf("heartbeats of %d workers were sent, want %d", len(sent), workers)
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -17,8 +17,9 @@
 	"badgerbay/internal/peer"
 )
 
-// TestGoldenBatch: the values that nodes and leader exchange through the state
-// service stay as other versions write and read them.
+// TestGoldenBatch checks that a batch is compressed to the recorded value, and that this
+// value is decoded to the same requests. It guards against changes that nodes of other
+// versions, which exchange these values through the key-value store, cannot decode.
 func TestGoldenBatch(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	heartbeats := []*fleet.Heartbeat{
@@ -37,11 +38,11 @@
 		t.Fatal(err)
 	}
 	if want := goldenValue(t, "batch.txt"); string(batch.Value) != want {
-		t.Errorf("batch %s, want %s", batch.Value, want)
+		t.Errorf("batch compressed to %s, want %s", batch.Value, want)
 	}
 	got, err := peer.DecompressBatch(encodeValue(t, goldenValue(t, "batch.txt")))
 	if err != nil || got.ID != header.ID || got.Node != header.Node || got.AckedBatchID != header.AckedBatchID || got.IdleMs != 2500 || got.SchemaVersion != 3 {
-		t.Fatalf("batch read as %+v, %v", got, err)
+		t.Fatalf("batch decoded as %+v, %v", got, err)
 	}
 	if diff := cmp.Diff([]peer.CancelRequest{{Job: "wk-000398"}}, []peer.CancelRequest(got.CancelRequests)); diff != "" {
 		t.Error(diff)
@@ -57,9 +58,10 @@
 	}
 }
 
-// TestGoldenReply: likewise for what the leader answers.
+// TestGoldenReply checks that a reply is compressed to the recorded value, and that this
+// value is decoded to the same reply, for the same reason as TestGoldenBatch.
 func TestGoldenReply(t *testing.T) {
-	answers := func() *peer.BatchReply {
+	newReply := func() *peer.BatchReply {
 		return &peer.BatchReply{ID: "k3v9-17",
 			Heartbeats: []peer.HeartbeatReply{
 				{Machine: "host-000001", Code: 200, Epoch: 77, Commands: []peer.CommandGroup{
@@ -70,24 +72,24 @@
 			Cancellations: []peer.CancelReply{{Job: "wk-000398", State: "cancelled", DoneTasks: 3}},
 		}
 	}
-	value, err := CompressReply(answers(), MaxBatchBytes(8192))
+	value, err := CompressReply(newReply(), MaxBatchBytes(8192))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := goldenValue(t, "answers.txt")
 	if string(value) != want {
-		t.Errorf("answers %s, want %s", value, want)
+		t.Errorf("reply compressed to %s, want %s", value, want)
 	}
 	got, err := peer.DecompressReply(encodeValue(t, want))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(answers(), got, cmpopts.EquateComparable(indexset.Span{})); diff != "" {
+	if diff := cmp.Diff(newReply(), got, cmpopts.EquateComparable(indexset.Span{})); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// goldenValue reads a value as it was stored.
+// goldenValue reads a recorded value of the key-value store.
 func goldenValue(t *testing.T, file string) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + file)
@@ -97,7 +99,7 @@
 	return strings.TrimSuffix(string(data), "\n")
 }
 
-// encodeValue returns a value as the state service returns it.
+// encodeValue returns a value in the encoding in which the key-value store returns it.
 func encodeValue(t *testing.T, value string) []byte {
 	t.Helper()
 	data, err := msgpack.Marshal(value)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -7,14 +7,15 @@
 	"badgerbay/internal/peer"
 )
 
-// PendingRequest waits for the leader's reply through the key-value store. It is a
-// worker's heartbeat or, if Heartbeat is nil, the cancel request for Job.
+// PendingRequest is a request that waits for the leader's reply through the key-value
+// store. It is a worker's heartbeat or, if Heartbeat is nil, the cancel request for Job.
 type PendingRequest struct {
 	Heartbeat *fleet.Heartbeat
 	Job       ident.JobID
-	Deadline  clock.Instant // after which nobody waits for the reply
-	// HeartbeatReply receives the reply to a heartbeat, CancelReply that to a cancel
-	// request. Each holds one reply, so that delivering it does not block.
+	Deadline  clock.Instant // the time after which no caller waits for the reply
+	// HeartbeatReply receives the reply to a heartbeat, CancelReply the reply to a
+	// cancel request. Each channel has a buffer for one reply, so that delivery does
+	// not block.
 	HeartbeatReply chan peer.HeartbeatReply
 	CancelReply    chan peer.CancelReply
 }
@@ -29,7 +30,7 @@
 	return PendingRequest{Job: id, Deadline: deadline, CancelReply: make(chan peer.CancelReply, 1)}
 }
 
-// sendOrder sorts users' requests before heartbeats.
+// sendOrder returns the sort key that orders users' requests before heartbeats.
 func (r *PendingRequest) sendOrder() int {
 	if r.Heartbeat == nil {
 		return 0
@@ -37,8 +38,8 @@
 	return 1
 }
 
-// DeliverReplies passes the replies to a batch on to the requests that were sent in
-// it. Requests that the leader left out get nothing.
+// DeliverReplies delivers the replies to a batch to the requests that were sent in it.
+// Requests that the leader did not reply to receive nothing.
 func DeliverReplies(reply *peer.BatchReply, sent []PendingRequest) {
 	heartbeats := make(map[ident.MachineID]peer.HeartbeatReply, len(reply.Heartbeats))
 	for _, r := range reply.Heartbeats {
