--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// MaxBodyBytes bounds the bodies of users' requests.
+	// MaxBodyBytes is the maximum size of the body of a user's request.
 	MaxBodyBytes    = 64 << 10
 	maxTasks        = 100_000
 	maxNameBytes    = 128
 	maxMachineTypes = 32
-	// maxAmount bounds amounts, so that sums of them stay exact enough.
+	// maxAmount limits every amount, so that sums of amounts stay sufficiently exact
+	// in floating point.
 	maxAmount = 1e9
 )
 
-// Submission is a job as its user submits it.
+// Submission is a job that a user submits.
 type Submission struct {
 	ID   ident.JobID
 	Spec jobs.Spec
 }
 
-// ErrMalformed is wrapped by all errors of DecodeSubmission.
+// ErrMalformed is returned, wrapped, by DecodeSubmission when a submission is malformed.
 var ErrMalformed = errors.New("malformed submission")
 
 // DecodeSubmission decodes the MessagePack body of a submission. It is strict: every
-// required field must be present, and every known field must have the right type,
-// sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
+// required field must be present, and every known field must have a value of the right
+// type, sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
 func DecodeSubmission(data []byte) (*Submission, error) {
 	submission := new(Submission)
 	if err := decodeFields(data, submissionFields(submission)); err != nil {
@@ -47,17 +48,17 @@
 	return submission, nil
 }
 
-// fieldDecoder decodes the value of one field.
+// fieldDecoder decodes and stores the value of one field.
 type fieldDecoder = func(*msgpack.Decoder) error
 
 // field is one known field of a submission.
 type field struct {
-	name     string // on the wire
+	name     string // the key on the wire
 	decode   fieldDecoder
-	optional bool // it may be left out, or null
+	optional bool // whether the field may be absent or null
 }
 
-// decodeFields decodes a map that is the whole of data.
+// decodeFields decodes a map of fields. The map must span all of data.
 func decodeFields(data []byte, fields []field) error {
 	decoders := make(map[string]fieldDecoder, len(fields))
 	present := make(map[string]bool, len(fields))
@@ -86,30 +87,31 @@
 	return nil
 }
 
-// submissionFields maps the names on the wire to the fields of a submission.
+// submissionFields returns the known fields of a submission: their wire names, and
+// decoders that store their values in to.
 func submissionFields(to *Submission) []field {
 	spec := &to.Spec
 	return []field{
-		{name: "id", decode: text(func(v string) (err error) { to.ID, err = ident.ParseJobID(v); return err })},
-		{name: "ledgerClass", decode: name(&spec.Class)},
-		{name: "desk", decode: name(&spec.Team)},
-		{name: "shape", decode: text(func(v string) error { return setKind(spec, v) })},
-		{name: "rank", decode: text(func(v string) error { return setPriority(spec, v) })},
-		{name: "entries", decode: taskCount(&spec.Tasks)},
-		{name: "cpus", decode: positiveAmount(&spec.CPUs)},
-		{name: "accelerators", decode: amount(&spec.GPUs)},
-		{name: "memoryGb", decode: amount(&spec.MemoryGB)},
-		{name: "samePlace", decode: flag(&spec.ZoneAffinity)},
-		{name: "apart", decode: flag(&spec.ZoneSpread)},
-		{name: "loaner", decode: flag(&spec.Spot)},
-		{name: "bundle", decode: name(&spec.Image)},
-		{name: "imageGb", decode: amount(&spec.ImageGB)},
-		{name: "expectedS", decode: amount(&spec.EstimatedRunSeconds)},
-		{name: "folioS", decode: amount(&spec.CheckpointIntervalSeconds)},
-		{name: "bindS", decode: amount(&spec.CheckpointSeconds)},
-		{name: "dueS", decode: amount(&spec.DeadlineSeconds), optional: true},
-		{name: "hall", decode: name(&spec.Zone), optional: true},
-		{name: "frames", decode: machineTypes(spec), optional: true},
+		{name: "id", decode: stringField(func(v string) (err error) { to.ID, err = ident.ParseJobID(v); return err })},
+		{name: "ledgerClass", decode: nameField(&spec.Class)},
+		{name: "desk", decode: nameField(&spec.Team)},
+		{name: "shape", decode: stringField(func(v string) error { return setKind(spec, v) })},
+		{name: "rank", decode: stringField(func(v string) error { return setPriority(spec, v) })},
+		{name: "entries", decode: taskCountField(&spec.Tasks)},
+		{name: "cpus", decode: positiveAmountField(&spec.CPUs)},
+		{name: "accelerators", decode: amountField(&spec.GPUs)},
+		{name: "memoryGb", decode: amountField(&spec.MemoryGB)},
+		{name: "samePlace", decode: boolField(&spec.ZoneAffinity)},
+		{name: "apart", decode: boolField(&spec.ZoneSpread)},
+		{name: "loaner", decode: boolField(&spec.Spot)},
+		{name: "bundle", decode: nameField(&spec.Image)},
+		{name: "imageGb", decode: amountField(&spec.ImageGB)},
+		{name: "expectedS", decode: amountField(&spec.EstimatedRunSeconds)},
+		{name: "folioS", decode: amountField(&spec.CheckpointIntervalSeconds)},
+		{name: "bindS", decode: amountField(&spec.CheckpointSeconds)},
+		{name: "dueS", decode: amountField(&spec.DeadlineSeconds), optional: true},
+		{name: "hall", decode: nameField(&spec.Zone), optional: true},
+		{name: "frames", decode: machineTypesField(spec), optional: true},
 	}
 }
 
@@ -121,7 +123,7 @@
 	case "group":
 		spec.Gang = true
 	default:
-		return fmt.Errorf("%.32q is not a shape", v)
+		return fmt.Errorf("unknown shape %.32q", v)
 	}
 	return nil
 }
@@ -136,25 +138,26 @@
 func setPriority(spec *jobs.Spec, v string) error {
 	priority, ok := priorityByName[v]
 	if !ok {
-		return fmt.Errorf("%.32q is not a rank", v)
+		return fmt.Errorf("unknown rank %.32q", v)
 	}
 	spec.Priority = priority
 	return nil
 }
 
-func machineTypes(spec *jobs.Spec) fieldDecoder {
+// machineTypesField returns a decoder of a list of machine type names.
+func machineTypesField(spec *jobs.Spec) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		n, err := d.DecodeArrayLen()
 		if err != nil {
 			return err
 		}
 		if n < 1 || n > maxMachineTypes {
-			return fmt.Errorf("list of %d, want 1 to %d", n, maxMachineTypes)
+			return fmt.Errorf("list has %d elements, want 1 to %d", n, maxMachineTypes)
 		}
 		for range n {
 			v, err := wire.DecodeString(d)
 			if err != nil || v == "" || len(v) > maxNameBytes {
-				return errors.New("not a list of names")
+				return errors.New("list element is not a string, empty or too long")
 			}
 			spec.MachineTypes = append(spec.MachineTypes, ident.MachineType(v))
 		}
@@ -162,15 +165,16 @@
 	}
 }
 
-// text decodes a string that is not empty and has no control characters.
-func text(set func(string) error) fieldDecoder {
+// stringField returns a decoder that passes a string to set. The string must not be
+// empty, longer than maxNameBytes, or contain control characters.
+func stringField(set func(string) error) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeString(d)
 		if err != nil {
 			return err
 		}
 		if v == "" || len(v) > maxNameBytes || strings.ContainsFunc(v, isControl) {
-			return errors.New("empty, too long, or with control characters")
+			return errors.New("string is empty, too long or contains control characters")
 		}
 		return set(v)
 	}
@@ -178,38 +182,42 @@
 
 func isControl(r rune) bool { return r < ' ' }
 
-func name[T ~string](to *T) fieldDecoder {
-	return text(func(v string) error { *to = T(v); return nil })
+// nameField returns a decoder of a name; see stringField for the accepted strings.
+func nameField[T ~string](to *T) fieldDecoder {
+	return stringField(func(v string) error { *to = T(v); return nil })
 }
 
-func amount(to *float64) fieldDecoder {
+// amountField returns a decoder of a number between 0 and maxAmount.
+func amountField(to *float64) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
 		if err != nil {
 			return err
 		}
 		if v > maxAmount {
-			return fmt.Errorf("%v is out of range", v)
+			return fmt.Errorf("%v exceeds the maximum of %v", v, maxAmount)
 		}
 		*to = v
 		return nil
 	}
 }
 
-func positiveAmount(to *float64) fieldDecoder {
-	decode := amount(to)
+// positiveAmountField returns a decoder of a number above 0 and up to maxAmount.
+func positiveAmountField(to *float64) fieldDecoder {
+	decode := amountField(to)
 	return func(d *msgpack.Decoder) error {
 		if err := decode(d); err != nil {
 			return err
 		}
 		if *to == 0 {
-			return errors.New("0 is out of range")
+			return errors.New("0 is not allowed")
 		}
 		return nil
 	}
 }
 
-func taskCount(to *int) fieldDecoder {
+// taskCountField returns a decoder of an integer between 1 and maxTasks.
+func taskCountField(to *int) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeCount(d)
 		if err != nil {
@@ -223,7 +231,8 @@
 	}
 }
 
-func flag(to *bool) fieldDecoder {
+// boolField returns a decoder of a boolean.
+func boolField(to *bool) fieldDecoder {
 	return func(d *msgpack.Decoder) (err error) {
 		*to, err = wire.DecodeBool(d)
 		return err
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -25,8 +25,8 @@
 	"badgerbay/internal/wire"
 )
 
-// golden reads the lines "name text" of a file in testdata/golden.
-func golden(t *testing.T, file string) map[string]string {
+// readGolden reads a file in testdata/golden, whose lines have the form "name text".
+func readGolden(t *testing.T, file string) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + file)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return lines
 }
 
-// goldenBatch has a value in every field that a node sends.
+// goldenBatch returns a batch with a value in every field.
 func goldenBatch() *Batch {
 	notice := 12.5
 	return &Batch{
@@ -53,7 +53,7 @@
 				TaskGroups: []TaskGroup{{Job: "wk-000412", Attempt: 7, State: "running", Indexes: indexset.Set{{First: 0, Last: 3}, {First: 9, Last: 9}}}}},
 			{Machine: "host-000002", Addr: "10.1.0.3:9000", Type: "m2", Zone: "b", Spot: true, Session: 3, HeartbeatSeq: 12, FencingToken: 40, SpotNoticeSeconds: &notice,
 				TaskGroups: []TaskGroup{
-					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, Stored: true, Indexes: indexset.Set{{First: 2, Last: 2}}},
+					{Job: "wk-000412", Attempt: 6, State: "exited", Cause: fleet.ExitStopped, CheckpointStored: true, Indexes: indexset.Set{{First: 2, Last: 2}}},
 					{Job: "wk-000413", Attempt: 7, State: "exited", Cause: fleet.ExitDone, Indexes: indexset.Set{{First: 300, Last: 70000}}}}},
 		},
 		CancelRequests: []CancelRequest{{Job: "wk-000398"}},
@@ -63,7 +63,7 @@
 	}
 }
 
-// goldenReply has a value in every field that a leader answers.
+// goldenReply returns a reply with a value in every field.
 func goldenReply() *BatchReply {
 	return &BatchReply{
 		ID: "k3v9-17",
@@ -81,10 +81,11 @@
 	}
 }
 
-// TestGoldenMessages: batches and their answers, plain, compressed into a value, and
-// in JSON, are written as they always were, and read back as they were written.
+// TestGoldenMessages checks that batches, replies and delegation statuses are encoded byte
+// for byte as recorded, and decoded to the same messages: in MessagePack, compressed into a
+// value, and in JSON. It guards against changes that nodes of other versions cannot decode.
 func TestGoldenMessages(t *testing.T) {
-	want := golden(t, "messages.txt")
+	want := readGolden(t, "messages.txt")
 	ignoreQuota := []cmp.Option{cmpopts.IgnoreFields(Batch{}, "Quota"), cmpopts.IgnoreFields(BatchReply{}, "Quota")}
 	encodeValue := func(v any) ([]byte, error) {
 		text, err := wire.CompressMessage(v)
@@ -125,7 +126,7 @@
 			t.Errorf("%s: %v", tt.name, err)
 		}
 		if diff := cmp.Diff(tt.message, got, append(tt.options, cmpopts.EquateComparable(indexset.Span{}))...); diff != "" {
-			t.Errorf("%s: decoded otherwise: %s", tt.name, diff)
+			t.Errorf("%s: decoded message differs: %s", tt.name, diff)
 		}
 	}
 	if len(want) != len(tests) {
@@ -133,10 +134,11 @@
 	}
 }
 
-// TestGoldenCalls: the gRPC messages are written as they always were, and read back
-// without unknown fields.
+// TestGoldenCalls checks that the gRPC messages are encoded byte for byte as recorded, and
+// decoded to the same messages without unknown fields. It guards against changes that
+// nodes of other versions cannot decode.
 func TestGoldenCalls(t *testing.T) {
-	want := golden(t, "calls.txt")
+	want := readGolden(t, "calls.txt")
 	messages := []proto.Message{
 		&meshpb.AskRequest{Job: "wk-000412", Withdraw: true},
 		&meshpb.AskReply{Outcome: meshpb.Outcome_OUTCOME_BUSY, Standing: "running", Done: 3, Running: 300},
@@ -165,14 +167,15 @@
 	}
 }
 
-// TestProtocolDescriptor: the package, the paths of the methods, and the names,
-// numbers and kinds of the fields stay as other versions know them.
+// TestProtocolDescriptor checks that the protocol package, the method paths, and the names,
+// numbers and kinds of fields and enum values are as recorded. It guards against changes
+// that are incompatible with nodes of other versions.
 func TestProtocolDescriptor(t *testing.T) {
 	data, err := os.ReadFile("testdata/golden/descriptor.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := describe(meshpb.File_mesh_proto)
+	got := describeProtocol(meshpb.File_mesh_proto)
 	if diff := cmp.Diff(strings.Split(string(data), "\n"), strings.Split(got, "\n")); diff != "" {
 		t.Error(diff)
 	}
@@ -180,13 +183,14 @@
 		meshpb.Mesh_Relay_FullMethodName, meshpb.Mesh_Health_FullMethodName}
 	for _, path := range paths {
 		if !strings.Contains(got, "method "+path+" ") {
-			t.Errorf("%s is called, but not in the descriptor", path)
+			t.Errorf("method %s of the client is not in the descriptor", path)
 		}
 	}
 }
 
-// describe lists what a protocol file promises to other versions.
-func describe(file protoreflect.FileDescriptor) string {
+// describeProtocol lists the parts of a protocol file that other versions depend on: its
+// methods, messages, fields and enum values.
+func describeProtocol(file protoreflect.FileDescriptor) string {
 	var out strings.Builder
 	for i := range file.Services().Len() {
 		service := file.Services().Get(i)
