--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -16,10 +16,10 @@
 		MachineTypes: []*fleet.MachineType{{Name: "m", Capacity: jobs.Resources{CPUs: 4, MemoryGB: 16}, Zones: []ident.Zone{"a"}}}}
 }
 
-// TestAdmissionRules checks which jobs are rejected as infeasible. It also checks that a
+// TestAdmissionCheck checks which jobs are rejected as infeasible. It also checks that a
 // submission gets a 503 with a retry delay, not a rejection, as long as the machine types
 // are unknown.
-func TestAdmissionRules(t *testing.T) {
+func TestAdmissionCheck(t *testing.T) {
 	base := jobs.Spec{Team: "red", Tasks: 100, CPUs: 2, MemoryGB: 4}
 	for name, c := range map[string]struct {
 		change func(*jobs.Spec)
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestGoldenAnswers checks that response bodies are encoded byte for byte as recorded. It
+// TestGoldenStatusResponses checks that response bodies are encoded byte for byte as recorded. It
 // guards against changes to the wire format that existing clients use.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenStatusResponses(t *testing.T) {
 	bodies := readGolden(t, "answers.txt")
 	statuses := map[string]Status{
 		"queued":    {State: Queued},
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -33,16 +33,16 @@
 // afterwards.
 func NewRetryPacer(rng *rand.Rand) *RetryPacer { return &RetryPacer{rng: rng} }
 
-// Accepted records that the write of a submission was within the budget.
-func (p *RetryPacer) Accepted() {
+// RecordAcceptance records that the write of a submission was within the budget.
+func (p *RetryPacer) RecordAcceptance() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.observe(0)
 }
 
-// Rejected records that a submission was rejected. It returns the delay to add to the
+// RecordRejection records that a submission was rejected. It returns the delay to add to the
 // time until the write budget allows the next write; the user should retry after the sum.
-func (p *RetryPacer) Rejected() time.Duration {
+func (p *RetryPacer) RecordRejection() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.observe(1)
--- a/internal/api/retry_test.go
+++ b/internal/api/retry_test.go
@@ -12,12 +12,12 @@
 // accepted again.
 func TestRetryPacerSpreadsRetries(t *testing.T) {
 	pacer := NewRetryPacer(rand.New(rand.NewPCG(1, 2)))
-	if d := pacer.Rejected(); d > time.Second || pacer.Overloaded() {
+	if d := pacer.RecordRejection(); d > time.Second || pacer.Overloaded() {
 		t.Errorf("delay %v after a single rejection, overloaded %v", d, pacer.Overloaded())
 	}
 	early, late := 0, 0
 	for range 400 {
-		switch d := pacer.Rejected(); {
+		switch d := pacer.RecordRejection(); {
 		case d > maxRetryJitter:
 			t.Fatalf("retry delay %v exceeds %v", d, maxRetryJitter)
 		case d < maxRetryJitter/4:
@@ -30,7 +30,7 @@
 		t.Errorf("%d early and %d late retries of 400, overloaded %v", early, late, pacer.Overloaded())
 	}
 	for range 100 {
-		pacer.Accepted()
+		pacer.RecordAcceptance()
 	}
 	if pacer.Overloaded() {
 		t.Error("still overloaded after 100 accepted submissions")
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -8,10 +8,10 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestDoneOnlyAfterCheckpoint checks that a job whose last task has completed is reported
+// TestDoneOnlyAfterPhaseIsStored checks that a job whose last task has completed is reported
 // as done only after its final phase has been stored. Otherwise a later leader, which reads
 // the stored phase, could report the job as active again.
-func TestDoneOnlyAfterCheckpoint(t *testing.T) {
+func TestDoneOnlyAfterPhaseIsStored(t *testing.T) {
 	j := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: 1}, 0), 1, 0)
 	j.CompleteTask(1, 0)
 	if got := StatusOfJob(j); got.State == Done {
--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -108,7 +108,7 @@
 	if !ok {
 		return
 	}
-	s.core.post(ctx, controller.PeerStatusReceived{Node: batch.Node, SentAt: attestation.Since,
+	s.core.post(ctx, controller.PeerStatusReceived{Node: batch.Node, SentAt: attestation.ReplySentAt,
 		Status: leasedelegation.Status{IdleFor: attestation.IdleFor}, SchemaVersion: batch.SchemaVersion})
 }
 
--- a/internal/node/userapi.go
+++ b/internal/node/userapi.go
@@ -90,10 +90,10 @@
 func (u *userAPI) createJob(ctx context.Context, id ident.JobID, req *api.Request, record *jobs.Record) api.CreateResult {
 	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		delay := u.store.budget.WriteDelay(u.clock.Now(), kvstore.PurposeSubmission)
-		req.SetRetryAfter(delay + u.retryPacer.Rejected())
+		req.SetRetryAfter(delay + u.retryPacer.RecordRejection())
 		return api.Rejected
 	}
-	u.retryPacer.Accepted()
+	u.retryPacer.RecordAcceptance()
 	key := jobs.Key(id)
 	_, err := u.store.commit(ctx, kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: key, ModRevision: 0}},
--- a/internal/peer/clients_test.go
+++ b/internal/peer/clients_test.go
@@ -8,10 +8,10 @@
 	"badgerbay/internal/config"
 )
 
-// TestConnectionRefusedIsReported checks that ConnectionRefused reports a refused
+// TestConnectionRefused checks that ConnectionRefused reports a refused
 // connection attempt, and nothing before the first attempt. This distinguishes the peer
 // from one behind a network partition, because its workers may still be reachable.
-func TestConnectionRefusedIsReported(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/attestation.go
+++ b/internal/relay/attestation.go
@@ -27,8 +27,8 @@
 // Attestation is a node's report that it did not use its lease delegation: at the time of
 // the report, which is after Since, it had renewed no lease for the duration IdleFor.
 type Attestation struct {
-	Since   clock.Instant
-	IdleFor time.Duration
+	ReplySentAt clock.Instant
+	IdleFor     time.Duration
 }
 
 // Attestation returns the report that a batch contains. It returns false if the batch does
@@ -44,5 +44,5 @@
 	if b.AckedBatchID == "" || b.AckedBatchID != last.id || b.IdleMs < 0 || b.IdleMs >= maxIdleMs {
 		return Attestation{}, false
 	}
-	return Attestation{Since: last.answeredAt, IdleFor: time.Duration(b.IdleMs) * time.Millisecond}, true
+	return Attestation{ReplySentAt: last.answeredAt, IdleFor: time.Duration(b.IdleMs) * time.Millisecond}, true
 }
