--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxListElements bounds a list whatever it claims.
+	// maxListElements is the largest list length that is accepted, whatever length the encoded header states.
 	maxListElements = 1 << 17
-	// maxNestingDepth bounds how deep a value that is skipped may nest.
+	// maxNestingDepth is the deepest nesting that Skip accepts; it bounds the recursion of skip.
 	maxNestingDepth = 16
 )
 
-// BoundedList is a list whose memory grows with what is read, not with what the
-// message claims.
+// BoundedList is a list whose decoder allocates memory for each element as it is read, not for the
+// length that the list's header states.
 type BoundedList[T any] []T
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
@@ -37,19 +37,20 @@
 	return nil
 }
 
-// DecodeArrayLen reads the head of a list and bounds what it claims. Null has no elements.
+// DecodeArrayLen reads a list's header and returns the length stated there. It returns 0 for null, and
+// an error if the length exceeds maxListElements.
 func DecodeArrayLen(d *msgpack.Decoder) (int, error) {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return 0, err
 	}
 	if n > maxListElements {
-		return 0, fmt.Errorf("list of %d elements", n)
+		return 0, fmt.Errorf("list length %d exceeds the limit of %d", n, maxListElements)
 	}
 	return max(n, 0), nil
 }
 
-// Skip passes over a value that nests no deeper than allowed.
+// Skip reads and discards a value. It returns an error if the value nests deeper than maxNestingDepth.
 func Skip(d *msgpack.Decoder) error { return skip(d, 0) }
 
 func skip(d *msgpack.Decoder, depth int) error {
@@ -71,7 +72,7 @@
 		return err
 	}
 	if depth == maxNestingDepth {
-		return fmt.Errorf("nested deeper than %d", maxNestingDepth)
+		return fmt.Errorf("nesting exceeds %d levels", maxNestingDepth)
 	}
 	for range max(n, 0) {
 		if err := skip(d, depth+1); err != nil {
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// DecodeMap reads a map with text keys, handing each value to the decoder of its key;
-// what has no decoder is skipped.
+// DecodeMap reads a map with string keys and decodes each value with the function that fields has for
+// its key. Values of keys that fields lacks are skipped.
 func DecodeMap(d *msgpack.Decoder, fields map[string]func(*msgpack.Decoder) error) error {
 	code, err := d.PeekCode()
 	if err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// DecodeNil tells whether the next value is null, and passes over it if so.
+// DecodeNil reports whether the next value is null, and consumes the value if it is.
 func DecodeNil(d *msgpack.Decoder) (bool, error) {
 	code, err := d.PeekCode()
 	if err != nil || code != msgpcode.Nil {
@@ -120,32 +121,31 @@
 	return true, d.DecodeNil()
 }
 
-// DecodeString reads a text.
+// DecodeString reads a string. It returns an error for a value of any other type.
 func DecodeString(d *msgpack.Decoder) (string, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return "", err
 	}
 	if !msgpcode.IsString(code) {
-		return "", errors.New("not a text")
+		return "", errors.New("not a string")
 	}
 	return d.DecodeString()
 }
 
-// DecodeBool reads a truth value.
+// DecodeBool reads a boolean. It returns an error for a value of any other type.
 func DecodeBool(d *msgpack.Decoder) (bool, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return false, err
 	}
 	if code != msgpcode.True && code != msgpcode.False {
-		return false, errors.New("not a truth value")
+		return false, errors.New("not a boolean")
 	}
 	return d.DecodeBool()
 }
 
-// DecodeAmount reads a decimal number that is not negative. Whole numbers are
-// decimal numbers too.
+// DecodeAmount reads a finite, non-negative number, encoded as a floating-point number or an integer.
 func DecodeAmount(d *msgpack.Decoder) (float64, error) {
 	code, err := d.PeekCode()
 	if err != nil {
@@ -159,19 +159,19 @@
 		return 0, err
 	}
 	if !(v >= 0) || math.IsInf(v, 0) {
-		return 0, fmt.Errorf("%v is not an amount", v)
+		return 0, fmt.Errorf("%v is not a finite, non-negative number", v)
 	}
 	return v, nil
 }
 
-// DecodeCount reads a whole number that is not negative.
+// DecodeCount reads a non-negative integer.
 func DecodeCount(d *msgpack.Decoder) (uint64, error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return 0, err
 	}
 	if !isInt(code) {
-		return 0, errors.New("not a whole number")
+		return 0, errors.New("not an integer")
 	}
 	if isSigned(code) {
 		v, err := d.DecodeInt64()
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -15,12 +15,12 @@
 //go:embed testdata/golden/texts.json
 var goldenFile []byte
 
-// goldenEncodings are the encodings that others read.
+// goldenEncodings holds one value in each encoding that other versions and other services read.
 type goldenEncodings struct {
 	Packed            string `json:"packed"`
 	CompressedMessage string `json:"squeezed"` // hex of the MessagePack value
 	CompressedRecord  string `json:"squeezed_for_record"`
-	Request           string `json:"request"` // method, address, media type, body in hex
+	Request           string `json:"request"` // method, URL, media type, body in hex
 	PackedLen         []int  `json:"packed_len"`
 }
 
@@ -67,7 +67,7 @@
 		PackedLen: []int{PackedLen(0), PackedLen(1), PackedLen(2), PackedLen(3), PackedLen(1000)}}
 }
 
-// decodeAll decodes each form and returns the body that it holds.
+// decodeAll decodes each encoding and returns the body that it holds.
 func decodeAll(t *testing.T, f goldenEncodings) map[string]testBody {
 	t.Helper()
 	var packed, compressed, record testBody
@@ -92,9 +92,9 @@
 	return map[string]testBody{"packed": packed, "compressed message": compressed, "compressed record": record}
 }
 
-// TestGoldenForms: what is packed is the same byte by byte. Compressed forms are read
-// back only: what a compressor writes may change with its library, and need not be
-// the same.
+// TestGoldenForms checks that uncompressed encodings equal the golden file byte for byte, and that both the
+// golden and the newly written encodings decode to the same body. Compressed encodings are not compared byte
+// for byte, because the compressor's output may change with the library's version.
 func TestGoldenForms(t *testing.T) {
 	var golden goldenEncodings
 	if err := json.Unmarshal(goldenFile, &golden); err != nil {
@@ -110,6 +110,6 @@
 	}
 	written.CompressedMessage, written.CompressedRecord = golden.CompressedMessage, golden.CompressedRecord
 	if diff := cmp.Diff(golden, written); diff != "" {
-		t.Errorf("written otherwise: %s", diff)
+		t.Errorf("encoding differs from the golden file: %s", diff)
 	}
 }
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -11,13 +11,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ContentType is the media type of every body.
+// ContentType is the media type of every request and response body.
 const ContentType = "application/msgpack"
 
-// ErrResponseTooLarge means that a response is larger than what is read of one.
-var ErrResponseTooLarge = errors.New("answer too large")
+// ErrResponseTooLarge is returned when a response body exceeds the limit passed to Do.
+var ErrResponseTooLarge = errors.New("response too large")
 
-// NewRequest makes a request whose body, if any, is MessagePack.
+// NewRequest returns a request whose body, unless nil, is encoded as MessagePack.
 func NewRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
@@ -35,8 +35,8 @@
 	return req, nil
 }
 
-// Do sends a request and reads the whole response, up to limit bytes. It returns the status and
-// the body.
+// Do sends a request and returns the status code and the body of the response. It returns
+// ErrResponseTooLarge if the body is longer than limit bytes.
 func Do(client *http.Client, req *http.Request, limit int64) (int, []byte, error) {
 	resp, err := client.Do(req)
 	if err != nil {
--- a/internal/wire/http_test.go
+++ b/internal/wire/http_test.go
@@ -9,6 +9,8 @@
 	"testing"
 )
 
+// TestDoBoundsTheResponse checks that Do returns a body as long as the limit, and ErrResponseTooLarge for a
+// longer one.
 func TestDoBoundsTheResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusAccepted)
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -1,7 +1,8 @@
-// Package wire holds what the encoders and decoders of stored records and outside messages share.
-// The library that reads MessagePack allocates what a list claims to hold before reading it, and
-// coerces types; the decoders here bound the one and refuse the other. What the messages mean is
-// left to the packages that own them.
+// Package wire provides the MessagePack, base64 and compression helpers that the encoders and decoders
+// of stored records and of messages to other processes share. The MessagePack library allocates memory
+// for the length that a list's header states before it reads the elements, and converts values between
+// types. The decoders in this package bound the allocation and return an error for a value of another
+// type. The packages that own the messages define what they mean.
 package wire
 
 import (
@@ -16,12 +17,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Packed is MessagePack as a base64 text. The state service counts values in JSON and takes no
-// binary; numbers and lists are a third as long this way.
+// Packed is MessagePack data encoded as base64. The state service measures the size of a value by its
+// JSON encoding and does not accept binary data. Numbers and lists take a third of the space that they
+// take as JSON.
 type Packed string
 
-// Pack encodes what f writes. Encoding into memory does not fail; a value that
-// can't be encoded is a mistake in f.
+// Pack returns what f writes to the encoder, as Packed. Writing to memory does not fail, so an error
+// means that f tried to encode a value that MessagePack can't represent, which is a programming error.
 func Pack(f func(*msgpack.Encoder) error) (Packed, error) {
 	var text strings.Builder
 	encoder := base64.NewEncoder(base64.RawStdEncoding, &text)
@@ -31,7 +33,7 @@
 	return Packed(text.String()), nil
 }
 
-// Unpack lets f read what Pack wrote.
+// Unpack calls f with a decoder of the data that Pack encoded.
 func (p Packed) Unpack(f func(*msgpack.Decoder) error) error {
 	if err := f(msgpack.NewDecoder(p.reader())); err != nil {
 		return fmt.Errorf("unpacking: %w", err)
@@ -43,13 +45,13 @@
 	return base64.NewDecoder(base64.RawStdEncoding, strings.NewReader(string(p)))
 }
 
-// CompressMessage encodes a value, compresses it quickly and packs it into a text: heartbeats
-// of many machines with many tasks say much the same.
+// CompressMessage encodes a value as MessagePack, compresses it at the fastest level and returns it as
+// Packed. It compresses because the heartbeats of many machines with many tasks are highly repetitive.
 func CompressMessage(v any) (Packed, error) {
 	return compress(flate.BestSpeed, func(e *msgpack.Encoder) error { return e.Encode(v) })
 }
 
-// CompressRecord compresses what f writes, for what is stored, and packs it into a text.
+// CompressRecord compresses what f writes to the encoder and returns it as Packed, for a stored record.
 func CompressRecord(f func(*msgpack.Encoder) error) (Packed, error) {
 	return compress(flate.DefaultCompression, f)
 }
@@ -67,7 +69,8 @@
 	return Packed(text.String()), nil
 }
 
-// DecompressMessage undoes CompressMessage on an encoded text, up to limit bytes.
+// DecompressMessage reads a MessagePack string that CompressMessage produced and returns the MessagePack
+// data in it. It returns an error if the decompressed data is longer than limit bytes.
 func DecompressMessage(value []byte, limit int64) ([]byte, error) {
 	text, err := DecodeString(msgpack.NewDecoder(bytes.NewReader(value)))
 	if err != nil {
@@ -78,12 +81,13 @@
 		return nil, fmt.Errorf("decompressing: %w", err)
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("decompressing: more than %d bytes", limit)
+		return nil, fmt.Errorf("decompressing: data exceeds %d bytes", limit)
 	}
 	return data, nil
 }
 
-// DecompressRecord lets f read what CompressRecord wrote, up to limit bytes.
+// DecompressRecord calls f with a decoder of the data that CompressRecord encoded. The decoder reaches
+// the end of its input after limit decompressed bytes.
 func (p Packed) DecompressRecord(limit int64, f func(*msgpack.Decoder) error) error {
 	decompressor := flate.NewReader(p.reader())
 	if err := f(msgpack.NewDecoder(io.LimitReader(decompressor, limit))); err != nil {
@@ -92,10 +96,10 @@
 	return nil
 }
 
-// PackedLen is the length of n bytes once they are packed.
+// PackedLen returns the length of n bytes of MessagePack data as Packed.
 func PackedLen(n int) int { return base64.RawStdEncoding.EncodedLen(n) }
 
-// UintSize is the number of bytes that a whole number takes in MessagePack.
+// UintSize returns the number of bytes of a non-negative integer's MessagePack encoding.
 func UintSize(n uint64) int {
 	switch {
 	case n < 1<<7:
