--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -30,7 +30,7 @@
 	"badgerbay/internal/roundlog"
 )
 
-var failovers = flag.Int("takeovers", 2, "number of failovers in TestFailoversOnLoopback, caused by SIGKILL and SIGSTOP in turn")
+var failovers = flag.Int("takeovers", 2, "number of failovers that the failover test causes, by SIGKILL and SIGSTOP in turn")
 
 // cluster runs real controller processes on loopback, with fakes of the external services.
 type cluster struct {
@@ -53,7 +53,7 @@
 	mu                      sync.Mutex
 	leaders                 fake.LeaderHistory
 	violations              []error
-	commitsWithReservations int // reservation records with at least one job, summed over all commits
+	recordsWithReservations int // reservation records with at least one job, summed over all commits
 }
 
 // maxInFlight is the longest time that a message of an earlier leader may still be in flight.
@@ -80,17 +80,17 @@
 	}
 	for _, item := range items {
 		if _, jobs, err := quota.DecodeReservationRecord(item.Value); err == nil && len(jobs) > 0 {
-			h.commitsWithReservations++
+			h.recordsWithReservations++
 		}
 	}
 }
 
 // results returns the violations and the count of reservation records with jobs so far. It locks and copies,
 // because the cluster is still running.
-func (h *clusterHistory) results() (violations []error, commitsWithReservations int) {
+func (h *clusterHistory) results() (violations []error, recordsWithReservations int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.violations), h.commitsWithReservations
+	return slices.Clone(h.violations), h.recordsWithReservations
 }
 
 // inspect calls read with the leaders' history while holding the lock.
@@ -318,14 +318,14 @@
 		resume(leader)
 	}
 	c.awaitLeader()
-	violations, commitsWithReservations := c.history.results()
+	violations, recordsWithReservations := c.history.results()
 	for _, err := range violations {
 		t.Error(err)
 	}
-	if commitsWithReservations == 0 {
+	if recordsWithReservations == 0 {
 		t.Error("no node has reserved units of a team's limit to admit a job by itself")
 	}
 	slices.Sort(durations)
 	t.Logf("failover durations: %v; reservation records with jobs, summed over all commits: %d",
-		durations, commitsWithReservations)
+		durations, recordsWithReservations)
 }
--- a/cmd/badgerbay/golden_test.go
+++ b/cmd/badgerbay/golden_test.go
@@ -20,24 +20,24 @@
 // against changes of commands, flags and environment variables that operators use.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
-	for _, verb := range []string{"", "serve", "check", "version", "submit", "status", "cancel", "quota", "standby"} {
-		want, err := os.ReadFile(filepath.Join("testdata/golden", "help-"+gocmp.Or(verb, "badgerbay")+".txt"))
+	for _, command := range []string{"", "serve", "check", "version", "submit", "status", "cancel", "quota", "standby"} {
+		want, err := os.ReadFile(filepath.Join("testdata/golden", "help-"+gocmp.Or(command, "badgerbay")+".txt"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(helpText(t, verb), "\n")); diff != "" {
-			t.Errorf("help of %q: %s", verb, diff)
+		if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(helpText(t, command), "\n")); diff != "" {
+			t.Errorf("help of %q: %s", command, diff)
 		}
 	}
 }
 
 // helpText returns the output of a command with --help.
-func helpText(t *testing.T, verb string) string {
+func helpText(t *testing.T, command string) string {
 	t.Helper()
 	var out bytes.Buffer
 	parser := testParser(t, kong.Writers(&out, &out), kong.Exit(func(int) {}))
 	// Parse continues after the help and returns an error, because the Exit option above does not exit.
-	_, _ = parser.Parse(strings.Fields(verb + " --help"))
+	_, _ = parser.Parse(strings.Fields(command + " --help"))
 	return out.String()
 }
 
@@ -84,7 +84,7 @@
 			}
 			_, _ = w.Write([]byte{0x82, 0xa2, 'i', 'd', 0xa1, 'x', 0xa4, 'd', 'o', 'n', 'e', 3})
 		}))
-		out, err := runVerb(t, tt.args+" --addr "+strings.TrimPrefix(server.URL, "http://"))
+		out, err := runCommand(t, tt.args+" --addr "+strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
 		if err != nil || request != tt.request || out != `{"done":3,"id":"x"}`+"\n" {
 			t.Errorf("%s: sent %q, printed %q, %v", tt.args, request, out, err)
@@ -105,7 +105,7 @@
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
-		out, err := runVerb(t, "status wk-000412 --addr "+strings.TrimPrefix(server.URL, "http://"))
+		out, err := runCommand(t, "status wk-000412 --addr "+strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
 		if err == nil || err.Error() != want || out != "" || exitStatus(err) != 1 {
 			t.Errorf("Retry-After %q: printed %q, %v", retryAfter, out, err)
@@ -113,8 +113,8 @@
 	}
 }
 
-// runVerb runs a command in this process and returns what it writes to standard output.
-func runVerb(t *testing.T, args string) (string, error) {
+// runCommand runs a command in this process and returns what it writes to standard output.
+func runCommand(t *testing.T, args string) (string, error) {
 	t.Helper()
 	ctx, err := testParser(t).Parse(strings.Fields(args))
 	if err != nil {
