--- a/cmd/badgerbay/commandline_test.go
+++ b/cmd/badgerbay/commandline_test.go
@@ -157,10 +157,10 @@
 	return out.String()
 }
 
-// TestCommandLine checks the output and the exit status of each command line in the golden file. It guards
+// TestCommandLineOutputAndExitStatus checks the output and the exit status of each command line in the golden file. It guards
 // against changes that break operators' scripts. Invalid settings must produce a single line that names the
 // field, and exit status 2.
-func TestCommandLine(t *testing.T) {
+func TestCommandLineOutputAndExitStatus(t *testing.T) {
 	golden, err := os.ReadFile("testdata/golden/commandline.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -296,11 +296,11 @@
 	}
 }
 
-// TestFailoversOnLoopback kills and suspends the leader of a cluster of real processes that has all features
+// TestFailoversKeepSingleLeaderAndTeamLimits kills and suspends the leader of a cluster of real processes that has all features
 // on. A suspended leader resumes after its successor has recorded its first round. The test checks that two
 // leaders never act at the same time and that the stored quota records never exceed a team's limit. It logs
 // the duration of each failover.
-func TestFailoversOnLoopback(t *testing.T) {
+func TestFailoversKeepSingleLeaderAndTeamLimits(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "run.star")
 	if err := os.WriteFile(script, []byte("warm_standby = {}\nteam_quotas = {}\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/docs/outernames_test.go
+++ b/docs/outernames_test.go
@@ -39,7 +39,7 @@
 	names := map[string]bool{}
 	addGoNames(t, names)
 	for _, pattern := range nameSources {
-		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
 		if err != nil || len(paths) == 0 {
 			t.Fatalf("%s: %d files, %v", pattern, len(paths), err)
 		}
@@ -61,7 +61,7 @@
 func addGoNames(t *testing.T, names map[string]bool) {
 	t.Helper()
 	for _, dir := range []string{"internal", "cmd/badgerbay"} {
-		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, entry fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 			continue
 		}
 		count++
-		if _, err := os.Stat(filepath.Join(root, name)); err == nil {
+		if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err == nil {
 			continue
 		}
 		if !sources[name] {
--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -165,8 +165,8 @@
 	return ""
 }
 
-// TestPagesNameWhatExists checks that each code reference in checkedPages refers to existing code.
-func TestPagesNameWhatExists(t *testing.T) {
+// TestPagesReferenceExistingCode checks that each code reference in checkedPages refers to existing code.
+func TestPagesReferenceExistingCode(t *testing.T) {
 	s := indexSources(t)
 	for _, page := range checkedPages {
 		data, err := os.ReadFile(filepath.Join(repositoryRoot, page))
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestPagesNameTestsThatExist checks that each test named in any page exists.
-func TestPagesNameTestsThatExist(t *testing.T) {
+// TestPagesReferenceExistingTests checks that each test named in any page exists.
+func TestPagesReferenceExistingTests(t *testing.T) {
 	s := indexSources(t)
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
 		pages, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
@@ -206,8 +206,8 @@
 	}
 }
 
-// TestCheckFindsStaleReferences checks that referenceProblem reports stale references and accepts valid ones.
-func TestCheckFindsStaleReferences(t *testing.T) {
+// TestStaleReferencesAreReported checks that referenceProblem reports stale references and accepts valid ones.
+func TestStaleReferencesAreReported(t *testing.T) {
 	s := indexSources(t)
 	for _, stale := range []string{"internal/nowhere/file.go", "controller.NoSuchType", "controller.Core.NoSuchMethod", `"a line that nothing writes"`} {
 		if s.referenceProblem(stale) == "" {
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -21,9 +21,9 @@
 
 func newDecoder(data []byte) *msgpack.Decoder { return msgpack.NewDecoder(bytes.NewReader(data)) }
 
-// TestDecodersDoNotCoerce checks that each decoder returns an error for a value of another type. It guards
+// TestDecodersRejectOtherTypes checks that each decoder returns an error for a value of another type. It guards
 // against the MessagePack library's conversions, such as reading a string as a number.
-func TestDecodersDoNotCoerce(t *testing.T) {
+func TestDecodersRejectOtherTypes(t *testing.T) {
 	decoders := map[string]func(*msgpack.Decoder) (any, error){
 		"string": func(d *msgpack.Decoder) (any, error) { return DecodeString(d) },
 		"bool":   func(d *msgpack.Decoder) (any, error) { return DecodeBool(d) },
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestClaimsAreBounded checks that a list header that states more elements than follow it is an error,
+// TestListLengthIsBounded checks that a list header that states more elements than follow it is an error,
 // and that DecodeArrayLen rejects a length above the limit. It guards against a short message that makes
 // the decoder allocate memory for billions of elements.
-func TestClaimsAreBounded(t *testing.T) {
+func TestListLengthIsBounded(t *testing.T) {
 	const oversizedHeader, headerWithoutElements = "\xdd\xff\xff\xff\xff", "\xdd\x00\x01\x00\x00"
 	for name, data := range map[string]string{"length above limit": oversizedHeader, "elements missing": headerWithoutElements} {
 		t.Run(name, func(t *testing.T) {
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestSkipIsBounded checks that Skip rejects a value that nests deeper than maxNestingDepth. It guards
+// TestSkipBoundsNestingDepth checks that Skip rejects a value that nests deeper than maxNestingDepth. It guards
 // against a message whose nesting overflows the stack.
-func TestSkipIsBounded(t *testing.T) {
+func TestSkipBoundsNestingDepth(t *testing.T) {
 	nested := func(depth int) []byte { return append(bytes.Repeat([]byte{0x91}, depth), 0xc0) }
 	if err := Skip(newDecoder(nested(maxNestingDepth))); err != nil {
 		t.Error(err)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -92,10 +92,10 @@
 	return map[string]testBody{"packed": packed, "compressed message": compressed, "compressed record": record}
 }
 
-// TestGoldenForms checks that uncompressed encodings equal the golden file byte for byte, and that both the
+// TestGoldenEncodings checks that uncompressed encodings equal the golden file byte for byte, and that both the
 // golden and the newly written encodings decode to the same body. Compressed encodings are not compared byte
 // for byte, because the compressor's output may change with the library's version.
-func TestGoldenForms(t *testing.T) {
+func TestGoldenEncodings(t *testing.T) {
 	var golden goldenEncodings
 	if err := json.Unmarshal(goldenFile, &golden); err != nil {
 		t.Fatal(err)
