--- a/internal/scheduler/plan_bench_test.go
+++ b/internal/scheduler/plan_bench_test.go
@@ -7,10 +7,10 @@
 	for _, c := range []struct {
 		name string
 		only profile
-	}{{"crowded", crowded}, {"sparse", sparse}, {"gangs", gangsQueued}, {"large", large}, {"growing", growing}} {
+	}{{"crowded", crowded}, {"sparse", sparse}, {"gangs", gangsQueued}, {"large", largeGangs}, {"growing", growing}} {
 		b.Run(c.name, func(b *testing.B) {
 			var snapshots []*Snapshot
-			for seed := uint64(c.only); len(snapshots) < 40; seed += uint64(profiles) {
+			for seed := uint64(c.only); len(snapshots) < 40; seed += uint64(profileCount) {
 				snapshots = append(snapshots, newSnapshotGenerator(seed).snapshot)
 			}
 			b.ReportAllocs()
--- a/internal/scheduler/plan_golden_test.go
+++ b/internal/scheduler/plan_golden_test.go
@@ -14,9 +14,9 @@
 	"badgerbay/internal/jobs"
 )
 
-// goldenPlans is how many seeds testdata/golden/plans.txt holds, one a line:
+// goldenPlanCount is how many seeds testdata/golden/plans.txt holds, one a line:
 // the seed, the hash of the plan's canonical form, and what the plan decides.
-const goldenPlans = 450
+const goldenPlanCount = 450
 
 // TestGoldenPlans makes a snapshot from each seed, plans it, and compares the
 // plan with the one that is on record. Each snapshot is planned twice, and made
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	golden := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
-	if len(golden) != goldenPlans {
-		t.Fatalf("%d golden plans, want %d", len(golden), goldenPlans)
+	if len(golden) != goldenPlanCount {
+		t.Fatalf("%d golden plans, want %d", len(golden), goldenPlanCount)
 	}
 	counts := map[string]int{}
-	for seed := range uint64(goldenPlans) {
+	for seed := range uint64(goldenPlanCount) {
 		s := newSnapshotGenerator(seed)
 		plan := PlanRound(s.snapshot)
 		text := canonicalPlan(plan)
@@ -41,7 +41,7 @@
 		if again := canonicalPlan(PlanRound(newSnapshotGenerator(seed).snapshot)); again != text {
 			t.Errorf("seed %d: the plan of the same snapshot, made anew, differs:\n%s\nfirst:\n%s", seed, again, text)
 		}
-		kinds := s.kindsOf(plan)
+		kinds := s.decisionKinds(plan)
 		for _, kind := range kinds {
 			counts[kind]++
 		}
@@ -49,8 +49,8 @@
 			t.Errorf("seed %d: plan\n%s\nwant %s\n%s", seed, line, golden[seed], text)
 		}
 	}
-	for _, kind := range allKinds {
-		t.Logf("%4d of %d plans: %s", counts[kind], goldenPlans, kind)
+	for _, kind := range allDecisionKinds {
+		t.Logf("%4d of %d plans: %s", counts[kind], goldenPlanCount, kind)
 		if counts[kind] == 0 {
 			t.Errorf("no plan has %s", kind)
 		}
@@ -62,12 +62,12 @@
 	return fmt.Sprintf("%d %s %s", seed, hex.EncodeToString(sum[:12]), strings.Join(kinds, ","))
 }
 
-// allKinds are the decisions that the golden plans must cover.
-var allKinds = []string{"start", "preemption", "consolidation", "scale-out", "scale-out-for-guarantee", "guarantee-taken-back",
+// allDecisionKinds are the decisions that the golden plans must cover.
+var allDecisionKinds = []string{"start", "preemption", "consolidation", "scale-out", "scale-out-for-guarantee", "guarantee-taken-back",
 	"gang-start", "gang-preempted", "gang-preempts", "gang-in-parts", "replacement", "spare-kept", "blocked", "short", "old-first"}
 
-// kindsOf names what a plan decides, in the order of allKinds.
-func (s *snapshotGenerator) kindsOf(plan *Plan) []string {
+// decisionKinds names what a plan decides, in the order of allDecisionKinds.
+func (s *snapshotGenerator) decisionKinds(plan *Plan) []string {
 	has := map[string]bool{
 		"start":         len(plan.Record.Starts) > 0,
 		"consolidation": len(plan.Drain) > 0,
@@ -97,7 +97,7 @@
 		has["old-first"] = has["old-first"] || spec.Priority > lowestBefore && spec.Priority < jobs.PriorityHigh
 		lowestBefore = min(lowestBefore, spec.Priority)
 	}
-	return slices.DeleteFunc(slices.Clone(allKinds), func(kind string) bool { return !has[kind] })
+	return slices.DeleteFunc(slices.Clone(allDecisionKinds), func(kind string) bool { return !has[kind] })
 }
 
 // canonicalPlan writes a plan out field by field, in words that the golden hashes depend on.
@@ -132,10 +132,10 @@
 	for _, team := range slices.Sorted(maps.Keys(plan.ReservationBlocked)) {
 		amount := plan.ReservationBlocked[team]
 		fmt.Fprintf(&b, "blocked %s cpus=%s gpus=%s memory=%s\n",
-			team, number(amount.CPUs), number(amount.GPUs), number(amount.MemoryGB))
+			team, formatAmount(amount.CPUs), formatAmount(amount.GPUs), formatAmount(amount.MemoryGB))
 	}
 	fmt.Fprintf(&b, "short=%d work=%d\n", plan.UnplacedTasks, plan.Examined)
 	return b.String()
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatAmount(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -13,11 +13,11 @@
 	"badgerbay/internal/policy"
 )
 
-// generator is SplitMix64. The golden plans depend on each of its numbers, so it
+// rng is SplitMix64. The golden plans depend on each of its numbers, so it
 // must not change with a library.
-type generator struct{ state uint64 }
+type rng struct{ state uint64 }
 
-func (g *generator) next() uint64 {
+func (g *rng) next() uint64 {
 	g.state += 0x9e3779b97f4a7c15
 	z := g.state
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -25,46 +25,46 @@
 	return z ^ z>>31
 }
 
-// below returns a number from 0 to n-1.
-func (g *generator) below(n int) int { return int(g.next() % uint64(n)) }
+// intN returns a number from 0 to n-1.
+func (g *rng) intN(n int) int { return int(g.next() % uint64(n)) }
 
 // between returns a number from low to high, both included.
-func (g *generator) between(low, high int) int { return low + g.below(high-low+1) }
+func (g *rng) between(low, high int) int { return low + g.intN(high-low+1) }
 
 // percent is true in so many of a hundred cases.
-func (g *generator) percent(n int) bool { return g.below(100) < n }
+func (g *rng) percent(n int) bool { return g.intN(100) < n }
 
-func pick[T any](g *generator, choices ...T) T { return choices[g.below(len(choices))] }
+func pick[T any](g *rng, choices ...T) T { return choices[g.intN(len(choices))] }
 
 // profile is what the snapshots of a group of seeds have much of.
 type profile int
 
 const (
-	mixed       profile = iota
-	crowded             // machines full of low work, high work queued
-	sparse              // a few replicas on each of many machines, nothing queued
-	gangsQueued         // gangs that wait, beside gangs that run
-	gangsLost           // gangs that lost tasks before they began
-	guaranteed          // teams with guarantees, others beyond theirs
-	growing             // few machines, much queued
-	agedWork            // jobs of large tasks that have waited long
-	large               // records that hold little, gangs beyond one value
-	profiles
+	mixed         profile = iota
+	crowded               // machines full of low work, high work queued
+	sparse                // a few replicas on each of many machines, nothing queued
+	gangsQueued           // gangs that wait, beside gangs that run
+	gangTasksLost         // gangs that lost tasks before they began
+	guaranteed            // teams with guarantees, others beyond theirs
+	growing               // few machines, much queued
+	agedJobs              // jobs of large tasks that have waited long
+	largeGangs            // records that hold little, gangs beyond one value
+	profileCount
 )
 
 // snapshotNow is when the snapshots are taken; the fleet's leader began an hour
 // after the zero instant.
 const (
-	leaderBegan   = clock.Instant(time.Hour)
-	snapshotNow   = leaderBegan + clock.Instant(15*time.Minute)
-	snapshotWall  = 1_700_000_000_000 // ms
-	snapshotEpoch = ident.Epoch(10)
+	snapshotLeaderStart = clock.Instant(time.Hour)
+	snapshotNow         = snapshotLeaderStart + clock.Instant(15*time.Minute)
+	snapshotWall        = 1_700_000_000_000 // ms
+	snapshotEpoch       = ident.Epoch(10)
 )
 
 // snapshotGenerator draws what a plan is made from, from a seed. All CPUs are multiples
 // of a quarter, so that sums don't depend on the order of their terms.
 type snapshotGenerator struct {
-	generator
+	rng
 	profile       profile
 	snapshot      *Snapshot
 	jobs          map[ident.JobID]*jobs.Job
@@ -75,29 +75,29 @@
 }
 
 func newSnapshotGenerator(seed uint64) *snapshotGenerator {
-	s := &snapshotGenerator{generator: generator{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profiles)),
+	s := &snapshotGenerator{rng: rng{state: seed * 0x2545f4914f6cdd1d}, profile: profile(seed % uint64(profileCount)),
 		jobs: map[ident.JobID]*jobs.Job{}, heartbeatSeqs: map[ident.MachineID]ident.HeartbeatSeq{}}
 	s.zones = []ident.Zone{"a", "b", "c"}[:s.between(1, 3)]
 	s.types = s.drawTypes()
-	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, snapshotEpoch, leaderBegan,
+	f := fleet.New(fleet.Timing{HeartbeatInterval: 3 * time.Second, LeaseTTL: 27 * time.Second}, snapshotEpoch, snapshotLeaderStart,
 		func(id ident.JobID) *jobs.Job { return s.jobs[id] })
 	f.SetMachineTypes(s.types)
 	s.snapshot = &Snapshot{Now: snapshotNow, WallMs: snapshotWall, RoundNo: ident.RoundNo(s.between(20, 2000)), Epoch: snapshotEpoch,
 		Fleet: f, MachineTypes: s.types, Zones: s.zones, Teams: s.drawTeams(), Objectives: s.drawObjectives(),
 		MayDrain: s.percent(80), MayProvision: s.percent(85), Policy: s.drawPolicy(),
-		ValueBytes: pick(&s.generator, 8192, 65536), MaxJobValues: 1, MaxRoundValues: 1,
+		ValueBytes: pick(&s.rng, 8192, 65536), MaxJobValues: 1, MaxRoundValues: 1,
 		SpecJSONSize: func(*jobs.Job) int { return 300 }, ReplacementAttempts: map[ident.JobID]ident.Attempt{}}
 	if s.profile == sparse {
-		s.snapshot.MayDrain, s.snapshot.Policy.SpareTasks = true, s.below(3)
+		s.snapshot.MayDrain, s.snapshot.Policy.SpareTasks = true, s.intN(3)
 	}
-	if s.profile == large {
-		s.snapshot.ValueBytes, s.snapshot.MaxJobValues, s.snapshot.MaxRoundValues = 2048, 4, pick(&s.generator, 1, 4, 4)
+	if s.profile == largeGangs {
+		s.snapshot.ValueBytes, s.snapshot.MaxJobValues, s.snapshot.MaxRoundValues = 2048, 4, pick(&s.rng, 1, 4, 4)
 	}
 	s.drawAvailability()
 	s.drawMachines()
-	s.drawRunning()
-	s.drawQueued()
-	s.drawClasses()
+	s.drawPlacedJobs()
+	s.drawQueuedJobs()
+	s.drawTypicalSpecs()
 	s.drawReservations()
 	s.drawPendingMachines()
 	s.drawStates()
@@ -115,7 +115,7 @@
 		{Name: "x64", Capacity: jobs.Resources{CPUs: 64, MemoryGB: 256},
 			HourlyPrice: 5, HourlySpotPrice: 2.5, BootTime: 60 * time.Second},
 	}
-	if s.profile == large {
+	if s.profile == largeGangs {
 		return all[:s.between(1, 2)]
 	}
 	return all[:s.between(1, len(all))]
@@ -126,13 +126,13 @@
 	for _, name := range []ident.Team{"red", "blue", "green"} {
 		var team config.Team
 		if s.profile == guaranteed || s.percent(25) {
-			team.CPUGuarantee, team.GPUGuarantee = float64(pick(&s.generator, 0, 8, 16, 32)), float64(pick(&s.generator, 0, 2, 4))
+			team.CPUGuarantee, team.GPUGuarantee = float64(pick(&s.rng, 0, 8, 16, 32)), float64(pick(&s.rng, 0, 2, 4))
 		}
 		if s.percent(40) {
-			team.CPULimit = team.CPUGuarantee + float64(pick(&s.generator, 8, 24, 64))
+			team.CPULimit = team.CPUGuarantee + float64(pick(&s.rng, 8, 24, 64))
 		}
 		if s.percent(20) {
-			team.GPULimit = team.GPUGuarantee + float64(pick(&s.generator, 2, 6))
+			team.GPULimit = team.GPUGuarantee + float64(pick(&s.rng, 2, 6))
 		}
 		if s.profile == guaranteed && s.percent(40) {
 			team.CPUGuarantee *= 8 // more than the machines hold
@@ -149,10 +149,10 @@
 	for _, class := range classes {
 		var e Objectives
 		if s.percent(40) {
-			e = e.With("wait", time.Duration(pick(&s.generator, 5, 12, 40, 120))*time.Second)
+			e = e.With("wait", time.Duration(pick(&s.rng, 5, 12, 40, 120))*time.Second)
 		}
 		for s.percent(35) {
-			e = e.With("finished", time.Duration(pick(&s.generator, 60, 110, 250, 600))*time.Second)
+			e = e.With("finished", time.Duration(pick(&s.rng, 60, 110, 250, 600))*time.Second)
 		}
 		if !e.IsEmpty() {
 			objectives[class] = e
@@ -162,8 +162,8 @@
 }
 
 func (s *snapshotGenerator) drawPolicy() *policy.Policy {
-	return &policy.Policy{PreemptionDelay: time.Duration(pick(&s.generator, 0, 10, 60)) * time.Second,
-		SpareTasks: pick(&s.generator, 0, 2, 5), GuaranteeShare: pick(&s.generator, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
+	return &policy.Policy{PreemptionDelay: time.Duration(pick(&s.rng, 0, 10, 60)) * time.Second,
+		SpareTasks: pick(&s.rng, 0, 2, 5), GuaranteeShare: pick(&s.rng, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
 }
 
 // drawAvailability draws which offers the cloud has none of, and which teams have
@@ -191,13 +191,13 @@
 		n = s.between(4, 80)
 	case guaranteed:
 		n = s.between(1, 16)
-	case large:
+	case largeGangs:
 		n = s.between(60, 160)
 	}
 	for i := range n {
-		t := pick(&s.generator, s.types...)
+		t := pick(&s.rng, s.types...)
 		r := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
-			Zone: pick(&s.generator, t.AvailableZones(s.zones)...), Spot: s.percent(40)}
+			Zone: pick(&s.rng, t.AvailableZones(s.zones)...), Spot: s.percent(40)}
 		at := snapshotNow - clock.Instant(s.between(0, 3000))*clock.Instant(time.Millisecond)
 		if s.percent(4) {
 			at -= clock.Instant(10 * time.Second) // it has missed heartbeats
@@ -225,7 +225,7 @@
 
 // drawSpec draws what a job asks for.
 func (s *snapshotGenerator) drawSpec() jobs.Spec {
-	g := &s.generator
+	g := &s.rng
 	spec := jobs.Spec{Class: pick(g, classes...), Team: pick(g, ident.Team("red"), "blue", "green"),
 		Priority: pick(g, jobs.PriorityBestEffort, jobs.PriorityStandard, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd),
 		Tasks:    pick(g, 1, 2, 3, 5, 8, 20), CPUs: pick(g, 0.25, 0.5, 1, 1, 2, 4), MemoryGB: pick(g, 0.3, 1, 1.7, 4),
@@ -253,7 +253,7 @@
 	return spec
 }
 
-func asGang(g *generator, spec jobs.Spec) jobs.Spec {
+func asGang(g *rng, spec jobs.Spec) jobs.Spec {
 	spec.Gang, spec.Service, spec.ZoneSpread = true, false, false
 	spec.ZoneAffinity = g.percent(70)
 	spec.Tasks = g.between(2, 6)
@@ -263,21 +263,21 @@
 // addJob adds a job that was submitted so many seconds ago.
 func (s *snapshotGenerator) addJob(spec jobs.Spec, secondsAgo int) *jobs.Job {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
-	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(secondsAgo)*1000), 1, leaderBegan)
+	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(secondsAgo)*1000), 1, snapshotLeaderStart)
 	j.QueuedSince = snapshotNow - clock.Instant(s.between(0, min(secondsAgo, 800)))*clock.Instant(time.Second)
 	s.jobs[id] = j
 	return j
 }
 
-// drawRunning places tasks on the machines.
-func (s *snapshotGenerator) drawRunning() {
+// drawPlacedJobs places tasks on the machines.
+func (s *snapshotGenerator) drawPlacedJobs() {
 	rounds := s.between(0, 10)
 	switch s.profile {
-	case crowded, guaranteed, gangsLost:
+	case crowded, guaranteed, gangTasksLost:
 		rounds = s.between(8, 16)
 	case sparse:
 		rounds = s.between(3, 40)
-	case large:
+	case largeGangs:
 		rounds = s.between(0, 3)
 	case growing:
 		rounds = 2
@@ -287,36 +287,36 @@
 		spec := s.drawSpec()
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, jobs.PriorityBestEffort, jobs.PriorityStandard)
+			spec.Priority = pick(&s.rng, jobs.PriorityBestEffort, jobs.PriorityStandard)
 			spec.Tasks = s.between(3, 12)
 		case sparse:
 			spec.Service, spec.Gang = s.percent(85), false
-			spec.Tasks, spec.CPUs = s.between(1, 4), pick(&s.generator, 0.25, 0.5, 1)
+			spec.Tasks, spec.CPUs = s.between(1, 4), pick(&s.rng, 0.25, 0.5, 1)
 			spec.Priority = jobs.PriorityHigh
-			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.generator, ident.Image("img-1"), "img-1", "img-2")
-		case gangsLost:
+			spec.Zone, spec.GPUs, spec.Image = "", 0, pick(&s.rng, ident.Image("img-1"), "img-1", "img-2")
+		case gangTasksLost:
 			if s.percent(60) {
-				spec = asGang(&s.generator, spec)
+				spec = asGang(&s.rng, spec)
 			}
 		case guaranteed:
-			spec.Team = pick(&s.generator, ident.Team("red"), "red", "blue")
+			spec.Team = pick(&s.rng, ident.Team("red"), "red", "blue")
 			spec.Tasks = s.between(4, 16)
 		}
 		j := s.addJob(spec, s.between(20, 400))
-		s.placeSome(j)
+		s.placeQueuedTasks(j)
 		if nothingWaits {
 			j.Queue = nil
 		}
 	}
 }
 
-// placeSome places tasks of a job where they fit; a gang comes whole or not at all.
-func (s *snapshotGenerator) placeSome(j *jobs.Job) {
+// placeQueuedTasks places tasks of a job where they fit; a gang comes whole or not at all.
+func (s *snapshotGenerator) placeQueuedTasks(j *jobs.Job) {
 	attempt := ident.Attempt(s.between(1, 15))
 	chance := s.between(30, 100)
 	var placed []*jobs.Placement
 	for j.Queue.Len() > 0 {
-		m := s.roomFor(j)
+		m := s.findMachine(j)
 		if s.percent(1) {
 			// A record names it; it has not reported, and its zone is not known.
 			m = s.snapshot.Fleet.Ensure(snapshotNow, "host-unheard")
@@ -335,7 +335,7 @@
 		}
 		return
 	}
-	if j.Spec.Gang && s.profile == gangsLost && len(placed) > 1 && s.percent(70) {
+	if j.Spec.Gang && s.profile == gangTasksLost && len(placed) > 1 && s.percent(70) {
 		s.loseTask(j, placed)
 	}
 }
@@ -343,7 +343,7 @@
 // loseTask ends a task of a gang. Its machine may still know the exit, and the
 // task may be replaced or not.
 func (s *snapshotGenerator) loseTask(j *jobs.Job, placed []*jobs.Placement) {
-	lost := pick(&s.generator, placed...)
+	lost := pick(&s.rng, placed...)
 	if s.percent(50) {
 		s.snapshot.Fleet.Retract(snapshotNow, lost)
 	} else {
@@ -355,12 +355,12 @@
 	}
 }
 
-// roomFor picks a machine that may run a task of the job.
-func (s *snapshotGenerator) roomFor(j *jobs.Job) *fleet.Machine {
+// findMachine picks a machine that may run a task of the job.
+func (s *snapshotGenerator) findMachine(j *jobs.Job) *fleet.Machine {
 	if len(s.machines) == 0 {
 		return nil
 	}
-	first := s.below(len(s.machines))
+	first := s.intN(len(s.machines))
 	for i := range s.machines {
 		m := s.machines[(first+i)%len(s.machines)]
 		if s.snapshot.Fleet.FreeCapacity(m).Fits(j.Spec.TaskResources()) &&
@@ -373,8 +373,8 @@
 	return nil
 }
 
-// drawQueued adds jobs that wait.
-func (s *snapshotGenerator) drawQueued() {
+// drawQueuedJobs adds jobs that wait.
+func (s *snapshotGenerator) drawQueuedJobs() {
 	n := s.between(1, 8)
 	switch s.profile {
 	case sparse:
@@ -383,24 +383,24 @@
 		n = max(0, s.between(-3, 3))
 	}
 	for range n {
-		spec, secondsAgo := s.drawSpec(), pick(&s.generator, 0, 1, 15, 50, 100, 150, 200, 500)
+		spec, secondsAgo := s.drawSpec(), pick(&s.rng, 0, 1, 15, 50, 100, 150, 200, 500)
 		switch s.profile {
 		case crowded:
-			spec.Priority = pick(&s.generator, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd)
-		case gangsQueued, large:
+			spec.Priority = pick(&s.rng, jobs.PriorityStandard, jobs.PriorityHigh, jobs.PriorityProd)
+		case gangsQueued, largeGangs:
 			if s.percent(75) {
-				spec = asGang(&s.generator, spec)
+				spec = asGang(&s.rng, spec)
 			}
-			if s.profile == large && spec.Gang {
-				spec.CPUs, spec.Tasks, spec.ZoneAffinity = pick(&s.generator, 2.0, 4), s.between(40, 120), s.percent(20)
+			if s.profile == largeGangs && spec.Gang {
+				spec.CPUs, spec.Tasks, spec.ZoneAffinity = pick(&s.rng, 2.0, 4), s.between(40, 120), s.percent(20)
 				spec.MachineTypes, spec.Zone, spec.GPUs = nil, "", 0
 			}
 		case guaranteed:
-			spec.Team = pick(&s.generator, ident.Team("blue"), "green")
-		case agedWork:
+			spec.Team = pick(&s.rng, ident.Team("blue"), "green")
+		case agedJobs:
 			spec.Gang, spec.Service = false, s.percent(10)
-			spec.Priority = pick(&s.generator, jobs.PriorityBestEffort, jobs.PriorityStandard)
-			secondsAgo = pick(&s.generator, 20, 130, 145, 175, 190, 600)
+			spec.Priority = pick(&s.rng, jobs.PriorityBestEffort, jobs.PriorityStandard)
+			secondsAgo = pick(&s.rng, 20, 130, 145, 175, 190, 600)
 		}
 		s.drawHistory(s.addJob(spec, secondsAgo))
 	}
@@ -409,23 +409,23 @@
 // drawHistory draws what has happened to a job that waits.
 func (s *snapshotGenerator) drawHistory(j *jobs.Job) {
 	if !j.Spec.Gang && j.Spec.Tasks > 2 && s.percent(25) {
-		j.CompleteTask(snapshotNow, ident.TaskIndex(s.below(j.Spec.Tasks)))
+		j.CompleteTask(snapshotNow, ident.TaskIndex(s.intN(j.Spec.Tasks)))
 	}
 	if !j.Spec.Gang && s.percent(20) {
-		j.StartedTasks.Add(ident.TaskIndex(s.below(j.Spec.Tasks)))
+		j.StartedTasks.Add(ident.TaskIndex(s.intN(j.Spec.Tasks)))
 	}
 	if s.percent(20) {
 		j.LastPlacedAt = snapshotNow - clock.Instant(s.between(1, 120))*clock.Instant(time.Second)
 	}
 	if len(s.machines) > 0 && s.percent(15) {
-		failedOn := pick(&s.generator, s.machines...).ID
-		until := snapshotNow + clock.Instant(pick(&s.generator, -1, 5))*clock.Instant(time.Second)
+		failedOn := pick(&s.rng, s.machines...).ID
+		until := snapshotNow + clock.Instant(pick(&s.rng, -1, 5))*clock.Instant(time.Second)
 		j.AvoidUntil = map[ident.MachineID]clock.Instant{failedOn: until}
 	}
 }
 
-// drawClasses draws which classes room is kept free for, and what they look like.
-func (s *snapshotGenerator) drawClasses() {
+// drawTypicalSpecs draws which classes room is kept free for, and what they look like.
+func (s *snapshotGenerator) drawTypicalSpecs() {
 	for _, class := range classes {
 		spec := s.drawSpec()
 		spec.Class, spec.Gang = class, false
@@ -456,8 +456,8 @@
 func (s *snapshotGenerator) drawPendingMachines() {
 	for range s.between(0, 5) {
 		if s.percent(50) {
-			t := pick(&s.generator, s.types...)
-			zone := pick(&s.generator, t.AvailableZones(s.zones)...)
+			t := pick(&s.rng, s.types...)
+			zone := pick(&s.rng, t.AvailableZones(s.zones)...)
 			pending := PendingMachine{Offer: cloud.Offer{Type: t.Name, Zone: zone, Spot: s.percent(50)}}
 			s.snapshot.PendingMachines = append(s.snapshot.PendingMachines, pending)
 		}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -229,11 +229,11 @@
 		spec.AllowsMachine(m.Type, m.Zone, m.Spot) &&
 		j.PlacementsByZone[m.Zone] < spec.MaxTasksPerZone() &&
 		(!spec.ZoneAffinity || len(j.Placements) == 0) &&
-		s.used(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit
+		s.usedCPUs(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit
 }
 
-// used is how many CPUs the team's placements hold.
-func (s *fixture) used(team ident.Team) float64 {
+// usedCPUs is how many CPUs the team's placements hold.
+func (s *fixture) usedCPUs(team ident.Team) float64 {
 	sum := 0.0
 	for _, j := range s.jobs {
 		if j.Spec.Team == team {
@@ -265,7 +265,7 @@
 		}
 	}
 	for name, team := range s.snapshot.Teams {
-		if used := s.used(name); used > team.CPULimit {
+		if used := s.usedCPUs(name); used > team.CPULimit {
 			t.Fatalf("%s uses %v of %v", name, used, team.CPULimit)
 		}
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// waitingJob is a queued job that was accepted some seconds before queueNowMs.
-func waitingJob(id ident.JobID, spec jobs.Spec, waitedSeconds int64) *jobs.Job {
+// newQueuedJob is a queued job that was accepted some seconds before queueNowMs.
+func newQueuedJob(id ident.JobID, spec jobs.Spec, waitedSeconds int64) *jobs.Job {
 	return jobs.NewJob(id, jobs.NewRecord(spec, queueNowMs-waitedSeconds*1000), 1, leaderStart)
 }
 
@@ -22,12 +22,12 @@
 func TestQueueOrder(t *testing.T) {
 	snapshot := &Snapshot{WallMs: queueNowMs, Teams: map[ident.Team]config.Team{"red": {CPUGuarantee: 4}, "blue": {}}}
 	queued := []*jobs.Job{
-		waitingJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 1), 10),
-		waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 2, 1), 5),
-		waitingJob("wk-000003", taskSpec("blue", jobs.PriorityBestEffort, 2, 1), agingThresholdSeconds),
-		waitingJob("wk-000004", taskSpec("blue", jobs.PriorityHigh, 2, 1), 0),
-		waitingJob("wk-000005", taskSpec("blue", jobs.PriorityStandard, 2, 1), 10),
-		waitingJob("wk-000006", gangSpec(2, 1), 20),
+		newQueuedJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 1), 10),
+		newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 2, 1), 5),
+		newQueuedJob("wk-000003", taskSpec("blue", jobs.PriorityBestEffort, 2, 1), agingThresholdSeconds),
+		newQueuedJob("wk-000004", taskSpec("blue", jobs.PriorityHigh, 2, 1), 0),
+		newQueuedJob("wk-000005", taskSpec("blue", jobs.PriorityStandard, 2, 1), 10),
+		newQueuedJob("wk-000006", gangSpec(2, 1), 20),
 	}
 	type place struct {
 		Job              ident.JobID
@@ -65,7 +65,7 @@
 		{agingThresholdSeconds, 1}, // nothing is left
 		{agingDeadlineSeconds, 8},
 	} {
-		job := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 8, 1), c.waitedSeconds)
+		job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 8, 1), c.waitedSeconds)
 		if got := budget.take(job); got != c.want {
 			t.Errorf("after %d s: %d tasks, want %d", c.waitedSeconds, got, c.want)
 		}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -12,8 +12,8 @@
 // TestReservationsCountAgainstTheLimit: what other nodes have reserved of a team's limit is
 // left to the jobs that the reservations cover.
 func TestReservationsCountAgainstTheLimit(t *testing.T) {
-	covered := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
-	other := waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	covered := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	other := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	quotas := newQuotaTracker(&Snapshot{
 		Teams:    map[ident.Team]config.Team{"red": {CPULimit: 10}},
 		Reserved: map[ident.Team]jobs.Resources{"red": {CPUs: 6}},
@@ -44,8 +44,8 @@
 // TestEvictionsCountForGuarantees: a team's evicted work counts for its limit until it has
 // ended, and not for what can be reclaimed from it.
 func TestEvictionsCountForGuarantees(t *testing.T) {
-	victim := waitingJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
-	preemptor := waitingJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
+	victim := newQueuedJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
+	preemptor := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
 	quotas := newQuotaTracker(&Snapshot{Teams: map[ident.Team]config.Team{
 		"red":  {CPUGuarantee: 4},
 		"blue": {CPUGuarantee: 4, CPULimit: 12},
@@ -70,7 +70,7 @@
 // TestNoLimit: a team without limits may have any number of tasks.
 func TestNoLimit(t *testing.T) {
 	quotas := newQuotaTracker(&Snapshot{})
-	job := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
+	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	if n := quotas.tasksWithinQuota(job); n != math.MaxInt32 {
 		t.Errorf("%d tasks", n)
 	}
--- a/internal/scheduler/recordbuilder_test.go
+++ b/internal/scheduler/recordbuilder_test.go
@@ -22,7 +22,7 @@
 // provision; then it is full, for small starts too.
 func TestRecordFillsUp(t *testing.T) {
 	builder := newTestRecordBuilder(1024, 1)
-	job := waitingJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 100, 1), 0)
+	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 100, 1), 0)
 	m := &candidateMachine{machine: &fleet.Machine{ID: "host-000001", Session: 1}}
 	added := 0
 	for task := ident.TaskIndex(0); ; task++ {
@@ -44,7 +44,7 @@
 // TestGangTakesMoreValues: the starts of a gang that fit into no value go into as many as a
 // transaction holds; behind other starts that leave no room they wait for a new record.
 func TestGangTakesMoreValues(t *testing.T) {
-	gang := waitingJob("wk-000001", gangSpec(40, 1), 0)
+	gang := newQueuedJob("wk-000001", gangSpec(40, 1), 0)
 	var starts []roundlog.Start
 	for task := range ident.TaskIndex(40) {
 		m := &candidateMachine{machine: &fleet.Machine{ID: "host-000001", Session: 1}}
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -16,7 +16,7 @@
 	spread.ZoneSpread = true
 
 	zones := newZoneTracker()
-	bound := waitingJob("wk-000001", affinity, 0)
+	bound := newQueuedJob("wk-000001", affinity, 0)
 	if zones.room(bound, "a") != math.MaxInt32 || zones.room(bound, "b") != math.MaxInt32 {
 		t.Error("a job without tasks is bound to a zone")
 	}
@@ -25,7 +25,7 @@
 		t.Error("a job with a task in zone a may go to another")
 	}
 
-	wide := waitingJob("wk-000002", spread, 0)
+	wide := newQueuedJob("wk-000002", spread, 0)
 	wide.PlacementsByZone["a"] = 2
 	zones.add(wide, "a", 1)
 	if a, b := zones.room(wide, "a"), zones.room(wide, "b"); a != 2 || b != 5 {
