--- a/internal/scheduler/costpolicy_test.go
+++ b/internal/scheduler/costpolicy_test.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// newExpensiveMachineFixture has one free machine that is expensive, since cheap ones exist and are not
-// available, and no guarantees.
+// newExpensiveMachineFixture returns a fixture without guarantees whose only machine is free and on demand. The
+// machine is expensive for spot jobs: cheaper spot machines are offered, but none is up.
 func newExpensiveMachineFixture(t *testing.T) *fixture {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
@@ -18,7 +18,7 @@
 	return s
 }
 
-// addStartedJob is a job of which one task is done, and the others have been queued for so long.
+// addStartedJob adds a spot job with one completed task, whose other tasks have been queued for the duration idle.
 func addStartedJob(s *fixture, id ident.JobID, idle time.Duration) *jobs.Job {
 	spec := taskSpec("red", jobs.PriorityStandard, 6, 1)
 	spec.Spot = true
@@ -28,8 +28,9 @@
 	return j
 }
 
-// TestRestOfJobIsNotStarved: what is left of a job that has started, and that has no objective,
-// waits for a cheap machine, but not for ever: beside an idle expensive one it waited for good.
+// TestRestOfJobIsNotStarved checks that the remaining tasks of a started job without objectives wait for a cheap
+// machine only until the job counts as stalled, and then start on an expensive one. It guards against a fault in
+// which such tasks waited indefinitely although an expensive machine was idle.
 func TestRestOfJobIsNotStarved(t *testing.T) {
 	for _, c := range []struct {
 		idle   time.Duration
@@ -43,16 +44,17 @@
 	}
 }
 
-// TestUnusableRoomIsNotReserved: a job that may preempt does not reserve free room on machines
-// that it stays off; others waited beside them.
+// TestUnusableRoomIsNotReserved checks that a job that may preempt does not reserve free capacity on a machine that
+// is too expensive for it. It guards against a fault in which jobs that could use the machine waited although it
+// was idle.
 func TestUnusableRoomIsNotReserved(t *testing.T) {
 	s := newExpensiveMachineFixture(t)
 	s.snapshot.Policy.PreemptionDelay = 5 * time.Second
-	addStartedJob(s, "wk-000001", 30*time.Second) // may preempt, and goes first
-	later := addStartedJob(s, "wk-000002", 70*time.Second)
-	later.AcceptedAtMs = 1
+	addStartedJob(s, "wk-000001", 30*time.Second) // may preempt, and precedes the other job in the queue
+	stalled := addStartedJob(s, "wk-000002", 70*time.Second)
+	stalled.AcceptedAtMs = 1
 	plan := s.plan()
-	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != later.ID {
-		t.Errorf("starts %+v, want the stalled job's", plan.Record.Starts)
+	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != stalled.ID {
+		t.Errorf("starts %+v, want one start, of the stalled job", plan.Record.Starts)
 	}
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-// TestGangInOneZone: a gang that must be in one zone starts where one holds it
-// whole; room that is spread over zones is none, and is not reserved either.
+// TestGangInOneZone checks that a gang with zone affinity starts in a zone that has room for all of its tasks. If
+// only several zones together have enough room, the gang does not start and reserves no machines.
 func TestGangInOneZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(4, 2))
@@ -44,24 +44,24 @@
 	s = newGangFixture(t, "a", "b")
 	s.snapshot.MayProvision = false
 	s.addJob("wk-000001", gangSpec(4, 2))
-	s.snapshot.OfferUnavailable = func(cloud.Offer) bool { return true } // and no zone can be given more
+	s.snapshot.OfferUnavailable = func(cloud.Offer) bool { return true } // no zone can gain machines
 	later := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 2, 2))
 	later.AcceptedAtMs = 1
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
-			t.Errorf("a part of a gang starts: %+v", st)
+			t.Errorf("part of a gang starts: %+v", st)
 		}
 	}
 	if n := len(s.plan().Record.Starts); n == 0 {
-		t.Error("a gang that no zone can hold reserves machines")
+		t.Error("no task starts: a gang that fits no zone reserves machines")
 	}
 }
 
-// TestGangReservesItsZone: while machines for the rest of a gang may be provisioned, what is
-// free in its zone is reserved for it, and the rest is provisioned there.
+// TestGangReservesItsZone checks that, while the machines that a gang lacks can be provisioned, the free capacity of
+// its zone is reserved for it and the missing machines are provisioned in that zone.
 func TestGangReservesItsZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
-	s.addJob("wk-000001", gangSpec(6, 2)) // three machines
+	s.addJob("wk-000001", gangSpec(6, 2)) // fills three machines
 	later := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 6, 2))
 	later.AcceptedAtMs = 1
 	plan := s.plan()
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestGangsDoNotReserveHalfEach: of two gangs that each need the whole zone, the
-// first gets it and the second nothing.
+// TestGangsDoNotReserveHalfEach checks that, of two gangs that each need all machines of the zone, the first in the
+// queue starts whole and the second gets none of them.
 func TestGangsDoNotReserveHalfEach(t *testing.T) {
 	s := newGangFixture(t, "a", "a")
 	s.addJob("wk-000001", gangSpec(4, 2))
@@ -85,17 +85,17 @@
 	n := 0
 	for _, st := range s.plan().Record.Starts {
 		if st.Job != "wk-000001" {
-			t.Errorf("start %+v", st)
+			t.Errorf("start %+v of the second gang", st)
 		}
 		n += st.Tasks.Len()
 	}
 	if n != 4 {
-		t.Errorf("%d tasks of the first gang start", n)
+		t.Errorf("%d tasks of the first gang start, want 4", n)
 	}
 }
 
-// TestGangWithinItsLimit: a gang that would take its team beyond its limit, tasks
-// that are told to stop included, does not start, and reserves nothing.
+// TestGangWithinItsLimit checks that a gang that would exceed its team's limit does not start and reserves no
+// machines. Tasks that are stopping still count against the limit.
 func TestGangWithinItsLimit(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
@@ -107,17 +107,17 @@
 	n := 0
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000002" {
-			t.Errorf("a gang beyond its team's limit: %+v", st)
+			t.Errorf("start %+v of a gang that exceeds its team's limit", st)
 		}
 		n += st.Tasks.Len()
 	}
 	if n != 4 {
-		t.Errorf("%d tasks of the other team start", n)
+		t.Errorf("%d tasks of the other team start, want 4", n)
 	}
 }
 
-// TestGangReservesItsQuota: while a gang waits for its team's limit, what is left of
-// that goes to no other work of the team that comes after it.
+// TestGangReservesItsQuota checks that, while a gang does not fit its team's limit, the unused part of the limit is
+// not given to jobs of the team that are behind the gang in the queue.
 func TestGangReservesItsQuota(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
@@ -126,12 +126,12 @@
 	later := s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 3, 2))
 	later.AcceptedAtMs = 1
 	if starts := s.plan().Record.Starts; len(starts) > 0 {
-		t.Errorf("starts %+v of what the gang waits for", starts)
+		t.Errorf("starts %+v within the quota that is reserved for the gang", starts)
 	}
 }
 
-// TestGangIsEvictedWholeOrNot: a gang that is in the way of higher work is evicted
-// with all its tasks, on whatever machine, and none of equal priority is.
+// TestGangIsEvictedWholeOrNot checks that a gang that is preempted by a job of higher priority is evicted with all
+// of its tasks, whichever machines they are on, and that a gang of equal priority is not evicted.
 func TestGangIsEvictedWholeOrNot(t *testing.T) {
 	for _, priority := range []jobs.Priority{jobs.PriorityBestEffort, jobs.PriorityProd} {
 		s := newGangFixture(t, "a", "a")
@@ -146,19 +146,20 @@
 			evicted[eviction.Placement.Task] = true
 		}
 		if want := 2 * int(jobs.PriorityProd-priority) / int(jobs.PriorityProd); len(evicted) != want {
-			t.Errorf("priority %d: %d tasks of a gang of two are evicted, want %d", priority, len(evicted), want)
+			t.Errorf("priority %d: %d of the gang's two tasks are evicted, want %d", priority, len(evicted), want)
 		}
 	}
 }
 
-// TestGangPreemptsForAllOfIt: a higher gang has lower work evicted in one zone, as much as
-// lets all of it start and no more; where that can't be, nothing is evicted.
+// TestGangPreemptsForAllOfIt checks that a gang preempts tasks of lower priority in one zone only, and only as many
+// as it needs for all of its tasks. If evictions cannot make room for the whole gang, nothing is evicted. A plan
+// made while the evicted tasks are stopping evicts no more.
 func TestGangPreemptsForAllOfIt(t *testing.T) {
 	for _, c := range []struct {
-		what      string
+		name      string
 		tasks     int
 		evictions int
-	}{{"one free machine and two tasks evicted", 4, 2}, {"more than the zone holds", 7, 0}} {
+	}{{"gang that needs one free machine and two evictions", 4, 2}, {"gang larger than the zone", 7, 0}} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		s.snapshot.MayProvision = false
 		low := s.addJob("wk-000001", taskSpec("blue", jobs.PriorityBestEffort, 5, 2))
@@ -170,22 +171,22 @@
 		s.addJob("wk-000002", high)
 		plan := s.plan()
 		if len(plan.Evictions) != c.evictions || len(plan.Record.Starts) > 0 {
-			t.Errorf("%s: %d evictions, want %d; starts %+v", c.what, len(plan.Evictions), c.evictions, plan.Record.Starts)
+			t.Errorf("%s: %d evictions, want %d; starts %+v, want none", c.name, len(plan.Evictions), c.evictions, plan.Record.Starts)
 		}
 		for _, eviction := range plan.Evictions {
 			if eviction.Placement.Machine == "host-4" {
-				t.Errorf("%s: evicted in another zone", c.what)
+				t.Errorf("%s: a task in another zone is evicted", c.name)
 			}
 			eviction.Placement.Stopping = true
 		}
 		if again := s.plan().Evictions; len(again) > 0 {
-			t.Errorf("%s: %d more are evicted while the first end", c.what, len(again))
+			t.Errorf("%s: %d more evictions while the first ones are stopping", c.name, len(again))
 		}
 	}
 }
 
-// TestGangPreemptsWholeGangs: a higher gang preempts lower ones, each with all its tasks;
-// once enough of them yield the rest goes on.
+// TestGangPreemptsWholeGangs checks that a gang preempts gangs of lower priority whole, and only as many of them as
+// it needs.
 func TestGangPreemptsWholeGangs(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a", "a")
 	s.snapshot.Teams["blue"] = config.Team{CPULimit: 40}
@@ -194,7 +195,7 @@
 		low.Team, low.Priority = "blue", jobs.PriorityBestEffort
 		j := s.addJob(ident.JobID(fmt.Sprintf("wk-00000%d", i+1)), low)
 		for k := range ident.TaskIndex(4) {
-			// Each lies on two machines, next to no other.
+			// Each gang has two machines to itself.
 			s.place(j, k, ident.MachineID(fmt.Sprintf("host-%d", 2*i+1+int(k)/2)))
 		}
 	}
@@ -210,9 +211,8 @@
 	}
 }
 
-// TestGangsGiveGuaranteeBack: a gang of a team within its guarantee takes back
-// what another team's gang holds beyond its own, whole, but not so much that the
-// other falls below its guarantee.
+// TestGangsGiveGuaranteeBack checks that a gang within its team's guarantee reclaims capacity by evicting a whole gang
+// of a team that is beyond its own guarantee, but not if the eviction would leave that team below its guarantee.
 func TestGangsGiveGuaranteeBack(t *testing.T) {
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
 		s := newGangFixture(t, "a", "a")
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestLostGangTaskIsReplacedInItsAttempt: what a waiting gang lost is started again
-// in its zone under its attempt, not where an exit of that attempt is still known;
-// nothing is where it may not be replaced.
+// TestLostGangTaskIsReplacedInItsAttempt checks that a task which a gang lost before it began is started again in the
+// gang's zone and under the gang's attempt. The replacement does not go to a machine that still remembers an exit of
+// this attempt, since that machine would ignore the start command. A task that may not be replaced is not started.
 func TestLostGangTaskIsReplacedInItsAttempt(t *testing.T) {
 	for _, mayReplace := range []bool{true, false} {
 		s := newGangFixture(t, "a", "a", "a", "b")
@@ -247,32 +247,32 @@
 		for i, m := range []ident.MachineID{"host-1", "host-2"} {
 			s.place(j, ident.TaskIndex(i), m).State = jobs.PlacementFetching
 		}
-		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // and its exit is forgotten
+		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // host-3 remembers no exit of it
 		if mayReplace {
 			s.snapshot.ReplacementAttempts = map[ident.JobID]ident.Attempt{j.ID: 1}
 		}
 		starts := s.plan().Record.Starts
 		if !mayReplace {
 			if len(starts) > 0 {
-				t.Errorf("starts %+v of a gang that may not be replaced", starts)
+				t.Errorf("starts %+v of a gang whose lost task may not be replaced", starts)
 			}
 			continue
 		}
 		if len(starts) != 1 || starts[0].Machine != "host-3" || starts[0].AttemptInRound(5) != 1 || !starts[0].Tasks.Contains(2) {
-			t.Errorf("starts %+v", starts)
+			t.Errorf("starts %+v, want task 2 on host-3 under attempt 1", starts)
 		}
-		exit := s.place(j, 2, "host-3")
+		exited := s.place(j, 2, "host-3")
 		s.snapshot.Fleet.ApplyHeartbeat(s.snapshot.Now, &fleet.Heartbeat{Machine: "host-3", Type: "m4", Zone: "a",
 			Session: 1, HeartbeatSeq: 2, FencingToken: fixtureEpoch,
-			Tasks: []fleet.TaskStatus{{Task: exit.ID(), Attempt: 1, State: fleet.TaskExited, Cause: fleet.ExitNoCapacity}}})
+			Tasks: []fleet.TaskStatus{{Task: exited.ID(), Attempt: 1, State: fleet.TaskExited, Cause: fleet.ExitNoCapacity}}})
 		if starts := s.plan().Record.Starts; len(starts) > 0 {
-			t.Errorf("starts %+v where the exit is known, or in another zone", starts)
+			t.Errorf("starts %+v on the machine that remembers the exit, or in another zone", starts)
 		}
 	}
 }
 
-// TestGangBeyondOneValue: a gang whose starts don't fit into one value takes a
-// record in chunks where nodes know them, and is not started where they don't.
+// TestGangBeyondOneValue checks that a gang whose starts don't fit into one value of the state service starts with a
+// chunked round record if the nodes support chunks, and does not start if they don't.
 func TestGangBeyondOneValue(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
 		s := newFixture(t)
@@ -281,7 +281,7 @@
 		for i := range 80 {
 			s.addMachine(ident.MachineID(fmt.Sprintf("host-%06d", i)), "a", false)
 		}
-		s.addJob("wk-000001", gangSpec(80, 3)) // one to a machine
+		s.addJob("wk-000001", gangSpec(80, 3)) // one task per machine
 		plan := s.plan()
 		if n := len(plan.Record.Starts); n != want {
 			t.Errorf("%d values: %d starts, want %d", values, n, want)
@@ -294,7 +294,7 @@
 	}
 }
 
-// largestGang is the largest gang, with one task on each machine, whose records fit.
+// largestGang returns the spec of the largest gang whose records fit with one task on each machine.
 func largestGang(limits config.State) jobs.Spec {
 	spec := gangSpec(1, 3)
 	for roundlog.GangRecordsFit(&spec, 1, 300, limits) {
@@ -304,13 +304,13 @@
 	return spec
 }
 
-// TestLargestGangIsPlaced: the largest gang that is accepted, one task to a machine, is started
-// whole, and its records can be stored; one that is larger is not accepted.
+// TestLargestGangIsPlaced checks that the largest gang that is accepted starts whole with one task on each machine,
+// and that its records can be stored. A larger gang is not accepted.
 func TestLargestGangIsPlaced(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := largestGang(limits)
 	if spec.Tasks < 100 {
-		t.Errorf("the largest gang has %d tasks", spec.Tasks)
+		t.Errorf("the largest gang has %d tasks, want at least 100", spec.Tasks)
 	}
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}}
@@ -334,8 +334,8 @@
 	}
 }
 
-// TestLargeGangBesideOthers: the largest gang starts in the same round as higher
-// work, however much of that there is: it must not wait for a round of its own.
+// TestLargeGangBesideOthers checks that the largest gang starts in the same round as tasks of higher priority,
+// however many there are, and does not wait for a round without other starts.
 func TestLargeGangBesideOthers(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := largestGang(limits)
@@ -347,9 +347,9 @@
 			s.addMachine(ident.MachineID(fmt.Sprintf("machine-%08d", i*7919%1_000_000)), "a", false)
 		}
 		gang := s.addJob("wk-000001", spec)
-		first := taskSpec("blue", jobs.PriorityProd, others, 3)
-		first.Service = true
-		s.addJob("wk-000002", first)
+		higher := taskSpec("blue", jobs.PriorityProd, others, 3)
+		higher.Service = true
+		s.addJob("wk-000002", higher)
 		plan := s.plan()
 		starts := 0
 		for _, st := range plan.Record.Starts {
@@ -358,7 +358,7 @@
 			}
 		}
 		if starts != spec.Tasks {
-			t.Errorf("beside %d others %d of %d tasks start", others, starts, spec.Tasks)
+			t.Errorf("beside %d other tasks, %d of the gang's %d tasks start", others, starts, spec.Tasks)
 		}
 		if _, _, err := plan.Record.Split(2048, 4, kvstore.JSONSize); err != nil {
 			t.Error(err)
@@ -366,8 +366,8 @@
 	}
 }
 
-// TestGangIsPreemptedLast: where a task of an array can make room, a gang of the
-// same priority goes on, though it would write a checkpoint and the array's work is lost.
+// TestGangIsPreemptedLast checks that a task of an array is evicted rather than a gang of the same priority, although
+// the gang would write a checkpoint and the work of the array's task is lost.
 func TestGangIsPreemptedLast(t *testing.T) {
 	s := newGangFixture(t, "a", "a")
 	gang := gangSpec(2, 2)
@@ -384,6 +384,6 @@
 	s.addJob("wk-000003", taskSpec("blue", jobs.PriorityProd, 1, 2))
 	evictions := s.plan().Evictions
 	if len(evictions) != 1 || evictions[0].Placement.Job != array {
-		t.Errorf("evicted: %+v, want a task of the array", evictions)
+		t.Errorf("evictions %+v, want one, of a task of the array", evictions)
 	}
 }
--- a/internal/scheduler/plan_golden_test.go
+++ b/internal/scheduler/plan_golden_test.go
@@ -14,13 +14,12 @@
 	"badgerbay/internal/jobs"
 )
 
-// goldenPlanCount is how many seeds testdata/golden/plans.txt holds, one a line:
-// the seed, the hash of the plan's canonical form, and what the plan decides.
+// goldenPlanCount is the number of seeds in testdata/golden/plans.txt. Each line holds a seed, the hash of the
+// plan's canonical form, and the kinds of decisions in the plan.
 const goldenPlanCount = 450
 
-// TestGoldenPlans makes a snapshot from each seed, plans it, and compares the
-// plan with the one that is on record. Each snapshot is planned twice, and made
-// and planned anew, to show that a plan depends on nothing but its snapshot.
+// TestGoldenPlans checks that the plan of the snapshot generated from each seed equals the golden plan. Each snapshot
+// is also planned a second time, and generated and planned again, to check that a plan depends only on its snapshot.
 func TestGoldenPlans(t *testing.T) {
 	data, err := os.ReadFile("testdata/golden/plans.txt")
 	if err != nil {
@@ -36,10 +35,10 @@
 		plan := PlanRound(s.snapshot)
 		text := canonicalPlan(plan)
 		if again := canonicalPlan(PlanRound(s.snapshot)); again != text {
-			t.Errorf("seed %d: the second plan of a snapshot differs:\n%s\nfirst:\n%s", seed, again, text)
+			t.Errorf("seed %d: planning the same snapshot again gives a different plan:\n%s\nfirst:\n%s", seed, again, text)
 		}
 		if again := canonicalPlan(PlanRound(newSnapshotGenerator(seed).snapshot)); again != text {
-			t.Errorf("seed %d: the plan of the same snapshot, made anew, differs:\n%s\nfirst:\n%s", seed, again, text)
+			t.Errorf("seed %d: generating the snapshot again gives a different plan:\n%s\nfirst:\n%s", seed, again, text)
 		}
 		kinds := s.decisionKinds(plan)
 		for _, kind := range kinds {
@@ -52,21 +51,23 @@
 	for _, kind := range allDecisionKinds {
 		t.Logf("%4d of %d plans: %s", counts[kind], goldenPlanCount, kind)
 		if counts[kind] == 0 {
-			t.Errorf("no plan has %s", kind)
+			t.Errorf("no golden plan has a decision of kind %q", kind)
 		}
 	}
 }
 
+// goldenLine returns the line of testdata/golden/plans.txt for a seed. Of the hash, only the first 12 bytes are kept.
 func goldenLine(seed uint64, text string, kinds []string) string {
 	sum := sha256.Sum256([]byte(text))
 	return fmt.Sprintf("%d %s %s", seed, hex.EncodeToString(sum[:12]), strings.Join(kinds, ","))
 }
 
-// allDecisionKinds are the decisions that the golden plans must cover.
+// allDecisionKinds lists the kinds of decisions that the golden plans must cover. The names appear in
+// testdata/golden/plans.txt.
 var allDecisionKinds = []string{"start", "preemption", "consolidation", "scale-out", "scale-out-for-guarantee", "guarantee-taken-back",
 	"gang-start", "gang-preempted", "gang-preempts", "gang-in-parts", "replacement", "spare-kept", "blocked", "short", "old-first"}
 
-// decisionKinds names what a plan decides, in the order of allDecisionKinds.
+// decisionKinds returns the kinds of decisions in a plan, in the order of allDecisionKinds.
 func (s *snapshotGenerator) decisionKinds(plan *Plan) []string {
 	has := map[string]bool{
 		"start":         len(plan.Record.Starts) > 0,
@@ -100,7 +101,7 @@
 	return slices.DeleteFunc(slices.Clone(allDecisionKinds), func(kind string) bool { return !has[kind] })
 }
 
-// canonicalPlan writes a plan out field by field, in words that the golden hashes depend on.
+// canonicalPlan returns the plan as text, field by field. The golden hashes depend on its exact wording.
 func canonicalPlan(plan *Plan) string {
 	var b strings.Builder
 	r := &plan.Record
@@ -112,9 +113,10 @@
 		}
 		b.WriteString("\n")
 	}
-	for _, h := range r.Provisions {
+	for _, provision := range r.Provisions {
 		fmt.Fprintf(&b, "hire %s %s %s spot=%t count=%d for=%s\n",
-			h.Name, h.Offer.Type, h.Offer.Zone, h.Offer.Spot, h.Count, plan.ProvisionedFor)
+			provision.Name, provision.Offer.Type, provision.Offer.Zone, provision.Offer.Spot, provision.Count,
+			plan.ProvisionedFor)
 	}
 	for _, m := range r.Deprovisions {
 		fmt.Fprintf(&b, "release %s\n", m)
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -13,8 +13,8 @@
 	"badgerbay/internal/policy"
 )
 
-// rng is SplitMix64. The golden plans depend on each of its numbers, so it
-// must not change with a library.
+// rng is a SplitMix64 random number generator. The golden plans depend on every number that it returns, so it is
+// implemented here and does not change with a library.
 type rng struct{ state uint64 }
 
 func (g *rng) next() uint64 {
@@ -25,35 +25,36 @@
 	return z ^ z>>31
 }
 
-// intN returns a number from 0 to n-1.
+// intN returns an integer from 0 to n-1.
 func (g *rng) intN(n int) int { return int(g.next() % uint64(n)) }
 
-// between returns a number from low to high, both included.
+// between returns an integer from low to high, both included.
 func (g *rng) between(low, high int) int { return low + g.intN(high-low+1) }
 
-// percent is true in so many of a hundred cases.
+// percent reports true with a probability of n percent.
 func (g *rng) percent(n int) bool { return g.intN(100) < n }
 
+// pick returns one of the choices, each with the same probability.
 func pick[T any](g *rng, choices ...T) T { return choices[g.intN(len(choices))] }
 
-// profile is what the snapshots of a group of seeds have much of.
+// profile selects the situation that a generated snapshot emphasizes. It follows from the seed.
 type profile int
 
 const (
 	mixed         profile = iota
-	crowded               // machines full of low work, high work queued
-	sparse                // a few replicas on each of many machines, nothing queued
-	gangsQueued           // gangs that wait, beside gangs that run
+	crowded               // machines full of low-priority tasks, high-priority jobs queued
+	sparse                // a few replicas on each of many machines, hardly any jobs queued
+	gangsQueued           // queued gangs beside running ones
 	gangTasksLost         // gangs that lost tasks before they began
-	guaranteed            // teams with guarantees, others beyond theirs
-	growing               // few machines, much queued
-	agedJobs              // jobs of large tasks that have waited long
-	largeGangs            // records that hold little, gangs beyond one value
+	guaranteed            // teams with guarantees, other teams beyond theirs
+	growing               // few machines, many jobs queued
+	agedJobs              // jobs that have waited long
+	largeGangs            // small record values, gangs whose records exceed one value
 	profileCount
 )
 
-// snapshotNow is when the snapshots are taken; the fleet's leader began an hour
-// after the zero instant.
+// The snapshots are taken at snapshotNow. The leader of the fleet started at snapshotLeaderStart, one hour after the
+// zero instant.
 const (
 	snapshotLeaderStart = clock.Instant(time.Hour)
 	snapshotNow         = snapshotLeaderStart + clock.Instant(15*time.Minute)
@@ -61,8 +62,8 @@
 	snapshotEpoch       = ident.Epoch(10)
 )
 
-// snapshotGenerator draws what a plan is made from, from a seed. All CPUs are multiples
-// of a quarter, so that sums don't depend on the order of their terms.
+// snapshotGenerator generates a snapshot from a seed. All CPU counts are multiples of 0.25, so that sums don't depend
+// on the order of their terms.
 type snapshotGenerator struct {
 	rng
 	profile       profile
@@ -135,7 +136,7 @@
 			team.GPULimit = team.GPUGuarantee + float64(pick(&s.rng, 2, 6))
 		}
 		if s.profile == guaranteed && s.percent(40) {
-			team.CPUGuarantee *= 8 // more than the machines hold
+			team.CPUGuarantee *= 8 // exceeds the capacity of the machines
 		}
 		teams[name] = team
 	}
@@ -147,15 +148,15 @@
 func (s *snapshotGenerator) drawObjectives() map[ident.Class]Objectives {
 	objectives := map[ident.Class]Objectives{}
 	for _, class := range classes {
-		var e Objectives
+		var o Objectives
 		if s.percent(40) {
-			e = e.With("wait", time.Duration(pick(&s.rng, 5, 12, 40, 120))*time.Second)
+			o = o.With("wait", time.Duration(pick(&s.rng, 5, 12, 40, 120))*time.Second)
 		}
 		for s.percent(35) {
-			e = e.With("finished", time.Duration(pick(&s.rng, 60, 110, 250, 600))*time.Second)
+			o = o.With("finished", time.Duration(pick(&s.rng, 60, 110, 250, 600))*time.Second)
 		}
-		if !e.IsEmpty() {
-			objectives[class] = e
+		if !o.IsEmpty() {
+			objectives[class] = o
 		}
 	}
 	return objectives
@@ -166,18 +167,17 @@
 		SpareTasks: pick(&s.rng, 0, 2, 5), GuaranteeShare: pick(&s.rng, 0.5, 1, 1, 1.5), PreferSpot: s.percent(70)}
 }
 
-// drawAvailability draws which offers the cloud has none of, and which teams have
-// work.
+// drawAvailability draws which offers are unavailable and which teams are active.
 func (s *snapshotGenerator) drawAvailability() {
-	out := map[cloud.Offer]bool{}
+	unavailable := map[cloud.Offer]bool{}
 	for _, t := range s.types {
 		for _, z := range s.zones {
 			for _, spot := range []bool{true, false} {
-				out[cloud.Offer{Type: t.Name, Zone: z, Spot: spot}] = s.percent(15)
+				unavailable[cloud.Offer{Type: t.Name, Zone: z, Spot: spot}] = s.percent(15)
 			}
 		}
 	}
-	s.snapshot.OfferUnavailable = func(o cloud.Offer) bool { return out[o] }
+	s.snapshot.OfferUnavailable = func(o cloud.Offer) bool { return unavailable[o] }
 	active := map[ident.Team]bool{"red": s.percent(80), "blue": s.percent(80), "green": s.percent(80)}
 	s.snapshot.TeamActive = func(team ident.Team) bool { return active[team] }
 }
@@ -196,34 +196,36 @@
 	}
 	for i := range n {
 		t := pick(&s.rng, s.types...)
-		r := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
+		heartbeat := &fleet.Heartbeat{Machine: ident.MachineID(fmt.Sprintf("host-%06d", (i*7919+13)%1_000_000)), Type: t.Name,
 			Zone: pick(&s.rng, t.AvailableZones(s.zones)...), Spot: s.percent(40)}
 		at := snapshotNow - clock.Instant(s.between(0, 3000))*clock.Instant(time.Millisecond)
 		if s.percent(4) {
-			at -= clock.Instant(10 * time.Second) // it has missed heartbeats
+			at -= clock.Instant(10 * time.Second) // the machine has missed heartbeats
 		}
-		s.machines = append(s.machines, s.sendHeartbeat(at, r))
+		s.machines = append(s.machines, s.sendHeartbeat(at, heartbeat))
 	}
 }
 
-// sendHeartbeat has a machine report for the first time, or again.
-func (s *snapshotGenerator) sendHeartbeat(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
-	s.heartbeatSeqs[r.Machine]++
-	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.heartbeatSeqs[r.Machine], snapshotEpoch
-	s.snapshot.Fleet.ApplyHeartbeat(at, r)
-	return s.snapshot.Fleet.Machine(r.Machine)
+// sendHeartbeat applies the next heartbeat of a machine to the fleet and returns the machine. The first heartbeat
+// registers the machine.
+func (s *snapshotGenerator) sendHeartbeat(at clock.Instant, heartbeat *fleet.Heartbeat) *fleet.Machine {
+	s.heartbeatSeqs[heartbeat.Machine]++
+	heartbeat.Session, heartbeat.HeartbeatSeq, heartbeat.FencingToken = 1, s.heartbeatSeqs[heartbeat.Machine], snapshotEpoch
+	s.snapshot.Fleet.ApplyHeartbeat(at, heartbeat)
+	return s.snapshot.Fleet.Machine(heartbeat.Machine)
 }
 
-// reportTasks has a machine report what it holds, in a state.
+// reportTasks applies a heartbeat in which the machine reports the placements as tasks in the given state.
 func (s *snapshotGenerator) reportTasks(m *fleet.Machine, state fleet.TaskState, placements ...*jobs.Placement) {
-	r := &fleet.Heartbeat{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+	heartbeat := &fleet.Heartbeat{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	for _, p := range placements {
-		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: state, Cause: fleet.ExitStopped})
+		status := fleet.TaskStatus{Task: p.ID(), Attempt: p.Attempt, State: state, Cause: fleet.ExitStopped}
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
-	s.sendHeartbeat(m.LastHeartbeat, r)
+	s.sendHeartbeat(m.LastHeartbeat, heartbeat)
 }
 
-// drawSpec draws what a job asks for.
+// drawSpec draws the spec of a job.
 func (s *snapshotGenerator) drawSpec() jobs.Spec {
 	g := &s.rng
 	spec := jobs.Spec{Class: pick(g, classes...), Team: pick(g, ident.Team("red"), "blue", "green"),
@@ -253,6 +255,7 @@
 	return spec
 }
 
+// asGang returns the spec changed to that of a gang of two to six tasks.
 func asGang(g *rng, spec jobs.Spec) jobs.Spec {
 	spec.Gang, spec.Service, spec.ZoneSpread = true, false, false
 	spec.ZoneAffinity = g.percent(70)
@@ -260,7 +263,7 @@
 	return spec
 }
 
-// addJob adds a job that was submitted so many seconds ago.
+// addJob adds a job that was accepted secondsAgo seconds before the snapshot, with all of its tasks queued.
 func (s *snapshotGenerator) addJob(spec jobs.Spec, secondsAgo int) *jobs.Job {
 	id := ident.JobID(fmt.Sprintf("wk-%06d", len(s.jobs)+1))
 	j := jobs.NewJob(id, jobs.NewRecord(spec, snapshotWall-int64(secondsAgo)*1000), 1, snapshotLeaderStart)
@@ -269,21 +272,21 @@
 	return j
 }
 
-// drawPlacedJobs places tasks on the machines.
+// drawPlacedJobs adds jobs and places their tasks on the machines.
 func (s *snapshotGenerator) drawPlacedJobs() {
-	rounds := s.between(0, 10)
+	n := s.between(0, 10)
 	switch s.profile {
 	case crowded, guaranteed, gangTasksLost:
-		rounds = s.between(8, 16)
+		n = s.between(8, 16)
 	case sparse:
-		rounds = s.between(3, 40)
+		n = s.between(3, 40)
 	case largeGangs:
-		rounds = s.between(0, 3)
+		n = s.between(0, 3)
 	case growing:
-		rounds = 2
+		n = 2
 	}
-	nothingWaits := (s.profile == sparse || s.profile == guaranteed) && s.percent(70)
-	for range rounds {
+	noneQueued := (s.profile == sparse || s.profile == guaranteed) && s.percent(70)
+	for range n {
 		spec := s.drawSpec()
 		switch s.profile {
 		case crowded:
@@ -304,24 +307,24 @@
 		}
 		j := s.addJob(spec, s.between(20, 400))
 		s.placeQueuedTasks(j)
-		if nothingWaits {
+		if noneQueued {
 			j.Queue = nil
 		}
 	}
 }
 
-// placeQueuedTasks places tasks of a job where they fit; a gang comes whole or not at all.
+// placeQueuedTasks places queued tasks of a job where they fit. A gang is placed whole or not at all.
 func (s *snapshotGenerator) placeQueuedTasks(j *jobs.Job) {
 	attempt := ident.Attempt(s.between(1, 15))
-	chance := s.between(30, 100)
+	placePercent := s.between(30, 100)
 	var placed []*jobs.Placement
 	for j.Queue.Len() > 0 {
 		m := s.findMachine(j)
 		if s.percent(1) {
-			// A record names it; it has not reported, and its zone is not known.
+			// A round record names this machine, but it has sent no heartbeat, so its zone is unknown.
 			m = s.snapshot.Fleet.Ensure(snapshotNow, "host-unheard")
 		}
-		if m == nil || !j.Spec.Gang && !s.percent(chance) {
+		if m == nil || !j.Spec.Gang && !s.percent(placePercent) {
 			break
 		}
 		p := &jobs.Placement{Job: j, Task: j.Queue[0].First, Machine: m.ID, Session: m.Session, Attempt: attempt,
@@ -340,8 +343,8 @@
 	}
 }
 
-// loseTask ends a task of a gang. Its machine may still know the exit, and the
-// task may be replaced or not.
+// loseTask ends one task of a gang. Whether its machine remembers the exit, and whether the task may be replaced, is
+// drawn.
 func (s *snapshotGenerator) loseTask(j *jobs.Job, placed []*jobs.Placement) {
 	lost := pick(&s.rng, placed...)
 	if s.percent(50) {
@@ -355,7 +358,8 @@
 	}
 }
 
-// findMachine picks a machine that may run a task of the job.
+// findMachine returns a machine that has room for a task of the job and that the job allows, or nil if there is none.
+// The search starts at a random machine.
 func (s *snapshotGenerator) findMachine(j *jobs.Job) *fleet.Machine {
 	if len(s.machines) == 0 {
 		return nil
@@ -373,7 +377,7 @@
 	return nil
 }
 
-// drawQueuedJobs adds jobs that wait.
+// drawQueuedJobs adds jobs with queued tasks and no placements.
 func (s *snapshotGenerator) drawQueuedJobs() {
 	n := s.between(1, 8)
 	switch s.profile {
@@ -406,7 +410,8 @@
 	}
 }
 
-// drawHistory draws what has happened to a job that waits.
+// drawHistory draws the earlier events of a queued job: completed tasks, started tasks, its last placement, and a
+// machine that it avoids after a failure.
 func (s *snapshotGenerator) drawHistory(j *jobs.Job) {
 	if !j.Spec.Gang && j.Spec.Tasks > 2 && s.percent(25) {
 		j.CompleteTask(snapshotNow, ident.TaskIndex(s.intN(j.Spec.Tasks)))
@@ -424,7 +429,8 @@
 	}
 }
 
-// drawTypicalSpecs draws which classes room is kept free for, and what they look like.
+// drawTypicalSpecs draws the typical spec of each class that has one, and for which of these classes spare capacity
+// is kept.
 func (s *snapshotGenerator) drawTypicalSpecs() {
 	for _, class := range classes {
 		spec := s.drawSpec()
@@ -438,7 +444,7 @@
 	}
 }
 
-// drawReservations draws what is kept of the teams' limits for reservations of others.
+// drawReservations draws the resources that reservations of other nodes hold within the teams' limits.
 func (s *snapshotGenerator) drawReservations() {
 	if !s.percent(30) {
 		return
@@ -453,6 +459,7 @@
 	s.snapshot.ReservedTasks = func(j *jobs.Job) int { return min(reserved, j.Spec.Tasks) }
 }
 
+// drawPendingMachines adds up to five machines that are being provisioned.
 func (s *snapshotGenerator) drawPendingMachines() {
 	for range s.between(0, 5) {
 		if s.percent(50) {
@@ -464,8 +471,7 @@
 	}
 }
 
-// drawStates draws how far the placements have come and what has become of the
-// machines, and lists the jobs.
+// drawStates draws the states of the placements and machines, and fills the snapshot's lists of jobs.
 func (s *snapshotGenerator) drawStates() {
 	for _, m := range s.machines {
 		s.drawPlacementStates(m)
@@ -492,6 +498,8 @@
 	}
 }
 
+// drawPlacementStates draws for each live placement of a machine whether it is fetching its image or running, and
+// whether it is stopping.
 func (s *snapshotGenerator) drawPlacementStates(m *fleet.Machine) {
 	var running []*jobs.Placement
 	live := m.LivePlacements()
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -16,7 +16,7 @@
 	"badgerbay/internal/policy"
 )
 
-// fixture builds a snapshot to plan.
+// fixture builds a snapshot for a test and plans it.
 type fixture struct {
 	snapshot *Snapshot
 	jobs     map[ident.JobID]*jobs.Job
@@ -27,6 +27,8 @@
 	fixtureEpoch = ident.Epoch(10)
 )
 
+// newFixture returns a fixture without machines and jobs. It has one machine type with 4 CPUs, two zones, and two
+// teams with guarantees and limits.
 func newFixture(t interface{ Fatal(...any) }) *fixture {
 	defaults, err := policy.Default()
 	if err != nil {
@@ -64,7 +66,7 @@
 		Session: 1, HeartbeatSeq: 1, FencingToken: fixtureEpoch})
 }
 
-// sendHeartbeat has a machine report its tasks, all running.
+// sendHeartbeat applies a heartbeat in which the machine reports all of its tasks as running.
 func (s *fixture) sendHeartbeat(id ident.MachineID) {
 	m := s.snapshot.Fleet.Machine(id)
 	heartbeat := &fleet.Heartbeat{Machine: id, Type: m.Type, Zone: m.Zone,
@@ -107,9 +109,9 @@
 		EstimatedRunSeconds: 30}
 }
 
-// TestEvictedTaskCountsForQuota guards against a quota once broken: a task that is told to stop
-// still counts for its team until its exit is seen, so another job of the team must not take
-// its place in the limit in the same round.
+// TestEvictedTaskCountsForQuota checks that an evicted task counts against its team's limit until its exit is
+// reported. It guards against a fault in which another job of the team used the freed part of the limit in the same
+// round, so that the team exceeded its limit.
 func TestEvictedTaskCountsForQuota(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -123,15 +125,17 @@
 	s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	plan := s.plan()
 	if len(plan.Evictions) == 0 {
-		t.Fatal("no room was made for the prod job")
+		t.Fatal("no task is evicted for the prod job")
 	}
 	for _, st := range plan.Record.Starts {
 		if st.Job == "wk-000003" {
-			t.Errorf("red gets %+v beyond its limit", st)
+			t.Errorf("start %+v exceeds the limit of team red", st)
 		}
 	}
 }
 
+// TestMachineWithImageFirst checks that a task starts on a machine that has its image rather than on one that would
+// have to fetch it.
 func TestMachineWithImageFirst(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -148,6 +152,7 @@
 	}
 }
 
+// TestHigherPriorityFirst checks that, if there is room for one job only, the job of higher priority starts.
 func TestHigherPriorityFirst(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -159,8 +164,8 @@
 	}
 }
 
-// TestNoPreemptionAmongEquals: work does not preempt work of the same priority, unless a team
-// is to be given its guarantee.
+// TestNoPreemptionAmongEquals checks that a task does not preempt a task of the same priority, except to give its
+// team the guarantee from a team that is beyond its own.
 func TestNoPreemptionAmongEquals(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -168,9 +173,9 @@
 	s.place(low, 0, "host-1")
 	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 1, 4))
 	if plan := s.plan(); len(plan.Evictions) != 0 {
-		t.Errorf("evicted %v", plan.Evictions[0].Placement.ID())
+		t.Errorf("task %v of the same priority is evicted", plan.Evictions[0].Placement.ID())
 	}
-	// Beyond its guarantee, red must give back what blue is guaranteed.
+	// With a second task red is beyond its guarantee, and blue may reclaim its own.
 	s.addMachine("host-2", "a", false)
 	more := s.addJob("wk-000003", taskSpec("red", jobs.PriorityStandard, 1, 4))
 	s.place(more, 0, "host-2")
@@ -179,6 +184,8 @@
 	}
 }
 
+// TestGangWholeOrNotAtAll checks that a gang of which only a part fits does not start and has the missing machine
+// provisioned, and that it starts whole once the machine is up.
 func TestGangWholeOrNotAtAll(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
@@ -186,16 +193,16 @@
 	spec.Gang = true
 	s.addJob("wk-000001", spec)
 	if plan := s.plan(); len(plan.Record.Starts) != 0 || len(plan.Record.Provisions) != 1 {
-		t.Errorf("half a gang starts: %+v", plan.Record)
+		t.Errorf("record %+v, want no start and one provision", plan.Record)
 	}
 	s.addMachine("host-2", "b", false)
 	if plan := s.plan(); len(plan.Record.Starts) != 2 {
-		t.Errorf("starts %+v, want both", plan.Record.Starts)
+		t.Errorf("starts %+v, want both tasks of the gang", plan.Record.Starts)
 	}
 }
 
-// TestPlanStaysWithinLimits draws snapshots and checks that no plan goes beyond team
-// limits, room on machines, zones, or the size of a record.
+// TestPlanStaysWithinLimits checks on random snapshots that no plan exceeds the limit of a team, the capacity of a
+// machine or the size of a record, or violates a job's zone constraints.
 func TestPlanStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFixture(t)
@@ -208,8 +215,8 @@
 				jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				rapid.SampledFrom([]int{1, 2, 5, 100_000}).Draw(t, "tasks"),
 				rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "cpus"))
-			spec.ZoneSpread = rapid.Bool().Draw(t, "spread")
-			spec.ZoneAffinity = rapid.Bool().Draw(t, "one")
+			spec.ZoneSpread = rapid.Bool().Draw(t, "zone spread")
+			spec.ZoneAffinity = rapid.Bool().Draw(t, "zone affinity")
 			spec.Spot = rapid.Bool().Draw(t, "spot")
 			j := s.addJob(ident.JobID(fmt.Sprintf("wk-%06d", i)), spec)
 			for _, m := range s.snapshot.Fleet.Machines() {
@@ -222,7 +229,7 @@
 	})
 }
 
-// mayPlace tells whether a task of the job may run on the machine.
+// mayPlace reports whether another task of the job may be placed on the machine.
 func (s *fixture) mayPlace(j *jobs.Job, m *fleet.Machine) bool {
 	spec := &j.Spec
 	return s.snapshot.Fleet.FreeCapacity(m).Fits(spec.TaskResources()) &&
@@ -232,7 +239,7 @@
 		s.usedCPUs(spec.Team)+spec.CPUs <= s.snapshot.Teams[spec.Team].CPULimit
 }
 
-// usedCPUs is how many CPUs the team's placements hold.
+// usedCPUs returns the number of CPUs that the team's placements use.
 func (s *fixture) usedCPUs(team ident.Team) float64 {
 	sum := 0.0
 	for _, j := range s.jobs {
@@ -243,9 +250,10 @@
 	return sum
 }
 
+// checkPlanLimits places the tasks that the plan starts and checks all limits on the result.
 func checkPlanLimits(t *rapid.T, s *fixture, plan *Plan) {
 	if n := plan.Record.MaxJSONSize(); n > s.snapshot.ValueBytes {
-		t.Fatalf("record of %d bytes", n)
+		t.Fatalf("the record has %d bytes, more than the %d of a value", n, s.snapshot.ValueBytes)
 	}
 	for _, st := range plan.Record.Starts {
 		j, m := s.jobs[st.Job], s.snapshot.Fleet.Machine(st.Machine)
@@ -261,12 +269,12 @@
 	}
 	for _, m := range s.snapshot.Fleet.Machines() {
 		if !s.snapshot.Fleet.FreeCapacity(m).Fits(jobs.Resources{}) {
-			t.Fatalf("%s is overfull: %+v", m.ID, s.snapshot.Fleet.FreeCapacity(m))
+			t.Fatalf("the capacity of %s is exceeded: free %+v", m.ID, s.snapshot.Fleet.FreeCapacity(m))
 		}
 	}
 	for name, team := range s.snapshot.Teams {
 		if used := s.usedCPUs(name); used > team.CPULimit {
-			t.Fatalf("%s uses %v of %v", name, used, team.CPULimit)
+			t.Fatalf("team %s uses %v CPUs, more than its limit of %v", name, used, team.CPULimit)
 		}
 	}
 	for _, j := range s.jobs {
@@ -276,18 +284,18 @@
 				zones++
 			}
 			if j.Spec.ZoneSpread && n > j.Spec.MaxTasksPerZone() {
-				t.Fatalf("%s has %d in one zone", j.ID, n)
+				t.Fatalf("%s with zone spread has %d tasks in one zone", j.ID, n)
 			}
 		}
 		if j.Spec.ZoneAffinity && zones > 1 {
-			t.Fatalf("%s is in %d zones", j.ID, zones)
+			t.Fatalf("%s with zone affinity has tasks in %d zones", j.ID, zones)
 		}
 	}
 }
 
-// TestAgedJobsGetWholeMachines: a job that has waited long, and whose tasks are larger than the
-// holes, gets a machine reserved for it. Smaller tasks of a higher priority filled every hole
-// as it opened, and its last tasks started after four minutes.
+// TestAgedJobsGetWholeMachines checks that a machine is reserved for an aged job whose tasks fit no machine's free
+// capacity. It guards against starvation: smaller tasks of higher priority took all capacity as soon as it became
+// free, and the job's last tasks started only after four minutes.
 func TestAgedJobsGetWholeMachines(t *testing.T) {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
@@ -295,22 +303,22 @@
 		s.addMachine(ident.MachineID(fmt.Sprintf("host-%d", i)), "a", false)
 	}
 	small := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 12, 2))
-	for i := range 4 { // half of each machine is taken
+	for i := range 4 { // half of each machine is in use
 		s.place(small, ident.TaskIndex(i), ident.MachineID(fmt.Sprintf("host-%d", i)))
 	}
 	small.AcceptedAtMs = 300_000
 	s.addJob("wk-000002", taskSpec("blue", jobs.PriorityBestEffort, 1, 4))
 	s.snapshot.WallMs = 320_000
-	left := 4
+	unstarted := 4 // small tasks that fit the free capacity and don't start
 	for _, st := range s.plan().Record.Starts {
 		if st.Job == "wk-000001" {
-			left--
+			unstarted--
 		}
 	}
-	if left == 0 {
-		t.Error("small tasks took every hole from a job that has waited for five minutes")
+	if unstarted == 0 {
+		t.Error("small tasks take all free capacity before a job that has waited for five minutes")
 	}
-	if left == 4 {
-		t.Error("one aged task keeps everything from the others")
+	if unstarted == 4 {
+		t.Error("no small task starts: one aged task reserves all machines")
 	}
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -10,15 +10,17 @@
 	"badgerbay/internal/jobs"
 )
 
-// newQueuedJob is a queued job that was accepted some seconds before queueNowMs.
+// newQueuedJob returns a queued job that was accepted waitedSeconds before queueNowMs.
 func newQueuedJob(id ident.JobID, spec jobs.Spec, waitedSeconds int64) *jobs.Job {
 	return jobs.NewJob(id, jobs.NewRecord(spec, queueNowMs-waitedSeconds*1000), 1, leaderStart)
 }
 
+// queueNowMs is the time of day at which the tests plan, in milliseconds since 1970.
 const queueNowMs = 1_000_000
 
-// TestQueueOrder: priority decides, then guarantees, then arrival, then the name; aged work
-// stands between PriorityHigh and the others, and keeps its entry among these.
+// TestQueueOrder checks that entries are ordered by priority, then entries within a guarantee first, then by the time
+// of acceptance, then by job ID. An aged job has an additional entry between PriorityHigh and the lower priorities,
+// and keeps its entry at its own priority.
 func TestQueueOrder(t *testing.T) {
 	snapshot := &Snapshot{WallMs: queueNowMs, Teams: map[ident.Team]config.Team{"red": {CPUGuarantee: 4}, "blue": {}}}
 	queued := []*jobs.Job{
@@ -29,15 +31,15 @@
 		newQueuedJob("wk-000005", taskSpec("blue", jobs.PriorityStandard, 2, 1), 10),
 		newQueuedJob("wk-000006", gangSpec(2, 1), 20),
 	}
-	type place struct {
+	type queuePosition struct {
 		Job              ident.JobID
 		Guaranteed, Aged bool
 	}
-	var got []place
+	var got []queuePosition
 	for _, entry := range buildQueue(queued, newQuotaTracker(snapshot), newUrgency(snapshot)) {
-		got = append(got, place{entry.job.ID, entry.guaranteed, entry.aged})
+		got = append(got, queuePosition{entry.job.ID, entry.guaranteed, entry.aged})
 	}
-	want := []place{
+	want := []queuePosition{
 		{"wk-000004", false, false},
 		{"wk-000003", false, true},
 		{"wk-000006", true, false},
@@ -52,8 +54,9 @@
 	}
 }
 
-// TestAgingBudgetIsSpent: aged jobs start as many tasks before others as their share of the
-// machines holds, at least one if they run none, and all once they have waited too long.
+// TestAgingBudgetIsSpent checks how many tasks an aged job may start before other jobs: as many as fit the aged jobs'
+// share of the capacity, at least one if the job has no placement, and all once it has waited for
+// agingDeadlineSeconds.
 func TestAgingBudgetIsSpent(t *testing.T) {
 	snapshot := &Snapshot{WallMs: queueNowMs}
 	budget := &agingBudget{urgency: newUrgency(snapshot), left: jobs.Resources{CPUs: 3, MemoryGB: 100}}
@@ -62,7 +65,7 @@
 		want          int
 	}{
 		{agingThresholdSeconds, 3},
-		{agingThresholdSeconds, 1}, // nothing is left
+		{agingThresholdSeconds, 1}, // the budget is used up, and the job has no placement
 		{agingDeadlineSeconds, 8},
 	} {
 		job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 8, 1), c.waitedSeconds)
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestReservationsCountAgainstTheLimit: what other nodes have reserved of a team's limit is
-// left to the jobs that the reservations cover.
+// TestReservationsCountAgainstTheLimit checks that the part of a team's limit that other nodes have reserved is
+// available only to the jobs that the reservations cover.
 func TestReservationsCountAgainstTheLimit(t *testing.T) {
 	covered := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	other := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
@@ -25,10 +25,10 @@
 		},
 	})
 	if n := quotas.tasksWithinQuota(other); n != 4 {
-		t.Errorf("%d tasks beside the reservations, want 4", n)
+		t.Errorf("%d tasks of the other job within the limit, want 4", n)
 	}
 	if n := quotas.tasksWithinQuota(covered); n != 10 {
-		t.Errorf("%d tasks of the covered job, want 10", n)
+		t.Errorf("%d tasks of the covered job within the limit, want 10", n)
 	}
 	quotas.noteReservationBlocked(other, 9)
 	if blocked := quotas.reservationBlocked["red"].CPUs; blocked != 5 {
@@ -37,12 +37,12 @@
 	quotas.use(covered, 6)
 	quotas.useReservation(covered, 6)
 	if n := quotas.tasksWithinQuota(other); n != 4 {
-		t.Errorf("%d tasks once the reserved ones are placed, want 4", n)
+		t.Errorf("%d tasks of the other job once the reserved ones are placed, want 4", n)
 	}
 }
 
-// TestEvictionsCountForGuarantees: a team's evicted work counts for its limit until it has
-// ended, and not for what can be reclaimed from it.
+// TestEvictionsCountForGuarantees checks that evicted tasks count against their team's limit until they have ended,
+// but no longer count as usage that other teams can reclaim.
 func TestEvictionsCountForGuarantees(t *testing.T) {
 	victim := newQueuedJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
 	preemptor := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
@@ -52,26 +52,26 @@
 	}})
 	quotas.use(victim, 2)
 	if !quotas.mayReclaim(preemptor) {
-		t.Error("nothing can be reclaimed from a team beyond its guarantee")
+		t.Error("mayReclaim is false, want true: another team is beyond its guarantee")
 	}
 	placement := &jobs.Placement{Job: victim}
 	if !quotas.staysWithinGuarantee(placement, 1) || quotas.staysWithinGuarantee(placement, 2) {
-		t.Error("want one task to be more than the guarantee, and two not")
+		t.Error("want the team to stay within its guarantee when one task ends, and not when two end")
 	}
 	quotas.markEvicted(placement)
 	if quotas.mayReclaim(preemptor) {
-		t.Error("more can be reclaimed than the team holds beyond its guarantee")
+		t.Error("mayReclaim is true, want false: after the eviction no team is beyond its guarantee")
 	}
 	if n := quotas.tasksWithinQuota(victim); n != 1 {
-		t.Errorf("%d more tasks within the limit, want 1", n)
+		t.Errorf("%d more tasks within the limit, want 1: the evicted task still counts", n)
 	}
 }
 
-// TestNoLimit: a team without limits may have any number of tasks.
+// TestNoLimit checks that the number of tasks of a team without limits is not bounded.
 func TestNoLimit(t *testing.T) {
 	quotas := newQuotaTracker(&Snapshot{})
 	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	if n := quotas.tasksWithinQuota(job); n != math.MaxInt32 {
-		t.Errorf("%d tasks", n)
+		t.Errorf("%d tasks within the quota of a team without limits, want %d", n, math.MaxInt32)
 	}
 }
--- a/internal/scheduler/recordbuilder_test.go
+++ b/internal/scheduler/recordbuilder_test.go
@@ -18,8 +18,8 @@
 	}, new(roundlog.Record))
 }
 
-// TestRecordFillsUp: starts are added until the record would not fit into a value beside a
-// provision; then it is full, for small starts too.
+// TestRecordFillsUp checks that starts are added only as long as the record and a provision fit into one value.
+// After the first start that does not fit, the record is full, and smaller starts don't fit either.
 func TestRecordFillsUp(t *testing.T) {
 	builder := newTestRecordBuilder(1024, 1)
 	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 100, 1), 0)
@@ -34,15 +34,15 @@
 		added++
 	}
 	if size := builder.record.MaxJSONSize(); added == 0 || size+provisionReserve > 1024 {
-		t.Errorf("%d starts, a record of %d bytes", added, size)
+		t.Errorf("%d starts in a record of %d bytes, want some, with room left for a provision", added, size)
 	}
 	if small := (roundlog.Start{}); builder.fits(&small) {
-		t.Error("a full record takes one more start")
+		t.Error("a smaller start fits into a full record")
 	}
 }
 
-// TestGangTakesMoreValues: the starts of a gang that fit into no value go into as many as a
-// transaction holds; behind other starts that leave no room they wait for a new record.
+// TestGangTakesMoreValues checks that the starts of a gang that exceed one value may use all values of a transaction.
+// If the record has other starts and no room for the gang, the record is full and the gang waits for a new one.
 func TestGangTakesMoreValues(t *testing.T) {
 	gang := newQueuedJob("wk-000001", gangSpec(40, 1), 0)
 	var starts []roundlog.Start
@@ -51,11 +51,11 @@
 		starts = append(starts, newStart(gang, m, []ident.TaskIndex{task}))
 	}
 	if builder := newTestRecordBuilder(1024, 4); !builder.fitsGang(gang.ID, starts) || builder.full {
-		t.Error("a gang does not fit into four values")
+		t.Error("a gang does not fit into four values, or the record is full")
 	}
 	builder := newTestRecordBuilder(1024, 1)
 	builder.add(gang, starts[0], 1)
 	if builder.fitsGang(gang.ID, starts) || !builder.full {
-		t.Error("a gang fits into one value behind other starts")
+		t.Error("a gang that exceeds one value fits into it beside another start, or the record is not full")
 	}
 }
--- a/internal/scheduler/urgency_test.go
+++ b/internal/scheduler/urgency_test.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// newGPUFixture has one machine type with many CPUs and two GPUs, whose spot machines are all
-// taken, and n on-demand machines that are up.
+// newGPUFixture returns a fixture with n on-demand machines that are up. The only machine type has 64 CPUs and two
+// GPUs, and its spot offers are unavailable.
 func newGPUFixture(t *testing.T, n int) *fixture {
 	s := newFixture(t)
 	capacity := jobs.Resources{CPUs: 64, GPUs: 2, MemoryGB: 64}
@@ -31,30 +31,30 @@
 		Image: "i", ImageGB: 1, EstimatedRunSeconds: estimate, Spot: true}
 }
 
-// TestScarceGPUsDecide: 40 tasks that want a GPU each take four machines with two
-// GPUs five turns, however many CPUs those have. Counted in CPUs they seemed to have
-// room for all of them at once, and no machine was provisioned.
+// TestScarceGPUsDecide checks that the backlog is measured by the scarcest resource. 40 tasks with one GPU each run in
+// five batches on four machines with two GPUs, however many CPUs the machines have. The test guards against a fault
+// in which only CPUs were counted: all tasks seemed to fit at once, and no machine was provisioned.
 func TestScarceGPUsDecide(t *testing.T) {
 	s := newGPUFixture(t, 4)
 	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": Objectives{}.With("finished", 110*time.Second)}
 	s.addJob("wk-000001", gpuArraySpec(40, 50))
 	if plan := s.plan(); len(plan.Record.Provisions) == 0 {
-		t.Error("no machine is provisioned for an array that the machines at hand would finish late")
+		t.Error("no machine is provisioned for an array that the existing machines would finish late")
 	}
 }
 
-// TestShortestObjectiveDecides: of several times in which a class should be done
-// the shortest counts, as long as the job can still keep it. The last one counted,
-// so work was planned to be done within the 250 s that only stragglers may take.
+// TestShortestObjectiveDecides checks that, of several completion objectives of a class, the shortest that the job can
+// still meet determines its slack. It guards against a fault in which the last objective was used, so that jobs were
+// planned to finish within the 250 s that are meant for stragglers only.
 func TestShortestObjectiveDecides(t *testing.T) {
 	s := newGPUFixture(t, 1)
 	objectives := Objectives{}.With("finished", 250*time.Second).With("finished", 150*time.Second)
 	s.snapshot.Objectives = map[ident.Class]Objectives{"arr": objectives}
 	j := s.addJob("wk-000001", gpuArraySpec(1, 50))
 	slackAfter := func(waited time.Duration) float64 {
-		w := *s.snapshot
-		w.WallMs = waited.Milliseconds()
-		return newUrgency(&w).slackSeconds(j)
+		snapshot := *s.snapshot
+		snapshot.WallMs = waited.Milliseconds()
+		return newUrgency(&snapshot).slackSeconds(j)
 	}
 	for _, c := range []struct {
 		waited time.Duration
@@ -62,7 +62,7 @@
 	}{
 		{0, 150 - expectedRunRatio*50},
 		{80 * time.Second, 150 - 80 - expectedRunRatio*50},
-		{119 * time.Second, 0}, // all must go well
+		{119 * time.Second, 0}, // 150 s can be met only at optimisticRunRatio
 		{121 * time.Second, 250 - 121 - expectedRunRatio*50},
 		{240 * time.Second, 0},
 	} {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestCheckpointingWorkIsEvictedInTime: work that writes its checkpoint within a quarter of the time in
-// which a class must start leaves room for it; what takes longer does not.
+// TestCheckpointingWorkIsEvictedInTime checks that tasks of lower priority count as spare capacity for a class if they
+// write their checkpoint within a quarter of the class's start objective, and don't if that takes longer.
 func TestCheckpointingWorkIsEvictedInTime(t *testing.T) {
 	for checkpointSeconds, provisions := range map[float64]bool{2: false, 4: true} {
 		s := newGPUFixture(t, 3)
@@ -90,7 +90,7 @@
 		}
 		j.Queue = nil
 		if plan := s.plan(); (len(plan.Record.Provisions) > 0) != provisions {
-			t.Errorf("work that writes its checkpoint in %v s: provisioned %v", checkpointSeconds, plan.Record.Provisions)
+			t.Errorf("checkpoint of %v s: provisions %v, want any: %t", checkpointSeconds, plan.Record.Provisions, provisions)
 		}
 	}
 }
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestZoneRoom: zone affinity binds a job to the zone of its first task, zone spread bounds
-// its tasks in each; both wait while the zone of a task is not known.
+// TestZoneRoom checks that zone affinity restricts a job to the zone of its first task, and that zone spread limits
+// its tasks in each zone. With either, no zone has room while the zone of one of the job's tasks is unknown.
 func TestZoneRoom(t *testing.T) {
 	affinity := taskSpec("red", jobs.PriorityStandard, 9, 1)
 	affinity.ZoneAffinity = true
@@ -16,23 +16,23 @@
 	spread.ZoneSpread = true
 
 	zones := newZoneTracker()
-	bound := newQueuedJob("wk-000001", affinity, 0)
-	if zones.room(bound, "a") != math.MaxInt32 || zones.room(bound, "b") != math.MaxInt32 {
-		t.Error("a job without tasks is bound to a zone")
+	affinityJob := newQueuedJob("wk-000001", affinity, 0)
+	if zones.room(affinityJob, "a") != math.MaxInt32 || zones.room(affinityJob, "b") != math.MaxInt32 {
+		t.Error("a job with zone affinity and no placed tasks is restricted to a zone")
 	}
-	zones.add(bound, "a", 1)
-	if zones.room(bound, "a") != math.MaxInt32 || zones.room(bound, "b") != 0 {
-		t.Error("a job with a task in zone a may go to another")
+	zones.add(affinityJob, "a", 1)
+	if zones.room(affinityJob, "a") != math.MaxInt32 || zones.room(affinityJob, "b") != 0 {
+		t.Error("a job with zone affinity and a task in zone a is not restricted to that zone")
 	}
 
-	wide := newQueuedJob("wk-000002", spread, 0)
-	wide.PlacementsByZone["a"] = 2
-	zones.add(wide, "a", 1)
-	if a, b := zones.room(wide, "a"), zones.room(wide, "b"); a != 2 || b != 5 {
-		t.Errorf("room for %d and %d tasks of nine, of which three are in zone a, want 2 and 5", a, b)
+	spreadJob := newQueuedJob("wk-000002", spread, 0)
+	spreadJob.PlacementsByZone["a"] = 2
+	zones.add(spreadJob, "a", 1)
+	if a, b := zones.room(spreadJob, "a"), zones.room(spreadJob, "b"); a != 2 || b != 5 {
+		t.Errorf("room for %d tasks in zone a and %d in zone b, with three of nine in zone a; want 2 and 5", a, b)
 	}
-	wide.PlacementsByZone[""] = 1
-	if n := zones.room(wide, "b"); n != 0 {
-		t.Errorf("room for %d tasks while the zone of one is not known", n)
+	spreadJob.PlacementsByZone[""] = 1
+	if n := zones.room(spreadJob, "b"); n != 0 {
+		t.Errorf("room for %d tasks while the zone of one is unknown, want 0", n)
 	}
 }
