--- a/internal/scheduler/costpolicy_test.go
+++ b/internal/scheduler/costpolicy_test.go
@@ -9,17 +9,17 @@
 	"badgerbay/internal/jobs"
 )
 
-// newCostlyFixture has one free machine that is expensive, since cheap ones exist and are not
-// available, and no guarantees.
-func newCostlyFixture(t *testing.T) *fixture {
+// newExpensiveMachineFixture returns a fixture without guarantees whose only machine is free and on demand. The
+// machine is expensive for spot jobs: cheaper spot machines are offered, but none is up.
+func newExpensiveMachineFixture(t *testing.T) *fixture {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
 	s.addMachine("host-1", "a", false)
 	return s
 }
 
-// startedJob is a job of which one task is done, and the others have been queued for so long.
-func startedJob(s *fixture, id ident.JobID, idle time.Duration) *jobs.Job {
+// addStartedJob adds a spot job with one completed task, whose other tasks have been queued for the duration idle.
+func addStartedJob(s *fixture, id ident.JobID, idle time.Duration) *jobs.Job {
 	spec := taskSpec("red", jobs.PriorityStandard, 6, 1)
 	spec.Spot = true
 	j := s.addJob(id, spec)
@@ -28,31 +28,33 @@
 	return j
 }
 
-// TestRestOfJobIsNotStarved: what is left of a job that has started, and that has no objective,
-// waits for a cheap machine, but not for ever: beside an idle expensive one it waited for good.
+// TestRestOfJobIsNotStarved checks that the remaining tasks of a started job without objectives wait for a cheap
+// machine only until the job counts as stalled, and then start on an expensive one. It guards against a fault in
+// which such tasks waited indefinitely although an expensive machine was idle.
 func TestRestOfJobIsNotStarved(t *testing.T) {
 	for _, c := range []struct {
 		idle   time.Duration
 		starts int
 	}{{20 * time.Second, 0}, {70 * time.Second, 1}} {
-		s := newCostlyFixture(t)
-		startedJob(s, "wk-000001", c.idle)
+		s := newExpensiveMachineFixture(t)
+		addStartedJob(s, "wk-000001", c.idle)
 		if plan := s.plan(); len(plan.Record.Starts) != c.starts {
 			t.Errorf("after %v: %d starts, want %d", c.idle, len(plan.Record.Starts), c.starts)
 		}
 	}
 }
 
-// TestUnusableRoomIsNotReserved: a job that may preempt does not reserve free room on machines
-// that it stays off; others waited beside them.
+// TestUnusableRoomIsNotReserved checks that a job that may preempt does not reserve free capacity on a machine that
+// is too expensive for it. It guards against a fault in which jobs that could use the machine waited although it
+// was idle.
 func TestUnusableRoomIsNotReserved(t *testing.T) {
-	s := newCostlyFixture(t)
+	s := newExpensiveMachineFixture(t)
 	s.snapshot.Policy.PreemptionDelay = 5 * time.Second
-	startedJob(s, "wk-000001", 30*time.Second) // may preempt, and goes first
-	later := startedJob(s, "wk-000002", 70*time.Second)
-	later.AcceptedAtMs = 1
+	addStartedJob(s, "wk-000001", 30*time.Second) // may preempt, and precedes the other job in the queue
+	stalled := addStartedJob(s, "wk-000002", 70*time.Second)
+	stalled.AcceptedAtMs = 1
 	plan := s.plan()
-	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != later.ID {
-		t.Errorf("starts %+v, want the stalled job's", plan.Record.Starts)
+	if len(plan.Record.Starts) != 1 || plan.Record.Starts[0].Job != stalled.ID {
+		t.Errorf("starts %+v, want one start, of the stalled job", plan.Record.Starts)
 	}
 }
