--- a/internal/scheduler/costpolicy_test.go
+++ b/internal/scheduler/costpolicy_test.go
@@ -28,10 +28,10 @@
 	return j
 }
 
-// TestRestOfJobIsNotStarved checks that the remaining tasks of a started job without objectives wait for a cheap
+// TestStartedJobUsesExpensiveMachineOnceStalled checks that the remaining tasks of a started job without objectives wait for a cheap
 // machine only until the job counts as stalled, and then start on an expensive one. It guards against a fault in
 // which such tasks waited indefinitely although an expensive machine was idle.
-func TestRestOfJobIsNotStarved(t *testing.T) {
+func TestStartedJobUsesExpensiveMachineOnceStalled(t *testing.T) {
 	for _, c := range []struct {
 		idle   time.Duration
 		starts int
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestUnusableRoomIsNotReserved checks that a job that may preempt does not reserve free capacity on a machine that
+// TestPreemptorDoesNotReserveUnusableMachines checks that a job that may preempt does not reserve free capacity on a machine that
 // is too expensive for it. It guards against a fault in which jobs that could use the machine waited although it
 // was idle.
-func TestUnusableRoomIsNotReserved(t *testing.T) {
+func TestPreemptorDoesNotReserveUnusableMachines(t *testing.T) {
 	s := newExpensiveMachineFixture(t)
 	s.snapshot.Policy.PreemptionDelay = 5 * time.Second
 	addStartedJob(s, "wk-000001", 30*time.Second) // may preempt, and precedes the other job in the queue
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -29,9 +29,9 @@
 	return s
 }
 
-// TestGangInOneZone checks that a gang with zone affinity starts in a zone that has room for all of its tasks. If
+// TestGangWithZoneAffinityStartsInOneZone checks that a gang with zone affinity starts in a zone that has room for all of its tasks. If
 // only several zones together have enough room, the gang does not start and reserves no machines.
-func TestGangInOneZone(t *testing.T) {
+func TestGangWithZoneAffinityStartsInOneZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(4, 2))
 	starts := map[ident.MachineID]int{}
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestGangReservesItsZone checks that, while the machines that a gang lacks can be provisioned, the free capacity of
+// TestUnplacedGangReservesItsZone checks that, while the machines that a gang lacks can be provisioned, the free capacity of
 // its zone is reserved for it and the missing machines are provisioned in that zone.
-func TestGangReservesItsZone(t *testing.T) {
+func TestUnplacedGangReservesItsZone(t *testing.T) {
 	s := newGangFixture(t, "a", "b", "b")
 	s.addJob("wk-000001", gangSpec(6, 2)) // fills three machines
 	later := s.addJob("wk-000002", taskSpec("blue", jobs.PriorityStandard, 6, 2))
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestGangsDoNotReserveHalfEach checks that, of two gangs that each need all machines of the zone, the first in the
+// TestCompetingGangsDoNotSplitZone checks that, of two gangs that each need all machines of the zone, the first in the
 // queue starts whole and the second gets none of them.
-func TestGangsDoNotReserveHalfEach(t *testing.T) {
+func TestCompetingGangsDoNotSplitZone(t *testing.T) {
 	s := newGangFixture(t, "a", "a")
 	s.addJob("wk-000001", gangSpec(4, 2))
 	second := s.addJob("wk-000002", gangSpec(4, 2))
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestGangWithinItsLimit checks that a gang that would exceed its team's limit does not start and reserves no
+// TestGangBeyondTeamLimitReservesNoMachines checks that a gang that would exceed its team's limit does not start and reserves no
 // machines. Tasks that are stopping still count against the limit.
-func TestGangWithinItsLimit(t *testing.T) {
+func TestGangBeyondTeamLimitReservesNoMachines(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
 	old := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4))
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestGangReservesItsQuota checks that, while a gang does not fit its team's limit, the unused part of the limit is
+// TestGangReservesRemainingQuota checks that, while a gang does not fit its team's limit, the unused part of the limit is
 // not given to jobs of the team that are behind the gang in the queue.
-func TestGangReservesItsQuota(t *testing.T) {
+func TestGangReservesRemainingQuota(t *testing.T) {
 	s := newGangFixture(t, "a", "a", "a")
 	s.snapshot.Teams["red"] = config.Team{CPULimit: 10}
 	s.place(s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4)), 0, "host-3")
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestGangIsEvictedWholeOrNot checks that a gang that is preempted by a job of higher priority is evicted with all
+// TestGangIsEvictedWholeOrNotAtAll checks that a gang that is preempted by a job of higher priority is evicted with all
 // of its tasks, whichever machines they are on, and that a gang of equal priority is not evicted.
-func TestGangIsEvictedWholeOrNot(t *testing.T) {
+func TestGangIsEvictedWholeOrNotAtAll(t *testing.T) {
 	for _, priority := range []jobs.Priority{jobs.PriorityBestEffort, jobs.PriorityProd} {
 		s := newGangFixture(t, "a", "a")
 		low := gangSpec(2, 4)
@@ -151,10 +151,10 @@
 	}
 }
 
-// TestGangPreemptsForAllOfIt checks that a gang preempts tasks of lower priority in one zone only, and only as many
+// TestGangPreemptsOnlyIfAllTasksFit checks that a gang preempts tasks of lower priority in one zone only, and only as many
 // as it needs for all of its tasks. If evictions cannot make room for the whole gang, nothing is evicted. A plan
 // made while the evicted tasks are stopping evicts no more.
-func TestGangPreemptsForAllOfIt(t *testing.T) {
+func TestGangPreemptsOnlyIfAllTasksFit(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		tasks     int
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestGangsGiveGuaranteeBack checks that a gang within its team's guarantee reclaims capacity by evicting a whole gang
+// TestGangReclaimsGuarantee checks that a gang within its team's guarantee reclaims capacity by evicting a whole gang
 // of a team that is beyond its own guarantee, but not if the eviction would leave that team below its guarantee.
-func TestGangsGiveGuaranteeBack(t *testing.T) {
+func TestGangReclaimsGuarantee(t *testing.T) {
 	for guarantee, want := range map[float64]int{0: 4, 4: 0} {
 		s := newGangFixture(t, "a", "a")
 		s.snapshot.MayProvision = false
@@ -237,17 +237,17 @@
 	}
 }
 
-// TestLostGangTaskIsReplacedInItsAttempt checks that a task which a gang lost before it began is started again in the
+// TestLostGangTaskIsReplacedUnderSameAttempt checks that a task which a gang lost before it began is started again in the
 // gang's zone and under the gang's attempt. The replacement does not go to a machine that still remembers an exit of
 // this attempt, since that machine would ignore the start command. A task that may not be replaced is not started.
-func TestLostGangTaskIsReplacedInItsAttempt(t *testing.T) {
+func TestLostGangTaskIsReplacedUnderSameAttempt(t *testing.T) {
 	for _, mayReplace := range []bool{true, false} {
 		s := newGangFixture(t, "a", "a", "a", "b")
 		j := s.addJob("wk-000001", gangSpec(3, 4))
 		for i, m := range []ident.MachineID{"host-1", "host-2"} {
 			s.place(j, ident.TaskIndex(i), m).State = jobs.PlacementFetching
 		}
-		s.snapshot.Fleet.Retract(s.snapshot.Now, s.place(j, 2, "host-3")) // host-3 remembers no exit of it
+		s.snapshot.Fleet.RetractPlacement(s.snapshot.Now, s.place(j, 2, "host-3")) // host-3 remembers no exit of it
 		if mayReplace {
 			s.snapshot.ReplacementAttempts = map[ident.JobID]ident.Attempt{j.ID: 1}
 		}
@@ -271,9 +271,9 @@
 	}
 }
 
-// TestGangBeyondOneValue checks that a gang whose starts don't fit into one value of the state service starts with a
+// TestGangStartsInChunkedRecord checks that a gang whose starts don't fit into one value of the state service starts with a
 // chunked round record if the nodes support chunks, and does not start if they don't.
-func TestGangBeyondOneValue(t *testing.T) {
+func TestGangStartsInChunkedRecord(t *testing.T) {
 	for values, want := range map[int]int{1: 0, 4: 80} {
 		s := newFixture(t)
 		s.snapshot.Teams = map[ident.Team]config.Team{"red": {CPULimit: 4000}}
@@ -334,9 +334,9 @@
 	}
 }
 
-// TestLargeGangBesideOthers checks that the largest gang starts in the same round as tasks of higher priority,
+// TestLargestGangStartsBesideHigherPriorityWork checks that the largest gang starts in the same round as tasks of higher priority,
 // however many there are, and does not wait for a round without other starts.
-func TestLargeGangBesideOthers(t *testing.T) {
+func TestLargestGangStartsBesideHigherPriorityWork(t *testing.T) {
 	limits := config.State{MaxValueKB: 2, MaxTxnOps: 4}
 	spec := largestGang(limits)
 	for _, others := range []int{5, 20} {
@@ -366,9 +366,9 @@
 	}
 }
 
-// TestGangIsPreemptedLast checks that a task of an array is evicted rather than a gang of the same priority, although
+// TestArrayTaskIsPreemptedBeforeGang checks that a task of an array is evicted rather than a gang of the same priority, although
 // the gang would write a checkpoint and the work of the array's task is lost.
-func TestGangIsPreemptedLast(t *testing.T) {
+func TestArrayTaskIsPreemptedBeforeGang(t *testing.T) {
 	s := newGangFixture(t, "a", "a")
 	gang := gangSpec(2, 2)
 	gang.CheckpointIntervalSeconds, gang.CheckpointSeconds = 20, 3
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -109,10 +109,10 @@
 		EstimatedRunSeconds: 30}
 }
 
-// TestEvictedTaskCountsForQuota checks that an evicted task counts against its team's limit until its exit is
+// TestEvictedTaskCountsAgainstQuotaUntilExit checks that an evicted task counts against its team's limit until its exit is
 // reported. It guards against a fault in which another job of the team used the freed part of the limit in the same
 // round, so that the team exceeded its limit.
-func TestEvictedTaskCountsForQuota(t *testing.T) {
+func TestEvictedTaskCountsAgainstQuotaUntilExit(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	s.addMachine("host-2", "b", false)
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestMachineWithImageFirst checks that a task starts on a machine that has its image rather than on one that would
+// TestMachineWithImageIsPreferred checks that a task starts on a machine that has its image rather than on one that would
 // have to fetch it.
-func TestMachineWithImageFirst(t *testing.T) {
+func TestMachineWithImageIsPreferred(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	s.addMachine("host-2", "a", false)
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestHigherPriorityFirst checks that, if there is room for one job only, the job of higher priority starts.
-func TestHigherPriorityFirst(t *testing.T) {
+// TestHigherPriorityStartsFirst checks that, if there is room for one job only, the job of higher priority starts.
+func TestHigherPriorityStartsFirst(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4))
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestNoPreemptionAmongEquals checks that a task does not preempt a task of the same priority, except to give its
+// TestNoPreemptionAtEqualPriority checks that a task does not preempt a task of the same priority, except to give its
 // team the guarantee from a team that is beyond its own.
-func TestNoPreemptionAmongEquals(t *testing.T) {
+func TestNoPreemptionAtEqualPriority(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	low := s.addJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 1, 4)) // within red's guarantee
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestGangWholeOrNotAtAll checks that a gang of which only a part fits does not start and has the missing machine
+// TestGangStartsWholeOrNotAtAll checks that a gang of which only a part fits does not start and has the missing machine
 // provisioned, and that it starts whole once the machine is up.
-func TestGangWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	s := newFixture(t)
 	s.addMachine("host-1", "a", false)
 	spec := taskSpec("blue", jobs.PriorityStandard, 2, 4)
@@ -293,10 +293,10 @@
 	}
 }
 
-// TestAgedJobsGetWholeMachines checks that a machine is reserved for an aged job whose tasks fit no machine's free
+// TestAgedJobReservesMachine checks that a machine is reserved for an aged job whose tasks fit no machine's free
 // capacity. It guards against starvation: smaller tasks of higher priority took all capacity as soon as it became
 // free, and the job's last tasks started only after four minutes.
-func TestAgedJobsGetWholeMachines(t *testing.T) {
+func TestAgedJobReservesMachine(t *testing.T) {
 	s := newFixture(t)
 	s.snapshot.Teams = map[ident.Team]config.Team{"red": {}, "blue": {}}
 	for i := range 4 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestAgingBudgetIsSpent checks how many tasks an aged job may start before other jobs: as many as fit the aged jobs'
+// TestAgingBudgetLimitsTasks checks how many tasks an aged job may start before other jobs: as many as fit the aged jobs'
 // share of the capacity, at least one if the job has no placement, and all once it has waited for
 // agingDeadlineSeconds.
-func TestAgingBudgetIsSpent(t *testing.T) {
+func TestAgingBudgetLimitsTasks(t *testing.T) {
 	snapshot := &Snapshot{WallMs: queueNowMs}
 	budget := &agingBudget{urgency: newUrgency(snapshot), remaining: jobs.Resources{CPUs: 3, MemoryGB: 100}}
 	for _, c := range []struct {
@@ -69,7 +69,7 @@
 		{agingDeadlineSeconds, 8},
 	} {
 		job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 8, 1), c.waitedSeconds)
-		if got := budget.take(job); got != c.want {
+		if got := budget.reserve(job); got != c.want {
 			t.Errorf("after %d s: %d tasks, want %d", c.waitedSeconds, got, c.want)
 		}
 	}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -9,9 +9,9 @@
 	"badgerbay/internal/jobs"
 )
 
-// TestReservationsCountAgainstTheLimit checks that the part of a team's limit that other nodes have reserved is
+// TestReservationsCountAgainstLimit checks that the part of a team's limit that other nodes have reserved is
 // available only to the jobs that the reservations cover.
-func TestReservationsCountAgainstTheLimit(t *testing.T) {
+func TestReservationsCountAgainstLimit(t *testing.T) {
 	covered := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	other := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	quotas := newQuotaTracker(&Snapshot{
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestEvictionsCountForGuarantees checks that evicted tasks count against their team's limit until they have ended,
+// TestEvictedUsageCountsForLimitNotGuarantee checks that evicted tasks count against their team's limit until they have ended,
 // but no longer count as usage that other teams can reclaim.
-func TestEvictionsCountForGuarantees(t *testing.T) {
+func TestEvictedUsageCountsForLimitNotGuarantee(t *testing.T) {
 	victim := newQueuedJob("wk-000001", taskSpec("blue", jobs.PriorityStandard, 2, 4), 0)
 	preemptor := newQueuedJob("wk-000002", taskSpec("red", jobs.PriorityStandard, 1, 4), 0)
 	quotas := newQuotaTracker(&Snapshot{Teams: map[ident.Team]config.Team{
@@ -55,7 +55,7 @@
 		t.Error("mayReclaim is false, want true: another team is beyond its guarantee")
 	}
 	placement := &jobs.Placement{Job: victim}
-	if !quotas.staysWithinGuarantee(placement, 1) || quotas.staysWithinGuarantee(placement, 2) {
+	if !quotas.keepsFullGuarantee(placement, 1) || quotas.keepsFullGuarantee(placement, 2) {
 		t.Error("want the team to stay within its guarantee when one task ends, and not when two end")
 	}
 	quotas.addEvictedUsage(placement)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestNoLimit checks that the number of tasks of a team without limits is not bounded.
-func TestNoLimit(t *testing.T) {
+// TestTeamWithoutLimit checks that the number of tasks of a team without limits is not bounded.
+func TestTeamWithoutLimit(t *testing.T) {
 	quotas := newQuotaTracker(&Snapshot{})
 	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 9, 1), 0)
 	if n := quotas.tasksWithinQuota(job); n != math.MaxInt32 {
--- a/internal/scheduler/recordbuilder_test.go
+++ b/internal/scheduler/recordbuilder_test.go
@@ -18,9 +18,9 @@
 	}, new(roundlog.Record))
 }
 
-// TestRecordFillsUp checks that starts are added only as long as the record and a provision fit into one value.
+// TestRecordLeavesRoomForProvision checks that starts are added only as long as the record and a provision fit into one value.
 // After the first start that does not fit, the record is full, and smaller starts don't fit either.
-func TestRecordFillsUp(t *testing.T) {
+func TestRecordLeavesRoomForProvision(t *testing.T) {
 	builder := newTestRecordBuilder(1024, 1)
 	job := newQueuedJob("wk-000001", taskSpec("red", jobs.PriorityStandard, 100, 1), 0)
 	m := &candidateMachine{machine: &fleet.Machine{ID: "host-000001", Session: 1}}
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestGangTakesMoreValues checks that the starts of a gang that exceed one value may use all values of a transaction.
+// TestGangStartsSpanValues checks that the starts of a gang that exceed one value may use all values of a transaction.
 // If the record has other starts and no room for the gang, the record is full and the gang waits for a new one.
-func TestGangTakesMoreValues(t *testing.T) {
+func TestGangStartsSpanValues(t *testing.T) {
 	gang := newQueuedJob("wk-000001", gangSpec(40, 1), 0)
 	var starts []roundlog.Start
 	for task := range ident.TaskIndex(40) {
