--- a/internal/indexset/golden_test.go
+++ b/internal/indexset/golden_test.go
@@ -16,13 +16,14 @@
 //go:embed testdata/golden/sets.json
 var goldenSets []byte
 
-// goldenSet holds both stored forms of a set, and the bound of the packed one's size.
+// goldenSet holds both stored forms of a set, and the size bound of the delta-encoded one.
 type goldenSet struct {
-	List   string `json:"list"`   // hex
-	Packed string `json:"packed"` // hex
-	Size   int    `json:"size"`   // bytes
+	List      string `json:"list"`   // hex
+	Delta     string `json:"packed"` // hex
+	SizeBound int    `json:"size"`   // bytes
 }
 
+// storedSets returns the sets whose stored forms are in the golden file.
 func storedSets() map[string]Set {
 	return map[string]Set{
 		"empty":         {},
@@ -40,14 +41,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var packed bytes.Buffer
-	if err := set.EncodeDelta(msgpack.NewEncoder(&packed)); err != nil {
+	var delta bytes.Buffer
+	if err := set.EncodeDelta(msgpack.NewEncoder(&delta)); err != nil {
 		t.Fatal(err)
 	}
-	return goldenSet{List: hex.EncodeToString(list), Packed: hex.EncodeToString(packed.Bytes()), Size: set.DeltaSizeBound()}
+	return goldenSet{List: hex.EncodeToString(list), Delta: hex.EncodeToString(delta.Bytes()), SizeBound: set.DeltaSizeBound()}
 }
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	data, err := hex.DecodeString(s)
 	if err != nil {
@@ -59,24 +60,25 @@
 func checkGoldenSet(t *testing.T, set Set, want goldenSet) {
 	t.Helper()
 	if diff := cmp.Diff(want, encodeSet(t, set)); diff != "" {
-		t.Errorf("written otherwise: %s", diff)
+		t.Errorf("encoded form differs from the golden file: %s", diff)
 	}
 	var list, delta Set
-	if err := msgpack.Unmarshal(unhex(t, want.List), &list); err != nil {
+	if err := msgpack.Unmarshal(decodeHex(t, want.List), &list); err != nil {
 		t.Errorf("list: %v", err)
 	}
-	if err := delta.DecodeDelta(msgpack.NewDecoder(bytes.NewReader(unhex(t, want.Packed)))); err != nil {
+	if err := delta.DecodeDelta(msgpack.NewDecoder(bytes.NewReader(decodeHex(t, want.Delta)))); err != nil {
 		t.Errorf("delta-encoded: %v", err)
 	}
 	for encoding, read := range map[string]Set{"list": list, "delta-encoded": delta} {
 		if diff := cmp.Diff(set, read, cmp.AllowUnexported(Span{}), cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%s read otherwise: %s", encoding, diff)
+			t.Errorf("%s form decoded to a different set: %s", encoding, diff)
 		}
 	}
 }
 
-// TestGoldenSets: sets are stored in two forms, and versions before and after read
-// what this one writes.
+// TestGoldenSets checks both stored forms of a set against a golden file, in both directions.
+// Earlier and later versions read the sets that this one stores, so a changed form would be
+// unreadable to them.
 func TestGoldenSets(t *testing.T) {
 	var golden map[string]goldenSet
 	if err := json.Unmarshal(goldenSets, &golden); err != nil {
