--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -54,10 +54,10 @@
 // RoundNo numbers scheduling rounds; it never repeats.
 type RoundNo uint64
 
-// Session numbers the incarnations of a machine's agent.
+// Session numbers the incarnations of a machine's worker.
 type Session uint64
 
-// HeartbeatSeq orders the messages of one agent within a session.
+// HeartbeatSeq orders the messages of one worker within a session.
 type HeartbeatSeq uint64
 
 // LeaseID identifies a lease of the state service.
