--- a/cmd/badgerbay/client.go
+++ b/cmd/badgerbay/client.go
@@ -117,7 +117,7 @@
 
 type quotaCmd struct{ clientFlags }
 
-// Run prints the node's allotments of the teams' quotas and, at the leader, the usage
+// Run prints the node's allocations from the teams' limits and, at the leader, the usage
 // of the teams.
 func (c *quotaCmd) Run() error { return c.call(http.MethodGet, "/quota", nil) }
 
--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -31,7 +31,7 @@
 	Teams        map[ident.Team]config.Team
 	Zones        []ident.Zone
 	MachineTypes []*fleet.MachineType // nil if not listed yet
-	// StateLimits are the limits of the key-value store that job records and round
+	// StateLimits are the limits of the state service that job records and round
 	// records must not exceed.
 	StateLimits config.State
 }
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -52,7 +52,7 @@
 	// AlreadyExists means that a record with this ID existed before.
 	AlreadyExists
 	// Rejected means that nothing was stored, because the write budget was exhausted
-	// or the key-value store rejected the transaction.
+	// or the state service rejected the transaction.
 	Rejected
 	// Indeterminate means that the reply was lost: the transaction may have been
 	// executed, or may still be executed later.
@@ -66,7 +66,7 @@
 	// JobFound means that the reply contains the job's status.
 	JobFound QueryOutcome = iota
 	// JobNotFound means that the leader does not know the job. The job's record in the
-	// key-value store decides whether the job exists.
+	// state service decides whether the job exists.
 	JobNotFound
 	// NoLeader means that no leader could be reached. The request had no effect.
 	NoLeader
--- a/internal/cloud/machine_types.go
+++ b/internal/cloud/machine_types.go
@@ -16,7 +16,7 @@
 // maxMachineTypeNameBytes limits the name of a machine type, because records and submissions contain it.
 const maxMachineTypeNameBytes = 128
 
-// wireMachineType is the encoding of a machine type, both in the cloud's responses and in the key-value store.
+// wireMachineType is the encoding of a machine type, both in the cloud's responses and in the state service.
 type wireMachineType struct {
 	Name            string                       `msgpack:"label"`
 	CPUs            float64                      `msgpack:"cpus"`
--- a/internal/controller/cancellationoutage_test.go
+++ b/internal/controller/cancellationoutage_test.go
@@ -92,8 +92,8 @@
 	s.healAndFinish()
 }
 
-// TestCancellationsAroundOutage checks that the tasks of cancelled jobs end in time in a sequence of faults that
-// broke most schedulers:
+// TestCancellationsAroundOutage checks that the tasks of cancelled jobs end in time in the following sequence of
+// faults, in which most scheduler implementations failed:
 //  1. The state service refuses only the leader.
 //  2. Other nodes confirm cancellations.
 //  3. The state service is unavailable to all nodes for longer than cancel_s, while the workers keep sending
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestCancellationsAroundOutageWithShortLeases repeats the check with short leases: a delegation grant, under which a
-// node may keep renewing leases, lasts for nearly three of them.
+// TestCancellationsAroundOutageWithShortLeases repeats the check with leases so short that a delegation grant, under
+// which a node may keep renewing them, lasts for nearly three of them.
 func TestCancellationsAroundOutageWithShortLeases(t *testing.T) {
 	t.Parallel()
 	for _, base := range outageCases {
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestOwnDelegationStartsAtLeaseDeadline checks that the grant that a leader issues to itself counts from the last moment at
-// which it was entitled to lead, so that a cancellation that its successor confirms comes after that moment. A leader
-// that resigns is not entitled for the rest of its lease, so its grant counts from the resignation.
+// TestOwnDelegationStartsAtLeaseDeadline checks that the grant that a leader issues to itself counts from the last
+// moment at which it was entitled to lead, so that a cancellation that its successor confirms comes after that moment.
+// A leader that resigns is not entitled for the rest of its lease, so its grant counts from the resignation.
 func TestOwnDelegationStartsAtLeaseDeadline(t *testing.T) {
 	t.Parallel()
 	grantDuration := leasedelegation.GrantDuration(simulationSettings().Params.Workers)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -11,7 +11,7 @@
 type CommandsAcknowledged struct {
 	Machine   ident.MachineID
 	Epoch     ident.Epoch
-	Heartbeat *fleet.Heartbeat // nil if the worker did not answer
+	Heartbeat *fleet.Heartbeat // nil if the worker did not respond
 }
 
 // SendCommands is the effect that sends commands to a worker without waiting for its next heartbeat.
@@ -26,7 +26,7 @@
 func (CommandsAcknowledged) input() {}
 func (SendCommands) effect()        {}
 
-// commandsAcknowledged applies the heartbeat with which a worker answers commands.
+// commandsAcknowledged applies the heartbeat with which a worker responds to commands.
 func (t *term) commandsAcknowledged(now clock.Instant, in CommandsAcknowledged) {
 	t.fleet.FinishCommand(now, in.Machine, in.Heartbeat != nil)
 	if in.Heartbeat == nil || in.Heartbeat.Machine != in.Machine || t.fleet.Machine(in.Machine) == nil {
@@ -43,8 +43,9 @@
 	}
 }
 
-// probeSilentMachines sends the pending commands, possibly none, to machines that have missed a heartbeat and to those
-// that have sent one but are not confirmed yet. An answer shows that the machine is up.
+// probeSilentMachines sends a message to each machine that has missed a heartbeat, and to each machine that is up but
+// not known for certain to exist (see fleet.Machine.Confirmed). The message carries the machine's pending commands, if
+// any. A response shows that the machine is alive.
 func (t *term) probeSilentMachines(now clock.Instant) {
 	for _, m := range t.fleet.ClaimProbes(now) {
 		t.sendCommands(m, t.fleet.Commands(m, false))
--- a/internal/controller/componentfields_test.go
+++ b/internal/controller/componentfields_test.go
@@ -35,8 +35,8 @@
 	return p, nil
 }
 
-// TestComponentFieldsAreAccessedOnlyInTheirFiles checks that the fields of each component are accessed only in the files of that component,
-// so that all other code uses its methods.
+// TestComponentFieldsAreAccessedOnlyInTheirFiles checks that the fields of each component are accessed only in the
+// files of that component, so that all other code uses its methods.
 func TestComponentFieldsAreAccessedOnlyInTheirFiles(t *testing.T) {
 	files := token.NewFileSet()
 	var syntax []*ast.File
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -33,8 +33,8 @@
 	machineTypes []*fleet.MachineType
 	delegate     *leasedelegation.Delegate
 	isolation    leasedelegation.Isolation // whether this node, or every node, cannot reach the state service
-	// probeNode is the node in another zone that workers are redirected to before this node, while isolated, renews
-	// their leases under its delegation grant; "" if there is none.
+	// probeNode is the node in another zone to which this node, while it is isolated, redirects a worker before it
+	// renews the worker's lease under its delegation grant; "" if there is none.
 	probeNode          string
 	transferHistory    leadtransfer.History
 	peersUnreachable   bool // whether some other node is unreachable
@@ -84,7 +84,7 @@
 // Standby returns the status of this node as a standby of the leader.
 func (c *Core) Standby() election.StandbyStatus { return c.election.Standby() }
 
-// DelegateIdleSince returns a time since which this node has certainly renewed no worker lease under a delegation
+// DelegateIdleSince returns the latest time at which this node may have renewed a worker's lease under a delegation
 // grant: its last such renewal or, if that is later, the start of the process.
 func (c *Core) DelegateIdleSince() clock.Instant { return c.delegate.IdleSince() }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -46,10 +46,10 @@
 	return c, now
 }
 
-// TestNewLeaderGivesWorkersTimeToConnectBeforeTransfer checks that a new leader counts unreachable workers only after all workers have had a
-// heartbeat interval to reach it, and then transfers leadership after leadtransfer.Delay. It guards against a failure
-// during a partition between two zones, in which the new leader counted the workers of its own zone as unreachable and
-// transferred leadership back at once.
+// TestNewLeaderGivesWorkersTimeToConnectBeforeTransfer checks that a new leader counts unreachable workers only after
+// all workers have had a heartbeat interval to reach it, and then transfers leadership after leadtransfer.Delay. It
+// guards against a failure during a partition between two zones, in which the new leader counted the workers of its own
+// zone as unreachable and transferred leadership back at once.
 func TestNewLeaderGivesWorkersTimeToConnectBeforeTransfer(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 12)
@@ -78,8 +78,9 @@
 	}
 }
 
-// TestTransactionResultsOfEarlierTermsAreIgnored checks that a node that is leader again ignores the result of a transaction that it sent
-// in an earlier term. It guards against such a result being attributed to the round in flight or ending the new term.
+// TestTransactionResultsOfEarlierTermsAreIgnored checks that a node that is leader again ignores the result of a
+// transaction that it sent in an earlier term. It guards against such a result being attributed to the round in flight
+// or ending the new term.
 func TestTransactionResultsOfEarlierTermsAreIgnored(t *testing.T) {
 	t.Parallel()
 	c, now := newLeadingCore(t)
--- a/internal/controller/corefixture_test.go
+++ b/internal/controller/corefixture_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// BenchmarkSimulatedSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats, ticks and
-// scheduling rounds, while array jobs are submitted.
+// BenchmarkSimulatedSecond measures the cost of one simulated second for a leader, by number of machines: heartbeats,
+// ticks and scheduling rounds, while array jobs are submitted.
 func BenchmarkSimulatedSecond(b *testing.B) {
 	for _, n := range []int{10, 100, 1500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/delegation.go
+++ b/internal/controller/delegation.go
@@ -20,22 +20,24 @@
 	Node      string
 }
 
-// DelegationReply is the answer to a DelegationRequest.
+// DelegationReply is the reply to a DelegationRequest.
 type DelegationReply struct {
 	Responder Responder[DelegationReply]
 	Status    leasedelegation.Status
 }
 
-// PeerStatusReceived is the answer of another node to a delegation request of this node.
+// PeerStatusReceived is the status of another node, from its reply to a delegation request or from an attestation in a
+// relayed batch.
 type PeerStatusReceived struct {
 	Node           string
-	SentAt         clock.Instant // when the request was sent
+	SentAt         clock.Instant // when the request, or the reply that the attestation acknowledges, was sent
 	Status         leasedelegation.Status
 	SchemaVersion  schemaversion.Version // the newest that the node can read; 0 if not reported
 	EnforcesQuotas bool                  // whether the node, as leader, enforces quota allocations
 }
 
-// IsolationChanged reports whether the state service is now out of reach of this node, or of every node.
+// IsolationChanged is the input that reports a change of this node's isolation: whether the state service answers this
+// node and, if not, whether it answers any other.
 type IsolationChanged struct{ Isolation leasedelegation.Isolation }
 
 // PeerReachabilityChanged reports whether any other node is unreachable.
@@ -90,12 +92,12 @@
 	return true
 }
 
-// grantOwnDelegation gives this node, the leader of the epoch, the delegation grant that it would have given another
-// node at the end of its leader lease, or at the resignation if it resigns earlier. This is safe:
+// grantOwnDelegation gives this node, the leader of the epoch, a delegation grant with the same contents as the grants
+// to other nodes. The grant counts from the last moment at which the node was entitled to lead: the end of its leader
+// lease, or now if that is earlier, as after a resignation. This is safe:
 //
-//  1. Until that time no other node can have confirmed a cancellation, and this node knows those that it confirmed
-//     itself.
-//  2. The next leader acquires the leader key later than that, and assumes that every earlier grant lasts for its full
+//  1. Before that moment no other node could confirm a cancellation, and this node knows those that it confirmed itself.
+//  2. The next leader acquires the leader key after that moment, and assumes that every earlier grant lasts for its full
 //     duration from the acquisition.
 func (c *Core) grantOwnDelegation(now clock.Instant, epoch ident.Epoch) {
 	base := min(c.election.LastLeaseDeadline(), now)
@@ -105,10 +107,11 @@
 	c.delegate.AcceptStatus(base, c.term.delegationGrant(epoch))
 }
 
-// nodeOutsideZone returns the closest node before this one in name order, cyclically, that is in another zone, or "" if
-// there is none. A worker that gets no answer there tries the following nodes by name and so returns to this zone next.
-// If the redirect named no node, the worker would try every other node, 5 s each, and return only after the grant
-// expired.
+// nodeOutsideZone returns the node to which this node, while it is isolated, redirects workers: of the nodes in other
+// zones, the last one before this node in the cyclic order of names; "" if there is none. A worker that gets no reply
+// from a node tries the next one in that order. All nodes between the returned one and this one are in this zone, so
+// the worker's next attempt reaches the zone again. If the redirect named no node, the worker would try every other
+// node, 5 s each, and return only after the grant had expired.
 func nodeOutsideZone(settings *config.Settings) string {
 	names := append(settings.PeerNames(), settings.NodeName)
 	slices.Sort(names)
@@ -156,7 +159,7 @@
 	}
 	for _, m := range t.fleet.Machines() {
 		if m.HasRunningOrphan() {
-			// A stray task has no placement, so its job is unknown and may be cancelled.
+			// An orphaned task has no placement, so its job is unknown and may be cancelled.
 			excluded[m.ID] = true
 		}
 	}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// TestLeaderSurvivesSlowStore checks that frequent response times of up to a second from the state service do not end
-// the entitlement of a leader with heartbeats.
+// TestLeaderSurvivesSlowStore checks that a leader that stores heartbeats remains leader while the state service often
+// takes up to a second to respond.
 func TestLeaderSurvivesSlowStore(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 4, warmStandbyPolicy)
@@ -199,8 +199,8 @@
 	s.healAndFinish()
 }
 
-// TestStandbyReloadsAfterCompaction checks that a standby that was disconnected for longer than the state service retains
-// changes reloads all records, and takes over nevertheless.
+// TestStandbyReloadsAfterCompaction checks that a standby that was disconnected for longer than the state service
+// retains changes reloads all records, and takes over nevertheless.
 func TestStandbyReloadsAfterCompaction(t *testing.T) {
 	t.Parallel()
 	s := newSimulationWithPolicy(t, 9, warmStandbyPolicy)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -131,7 +131,7 @@
 	})
 }
 
-// TestUnreachableMachines checks scenarios in which the heartbeats of machines arrive, but no answer and no command
+// TestUnreachableMachines checks scenarios in which the heartbeats of machines arrive, but no reply and no command
 // reaches them, repeatedly and for longer than a lease. In addition, copies of heartbeats arrive up to several leases
 // late, nodes lose the state service and each other but not their workers, and crashed processes restart within a
 // fraction of a second.
@@ -174,7 +174,7 @@
 			}
 		})
 		s.schedule(80*time.Second, func() {
-			// A partition between a zone and the rest: its nodes and the others can't reach each other's workers.
+			// No worker reaches node 2 for 20 s.
 			s.unreachableByWorkers[2] = true
 			s.schedule(20*time.Second, func() { delete(s.unreachableByWorkers, 2) })
 		})
@@ -218,8 +218,8 @@
 
 // TestZonePartitions checks scenarios in which a zone is partitioned from everything, including the state service and
 // the cloud, for less and for more than a lease. The zone has one node or two, with or without the leader. Crashes,
-// pauses, cancellations and isolated nodes coincide with the partition, and messages that it held are delivered after
-// it.
+// pauses, cancellations and isolated nodes coincide with the partition, and the messages that it delayed are delivered
+// when it ends.
 func TestZonePartitions(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
@@ -266,19 +266,19 @@
 }
 
 // TestPartitionedZoneKeepsItsReplicas checks that workers that are partitioned together with a node keep their tasks
-// through a partition that outlasts their leases, and that none of these tasks is started elsewhere. Without the
-// lease grants all tasks in the zone were killed.
+// through a partition that outlasts their leases, and that none of these tasks is started elsewhere. Before
+// delegation grants existed, all tasks in the zone were killed.
 func TestPartitionedZoneKeepsItsReplicas(t *testing.T) {
 	t.Parallel()
 	partitionZone(t, 21)
 }
 
-var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "seeds of TestPartitionedZoneWhereverItsWorkersReport, two scenarios each")
+var zonePartitionSeeds = flag.Uint64("cutseeds", 10, "seeds of TestPartitionedZoneForAnyWorkerAssignment, two scenarios each")
 
-// TestPartitionedZoneForAnyWorkerAssignment repeats the check with different nodes that the workers report to when
-// the partition begins. A worker waits four seconds for each unreachable node, and another second before it tries the
-// next. When the node inside the zone redirected a worker without naming a node, the worker came back only after the
-// grant had expired, and its tasks were lost.
+// TestPartitionedZoneForAnyWorkerAssignment repeats the check with different nodes that receive the workers' heartbeats
+// when the partition begins. A worker waits four seconds for each unreachable node, and another second before it tries
+// the next. When the node inside the zone redirected a worker without naming a node, the worker came back only after
+// the grant had expired, and its tasks were lost.
 func TestPartitionedZoneForAnyWorkerAssignment(t *testing.T) {
 	t.Parallel()
 	for seed := range *zonePartitionSeeds {
@@ -314,7 +314,7 @@
 }
 
 // TestRestartBeforeEachElectionRequest crashes a process before each of its requests to the state service in turn,
-// while it is a candidate or leads, and restarts it at once. It checks that the new process does not use late answers
+// while it is a candidate or leads, and restarts it at once. It checks that the new process does not use late responses
 // to requests of the old one.
 func TestRestartBeforeEachElectionRequest(t *testing.T) {
 	t.Parallel()
--- a/internal/controller/fold.go
+++ b/internal/controller/fold.go
@@ -18,17 +18,19 @@
 	// maxFoldBytes keeps a transaction below the state service's limit of 64 KiB.
 	maxFoldBytes = 40 << 10
 	// maxFoldedJobs bounds the checkpoints in one fold, so that other writes get their turn between folds. Without the
-	// bound, under a burst of submissions, folds of newly placed jobs took three of four writes, and it took 50 s until
-	// 440 users were served.
+	// bound, under a burst of submissions, folds of newly placed jobs used three quarters of the writes, and it took
+	// 50 s to serve 440 users.
 	maxFoldedJobs = 4
 	// oversizedRetryDelay is the delay before a checkpoint that was too large is retried.
 	oversizedRetryDelay = 2 * time.Second
-	// foldRetryDelay is the delay after a fold, or a part of a staged record, that was not stored.
+	// foldRetryDelay is the delay before checkpoints, or chunks of a staged record, are written again after their
+	// transaction failed.
 	foldRetryDelay = 200 * time.Millisecond
 )
 
-// checkpointWriter writes the checkpoints of jobs, one transaction at a time. A transaction holds the checkpoints of
-// several jobs (a fold); a record that is too large for one transaction is spread over several (staging).
+// checkpointWriter writes the checkpoints of jobs, which are their stored records, one transaction at a time. A
+// transaction that stores the records of one or more jobs is called a fold. A record that is too large for one
+// transaction is staged: several transactions store its chunks, and then a fold stores its head.
 type checkpointWriter struct {
 	*environment
 	inFlight       *foldInFlight // nil if no fold is being written
@@ -37,7 +39,7 @@
 	staging        stagedWrite
 }
 
-// foldInFlight is a fold that is being written.
+// foldInFlight is a fold whose transaction is in flight.
 type foldInFlight struct {
 	jobs        []foldedJob
 	chunkOffset int // the chunks of its records are numbered from chunkOffset+1
@@ -154,7 +156,7 @@
 	})
 }
 
-// foldCompleted ends the fold in flight. It returns the jobs whose records are stored, with the states that these hold.
+// foldCompleted applies the outcome of the fold in flight. It returns the jobs whose records it has stored.
 func (w *checkpointWriter) foldCompleted(now clock.Instant, in TransactionCompleted) []foldedJob {
 	fold := w.inFlight
 	if fold == nil {
@@ -180,8 +182,8 @@
 	return fold.jobs
 }
 
-// foldCompleted settles the rounds that a fold has stored and answers the cancel requests that waited for it. If the
-// fold failed, it reads the records that have changed unexpectedly.
+// foldCompleted records which rounds the stored records include, and answers the cancel requests that waited for them.
+// If the fold failed, it reads the records that have changed unexpectedly.
 func (t *term) foldCompleted(now clock.Instant, in TransactionCompleted) {
 	wasWriting := t.checkpoints.isWriting()
 	for _, folded := range t.checkpoints.foldCompleted(now, in) {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -125,8 +125,8 @@
 	s.healAndFinish()
 }
 
-// TestInterruptionStopsWholeGang checks that an interruption notice for one machine stops all tasks of a gang in the same
-// step, with a grace period to write a checkpoint.
+// TestInterruptionStopsWholeGang checks that an interruption notice for one machine stops all tasks of a gang in the
+// same step, with a grace period to write a checkpoint.
 func TestInterruptionStopsWholeGang(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 12)
@@ -150,8 +150,8 @@
 	s.healAndFinish()
 }
 
-// TestGangsArePreemptedWhole checks that a gang of a lower priority is stopped as a whole for one of a higher priority, and
-// that all its tasks receive the stop command early enough to write their checkpoint together, over slow links too.
+// TestGangsArePreemptedWhole checks that a gang of a lower priority is stopped as a whole for one of a higher priority,
+// and that all its tasks receive the stop command early enough to write their checkpoint together, over slow links too.
 func TestGangsArePreemptedWhole(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{0, 2 * sec} {
--- a/internal/controller/jobrequests.go
+++ b/internal/controller/jobrequests.go
@@ -80,8 +80,8 @@
 		return
 	}
 	// Only this leader changes job records, since each of its writes is conditional on its epoch. A newer record was
-	// therefore written by this leader, and the answer to that write was lost. Its revision is adopted, and the record
-	// is written again on top of it.
+	// therefore written by this leader, and the response to that write was lost. Its revision is adopted, and the
+	// record is written again on top of it.
 	t.metrics.CASConflicts.Inc()
 	j.Stored.ModRevision, j.Stored.ChunkOffset = in.Item.ModRevision, 0
 	if r, err := jobs.Decode(in.Item.Value); err == nil {
@@ -158,8 +158,8 @@
 }
 
 // isFinalPhaseInFlight reports whether the final phase of a job is being written, and may already be stored. If the
-// answer to the write is late or lost, another node may have read the phase and reported it to a user. Until the write
-// completes, only the stored record shows which phase is valid.
+// response to the write is late or lost, another node may have read the phase and reported it to a user. Until the
+// write completes, only the stored record shows which phase is valid.
 func isFinalPhaseInFlight(j *jobs.Job) bool {
 	return j.WriteInFlight && j.Phase.Final() && !j.Stored.Phase.Final()
 }
--- a/internal/controller/leadercomponents_test.go
+++ b/internal/controller/leadercomponents_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestDeferredHeartbeatsAreRefusedWhenOverdue checks that a heartbeat that was deferred for heartbeatDeferral is
-// refused, and that the others stay deferred until they are taken, once.
+// TestDeferredHeartbeatsAreRefusedWhenOverdue checks that a heartbeat that has been deferred for maxHeartbeatDeferral
+// is refused, and that the others stay deferred until takeAll returns them, each only once.
 func TestDeferredHeartbeatsAreRefusedWhenOverdue(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	deferred := &deferredHeartbeats{environment: env}
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestEpochIsNotAdvancedWithoutTombstonesOrStuckStops checks that the epoch is not advanced, however long it has lasted, while no
-// recorded exit waits for removal and no stop command is stuck.
+// TestEpochIsNotAdvancedWithoutTombstonesOrStuckStops checks that the epoch is not advanced, however long it has
+// lasted, while no recorded exit waits for removal and no stop command is stuck.
 func TestEpochIsNotAdvancedWithoutTombstonesOrStuckStops(t *testing.T) {
 	env, now := newTestEnvironment(t)
 	advance := newEpochAdvance(env, now)
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestLateChunksAreFenced checks that a copy of a chunk transaction that is applied after the next one has no effect:
-// each chunk transaction must update the staging key under the condition of a revision that no earlier one has used.
+// TestLateChunksAreFenced checks that a delayed copy of a chunk transaction has no effect once a later chunk
+// transaction has been applied: each must change the staging key, on condition of a revision of that key that no
+// earlier one named.
 func TestLateChunksAreFenced(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 0)
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -231,7 +231,7 @@
 	return fastest
 }
 
-// replayRound applies a round of an earlier leader that is not folded into the checkpoints of all its jobs. It is
+// replayRound applies a round of an earlier leader that the checkpoints of its jobs do not all include. It is
 // unknown which of its effects have taken place, so all are applied again:
 //  1. Placements are restored, and wait for heartbeats that report their tasks.
 //  2. Provision requests are repeated under the same names, by which the cloud recognizes duplicates.
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -125,8 +125,8 @@
 // unknownOutcomeCount returns the number of provision requests whose outcome is unknown.
 func (p *provisioner) unknownOutcomeCount() int { return p.tracker.UnknownOutcomeCount() }
 
-// sendDueCalls sends the calls that are due: deprovision requests first, because they stop costs, then provision requests, then
-// reads of the machine list and the machine types.
+// sendDueCalls sends the calls that are due: deprovision requests first, because they stop costs, then provision
+// requests, then reads of the machine list and the machine types.
 func (p *provisioner) sendDueCalls(now clock.Instant) {
 	if p.calls.Available(now) < 1 {
 		return
@@ -157,12 +157,13 @@
 	return p.tracker.PendingProvisions()
 }
 
-// finishProvision applies the answer to a provision request, and reports whether the request needs no further attempts.
+// finishProvision applies the response to a provision request, and reports whether the request needs no further
+// attempts.
 func (p *provisioner) finishProvision(now clock.Instant, in ProvisionCompleted) bool {
 	return p.tracker.FinishProvision(now, in.Name, in.Result, len(in.Machines))
 }
 
-// finishDeprovision applies the answer to a deprovision request.
+// finishDeprovision applies the response to a deprovision request.
 func (p *provisioner) finishDeprovision(now clock.Instant, in DeprovisionCompleted) {
 	p.tracker.FinishDeprovision(now, in.Machines, in.OK)
 }
@@ -174,7 +175,7 @@
 	return list, complete
 }
 
-// provisionCompleted applies the answer to a provision request, and adds the provisioned machines to the fleet.
+// provisionCompleted applies the response to a provision request, and adds the provisioned machines to the fleet.
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
 	if t.provisioner.finishProvision(now, in) {
 		t.rounds.provisionSettled(in.Name)
@@ -182,7 +183,7 @@
 	t.rounds.requestPlan()
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
-			continue // the answer to a repeated request names the machines of the first one
+			continue // the response to a repeated request names the machines of the first one
 		}
 		known := t.fleet.Machine(id) != nil
 		m := t.fleet.Ensure(now, id)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -148,8 +148,8 @@
 	return id
 }
 
-// TestQuotaCheckDetectsOverallocation checks that the check of the stored quota records detects two violations: a holder
-// that reserves more than it has been allocated, and a leader that allocates what another holder already has.
+// TestQuotaCheckDetectsOverallocation checks that the check of the stored quota records detects two violations: a
+// holder that reserves more than it has been allocated, and a leader that allocates what another holder already has.
 func TestQuotaCheckDetectsOverallocation(t *testing.T) {
 	t.Parallel()
 	teams := simulationSettings().Params.TeamsByName()
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestDelayedHeartbeatsDoNotDeprovisionMachines checks that slightly delayed heartbeats do not lead to the deprovisioning of healthy
-// machines. It guards against a failure with a fixed silence timeout of 6 s: workers send heartbeats every 5 s with a
-// jitter of a quarter, so machines with a slightly late heartbeat were considered dead and were deprovisioned
-// together with all their tasks.
+// TestDelayedHeartbeatsDoNotDeprovisionMachines checks that slightly delayed heartbeats do not lead to the
+// deprovisioning of healthy machines. It guards against a failure with a fixed silence timeout of 6 s: workers send
+// heartbeats every 5 s with a jitter of a quarter, so machines with a slightly late heartbeat were considered dead and
+// were deprovisioned together with all their tasks.
 func TestDelayedHeartbeatsDoNotDeprovisionMachines(t *testing.T) {
 	t.Parallel()
 	s := newSimulation(t, 4)
@@ -87,9 +87,9 @@
 	t.Error("the node did not stop at a record of a newer schema version")
 }
 
-// TestUnreadableRoundDelaysPlacement checks the recovery from a round record that can't be read. Nothing is placed until
-// every task that the round may have started has ended for certain: after the lease TTL of the workers plus the
-// duration of a lease delegation grant. The number of the round is never used again.
+// TestUnreadableRoundDelaysPlacement checks the recovery from a round record that can't be read. Nothing is placed
+// until every task that the round may have started has ended for certain: after the lease TTL of the workers plus the
+// duration of a delegation grant. The number of the round is never used again.
 func TestUnreadableRoundDelaysPlacement(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 3)
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestStatusWhileFinalPhaseIsBeingStored checks that the leader does not answer status queries from memory while the final
-// phase of a job is being stored, but has the record read. It guards against contradictory answers: another node
+// TestStatusWhileFinalPhaseIsBeingStored checks that the leader does not answer status queries from memory while the
+// final phase of a job is being stored, but has the record read. It guards against contradictory answers: another node
 // could read the stored record and answer "done" before the leader received the result of its write, and the leader
 // then answered "queued".
 func TestStatusWhileFinalPhaseIsBeingStored(t *testing.T) {
@@ -223,7 +223,7 @@
 
 // TestPausedLeaderDeprovisionsNothing checks that a leader that was paused for less than its lease does not
 // deprovision a machine that kept sending heartbeats, which the leader did not receive during the pause. It guards
-// against a failure in which most machines had reported just before the pause and the one that had not was
+// against a failure in which most machines had sent a heartbeat just before the pause and the one that had not was
 // deprovisioned.
 func TestPausedLeaderDeprovisionsNothing(t *testing.T) {
 	t.Parallel()
@@ -277,8 +277,8 @@
 					busy = append(busy, m)
 				}
 			}
-			// The last heartbeat of one of them is older by a quarter of the heartbeat interval, as if its next one
-			// would have been late. It is the first to exceed the silence timeout.
+			// The last heartbeat of one failed machine is a quarter of the heartbeat interval older, which is the
+			// jitter of the workers. That machine is the first to exceed the silence timeout.
 			oldest := busy[0]
 			for _, m := range busy {
 				if m.LastContact < oldest.LastContact {
@@ -289,23 +289,23 @@
 			for range 13 {
 				g.advance(time.Second)
 			}
-			returned := 0
+			deprovisioned := 0
 			for _, m := range busy {
 				if m.Deprovisioning {
-					returned++
+					deprovisioned++
 				}
 			}
-			if want := map[bool]int{true: len(busy)}[name == "third of machines"]; returned != want || len(busy) < 7 {
+			if want := map[bool]int{true: len(busy)}[name == "third of machines"]; deprovisioned != want || len(busy) < 7 {
 				t.Errorf("%s: %d of %d failed machines with tasks were deprovisioned in 13 s, want %d",
-					name, returned, len(busy), want)
+					name, deprovisioned, len(busy), want)
 			}
 		})
 	}
 }
 
-// TestNoDeprovisioningWhileMachinesReconnect checks that, while silent machines reconnect one after the other, at the end of a network
-// partition or through other nodes, those that have not reconnected yet are not considered dead. It guards against a
-// failure in which half the fleet was deprovisioned together with all its tasks.
+// TestNoDeprovisioningWhileMachinesReconnect checks that, while silent machines reconnect one after the other, at the
+// end of a network partition or through other nodes, those that have not reconnected yet are not considered dead. It
+// guards against a failure in which half the fleet was deprovisioned together with all its tasks.
 func TestNoDeprovisioningWhileMachinesReconnect(t *testing.T) {
 	t.Parallel()
 	g := newCoreFixture(t, 100)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -56,7 +56,7 @@
 }
 
 // restore rebuilds the ring from the records that an earlier leader stored, and marks the slots of the unreadable ones
-// for reuse. It returns the rounds that may not be folded into the checkpoints of all their jobs.
+// for reuse. It returns the rounds that some checkpoint of a job may not include yet.
 func (l *schedulingLoop) restore(records []roundlog.StoredRecord, unreadable []kvstore.KeyValue) []*roundlog.Record {
 	ring, open := roundlog.RestoreRing(l.policy.RingSlots, records)
 	l.ring = ring
@@ -135,7 +135,7 @@
 	}
 }
 
-// mayDrain reports whether DrainInterval has passed since the last drain, and since this node became leader.
+// mayDrain reports whether MinDrainInterval has passed since the last drain, and since this node became leader.
 func (l *schedulingLoop) mayDrain(now, acquiredAt clock.Instant) bool {
 	return now.Sub(max(l.lastDrainAt, acquiredAt)) >= l.policy.MinDrainInterval
 }
--- a/internal/controller/simulation_environment_test.go
+++ b/internal/controller/simulation_environment_test.go
@@ -272,31 +272,31 @@
 }
 
 // reply sends the node's reply to the worker, unless the node relays the heartbeat to the leader instead.
-func (x *heartbeatExchange) reply(answer HeartbeatReply) {
-	if x.relay(answer) {
+func (x *heartbeatExchange) reply(reply HeartbeatReply) {
+	if x.relay(reply) {
 		return
 	}
-	x.sim.schedule(x.sim.latency(), func() { x.deliverReply(answer) })
+	x.sim.schedule(x.sim.latency(), func() { x.deliverReply(reply) })
 }
 
 // deliverReply passes a reply to the worker and schedules its next heartbeat. A reply that does not reach the worker,
 // or that arrives after the next heartbeat was scheduled, is discarded.
-func (x *heartbeatExchange) deliverReply(answer HeartbeatReply) {
+func (x *heartbeatExchange) deliverReply(reply HeartbeatReply) {
 	s, w := x.sim, x.worker
 	if s.unreachableByWorkers[x.node.index] || s.partitioned(x.node.zone, w.Zone) || x.nextScheduled ||
 		s.now.Before(s.hungUntil[w.ID]) || s.now.Before(s.unreachableUntil[w.ID]) {
 		return
 	}
 	switch {
-	case answer.Outcome == HeartbeatAccepted:
+	case reply.Outcome == HeartbeatAccepted:
 		w.Advance(s.now)
 		before := w.FencingToken
-		if w.HandleHeartbeatReply(s.now, x.sentAt, x.session, answer.Epoch, answer.Commands) && w.FencingToken > before {
+		if w.HandleHeartbeatReply(s.now, x.sentAt, x.session, reply.Epoch, reply.Commands) && w.FencingToken > before {
 			x.nextDelay = newEpochDelay
 		}
 		x.continueAt(x.node.index, x.nextDelay)
-	case answer.Outcome == HeartbeatRedirected && answer.Leader != "" && answer.Leader != x.node.name:
-		x.continueAt(nodeIndex(answer.Leader), redirectDelay)
+	case reply.Outcome == HeartbeatRedirected && reply.Leader != "" && reply.Leader != x.node.name:
+		x.continueAt(nodeIndex(reply.Leader), redirectDelay)
 	default:
 		x.tryNextNode()
 	}
@@ -321,12 +321,12 @@
 // relay forwards the heartbeat over the peer network to a leader that the workers can't reach, as a node does for a
 // worker that returns after a redirect because it did not reach the leader. It reports whether it has taken over the
 // heartbeat.
-func (x *heartbeatExchange) relay(answer HeartbeatReply) bool {
+func (x *heartbeatExchange) relay(reply HeartbeatReply) bool {
 	s, n := x.sim, x.node
-	if answer.Outcome != HeartbeatRedirected || answer.Final || answer.Leader == "" || answer.Leader == n.name {
+	if reply.Outcome != HeartbeatRedirected || reply.Final || reply.Leader == "" || reply.Leader == n.name {
 		return false
 	}
-	leader := s.nodes[nodeIndex(answer.Leader)]
+	leader := s.nodes[nodeIndex(reply.Leader)]
 	if !s.unreachableByWorkers[leader.index] || !s.reachesPeer(n, leader) {
 		return false
 	}
@@ -340,11 +340,11 @@
 
 // relayReply sends the leader's reply to a relayed heartbeat to the worker. A refusal of any kind is replaced by
 // HeartbeatUnavailable.
-func (x *heartbeatExchange) relayReply(answer HeartbeatReply) {
-	if answer.Outcome != HeartbeatAccepted {
-		answer = HeartbeatReply{Outcome: HeartbeatUnavailable}
+func (x *heartbeatExchange) relayReply(reply HeartbeatReply) {
+	if reply.Outcome != HeartbeatAccepted {
+		reply = HeartbeatReply{Outcome: HeartbeatUnavailable}
 	}
-	x.reply(answer)
+	x.reply(reply)
 }
 
 // scaleCloud sets the zones and gives the cloud a capacity of about the given number of machines in them, then restarts
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -159,7 +159,8 @@
 	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)))
 }
 
-// repeatWhileFaultsActive calls do repeatedly, at random intervals in [shortest, longest), until faults are no longer active.
+// repeatWhileFaultsActive calls do repeatedly, at random intervals in [shortest, longest), until faults are no longer
+// active.
 func (s *simulation) repeatWhileFaultsActive(shortest, longest time.Duration, do func()) {
 	s.schedule(s.randomDuration(shortest, longest), func() {
 		if s.faultsActive {
--- a/internal/controller/simulation_nodes_test.go
+++ b/internal/controller/simulation_nodes_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// pollPeers makes each node request a lease delegation from its peers, and passes it whether it is isolated and whether
+// pollPeers makes each node request a delegation grant from its peers, and passes it whether it is isolated and whether
 // it reaches all of them.
 func (s *simulation) pollPeers() {
 	for _, n := range s.nodes {
@@ -256,17 +256,17 @@
 			}
 			switch e := e.(type) {
 			case standby.List:
-				answer := standby.ListDone{Prefix: e.Prefix, Err: s.requestError(n)}
-				if answer.Err == nil {
-					answer.Items, answer.Revision, answer.Err = s.store.List(e.Prefix)
+				done := standby.ListDone{Prefix: e.Prefix, Err: s.requestError(n)}
+				if done.Err == nil {
+					done.Items, done.Revision, done.Err = s.store.List(e.Prefix)
 				}
-				s.stepFollower(n, answer)
+				s.stepFollower(n, done)
 			case standby.Watch:
-				answer := standby.WatchDone{Prefix: e.Prefix, Err: s.requestError(n)}
-				if answer.Err == nil {
-					answer.Changes, answer.Revision, answer.Err = s.store.Watch(e.Prefix, e.Since)
+				done := standby.WatchDone{Prefix: e.Prefix, Err: s.requestError(n)}
+				if done.Err == nil {
+					done.Changes, done.Revision, done.Err = s.store.Watch(e.Prefix, e.Since)
 				}
-				s.stepFollower(n, answer)
+				s.stepFollower(n, done)
 			}
 		})
 	}
--- a/internal/controller/simulation_quota_test.go
+++ b/internal/controller/simulation_quota_test.go
@@ -30,7 +30,7 @@
 		return
 	}
 	incarnation, holder := n.incarnation, n.holder
-	answer := func(in quota.HolderInput) {
+	reply := func(in quota.HolderInput) {
 		s.schedule(s.latency(), func() {
 			if n.alive && n.incarnation == incarnation && n.holder == holder {
 				s.stepHolder(n, in)
@@ -44,11 +44,11 @@
 		s.schedule(s.storeLatency(), func() {
 			switch e := e.(type) {
 			case quota.Register:
-				answer(s.registerHolder(n, e))
+				reply(s.registerHolder(n, e))
 			case quota.StoreReservations:
-				s.storeReservations(n, incarnation, e, false, answer)
+				s.storeReservations(n, incarnation, e, false, reply)
 			case quota.SendRequest:
-				s.sendQuotaRequest(n, e, answer)
+				s.sendQuotaRequest(n, e, reply)
 			}
 		})
 	}
@@ -67,40 +67,40 @@
 	return quota.RegistrationDone{ModRevision: revision}
 }
 
-// storeReservations stores a holder's reservations in the way of holderActor.store: a transaction without a reply is
-// retried, and if the retry conflicts, a read determines whether the earlier attempt was applied.
-func (s *simulation) storeReservations(n *simulatedNode, incarnation int, e quota.StoreReservations, outcomeUnknown bool, answer func(quota.HolderInput)) {
+// storeReservations stores a holder's reservations in the way of quotaHolderActor.store: a transaction without a reply
+// is retried, and if the retry conflicts, a read determines whether the earlier attempt was applied.
+func (s *simulation) storeReservations(n *simulatedNode, incarnation int, e quota.StoreReservations, outcomeUnknown bool, reply func(quota.HolderInput)) {
 	if !n.alive || n.incarnation != incarnation {
 		return
 	}
 	if s.storeUnreachable(n) {
-		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, reply) })
 		return
 	}
 	revision, err := s.tryCommit(e.Txn())
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: revision})
+		reply(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: revision})
 	case errors.As(err, &conflict):
 		if item, err := s.store.Get(e.Key); outcomeUnknown && err == nil && item.ModRevision > e.Conditions[1].ModRevision {
-			answer(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: item.ModRevision})
+			reply(quota.StoreDone{Outcome: quota.StoreSucceeded, ModRevision: item.ModRevision})
 			return
 		}
-		answer(quota.StoreDone{Outcome: e.OutcomeOf(conflict)})
+		reply(quota.StoreDone{Outcome: e.OutcomeOf(conflict)})
 	default:
-		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, answer) })
+		s.schedule(150*time.Millisecond, func() { s.storeReservations(n, incarnation, e, true, reply) })
 	}
 }
 
 // sendQuotaRequest sends a quota request over the peer network to the node that the sender considers leader. If no
 // reply arrives within 2 s, the holder gets an empty response.
-func (s *simulation) sendQuotaRequest(n *simulatedNode, e quota.SendRequest, answer func(quota.HolderInput)) {
+func (s *simulation) sendQuotaRequest(n *simulatedNode, e quota.SendRequest, reply func(quota.HolderInput)) {
 	answered := false
 	once := func(in quota.HolderInput) {
 		if !answered {
 			answered = true
-			answer(in)
+			reply(in)
 		}
 	}
 	s.schedule(2*time.Second, func() { once(quota.ResponseReceived{}) })
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -86,7 +86,7 @@
 	w.emit(CommitTransaction{Kind: StagingTransaction, Epoch: epoch, Txn: txn})
 }
 
-// commitStagedHead writes the head of a staged record as a fold with only this job.
+// commitStagedHead stores the head of the staged record, in a fold that contains no other job.
 func (w *checkpointWriter) commitStagedHead(now clock.Instant, epoch ident.Epoch) {
 	s := &w.staging
 	if w.budget.AvailableWrites(now, kvstore.PurposeUrgentFold) < 1 {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestScenariosAreDeterministicBySeed checks that a scenario that runs again with the same seed sends exactly the same messages,
-// so that a failure can be reproduced from its seed and the decisions of two versions can be compared.
+// TestScenariosAreDeterministicBySeed checks that a scenario that runs again with the same seed sends exactly the same
+// messages, so that a failure can be reproduced from its seed and the decisions of two versions can be compared.
 func TestScenariosAreDeterministicBySeed(t *testing.T) {
 	t.Parallel()
 	var sums []string
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -56,17 +56,18 @@
 	return s
 }
 
-// Record fields that the release in production knows; previousSchemaVersion is the newest schema version that it
-// knows of each record. It drops all other fields when it rewrites a record.
+// The fields of job and round records that the previous version knows. It drops all other fields when it rewrites a
+// record.
 var (
 	previousJobFields   = []string{"v", "spec", "at", "ph", "e", "r", "d", "l", "pk", "nx"}
 	previousRoundFields = []string{"v", "no", "e", "lo", "st", "pk", "hi", "re"}
 )
 
+// previousSchemaVersion is the newest schema version of job and round records that the previous version reads.
 const previousSchemaVersion = 2
 
-// checkReadableByPreviousVersion checks that the release in production can read all stored job and round records, and
-// drops no field when it rewrites them.
+// checkReadableByPreviousVersion checks that the previous version can read all stored job and round records, and drops
+// no field when it rewrites them.
 func (s *simulation) checkReadableByPreviousVersion() {
 	for prefix, fields := range map[string][]string{jobs.KeyPrefix: previousJobFields, roundlog.KeyPrefix: previousRoundFields} {
 		items, _, _ := s.store.List(prefix)
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestResponsesFromEarlierTermAreIgnored checks that a leader ignores responses to lease renewals and epoch advances that it sent
-// in an earlier term. They arrive in the next term if leadership was lost while they were in flight, and concern
-// another lease. With a slow state service such a renewal let a leader act for 0.2 s after its successor had acquired
-// the leader key.
+// TestResponsesFromEarlierTermAreIgnored checks that a leader ignores responses to lease renewals and epoch advances
+// that it sent in an earlier term. They arrive in the next term if leadership was lost while they were in flight, and
+// concern another lease. With a slow state service such a renewal let a leader act for 0.2 s after its successor had
+// acquired the leader key.
 func TestResponsesFromEarlierTermAreIgnored(t *testing.T) {
 	elector := newLeader(t, 5)
 	elector.Step(t0, Tick{}) // renews lease 7
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestUnknownAcquisitionOutcomeIsResolvedByRead checks that an acquisition with an unknown outcome makes the node leader only once a read of
-// the leader key returns the nonce of this attempt. It guards against a process that adopts the epoch of an earlier
-// process.
+// TestUnknownAcquisitionOutcomeIsResolvedByRead checks that an acquisition with an unknown outcome makes the node
+// leader only once a read of the leader key returns the nonce of this attempt. It guards against a process that adopts
+// the epoch of an earlier process.
 func TestUnknownAcquisitionOutcomeIsResolvedByRead(t *testing.T) {
 	elector := newElector()
 	elector.Step(t0, LeaderKeysRead{OK: true})
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestRestartedNodeReacquiresOwnKeyImmediately checks that a restarted node acquires a leader key written by its earlier process without
-// waiting for the old lease to expire, on condition of the old epoch, and that it does not campaign against another
-// leader.
+// TestRestartedNodeReacquiresOwnKeyImmediately checks that a restarted node acquires a leader key written by its
+// earlier process without waiting for the old lease to expire, on condition of the old epoch, and that it does not
+// campaign against another leader.
 func TestRestartedNodeReacquiresOwnKeyImmediately(t *testing.T) {
 	elector := newElector()
 	elector.Step(t0, LeaderKeysRead{OK: true, Leader: LeaderRecord{Node: "n0", Nonce: "dead"}, Epoch: 40})
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestResignedLeaderWaitsForCooldown checks that a leader that resigned does not campaign for an absent leader key before its
-// cooldown has passed, and does so afterwards.
+// TestResignedLeaderWaitsForCooldown checks that a leader that resigned does not campaign for an absent leader key
+// before its cooldown has passed, and does so afterwards.
 func TestResignedLeaderWaitsForCooldown(t *testing.T) {
 	elector := newLeader(t, 5)
 	e := elector.Step(t0, Resign{Cooldown: 20 * time.Second})
--- a/internal/election/heartbeat_test.go
+++ b/internal/election/heartbeat_test.go
@@ -40,8 +40,9 @@
 	return 0
 }
 
-// TestStandbyCampaignsAfterHeartbeatExpiry checks that a standby campaigns only after the leader's heartbeat has expired. A
-// new heartbeat restarts the wait, and a heartbeat of another leader or with an invalid TTL never leads to a campaign.
+// TestStandbyCampaignsAfterHeartbeatExpiry checks that a standby campaigns only after the leader's heartbeat has
+// expired. A new heartbeat restarts the wait, and a heartbeat of another leader or with an invalid TTL never leads to a
+// campaign.
 func TestStandbyCampaignsAfterHeartbeatExpiry(t *testing.T) {
 	silent := keysWithHeartbeat("x", 9)
 	if d := pollUntilCampaign(newStandby(silent), t0, 6*time.Second, silent); d < 2600*time.Millisecond || d > 3*time.Second {
--- a/internal/election/txn_test.go
+++ b/internal/election/txn_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestOutcomeOfError checks the mapping from errors of the state service to outcomes, for heartbeats and for other requests.
+// TestOutcomeOfError checks the mapping from errors of the state service to outcomes, for heartbeats and for other
+// requests.
 func TestOutcomeOfError(t *testing.T) {
 	conflict := fmt.Errorf("commit: %w", &kvstore.ConflictError{FailedKeys: []string{LeaderKey}})
 	for _, test := range []struct {
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -40,7 +40,7 @@
 type Class string
 
 // Epoch is the revision of the leader key: the fencing token of the leader's writes and of its
-// commands to agents; 0 means no leader.
+// commands to workers; 0 means no leader.
 type Epoch uint64
 
 // Revision counts the changes of the state service. That of a key is the revision that last
@@ -48,16 +48,16 @@
 type Revision uint64
 
 // Attempt numbers the starts of a task. It is the number of the round that decided the start,
-// so it rises for ever.
+// so it always increases.
 type Attempt uint64
 
 // RoundNo numbers scheduling rounds; it never repeats.
 type RoundNo uint64
 
-// Session numbers the incarnations of a machine's agent.
+// Session numbers the runs of a machine's worker process.
 type Session uint64
 
-// HeartbeatSeq orders the messages of one agent within a session.
+// HeartbeatSeq orders the messages of one worker within a session.
 type HeartbeatSeq uint64
 
 // LeaseID names a lease of the state service.
@@ -79,7 +79,7 @@
 	return JobID(s), nil
 }
 
-// String returns the id as agents know it, such as wk-000412/3.
+// String returns the id as workers know it, such as wk-000412/3.
 func (t TaskID) String() string {
 	return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10)
 }
--- a/internal/leadtransfer/reachability.go
+++ b/internal/leadtransfer/reachability.go
@@ -13,11 +13,11 @@
 const (
 	// heartbeatWindow is the maximum age of a heartbeat that is counted.
 	heartbeatWindow = 8 * time.Second
-	// The leader counts as unreachable for most workers if at least minMissingRatio times as many workers don't reach it
-	// directly as do.
+	// minMissingRatio is the minimum ratio of the workers that do not reach the leader directly to those that do, from
+	// which most workers count as unable to reach it.
 	minMissingRatio = 2
 	// At least minRelayedWorkers workers, and at least one in relayedShareDivisor of the known workers, must send their
-	// heartbeats through other nodes before one of those nodes counts as better reachable.
+	// heartbeats through other nodes before leadership is transferred to one of these nodes.
 	minRelayedWorkers   = 3
 	relayedShareDivisor = 20
 )
@@ -59,12 +59,13 @@
 // Transferee returns the node that should become leader, or "" if leadership should stay here. A transfer requires
 // that:
 //
-//  1. throughout the delay, at least minMissingRatio times as many known workers have not reached this node directly as
-//     have, and at least minRelayedWorkers have not;
-//  2. enough workers reach other nodes that relay their heartbeats, see minRelayedWorkers and relayedShareDivisor;
+//  1. throughout the delay, the known workers that do not reach this node directly number at least minRelayedWorkers,
+//     and at least minMissingRatio times those that do;
+//  2. other nodes relay the heartbeats of at least minRelayedWorkers workers, and of at least one in relayedShareDivisor
+//     of the known workers;
 //  3. the transferee relays the heartbeats of more workers than reach this node directly.
 //
-// Workers whose heartbeats reach no node count as not reaching this node. Of hundreds of workers a node can relay only
+// Workers whose heartbeats reach no node count as not reaching this node: of hundreds of workers a node can relay only
 // a part through the state service, and a leader that waited until most were relayed kept its leadership for half a
 // minute while leases expired.
 func (r *Reachability) Transferee(now clock.Instant, knownWorkers int, delay time.Duration) string {
--- a/internal/leadtransfer/reachability_test.go
+++ b/internal/leadtransfer/reachability_test.go
@@ -9,10 +9,10 @@
 	"badgerbay/internal/ident"
 )
 
-// TestLeaderUnreachableByWorkersTransfersLeadership checks that a leader that most workers don't reach transfers leadership to
-// a node that relays the heartbeats of some of them, but only after the delay and only if that node relays more workers
-// than reach the leader directly. It guards against a leader in the smaller of two zones that kept its leadership for
-// half a minute because most workers of the other zone were not even relayed.
+// TestLeaderUnreachableByWorkersTransfersLeadership checks that a leader that most workers don't reach transfers
+// leadership to a node that relays the heartbeats of some of them, but only after the delay and only if that node
+// relays more workers than reach the leader directly. It guards against a leader in the smaller of two zones that kept
+// its leadership for half a minute because most workers of the other zone were not even relayed.
 func TestLeaderUnreachableByWorkersTransfersLeadership(t *testing.T) {
 	var withoutRelay, reachability Reachability
 	start := clock.Instant(time.Hour)
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestResetDelayRestartsDelay checks that after ResetDelay the workers must be unreachable for the whole delay again before a
-// transfer.
+// TestResetDelayRestartsDelay checks that after ResetDelay the workers must be unreachable for the whole delay again
+// before a transfer.
 func TestResetDelayRestartsDelay(t *testing.T) {
 	var reachability Reachability
 	now := clock.Instant(time.Hour)
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// leaderLossThreshold is the time without an answer from a leader after which a node treats the leader as
+	// leaderLossThreshold is the time without a reply from a leader after which a node treats the leader as
 	// unreachable.
 	leaderLossThreshold = 2500 * time.Millisecond
 	// contactMaxAge is how long a worker's last contact, and thus its redirect to another node, is taken into account.
 	// It leaves the worker time to find another node or to return.
 	contactMaxAge = 30 * time.Second
 	// probeDuration bounds how long a worker is away while it tries one other node without success: it connects to that
-	// node within half a second, waits 4 s for an answer and tries the next node one second later.
+	// node within half a second, waits 4 s for a reply and tries the next node one second later.
 	probeDuration = 6 * time.Second
 	// maxTrackedWorkers limits the number of workers whose contacts are kept.
 	maxTrackedWorkers = 10_000
@@ -65,9 +65,9 @@
 	RenewLease                             // this node answers and renews the lease under the grant
 )
 
-// Status is the answer of a node to a status request by another node.
+// Status is the reply of a node to a delegation request of another node.
 type Status struct {
-	// Epoch is the epoch of the answering leader, 0 if the node does not act as leader. GrantDuration is the duration
+	// Epoch is the epoch of the replying leader, 0 if the node does not act as leader. GrantDuration is the duration
 	// of the grant in that epoch, 0 if none is given.
 	Epoch         ident.Epoch
 	GrantDuration time.Duration
--- a/internal/leasedelegation/delegate_test.go
+++ b/internal/leasedelegation/delegate_test.go
@@ -20,7 +20,8 @@
 		Params: config.Params{Workers: config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}}}
 }
 
-// TestDelegateDuringPartition checks which leases a node renews under a grant during a network partition, and for how long.
+// TestDelegateDuringPartition checks which leases a node renews under a grant during a network partition, and for how
+// long.
 func TestDelegateDuringPartition(t *testing.T) {
 	heartbeat := func(id ident.MachineID, zone ident.Zone, token ident.Epoch) *fleet.Heartbeat {
 		return &fleet.Heartbeat{Machine: id, Zone: zone, FencingToken: token}
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestDelegateRenewsShortLeaseBeforeProbe checks that a lease that would expire during a second wait for an unresponsive node is
-// renewed before its worker probes another node, and again afterwards.
+// TestDelegateRenewsShortLeaseBeforeProbe checks that a lease that would expire during a second wait for an
+// unresponsive node is renewed before its worker probes another node, and again afterwards.
 func TestDelegateRenewsShortLeaseBeforeProbe(t *testing.T) {
 	d := NewDelegate("a", config.Workers{HeartbeatSeconds: 1, LeaseSeconds: 10, CancelSeconds: 40}, now)
 	d.AcceptStatus(instantAt(60), Status{Epoch: 7, GrantDuration: 27 * time.Second})
--- a/internal/leasedelegation/grant_test.go
+++ b/internal/leasedelegation/grant_test.go
@@ -6,8 +6,8 @@
 	"badgerbay/internal/config"
 )
 
-// TestGrantEndsBeforeCancelTimeout checks that the tasks of a job that is cancelled just after a grant end within the cancel timeout,
-// and that no grant is given if there is no time for it.
+// TestGrantEndsBeforeCancelTimeout checks that the tasks of a job that is cancelled just after a grant end within the
+// cancel timeout, and that no grant is given if there is no time for it.
 func TestGrantEndsBeforeCancelTimeout(t *testing.T) {
 	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	if duration := GrantDuration(workers); duration <= 0 || duration+workers.LeaseTTL() >= workers.CancelTimeout() {
--- a/internal/leasedelegation/grant_tracker_test.go
+++ b/internal/leasedelegation/grant_tracker_test.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/ident"
 )
 
-// TestGrantTrackerBoundsRenewals checks the bounds on the renewals that the nodes of a zone may have made, both for nodes that answer
-// and for nodes that don't.
+// TestGrantTrackerBoundsRenewals checks the bounds on the renewals that the nodes of a zone may have made, both for
+// nodes that answer and for nodes that don't.
 func TestGrantTrackerBoundsRenewals(t *testing.T) {
 	tracker := NewGrantTracker(testSettings(), now)
 	if _, ok := tracker.RenewalIn("a"); ok {
@@ -29,7 +29,7 @@
 		t.Errorf("%+v: only one of two nodes answered, and its last renewal was at 11 s", v)
 	}
 	tracker.ConfirmIdle("n2", instantAt(42), instantAt(42), time.Hour)
-	tracker.ConfirmIdle("n2", instantAt(3), instantAt(43), time.Hour) // answer to an earlier request, received late
+	tracker.ConfirmIdle("n2", instantAt(3), instantAt(43), time.Hour) // reply to an earlier request, received late
 	if v := renewalIn("b"); v.NoRenewalUntil != instantAt(40) {
 		t.Errorf("%+v: both nodes reported no renewal up to 40 s", v)
 	}
--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -102,7 +102,7 @@
 }
 
 // postAttestation posts to the core what a node that this one can't reach directly attests, in a relayed batch, about
-// its use of a lease delegation.
+// its use of a delegation grant.
 func (s *batchServer) postAttestation(ctx context.Context, answered relay.AnsweredBatches, batch *peer.Batch) {
 	attestation, ok := answered.Attestation(batch)
 	if !ok {
--- a/internal/node/batchserver_test.go
+++ b/internal/node/batchserver_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestAttestationCountsFromReplyTime checks that a node's attestation about its use of a lease delegation, when
+// TestAttestationCountsFromReplyTime checks that a node's attestation about its use of a delegation grant, when
 // relayed through the state service, counts from when the leader sent the reply that the node acknowledges, not from
 // when the batch arrives. A batch that does not acknowledge the last reply to that node, or has an invalid idle time,
 // is ignored.
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -33,7 +33,7 @@
 	return encodeJobReply(s.core.queryJob(ctx, id, r.Withdraw)), nil
 }
 
-// Relay returns the core's reply to a batch, which carries a quota holder's request, a request for a lease delegation,
+// Relay returns the core's reply to a batch, which carries a quota holder's request, a request for a delegation grant,
 // or heartbeats of workers that cannot reach this node.
 func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
 	batch, err := peer.DecodeBatch(r.Batch)
@@ -78,7 +78,7 @@
 	return &meshpb.AcceptReply{Status: uint32(response.Code), Body: []byte(response.Status.State)}, nil
 }
 
-// delegationStatus returns the core's answer to a peer that requests a lease delegation, or nil if the core is
+// delegationStatus returns the core's reply to a peer that requests a delegation grant, or nil if the core is
 // overloaded or ctx has ended.
 func (a *coreActor) delegationStatus(ctx context.Context, node string) *peer.DelegationStatus {
 	reply, err := request(ctx, a, func(to controller.Responder[controller.DelegationReply]) controller.Input {
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -117,7 +117,7 @@
 }
 
 // pollPeers calls the health check of all peers concurrently and returns the replies of those that answer. From these
-// it then requests lease delegations in the background: it does not wait for them, and registers them with delegations.
+// it then requests delegation grants in the background: it does not wait for them, and registers them with delegations.
 func (r *reachability) pollPeers(ctx context.Context, delegations *sync.WaitGroup) []*meshpb.HealthReply {
 	names := r.peers.Names()
 	replies := make(chan *meshpb.HealthReply, len(names))
@@ -143,8 +143,8 @@
 	return reached
 }
 
-// requestDelegation requests from a peer a lease delegation and the time since the peer last renewed a lease under its
-// own delegation, and posts the answer to the core.
+// requestDelegation requests from a peer a delegation grant and the time since the peer last renewed a lease under its
+// own grant, and posts the reply to the core.
 func (r *reachability) requestDelegation(ctx context.Context, name string) error {
 	sentAt := r.clock.Now()
 	data, err := msgpack.Marshal(peer.Batch{Node: r.settings.NodeName, WantsDelegation: true})
--- a/internal/node/relayuplink.go
+++ b/internal/node/relayuplink.go
@@ -126,7 +126,7 @@
 }
 
 // nextBatch returns a batch of the waiting requests, whose header also attests how long this node has renewed no lease
-// under a delegation.
+// under a delegation grant.
 func (u *relayUplink) nextBatch(id, acked string, waiting []relay.PendingRequest) relay.Batch {
 	now := u.clock.Now()
 	idleSince := clock.Instant(u.core.delegateIdleSince.Load())
--- a/internal/peer/batch.go
+++ b/internal/peer/batch.go
@@ -21,7 +21,7 @@
 )
 
 // maxDecompressedBytes is the maximum decompressed size of a batch or reply that is read
-// from a value of the key-value store.
+// from a value of the state service.
 const maxDecompressedBytes = 1 << 20
 
 // ErrMalformed is returned, wrapped, when a message from another node is malformed.
@@ -29,20 +29,20 @@
 
 // Batch is a message from a node to the leader. It contains worker heartbeats and cancel
 // requests that the node relays, and requests of the node itself. Its encoding is compact,
-// because it must fit into one value of the key-value store.
+// because it must fit into one value of the state service.
 type Batch struct {
 	ID             string                          `msgpack:"id" json:"id"`
 	Node           string                          `msgpack:"n" json:"n"` // the sender
 	Heartbeats     wire.BoundedList[Heartbeat]     `msgpack:"r,omitempty" json:"r,omitempty"`
 	CancelRequests wire.BoundedList[CancelRequest] `msgpack:"a,omitempty" json:"a,omitempty"`
-	// WantsDelegation requests a lease delegation, and a report of the receiver's own
-	// use of delegations.
+	// WantsDelegation requests a delegation grant, and the time since the receiver last
+	// used its own.
 	WantsDelegation bool `msgpack:"v,omitempty" json:"v,omitempty"`
 	// AckedBatchID is the ID of the last batch whose reply the sender had received
-	// through the key-value store before it measured IdleMs.
+	// through the state service before it measured IdleMs.
 	AckedBatchID string `msgpack:"e,omitempty" json:"e,omitempty"`
 	// IdleMs is the time in milliseconds since the sender last renewed a worker's lease
-	// under a delegation.
+	// under a delegation grant.
 	IdleMs int64 `msgpack:"q,omitempty" json:"q,omitempty"`
 	// SchemaVersion is the latest schema version that the sender supports; see package
 	// schemaversion.
@@ -83,13 +83,13 @@
 	return decode[BatchReply]("batch reply", data)
 }
 
-// DecompressBatch decompresses and decodes a batch from a value of the key-value store.
+// DecompressBatch decompresses and decodes a batch from a value of the state service.
 // Errors wrap ErrMalformed.
 func DecompressBatch(value []byte) (*Batch, error) {
 	return decompress[Batch]("batch", value)
 }
 
-// DecompressReply decompresses and decodes a reply from a value of the key-value store.
+// DecompressReply decompresses and decodes a reply from a value of the state service.
 // Errors wrap ErrMalformed.
 func DecompressReply(value []byte) (*BatchReply, error) {
 	return decompress[BatchReply]("batch reply", value)
--- a/internal/peer/batch_test.go
+++ b/internal/peer/batch_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// FuzzDecompress checks that the size to which a value of the key-value store is
+// FuzzDecompress checks that the size to which a value of the state service is
 // decompressed is limited. It guards against values that exhaust the memory.
 func FuzzDecompress(f *testing.F) {
 	batch, err := wire.CompressMessage(Batch{ID: "x", Heartbeats: []Heartbeat{PackHeartbeat(&fleet.Heartbeat{Machine: "host-1", Session: 1})}})
--- a/internal/peer/clients.go
+++ b/internal/peer/clients.go
@@ -1,6 +1,6 @@
 // Package peer implements the protocol between the controller nodes: gRPC calls, and
 // batches of heartbeats and cancel requests that are sent in a call or through a value of
-// the key-value store. It provides the clients, the server setup and the messages; package
+// the state service. It provides the clients, the server setup and the messages; package
 // meshpb contains the generated code. Package node implements the calls, and package relay
 // decides which workers are relayed and when.
 package peer
@@ -29,7 +29,7 @@
 
 	// callTimeout is the timeout of calls that the peer answers from memory;
 	// storeCallTimeout is the timeout of calls for which the peer waits for its leader
-	// loop or the key-value store.
+	// loop or the state service.
 	callTimeout      = 600 * time.Millisecond
 	storeCallTimeout = 2 * callTimeout
 
@@ -132,7 +132,7 @@
 	return reply.GetAnswers(), err
 }
 
-// Health queries whether the peer reaches the key-value store, and which leader it knows.
+// Health queries whether the peer reaches the state service, and which leader it knows.
 func (c *Clients) Health(ctx context.Context, name string) (*meshpb.HealthReply, error) {
 	return call(ctx, c, name, callTimeout, &meshpb.HealthRequest{}, meshpb.MeshClient.Health)
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestBatchesFromPreviousVersion checks that batches and replies that the production
-// version sends through the key-value store are decoded, and encoded again to the same
+// version sends through the state service are decoded, and encoded again to the same
 // bytes. It guards against changes that break nodes of both versions in one cluster.
 func TestBatchesFromPreviousVersion(t *testing.T) {
 	batch, err := DecompressBatch(readProductionMessage(t, "batch.msgpack"))
--- a/internal/peer/delegation.go
+++ b/internal/peer/delegation.go
@@ -13,15 +13,15 @@
 // maxDurationMs limits the durations in a DelegationStatus to about 35 years.
 const maxDurationMs = 1 << 40
 
-// DelegationStatus is a node's reply to another node that requests a lease delegation; see
+// DelegationStatus is a node's reply to another node that requests a delegation grant; see
 // package leasedelegation. Durations are in milliseconds.
 type DelegationStatus struct {
 	Epoch ident.Epoch `msgpack:"e" json:"e"`
 	// TTLMs is the duration of the grant, counted from the request for it; 0 means that
-	// no delegation is granted.
+	// nothing is granted.
 	TTLMs int64 `msgpack:"l" json:"l"`
 	// IdleMs is the time since the replying node last renewed a worker's lease under a
-	// delegation.
+	// delegation grant.
 	IdleMs int64 `msgpack:"q" json:"q"`
 	// Excluded lists the machines whose leases must not be renewed under the grant.
 	Excluded      wire.BoundedList[ident.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -35,9 +35,9 @@
 	return changed
 }
 
-// adjustAllocation applies a holder's request to its allocation in record: it lowers the allocation to the ceiling of
-// a newer release, and raises it towards the desired quantity as far as free quota allows. It reports whether the
-// allocation changed.
+// adjustAllocation applies a holder's request to its allocation in record. If the request reports a release that is not
+// stored yet, it lowers the allocation to what the holder has retained. It then raises the allocation towards the
+// desired quantity, as far as free quota allows. It reports whether the allocation changed.
 func adjustAllocation(step allocationStep, account *teamAccount, record *TeamRecord, holder HolderID, request TeamRequest) bool {
 	current := record.allocationOf(holder.Node)
 	if current != nil && current.Holder != holder {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -128,7 +128,8 @@
 	return Quantity{}
 }
 
-// RecordBlockedDemand records that work of a team with this demand did not fit into the unallocated part of the team's limit.
+// RecordBlockedDemand records that work of a team with this demand did not fit into the unallocated part of the team's
+// limit.
 func (a *Allocator) RecordBlockedDemand(now clock.Instant, team ident.Team, demand Quantity) {
 	if account := a.teams[team]; account != nil {
 		account.blockedDemand, account.blockedAt = demand, now
--- a/internal/quota/holderrequest.go
+++ b/internal/quota/holderrequest.go
@@ -8,7 +8,7 @@
 	"badgerbay/internal/ident"
 )
 
-// teamState is a holder's part of a team's limit.
+// teamState is what a holder knows of one team: its allocation from the team's limit, and the recent demand.
 type teamState struct {
 	allocated    Quantity // usable: confirmed by the leader and not released
 	releaseSeq   uint64   // number of the last release
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -18,8 +18,9 @@
 // TeamRequest is what a holder has and desires of a team's limit.
 type TeamRequest struct {
 	Team       ident.Team `msgpack:"t"`
-	ReleaseSeq uint64     `msgpack:"p"`
-	// Ceiling is the quantity that the holder does not exceed from the release ReleaseSeq on.
+	ReleaseSeq uint64     `msgpack:"p"` // number of the holder's last release
+	// Ceiling is the most that the holder uses after that release. If the release is not stored yet, the leader lowers
+	// the holder's allocation to it.
 	Ceiling Quantity `msgpack:"c"`
 	Desired Quantity `msgpack:"w"` // in total
 }
@@ -34,7 +35,7 @@
 	Revoked bool `msgpack:"r,omitempty"`
 }
 
-// TeamAllocation is a holder's allocation from a team's limit, as of the release ReleaseSeq.
+// TeamAllocation is a holder's allocation from a team's limit, after the holder's release ReleaseSeq.
 type TeamAllocation struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"`
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -22,7 +22,7 @@
 	reservationPrefix = KeyPrefix + "reserved/"
 )
 
-// recordSchemaVersion is the schema version of both records.
+// recordSchemaVersion is the schema version of TeamRecord and ReservationRecord.
 const recordSchemaVersion = 1
 
 const (
@@ -52,9 +52,9 @@
 }
 
 var (
-	// ErrNewerSchema is returned when a record was written by a later version.
+	// ErrNewerSchema is returned when a record was written by a newer release.
 	ErrNewerSchema = errors.New("quota record has a newer schema version")
-	// ErrMalformedRecord is returned when no version can have written a record.
+	// ErrMalformedRecord is returned when no release can have written a record.
 	ErrMalformedRecord = errors.New("malformed quota record")
 )
 
--- a/internal/recovery/records.go
+++ b/internal/recovery/records.go
@@ -1,6 +1,6 @@
 // Package recovery implements the first steps of a new leader. It decodes the records that earlier leaders stored, and
 // blocks scheduling until the state of nearly all machines is known again. It owns the decoded records and the rule
-// that opens scheduling, and performs no I/O. The controller reads the key-value store, sends requests to machines and
+// that opens scheduling, and performs no I/O. The controller reads the state service, sends requests to machines and
 // replays the records into jobs and machines.
 package recovery
 
@@ -18,7 +18,7 @@
 	"badgerbay/internal/schemaversion"
 )
 
-// StoredRecords holds all records of the key-value store in encoded form.
+// StoredRecords holds all records of the state service in encoded form.
 type StoredRecords struct {
 	// Jobs and Rounds are the first values of job and round records.
 	Jobs, Rounds []kvstore.KeyValue
--- a/internal/recovery/records_test.go
+++ b/internal/recovery/records_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestNewerSchemaIsDistinguishedFromDamage checks that records of a newer schema are distinguished from damaged ones, and that
-// an agreement that can't be decoded is listed too.
+// TestNewerSchemaIsDistinguishedFromDamage checks that records of a newer schema are distinguished from damaged ones,
+// and that an agreement that can't be decoded is listed too.
 func TestNewerSchemaIsDistinguishedFromDamage(t *testing.T) {
 	newer, err := msgpack.Marshal(map[string]any{"v": 99})
 	if err != nil {
--- a/internal/recovery/scheduling_gate.go
+++ b/internal/recovery/scheduling_gate.go
@@ -30,8 +30,8 @@
 const silentShareDivisor = 20
 
 // Open reports whether tasks may be placed. One of these conditions must hold: the cluster is pristine, nearly all busy
-// machines have reported under the epoch, the polled machines have answered, or every machine has had time to send a
-// periodic heartbeat. If a round record is lost, the tasks of that round must also have had time to end.
+// machines have sent a heartbeat to this leader, the polled machines have answered, or every machine has had time to
+// send a periodic heartbeat. If a round record is lost, the tasks of that round must also have had time to end.
 func (g *SchedulingGate) Open(now clock.Instant, machines []*fleet.Machine) bool {
 	sinceAcquired := now.Sub(g.AcquiredAt)
 	if g.LostRounds && sinceAcquired < g.maxPlacementLifetime() {
--- a/internal/recovery/scheduling_gate_test.go
+++ b/internal/recovery/scheduling_gate_test.go
@@ -16,8 +16,8 @@
 	epoch      = ident.Epoch(10)
 )
 
-// busyMachines returns n machines that are up with one task each. The first silent of them have not reported under the
-// epoch.
+// busyMachines returns n machines that are up with one task each. The first silent of them have sent no
+// heartbeat in the epoch.
 func busyMachines(t *testing.T, n, silent int) []*fleet.Machine {
 	t.Helper()
 	job := jobs.NewJob("wk-000001", jobs.NewRecord(jobs.Spec{Tasks: n, CPUs: 1}, 0), 1, acquiredAt)
@@ -35,8 +35,8 @@
 	return f.Machines()
 }
 
-// TestSchedulingGate checks that a new leader places no tasks until nearly all machines have reported to it or have had
-// the time to do so, and, if a round is lost, until its tasks have ended.
+// TestSchedulingGate checks that a new leader places no tasks until nearly all machines have sent it a heartbeat or
+// have had the time to do so, and, if a round is lost, until its tasks have ended.
 func TestSchedulingGate(t *testing.T) {
 	workers := config.Workers{HeartbeatSeconds: 5, LeaseSeconds: 27, CancelSeconds: 52}
 	for _, c := range []struct {
--- a/internal/relay/attestation.go
+++ b/internal/relay/attestation.go
@@ -7,11 +7,11 @@
 	"badgerbay/internal/peer"
 )
 
-// maxIdleMs limits the idle time that a node may report to about 35 years.
+// maxIdleMs limits the idle time that a node may attest to about 35 years.
 const maxIdleMs = 1 << 40
 
 // AnsweredBatches holds, by node, the last batch to which the leader replied through the
-// key-value store.
+// state service.
 type AnsweredBatches map[string]answeredBatch
 
 type answeredBatch struct {
@@ -24,16 +24,16 @@
 	a[node] = answeredBatch{id: batchID, answeredAt: at}
 }
 
-// Attestation is a node's report that it did not use its lease delegation: at the time of
-// the report, which is after Since, it had renewed no lease for the duration IdleFor.
+// Attestation is a node's statement that it has not used its delegation grant: at some time
+// after ReplySentAt, it had renewed no lease for the duration IdleFor.
 type Attestation struct {
 	ReplySentAt clock.Instant
 	IdleFor     time.Duration
 }
 
-// Attestation returns the report that a batch contains. It returns false if the batch does
-// not acknowledge the last reply, or if its idle time is out of range. The time of the
-// report is bounded as follows:
+// Attestation returns the attestation that a batch contains. It returns false if the batch
+// does not acknowledge the last reply, or if its idle time is out of range. The time of the
+// attestation is bounded as follows:
 //
 //  1. The batch may have been delayed for long, so the time at which it is received says
 //     nothing about the time at which the node measured its idle time.
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -19,7 +19,7 @@
 	reservedDivisor  = 8
 )
 
-// MaxBatchBytes returns the maximum size of a batch or a reply if the key-value store
+// MaxBatchBytes returns the maximum size of a batch or a reply if the state service
 // accepts values of up to valueBytes.
 func MaxBatchBytes(valueBytes int) int {
 	return valueBytes - min(maxReservedBytes, valueBytes/reservedDivisor)
@@ -30,10 +30,10 @@
 	ID           string
 	Node         string
 	AckedBatchID string        // the ID of the last batch whose reply was received
-	IdleFor      time.Duration // time since the node last renewed a lease under a delegation
+	IdleFor      time.Duration // time since the node last renewed a lease under a delegation grant
 }
 
-// Batch is an encoded batch that fits into one value of the key-value store.
+// Batch is an encoded batch that fits into one value of the state service.
 type Batch struct {
 	Value     wire.Packed
 	Sent      []PendingRequest // the requests in Value
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -16,7 +16,7 @@
 
 // TestBatchFitsValue checks that a batch of many heartbeats does not exceed the size of a
 // value, that the requests that do not fit are left for the next batch, and that requests
-// past their deadline are dropped. It guards against batches that the key-value store
+// past their deadline are dropped. It guards against batches that the state service
 // rejects when many workers are partitioned from the leader.
 func TestBatchFitsValue(t *testing.T) {
 	const valueBytes = 8192
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -19,7 +19,7 @@
 
 // TestGoldenBatch checks that a batch is compressed to the recorded value, and that this
 // value is decoded to the same requests. It guards against changes that nodes of other
-// versions, which exchange these values through the key-value store, cannot decode.
+// versions, which exchange these values through the state service, cannot decode.
 func TestGoldenBatch(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	heartbeats := []*fleet.Heartbeat{
@@ -89,7 +89,7 @@
 	}
 }
 
-// goldenValue reads a recorded value of the key-value store.
+// goldenValue reads a recorded value of the state service.
 func goldenValue(t *testing.T, file string) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/golden/" + file)
@@ -99,7 +99,7 @@
 	return strings.TrimSuffix(string(data), "\n")
 }
 
-// encodeValue returns a value in the encoding in which the key-value store returns it.
+// encodeValue returns a value in the encoding in which the state service returns it.
 func encodeValue(t *testing.T, value string) []byte {
 	t.Helper()
 	data, err := msgpack.Marshal(value)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -7,8 +7,8 @@
 	"badgerbay/internal/peer"
 )
 
-// PendingRequest is a request that waits for the leader's reply through the key-value
-// store. It is a worker's heartbeat or, if Heartbeat is nil, the cancel request for Job.
+// PendingRequest is a request that waits for the leader's reply through the state
+// service. It is a worker's heartbeat or, if Heartbeat is nil, the cancel request for Job.
 type PendingRequest struct {
 	Heartbeat *fleet.Heartbeat
 	Job       ident.JobID
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -1,6 +1,6 @@
 // Package relay relays heartbeats and cancel requests to a leader that their senders cannot
 // reach. A node that the senders can reach forwards them over gRPC or, in a network
-// partition, in batches through the key-value store. The package decides which workers are
+// partition, in batches through the state service. The package decides which workers are
 // relayed, which requests a batch contains, and which request a reply belongs to. It does
 // no I/O: package node sends the messages, which package peer defines.
 package relay
--- a/internal/roundlog/record.go
+++ b/internal/roundlog/record.go
@@ -59,7 +59,8 @@
 	Attempt ident.Attempt `msgpack:"-" json:"-"`
 }
 
-// AttemptInRound returns the attempt of the start if the round with the given number decided it.
+// AttemptInRound returns the attempt of the tasks that the start contains, given the number of the
+// round that decided the start.
 func (s *Start) AttemptInRound(roundNo ident.RoundNo) ident.Attempt {
 	if s.Attempt != 0 {
 		return s.Attempt
--- a/internal/roundlog/ring.go
+++ b/internal/roundlog/ring.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// SettleProvision settles a provision, to which the cloud has given its final answer.
+// SettleProvision settles a provision, to which the cloud has given its final response.
 func (r *Ring) SettleProvision(name string) {
 	for i := range r.slots {
 		delete(r.slots[i].pendingProvisions, name)
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -37,8 +37,8 @@
 	b.byPriority[priority] = b.byPriority[priority].Add(work)
 }
 
-// addQueued records the work that is ahead of the completion of the job: the running work of
-// its priority and above, the work queued before it, and the work of the job itself. Jobs must
+// addQueued records how much work the machines have to do before the job is complete: the
+// running work of its priority and above, the work queued before it, and its own work. Jobs must
 // be added in queue order.
 func (b *backlog) addQueued(job *jobs.Job) {
 	if _, counted := b.ahead[job]; job.Spec.Service || counted {
@@ -52,9 +52,9 @@
 	b.ahead[job] = sum
 }
 
-// seconds returns how long the machines that are up or pending take to complete the work ahead
-// of the job's last start, limited by the scarcest resource. A machine that is provisioned for
-// work which finds capacity within this time comes too late to help: in bursts, hundreds of
+// seconds returns how long the machines that are up or pending take to do the work that
+// addQueued recorded for the job, limited by the scarcest resource. Work that finds capacity
+// within this time needs no new machine, which would be up too late: in bursts, hundreds of
 // expensive machines came up after the work that they were provisioned for was done. All
 // resources count: by CPUs alone, machines whose GPUs are all in use seem to have free
 // capacity.
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -151,8 +151,9 @@
 }
 
 // reserve reserves capacity for a replica of the job that leaves sourceZone, and reports
-// whether it fits. It rejects a job that had a replica on a machine drained earlier by this
-// plan, so that the place that the replica vacates in sourceZone is still free.
+// whether it fits. It rejects a job with a replica on a machine that this plan has already
+// drained: the zone tracker does not account for that move, which may have used the place that
+// this replica leaves in sourceZone.
 func (c *consolidation) reserve(job *jobs.Job, sourceZone ident.Zone) bool {
 	if c.movedJobs[job] {
 		return false
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -55,10 +55,10 @@
 	tasks   []ident.TaskIndex
 }
 
-// place starts all tasks of a gang or none. A gang that does not fit reserves the free and
-// pending capacity of one zone, as long as that zone can hold it, so that individually placed
-// tasks do not use the capacity first. place returns how many tasks need machines to be
-// provisioned: those of the whole gang that its zone lacks capacity for.
+// place starts all tasks of a gang or none. If the gang does not fit, place reserves free and
+// pending capacity for it in one zone that can eventually hold all of it, so that individually
+// placed tasks do not use that capacity first. It returns for how many tasks of the gang the
+// zone lacks capacity, so that machines must be provisioned.
 func (p *gangPlacer) place(entry queueEntry) int {
 	gang := entry.job
 	if p.record.full {
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// sendHeartbeat has a machine report for the first time, or again.
+// sendHeartbeat applies the next heartbeat of a machine.
 func (s *snapshotGenerator) sendHeartbeat(at clock.Instant, r *fleet.Heartbeat) *fleet.Machine {
 	s.heartbeatSeqs[r.Machine]++
 	r.Session, r.HeartbeatSeq, r.FencingToken = 1, s.heartbeatSeqs[r.Machine], snapshotEpoch
@@ -214,7 +214,7 @@
 	return s.snapshot.Fleet.Machine(r.Machine)
 }
 
-// reportTasks has a machine report what it holds, in a state.
+// reportTasks applies a heartbeat of a machine in which its placements have the given state.
 func (s *snapshotGenerator) reportTasks(m *fleet.Machine, state fleet.TaskState, placements ...*jobs.Placement) {
 	r := &fleet.Heartbeat{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	for _, p := range placements {
@@ -318,7 +318,7 @@
 	for j.Queue.Len() > 0 {
 		m := s.roomFor(j)
 		if s.percent(1) {
-			// A record names it; it has not reported, and its zone is not known.
+			// A record names it; it has sent no heartbeat, and its zone is not known.
 			m = s.snapshot.Fleet.Ensure(snapshotNow, "host-unheard")
 		}
 		if m == nil || !j.Spec.Gang && !s.percent(chance) {
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -64,7 +64,7 @@
 		Session: 1, HeartbeatSeq: 1, FencingToken: fixtureEpoch})
 }
 
-// sendHeartbeat has a machine report its tasks, all running.
+// sendHeartbeat applies a heartbeat of a machine in which all its tasks are running.
 func (s *fixture) sendHeartbeat(id ident.MachineID) {
 	m := s.snapshot.Fleet.Machine(id)
 	heartbeat := &fleet.Heartbeat{Machine: id, Type: m.Type, Zone: m.Zone,
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -37,9 +37,11 @@
 	replicas    int
 }
 
-// rank returns the machines for the job, best first: machines that hold the image, then spot
-// machines if they are preferred, then the machines with the most free capacity. Among the
-// machines that hold the image, the fullest come first.
+// rank returns the machines for the job, best first. Machines that hold the image come before
+// the others and, if spot machines are preferred, spot machines before the rest of their group.
+// Of the machines that hold the image, those that run services come first, then those with the
+// fewest replicas if the job is a service, then the fullest. Of the other machines, those with
+// the most free CPUs come first.
 func (s *machineSelector) rank(job *jobs.Job) []*candidateMachine {
 	need, shape := job.Spec.TaskResources(), shapeOf(&job.Spec)
 	if s.unplaceable[shape] {
@@ -85,8 +87,8 @@
 		return compareTrueFirst(x.spot)
 	case !x.hasImage:
 		return cmp.Compare(y.free.CPUs, x.free.CPUs)
-	// Among the machines that hold the image, prefer the fullest, so that the others become
-	// empty and can be deprovisioned.
+	// Both machines hold the image. Prefer those that run a service and, at the end, the fullest,
+	// so that the others become empty and can be deprovisioned.
 	case x.runsService != y.runsService:
 		return compareTrueFirst(x.runsService)
 	// Spread replicas over machines, so that the failure of a machine affects few of them.
--- a/internal/schemaversion/negotiator.go
+++ b/internal/schemaversion/negotiator.go
@@ -103,7 +103,7 @@
 }
 
 // Propose returns a later version that the caller must store as the agreement, or 0 if there is none or a proposal is
-// pending. The caller then calls Settle.
+// pending. The caller then calls CompleteProposal.
 func (n *Negotiator) Propose(now clock.Instant) Version {
 	version := max(n.agreed, n.commonVersion(now))
 	if n.pending != 0 || version <= max(First, n.stored) {
--- a/internal/schemaversion/negotiator_test.go
+++ b/internal/schemaversion/negotiator_test.go
@@ -9,8 +9,8 @@
 
 const now = clock.Instant(time.Hour)
 
-// TestVersionIsAgreedAfterAllNodesReport checks that a later version is used only once every node has recently reported it and it is stored, and
-// that it is never withdrawn.
+// TestVersionIsAgreedAfterAllNodesReport checks that a later version is used only once every node has recently reported
+// it and it is stored, and that it is never withdrawn.
 func TestVersionIsAgreedAfterAllNodesReport(t *testing.T) {
 	n := New([]string{"n1", "n2"}, 0)
 	n.RecordReport(now, "n1", Latest)
