--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -125,8 +125,8 @@
 // unknownOutcomeCount returns the number of provision requests whose outcome is unknown.
 func (p *provisioner) unknownOutcomeCount() int { return p.tracker.UnknownOutcomeCount() }
 
-// sendDueCalls sends the calls that are due: deprovision requests first, because they stop costs, then provision requests, then
-// reads of the machine list and the machine types.
+// sendDueCalls sends the calls that are due: deprovision requests first, because they stop costs, then provision
+// requests, then reads of the machine list and the machine types.
 func (p *provisioner) sendDueCalls(now clock.Instant) {
 	if p.calls.Available(now) < 1 {
 		return
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -63,6 +63,7 @@
 	previousRoundFields = []string{"v", "no", "e", "lo", "st", "pk", "hi", "re"}
 )
 
+// previousSchemaVersion is the newest schema version of job and round records that the previous version reads.
 const previousSchemaVersion = 2
 
 // checkReadableByPreviousVersion checks that the previous version of the program can read all stored job and round
--- a/internal/leasedelegation/delegate.go
+++ b/internal/leasedelegation/delegate.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// leaderLossThreshold is the time without an answer from a leader after which a node treats the leader as
+	// leaderLossThreshold is the time without a reply from a leader after which a node treats the leader as
 	// unreachable.
 	leaderLossThreshold = 2500 * time.Millisecond
 	// contactMaxAge is how long a worker's last contact, and thus its redirect to another node, is taken into account.
 	// It leaves the worker time to find another node or to return.
 	contactMaxAge = 30 * time.Second
 	// probeDuration bounds how long a worker is away while it tries one other node without success: it connects to that
-	// node within half a second, waits 4 s for an answer and tries the next node one second later.
+	// node within half a second, waits 4 s for a reply and tries the next node one second later.
 	probeDuration = 6 * time.Second
 	// maxTrackedWorkers limits the number of workers whose contacts are kept.
 	maxTrackedWorkers = 10_000
--- a/internal/leasedelegation/grant_tracker_test.go
+++ b/internal/leasedelegation/grant_tracker_test.go
@@ -9,8 +9,8 @@
 	"badgerbay/internal/ident"
 )
 
-// TestGrantTrackerBoundsRenewals checks the bounds on the renewals that the nodes of a zone may have made, both for nodes that answer
-// and for nodes that don't.
+// TestGrantTrackerBoundsRenewals checks the bounds on the renewals that the nodes of a zone may have made, both for
+// nodes that answer and for nodes that don't.
 func TestGrantTrackerBoundsRenewals(t *testing.T) {
 	tracker := NewGrantTracker(testSettings(), now)
 	if _, ok := tracker.RenewalIn("a"); ok {
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -131,7 +131,7 @@
 func (h *heartbeatHandler) write(w http.ResponseWriter, reply controller.HeartbeatReply) {
 	body, err := h.encode(reply)
 	// This is checked immediately before the response is sent: a process that was starved of CPU time must not renew a
-	// worker's lease after its own leader lease or lease delegation has expired.
+	// worker's lease after its own leader lease or delegation grant has expired.
 	expired := reply.Outcome == controller.HeartbeatAccepted && !reply.Relayed && !h.clock.Now().Before(reply.ValidUntil)
 	if err != nil || expired {
 		reply, body = unavailableReply, nil
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -33,7 +33,7 @@
 	return encodeJobReply(s.core.queryJob(ctx, id, r.Withdraw)), nil
 }
 
-// Relay returns the core's reply to a batch, which carries a quota holder's request, a request for a lease delegation,
+// Relay returns the core's reply to a batch, which carries a quota holder's request, a request for a delegation grant,
 // or heartbeats of workers that cannot reach this node.
 func (s *peerServer) Relay(ctx context.Context, r *meshpb.RelayRequest) (*meshpb.RelayReply, error) {
 	batch, err := peer.DecodeBatch(r.Batch)
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -117,7 +117,7 @@
 }
 
 // pollPeers calls the health check of all peers concurrently and returns the replies of those that answer. From these
-// it then requests lease delegations in the background: it does not wait for them, and registers them with delegations.
+// it then requests delegation grants in the background: it does not wait for them, and registers them with delegations.
 func (r *reachability) pollPeers(ctx context.Context, delegations *sync.WaitGroup) []*meshpb.HealthReply {
 	names := r.peers.Names()
 	replies := make(chan *meshpb.HealthReply, len(names))
--- a/internal/peer/delegation.go
+++ b/internal/peer/delegation.go
@@ -13,7 +13,7 @@
 // maxDurationMs limits the durations in a DelegationStatus to about 35 years.
 const maxDurationMs = 1 << 40
 
-// DelegationStatus is a node's reply to another node that requests a lease delegation; see
+// DelegationStatus is a node's reply to another node that requests a delegation grant; see
 // package leasedelegation. Durations are in milliseconds.
 type DelegationStatus struct {
 	Epoch ident.Epoch `msgpack:"e" json:"e"`
--- a/internal/relay/attestation.go
+++ b/internal/relay/attestation.go
@@ -7,7 +7,7 @@
 	"badgerbay/internal/peer"
 )
 
-// maxIdleMs limits the idle time that a node may report to about 35 years.
+// maxIdleMs limits the idle time that a node may attest to about 35 years.
 const maxIdleMs = 1 << 40
 
 // AnsweredBatches holds, by node, the last batch to which the leader replied through the state
