--- a/internal/controller/componentfields_test.go
+++ b/internal/controller/componentfields_test.go
@@ -15,7 +15,7 @@
 var componentFiles = map[string][]string{
 	"jobTable":           {"jobtable.go"},
 	"schedulingLoop":     {"scheduling.go"},
-	"checkpointWriter":   {"fold.go", "staging.go"},
+	"checkpointWriter":   {"checkpointwriter.go", "staging.go"},
 	"epochAdvance":       {"epoch.go"},
 	"schemaAgreement":    {"schemaversion.go"},
 	"quotaManager":       {"quotas.go"},
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -50,8 +50,8 @@
 }
 
 // TestLeaderCrashBeforeEachEffect crashes the leader before each of its effects in turn (records, starts, provision
-// requests, rounds folded into job records, acknowledged exits, cancellations) and checks that its successor
-// continues: no task runs twice and nothing is lost.
+// requests, checkpoints that include the results of rounds, acknowledged exits, cancellations) and checks that its
+// successor continues: no task runs twice and nothing is lost.
 func TestLeaderCrashBeforeEachEffect(t *testing.T) {
 	t.Parallel()
 	for k := 1; k <= 60; k++ {
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -240,7 +240,7 @@
 	for _, s := range r.Starts {
 		j := t.jobs.get(s.Job)
 		if j == nil || j.Stored.Round >= r.RoundNo {
-			t.rounds.jobFolded(s.Job, r.RoundNo)
+			t.rounds.jobCheckpointed(s.Job, r.RoundNo)
 			continue
 		}
 		t.restorePlacements(now, j, jobs.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), Tasks: s.Tasks})
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -120,7 +120,7 @@
 
 // step answers the holders' requests, and writes the changes of allocations that these need.
 func (q *quotaManager) step(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement, table *jobTable) {
-	maxRecords := min(schema.storeLimits().MaxTxnOps, q.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)) - revocationOps
+	maxRecords := min(schema.storeLimits().MaxTxnOps, q.budget.AvailableWrites(now, kvstore.PurposeUrgentCheckpoint)) - revocationOps
 	if maxRecords < 1 {
 		return
 	}
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -152,7 +152,7 @@
 	for range 40 {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for _, e := range g.core.Step(g.now, Tick{}) {
-			if c, ok := e.(CommitTransaction); ok && c.Kind == FoldTransaction {
+			if c, ok := e.(CommitTransaction); ok && c.Kind == CheckpointTransaction {
 				write = &c
 			}
 		}
@@ -166,7 +166,7 @@
 	if got := queryStatus(); got.Outcome != api.JobNotFound {
 		t.Errorf("while the final phase is being stored: %+v, want JobNotFound, so that the record is read", got)
 	}
-	g.core.Step(g.now, TransactionCompleted{Kind: FoldTransaction, Epoch: write.Epoch, Revision: 999})
+	g.core.Step(g.now, TransactionCompleted{Kind: CheckpointTransaction, Epoch: write.Epoch, Revision: 999})
 	if got := queryStatus(); got.Outcome != api.JobFound || got.Status.State != api.Done {
 		t.Errorf("after the final phase was stored: %+v, want a job that is done", got)
 	}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -200,8 +200,8 @@
 	return r, true
 }
 
-// jobFolded records that the checkpoint of a job holds its rounds up to and including no.
-func (l *schedulingLoop) jobFolded(id ident.JobID, no ident.RoundNo) { l.ring.SettleJob(id, no) }
+// jobCheckpointed records that the checkpoint of a job holds its rounds up to and including no.
+func (l *schedulingLoop) jobCheckpointed(id ident.JobID, no ident.RoundNo) { l.ring.SettleJob(id, no) }
 
 // provisionSettled records that a provision request of a round needs no further attempts.
 func (l *schedulingLoop) provisionSettled(name string) { l.ring.SettleProvision(name) }
@@ -212,10 +212,10 @@
 // isUnused reports whether no round was ever stored.
 func (l *schedulingLoop) isUnused() bool { return l.ring.IsUnused() }
 
-// freeSlots returns how many rounds can be stored before the checkpoint of a job must be folded.
+// freeSlots returns how many rounds can be stored before the checkpoint of a job must be written.
 func (l *schedulingLoop) freeSlots() int { return l.ring.FreeSlots() }
 
-// jobsBlockingRing returns the jobs whose checkpoints must be folded to free the oldest slot in use. It returns none
+// jobsBlockingRing returns the jobs whose checkpoints must be written to free the oldest slot in use. It returns none
 // while more than a third of the slots are free.
 func (l *schedulingLoop) jobsBlockingRing() map[ident.JobID]bool {
 	blocking := map[ident.JobID]bool{}
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -33,9 +33,9 @@
 	job      *jobs.Job      // nil if nothing is staged
 	head     *jobs.Record
 	chunks   []*chunk.Value
-	written  int // chunks that are stored
-	inFlight int // chunks that are being written
-	folded   foldedJob
+	written  int        // chunks that are stored
+	inFlight int        // chunks that are being written
+	batched  batchedJob // the job, with the state that the complete record will hold
 }
 
 // resumeStaging adopts the revision of stagingKey that an earlier leader left.
@@ -53,13 +53,13 @@
 		return false
 	}
 	w.log.Info("checkpoint staging started", "job", j.ID, "chunks", len(chunks), "epoch", epoch)
-	w.staging = stagedWrite{revision: w.staging.revision, job: j, head: head, chunks: chunks, folded: newFoldedJob(j, record)}
+	w.staging = stagedWrite{revision: w.staging.revision, job: j, head: head, chunks: chunks, batched: newBatchedJob(j, record)}
 	j.WriteInFlight = true
 	return true
 }
 
 // continueStaging writes the next chunks of a staged record, within the write budget, and its head once all chunks are
-// stored. It waits while a fold is in flight, because folds write job records too.
+// stored. It waits while a CheckpointTransaction is in flight, because that writes job records too.
 func (w *checkpointWriter) continueStaging(now clock.Instant, epoch ident.Epoch, schema *schemaAgreement) {
 	s := &w.staging
 	if s.job == nil || s.inFlight > 0 || w.inFlight != nil || now.Before(w.retryAt) {
@@ -69,7 +69,7 @@
 		w.commitStagedHead(now, epoch)
 		return
 	}
-	n := min(len(s.chunks)-s.written, max(1, schema.storeLimits().MaxTxnValues()-1), w.budget.AvailableWrites(now, kvstore.PurposeUrgentFold)-1)
+	n := min(len(s.chunks)-s.written, max(1, schema.storeLimits().MaxTxnValues()-1), w.budget.AvailableWrites(now, kvstore.PurposeUrgentCheckpoint)-1)
 	if n <= 0 {
 		return
 	}
@@ -86,23 +86,23 @@
 	w.emit(CommitTransaction{Kind: StagingTransaction, Epoch: epoch, Txn: txn})
 }
 
-// commitStagedHead stores the head of the staged record, in a fold that contains no other job.
+// commitStagedHead stores the head of the staged record, in a batch that contains no other job.
 func (w *checkpointWriter) commitStagedHead(now clock.Instant, epoch ident.Epoch) {
 	s := &w.staging
-	if w.budget.AvailableWrites(now, kvstore.PurposeUrgentFold) < 1 {
+	if w.budget.AvailableWrites(now, kvstore.PurposeUrgentCheckpoint) < 1 {
 		return
 	}
 	w.budget.ForceTakeWrites(now, 1)
-	w.inFlight = &foldInFlight{jobs: []foldedJob{s.folded}, chunkOffset: s.head.ChunkInfo.Offset}
+	w.inFlight = &checkpointBatch{jobs: []batchedJob{s.batched}, chunkOffset: s.head.ChunkInfo.Offset}
 	key := jobs.Key(s.job.ID)
-	w.emit(CommitTransaction{Kind: FoldTransaction, Epoch: epoch, Txn: kvstore.Txn{
+	w.emit(CommitTransaction{Kind: CheckpointTransaction, Epoch: epoch, Txn: kvstore.Txn{
 		Conditions: []kvstore.Condition{election.EpochCondition(epoch), {Key: key, ModRevision: s.job.Stored.ModRevision}},
 		Operations: []kvstore.Operation{{SetKey: key, Value: s.head}},
 	}})
 	w.staging = stagedWrite{revision: s.revision}
 }
 
-// stagingCompleted records that chunks are stored. If they were not, they are written again after foldRetryDelay.
+// stagingCompleted records that chunks are stored. If they were not, they are written again after checkpointRetryDelay.
 func (w *checkpointWriter) stagingCompleted(now clock.Instant, in TransactionCompleted) {
 	s := &w.staging
 	if s.job == nil || s.inFlight == 0 {
@@ -112,7 +112,7 @@
 		s.revision = in.Revision
 		s.written += s.inFlight
 	} else {
-		w.retryAt = now.Add(foldRetryDelay)
+		w.retryAt = now.Add(checkpointRetryDelay)
 	}
 	s.inFlight = 0
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -128,7 +128,7 @@
 	t.advanceEpochIfDue(now)
 	if !t.core.election.AdvancingEpoch() {
 		t.checkpoints.continueStaging(now, t.epoch, t.schema)
-		t.checkpoints.foldIfDue(now, t.epoch, t.schema, t.jobs, t.rounds)
+		t.checkpoints.writeIfDue(now, t.epoch, t.schema, t.jobs, t.rounds)
 	}
 	t.scheduleIfDue(now)
 	t.provisioner.sendDueCalls(now)
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -14,7 +14,7 @@
 // Kinds of transactions.
 const (
 	RoundTransaction TransactionKind = iota
-	FoldTransaction
+	CheckpointTransaction
 	SchemaVersionTransaction
 	StagingTransaction
 	QuotaTransaction
@@ -66,8 +66,8 @@
 	switch in.Kind {
 	case RoundTransaction:
 		t.roundCompleted(now, in)
-	case FoldTransaction:
-		t.foldCompleted(now, in)
+	case CheckpointTransaction:
+		t.checkpointsCompleted(now, in)
 	case SchemaVersionTransaction:
 		t.schema.completed(in)
 	case StagingTransaction:
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -197,12 +197,12 @@
 	tm.jobs.get("wk-000002").Cancel(g.now.Add(time.Millisecond))
 	for range 40 {
 		g.now = g.now.Add(50 * time.Millisecond)
-		for g.core.budget.AvailableWrites(g.now, kvstore.PurposeUrgentFold) > 1 {
+		for g.core.budget.AvailableWrites(g.now, kvstore.PurposeUrgentCheckpoint) > 1 {
 			g.core.budget.ForceTakeWrites(g.now, 1) // leaves one write, enough for one job
 		}
 		for _, e := range g.core.Step(g.now, Tick{}) {
 			c, ok := e.(CommitTransaction)
-			if !ok || c.Kind != FoldTransaction {
+			if !ok || c.Kind != CheckpointTransaction {
 				continue
 			}
 			if len(c.Txn.Operations) != 1 || c.Txn.Operations[0].SetKey != "job/wk-000002" {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -17,8 +17,8 @@
 	PurposeLeadership Purpose = iota
 	PurposeSubmission
 	PurposeRound
-	PurposeUrgentFold // a user waits for the checkpoint, or it frees a slot in the ring of round records
-	PurposeFold       // checkpoints that nobody waits for, and other background writes
+	PurposeUrgentCheckpoint // a user waits for the checkpoint, or it frees a slot in the ring of round records
+	PurposeCheckpoint       // checkpoints that nobody waits for, and other background writes
 )
 
 const (
@@ -29,7 +29,7 @@
 	// rest is a margin, because the token buckets of the service and of the nodes never
 	// refill in step.
 	usableFraction = 0.9
-	// checkpointReserveDivisor sets the reserve of PurposeFold: its writes leave one part in
+	// checkpointReserveDivisor sets the reserve of PurposeCheckpoint: its writes leave one part in
 	// checkpointReserveDivisor of a full write bucket to the other purposes.
 	checkpointReserveDivisor = 3
 )
@@ -96,7 +96,7 @@
 		return 0
 	case PurposeRound:
 		return b.submissionReserve()
-	case PurposeUrgentFold:
+	case PurposeUrgentCheckpoint:
 		// Urgent checkpoints wait for a starved round as submissions do. Otherwise they
 		// leave a reserve to submissions and rounds, because many checkpoints at once
 		// would use up all writes.
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("%d rounds in %d s of continuous submissions", rounds, seconds)
 	}
 	now = now.Add(time.Minute)
-	for nodes[0].TakeWrites(now, kvstore.PurposeFold, 1) {
+	for nodes[0].TakeWrites(now, kvstore.PurposeCheckpoint, 1) {
 	}
 	if !nodes[0].TakeWrites(now, kvstore.PurposeSubmission, 1) || !nodes[0].TakeWrites(now, kvstore.PurposeRound, 1) {
 		t.Error("checkpoints left no write for a submission and a round")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -15,40 +15,40 @@
 
 // Metrics holds the metrics of one node and the registry they are in. It is safe for concurrent use.
 type Metrics struct {
-	Registry            *prometheus.Registry
-	EpochChanges        prometheus.Counter
-	CASConflicts        prometheus.Counter
-	Recoveries          prometheus.Counter
-	Rounds              prometheus.Counter
-	Folds               prometheus.Counter
-	StartRefusals       prometheus.Counter
-	Preemptions         prometheus.Counter
-	Throttled           prometheus.Counter
-	UncertainOutcomes   prometheus.Counter
-	RelayedHeartbeats   prometheus.Counter
-	DelegatedRenewals   prometheus.Counter
-	Stalls              prometheus.Counter
-	MalformedBatches    prometheus.Counter
-	OversizedRecords    prometheus.Counter
-	UnreadableRecords   prometheus.Counter
-	OutdatedNodes       prometheus.Gauge
-	UserResponses       *prometheus.CounterVec
-	HeartbeatResponses  *prometheus.CounterVec
-	CheckpointAge       prometheus.Gauge
-	PendingPlacements   prometheus.Gauge
-	UncertainProvisions prometheus.Gauge
-	QueuedTasks         prometheus.Gauge
-	Machines            prometheus.Gauge
-	FreeRoundSlots      prometheus.Gauge
-	Tombstones          prometheus.Gauge
-	Epoch               prometheus.Gauge
-	WarmFailovers       prometheus.Counter
-	ColdFailovers       prometheus.Counter
-	StandbyReady        prometheus.Gauge
-	StandbyLag          prometheus.Gauge
-	StandbyLagRecords   prometheus.Gauge
-	StandbyRecords      prometheus.Gauge
-	StandbyBytes        prometheus.Gauge
+	Registry               *prometheus.Registry
+	EpochChanges           prometheus.Counter
+	CASConflicts           prometheus.Counter
+	Recoveries             prometheus.Counter
+	Rounds                 prometheus.Counter
+	CheckpointTransactions prometheus.Counter
+	StartRefusals          prometheus.Counter
+	Preemptions            prometheus.Counter
+	Throttled              prometheus.Counter
+	UncertainOutcomes      prometheus.Counter
+	RelayedHeartbeats      prometheus.Counter
+	DelegatedRenewals      prometheus.Counter
+	Stalls                 prometheus.Counter
+	MalformedBatches       prometheus.Counter
+	OversizedRecords       prometheus.Counter
+	UnreadableRecords      prometheus.Counter
+	OutdatedNodes          prometheus.Gauge
+	UserResponses          *prometheus.CounterVec
+	HeartbeatResponses     *prometheus.CounterVec
+	CheckpointAge          prometheus.Gauge
+	PendingPlacements      prometheus.Gauge
+	UncertainProvisions    prometheus.Gauge
+	QueuedTasks            prometheus.Gauge
+	Machines               prometheus.Gauge
+	FreeRoundSlots         prometheus.Gauge
+	Tombstones             prometheus.Gauge
+	Epoch                  prometheus.Gauge
+	WarmFailovers          prometheus.Counter
+	ColdFailovers          prometheus.Counter
+	StandbyReady           prometheus.Gauge
+	StandbyLag             prometheus.Gauge
+	StandbyLagRecords      prometheus.Gauge
+	StandbyRecords         prometheus.Gauge
+	StandbyBytes           prometheus.Gauge
 }
 
 // New returns metrics in a new registry.
@@ -73,7 +73,7 @@
 	m.CASConflicts = counter("cas_conflicts_total", "Checkpoint writes whose revision did not match.")
 	m.Recoveries = counter("recoveries_total", "Failovers to this node that were reconciled.")
 	m.Rounds = counter("rounds_total", "Scheduling rounds recorded.")
-	m.Folds = counter("folds_total", "Folds of checkpoints written.")
+	m.CheckpointTransactions = counter("folds_total", "Folds of checkpoints written.")
 	m.StartRefusals = counter("launch_refusals_total", "Task starts that workers refused.")
 	m.Preemptions = counter("preemptions_total", "Tasks preempted or stopped to drain a machine.")
 	m.Throttled = counter("throttled_total", "Requests that the state service or the cloud throttled.")
--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -112,7 +112,7 @@
 		return
 	}
 	value := cloud.EncodeMachineTypes(types)
-	if kvstore.JSONSize(value) > c.storeLimits().MaxValueBytes() || !c.store.takeWrite(kvstore.PurposeFold) {
+	if kvstore.JSONSize(value) > c.storeLimits().MaxValueBytes() || !c.store.takeWrite(kvstore.PurposeCheckpoint) {
 		return
 	}
 	_, err := c.store.commit(ctx, kvstore.Txn{
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -11,8 +11,8 @@
 leader_poll_s = 0.5
 
 # Scheduling rounds: minimum time between two rounds, number of round records that
-# are kept, and how long a job's checkpoint may lag before it is written by a fold,
-# a transaction that stores the checkpoints of several jobs.
+# are kept, and how long a job's checkpoint may lag before it is written, in a
+# transaction that stores the checkpoints of several jobs.
 round_gap_s = 0.02
 ring_slots = 32
 fold_age_s = 0.5
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -32,12 +32,12 @@
 	LeaderPollInterval time.Duration `star:"leader_poll_s" min:"0.1" max:"10"`
 
 	// MinRoundInterval is the minimum time between two scheduling rounds, and RingSlots
-	// the number of round records that are kept. MaxFoldDelay is how long a job's
-	// checkpoint may lag before it is written by a fold, a transaction that stores the
+	// the number of round records that are kept. MaxCheckpointDelay is how long a job's
+	// checkpoint may lag before it is written, in a transaction that stores the
 	// checkpoints of several jobs.
-	MinRoundInterval time.Duration `star:"round_gap_s" min:"0.005" max:"5"`
-	MaxFoldDelay     time.Duration `star:"fold_age_s" min:"0.05" max:"10"`
-	RingSlots        int           `star:"ring_slots" min:"4" max:"256"`
+	MinRoundInterval   time.Duration `star:"round_gap_s" min:"0.005" max:"5"`
+	MaxCheckpointDelay time.Duration `star:"fold_age_s" min:"0.05" max:"10"`
+	RingSlots          int           `star:"ring_slots" min:"4" max:"256"`
 
 	// A machine without a task is deprovisioned after IdleTimeout, but no later than
 	// IdleBootFactor times the boot time of its type, and no sooner than MinIdleTimeout.
