--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -24,9 +24,9 @@
 type loadPurpose int
 
 const (
-	// answerFromRecord: the leader was not reached or does not know the job. If no
+	// respondFromRecord: the leader was not reached or does not know the job. If no
 	// record exists, the job does not exist.
-	answerFromRecord loadPurpose = iota
+	respondFromRecord loadPurpose = iota
 	// verifyCreation: the record existed before this submission, or the outcome of
 	// its creation is unknown.
 	verifyCreation
@@ -133,7 +133,7 @@
 	}
 	// The leader reports only stored state, so the record is never older than a
 	// status that a user received before.
-	return r.loadRecord(answerFromRecord)
+	return r.loadRecord(respondFromRecord)
 }
 
 func (r *Request) loadRecord(purpose loadPurpose) Action {
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -74,7 +74,7 @@
 // it knows the machine types, unless it is isolated. During an outage of the state service all nodes stay healthy:
 // users get status 503 from them at once, and no node has to pass the health check again after the outage.
 func (n *Node) handleUp(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if !n.store.everAnswered() || n.reach.isolated.Load() || n.core.view().machineTypes == nil {
+	if !n.store.hasResponded() || n.reach.isolated.Load() || n.core.view().machineTypes == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -178,7 +178,7 @@
 // limitConnections returns a listener that keeps the connections of workers and users within their share of the
 // sockets. Every machine holds one connection to the leader, and there may be more machines than the share has sockets.
 // A listener that stopped accepting at its limit left the remaining machines, users and the load balancer's probes
-// without an answer.
+// without a response.
 func (n *Node) limitConnections(listener net.Listener) *connlimit.Listener {
 	limits := connlimit.Limits{
 		MaxConnections: socketShare(n.settings, listenerSocketShare),
--- a/internal/node/peerserver.go
+++ b/internal/node/peerserver.go
@@ -56,7 +56,7 @@
 
 // Health reports whether the state service answers this node, and which node leads in this node's view.
 func (s *peerServer) Health(context.Context, *meshpb.HealthRequest) (*meshpb.HealthReply, error) {
-	return &meshpb.HealthReply{StateReached: s.store.answeredWithin(storeSilenceThreshold), Leader: s.core.view().leader}, nil
+	return &meshpb.HealthReply{StateReached: s.store.respondedWithin(storeSilenceThreshold), Leader: s.core.view().leader}, nil
 }
 
 // Notice informs the core that another node has stored a job. Taken is set only if this node leads and its core has
--- a/internal/node/quotastatus.go
+++ b/internal/node/quotastatus.go
@@ -22,15 +22,15 @@
 
 // holderStatus is the status of this node as a quota holder.
 type holderStatus struct {
-	Revision         ident.Revision             `msgpack:"stamp"`
-	Jobs             int                        `msgpack:"jobs"`
-	Admitted         int                        `msgpack:"admitted"`
-	DeferredToLeader int                        `msgpack:"left_to_the_leader"`
-	Teams            map[ident.Team]shareStatus `msgpack:"teams,omitempty"`
+	Revision         ident.Revision                  `msgpack:"stamp"`
+	Jobs             int                             `msgpack:"jobs"`
+	Admitted         int                             `msgpack:"admitted"`
+	DeferredToLeader int                             `msgpack:"left_to_the_leader"`
+	Teams            map[ident.Team]allocationStatus `msgpack:"teams,omitempty"`
 }
 
-// shareStatus is the part of a team's limit that is allocated to a holder, and what the holder has reserved of it.
-type shareStatus struct {
+// allocationStatus is the part of a team's limit that is allocated to a holder, and what the holder has reserved of it.
+type allocationStatus struct {
 	Allocated amounts `msgpack:"allotted"`
 	Reserved  amounts `msgpack:"reserved"`
 }
@@ -70,10 +70,10 @@
 		Jobs:             s.Jobs,
 		Admitted:         s.Admitted,
 		DeferredToLeader: s.Refused,
-		Teams:            map[ident.Team]shareStatus{},
+		Teams:            map[ident.Team]allocationStatus{},
 	}
-	for team, share := range s.Teams {
-		out.Teams[team] = shareStatus{Allocated: amountsOf(share.Allocated), Reserved: amountsOf(share.Reserved)}
+	for team, allocation := range s.Teams {
+		out.Teams[team] = allocationStatus{Allocated: amountsOf(allocation.Allocated), Reserved: amountsOf(allocation.Reserved)}
 	}
 	return out
 }
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// storeSilenceThreshold is the time without an answer from the state service after which a node relies on its
+	// storeSilenceThreshold is the time without a response from the state service after which a node relies on its
 	// peers' reports of whether the state service answers them.
 	storeSilenceThreshold = 2 * time.Second
 	// healthCheckInterval is the pause between two rounds of peer health checks.
@@ -86,7 +86,7 @@
 // publish updates the reported leader and the isolation of this node for the request handlers.
 func (r *reachability) publish(reached []*meshpb.HealthReply) {
 	isolated, hint := false, ""
-	if !r.store.answeredWithin(storeSilenceThreshold) {
+	if !r.store.respondedWithin(storeSilenceThreshold) {
 		// A node that has peers and reaches none of them is cut off from everything.
 		isolated = len(reached) == 0 && len(r.peers.Names()) > 0
 		for _, health := range reached {
@@ -102,7 +102,7 @@
 // isolation returns what this node is cut off from, according to the peers that answered. It returns StateServiceOutage
 // only if all peers answered and none of them reaches the state service.
 func (r *reachability) isolation(reached []*meshpb.HealthReply) leasedelegation.Isolation {
-	if r.store.answeredWithin(storeSilenceThreshold) {
+	if r.store.respondedWithin(storeSilenceThreshold) {
 		return leasedelegation.Connected
 	}
 	for _, health := range reached {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -28,20 +28,20 @@
 var errOutcomeAbandoned = errors.New("confirmation abandoned: transaction outcome unknown")
 
 // stateService is the node's client of the state service. It counts throttled requests and unknown outcomes, and
-// records when the service last answered. It is safe for concurrent use.
+// records when the service last responded. It is safe for concurrent use.
 type stateService struct {
 	*environment
-	client     *kvstore.Client
-	budget     *kvstore.Budget
-	lastAnswer atomic.Int64 // clock.Instant; 0 if there was no answer yet
+	client       *kvstore.Client
+	budget       *kvstore.Budget
+	lastResponse atomic.Int64 // clock.Instant; 0 if there was no response yet
 }
 
-// record updates the counters and the time of the last answer from the error of a request, and returns that error.
+// record updates the counters and the time of the last response from the error of a request, and returns that error.
 func (s *stateService) record(err error) error {
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil, errors.As(err, &conflict), errors.Is(err, kvstore.ErrLeaseNotFound):
-		s.lastAnswer.Store(int64(s.clock.Now()))
+		s.lastResponse.Store(int64(s.clock.Now()))
 	case errors.Is(err, kvstore.ErrThrottled):
 		s.metrics.Throttled.Inc()
 		s.log.Warn("state service request throttled")
@@ -51,12 +51,12 @@
 	return err
 }
 
-// everAnswered reports whether the service has answered since this node started.
-func (s *stateService) everAnswered() bool { return s.lastAnswer.Load() != 0 }
+// hasResponded reports whether the service has responded since this node started.
+func (s *stateService) hasResponded() bool { return s.lastResponse.Load() != 0 }
 
-// answeredWithin reports whether the service has answered within the last d.
-func (s *stateService) answeredWithin(d time.Duration) bool {
-	return s.clock.Now().Sub(clock.Instant(s.lastAnswer.Load())) < d
+// respondedWithin reports whether the service has responded within the last d.
+func (s *stateService) respondedWithin(d time.Duration) bool {
+	return s.clock.Now().Sub(clock.Instant(s.lastResponse.Load())) < d
 }
 
 // takeWrite takes one write from the node's write budget, and reports whether the budget allowed it.
@@ -78,7 +78,7 @@
 }
 
 // watch waits up to timeout for changes after a revision. The leader's long polls call the client directly instead:
-// they count neither as answers nor as failures of the service.
+// they count neither as responses nor as failures of the service.
 func (s *stateService) watch(ctx context.Context, prefix string, since ident.Revision,
 	timeout time.Duration) ([]kvstore.WatchEvent, ident.Revision, error) {
 	events, revision, err := s.client.Watch(ctx, prefix, since, timeout)
@@ -115,7 +115,7 @@
 
 // commitAndConfirm applies a transaction and determines its outcome even if responses are lost:
 //
-//  1. An attempt without an answer is repeated until one succeeds or conflicts. The conditions name the revisions
+//  1. An attempt without a response is repeated until one succeeds or conflicts. The conditions name the revisions
 //     that the transaction changes, so it is applied at most once.
 //  2. A conflict on the first attempt, or on opts.fenceKey, is returned.
 //  3. Any other conflict may stem from an earlier attempt that was applied. It is resolved by reading back the first
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -42,7 +42,7 @@
 	id, response := u.submit(ctx, data)
 	if duration := u.clock.Now().Sub(startedAt); response.Code >= http.StatusTooManyRequests || duration > slowSubmissionThreshold {
 		u.log.Debug("submission delayed or refused", "job", id, "status", response.Code, "took", duration, "retry_after", response.RetryAfter,
-			"state_reached", u.store.answeredWithin(storeFreshness))
+			"state_reached", u.store.respondedWithin(storeFreshness))
 	}
 	u.writeResponse(w, id, response)
 }
@@ -67,7 +67,7 @@
 	local := make(chan api.Response, 1)
 	go func() { local <- u.storeSubmission(ctx, submission) }()
 	delay := hedgeDelay
-	if !u.store.answeredWithin(storeFreshness) {
+	if !u.store.respondedWithin(storeFreshness) {
 		delay = 0
 	}
 	select {
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -15,8 +15,8 @@
 	"badgerbay/internal/wire"
 )
 
-// readProductionMessage reads a recorded message of the production version.
-func readProductionMessage(t *testing.T, name string) []byte {
+// readPreviousVersionMessage reads a recorded message of the previous version.
+func readPreviousVersionMessage(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/" + name)
 	if err != nil {
@@ -25,12 +25,12 @@
 	return data
 }
 
-// checkProtoRoundTrip decodes a recorded gRPC message of the production version into m and
+// checkProtoRoundTrip decodes a recorded gRPC message of the previous version into m and
 // returns m. It checks that the message has no unknown fields, and that it is encoded again
 // to the same bytes.
 func checkProtoRoundTrip[M proto.Message](t *testing.T, name string, m M) M {
 	t.Helper()
-	data := readProductionMessage(t, name)
+	data := readPreviousVersionMessage(t, name)
 	if err := proto.Unmarshal(data, m); err != nil {
 		t.Fatal(err)
 	}
@@ -40,11 +40,11 @@
 	return m
 }
 
-// TestBatchesFromPreviousVersion checks that batches and replies that the production
+// TestBatchesFromPreviousVersion checks that batches and replies that the previous
 // version sends through the state service are decoded, and encoded again to the same
 // bytes. It guards against changes that break nodes of both versions in one cluster.
 func TestBatchesFromPreviousVersion(t *testing.T) {
-	batch, err := DecompressBatch(readProductionMessage(t, "batch.msgpack"))
+	batch, err := DecompressBatch(readPreviousVersionMessage(t, "batch.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	}
 	checkCompressedUnchanged(t, "batch.msgpack", batch)
 
-	reply, err := DecompressReply(readProductionMessage(t, "answers.msgpack"))
+	reply, err := DecompressReply(readPreviousVersionMessage(t, "answers.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,13 +83,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readProductionMessage(t, name)) {
+	if data, err := msgpack.Marshal(text); err != nil || !bytes.Equal(data, readPreviousVersionMessage(t, name)) {
 		t.Errorf("%s: compressed to another value: %v", name, err)
 	}
 }
 
-// TestCallsFromPreviousVersion checks that the gRPC messages of the production version are
-// decoded and encoded again to the same bytes, and that the production version can decode
+// TestCallsFromPreviousVersion checks that the gRPC messages of the previous version are
+// decoded and encoded again to the same bytes, and that the previous version can decode
 // a grant of this version, whose additional fields, such as the schema version, it skips.
 func TestCallsFromPreviousVersion(t *testing.T) {
 	req := checkProtoRoundTrip(t, "grant-request.pb", &meshpb.RelayRequest{})
@@ -110,8 +110,8 @@
 	if err != nil || !bytes.Equal(again, reply.Answers) {
 		t.Errorf("grant encoded to other bytes: %v", err)
 	}
-	// The production version knows only these fields of a grant and skips the others.
-	var productionReply struct {
+	// The previous version knows only these fields of a grant and skips the others.
+	var previousReply struct {
 		Delegation struct {
 			Epoch  uint64 `msgpack:"e"`
 			LifeMs int64  `msgpack:"l"`
@@ -121,8 +121,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(data, &productionReply); err != nil || productionReply.Delegation.Epoch != 77 || productionReply.Delegation.LifeMs != status.GrantDuration.Milliseconds() {
-		t.Errorf("production version decodes %+v, %v", productionReply, err)
+	if err := msgpack.Unmarshal(data, &previousReply); err != nil || previousReply.Delegation.Epoch != 77 || previousReply.Delegation.LifeMs != status.GrantDuration.Milliseconds() {
+		t.Errorf("previous version decodes %+v, %v", previousReply, err)
 	}
 	if r := checkProtoRoundTrip(t, "cancel-request.pb", &meshpb.AskRequest{}); r.Job != "wk-000001" || !r.Withdraw {
 		t.Errorf("cancel request %v", r)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -58,7 +58,7 @@
 		},
 		CancelRequests: []CancelRequest{{Job: "wk-000398"}},
 		Quota: &quota.AllocationRequest{Holder: quota.HolderID{Node: "n0", ModRevision: 515},
-			Teams: []quota.TeamRequest{{Team: "red", ReleaseSeq: 4, Ceiling: quota.Quantity{MilliCPU: 64000, MilliGPU: 2000}, Desired: quota.Quantity{MilliCPU: 96500, MilliGPU: 1}}},
+			Teams: []quota.TeamRequest{{Team: "red", ReleaseSeq: 4, Retained: quota.Quantity{MilliCPU: 64000, MilliGPU: 2000}, Desired: quota.Quantity{MilliCPU: 96500, MilliGPU: 1}}},
 			Jobs:  []ident.JobID{"wk-000001", "wk-000002"}},
 	}
 }
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -50,7 +50,7 @@
 	if current != nil {
 		kept = current.Quantity
 		if request.ReleaseSeq > current.ReleaseSeq {
-			kept = kept.Min(request.Ceiling)
+			kept = kept.Min(request.Retained)
 		}
 	}
 	total := kept.Add(grantFor(step, account, record, request, kept))
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -53,7 +53,7 @@
 		"ask": {value: &quota.AllocationRequest{
 			Holder: goldenHolder,
 			Teams: []quota.TeamRequest{
-				{Team: "red", ReleaseSeq: 9, Ceiling: quota.Quantity{MilliCPU: 2000, MilliGPU: 1}, Desired: quota.Quantity{MilliCPU: 3000, MilliGPU: 2}},
+				{Team: "red", ReleaseSeq: 9, Retained: quota.Quantity{MilliCPU: 2000, MilliGPU: 1}, Desired: quota.Quantity{MilliCPU: 3000, MilliGPU: 2}},
 				{Team: "blue"},
 			},
 			Jobs: []ident.JobID{"wk-000412", "wk-000413"},
--- a/internal/quota/holderrequest.go
+++ b/internal/quota/holderrequest.go
@@ -58,7 +58,7 @@
 		desired := h.desired(now, name, team)
 		team.release(desired)
 		if !team.idle(desired) && len(request.Teams) < maxTeamsPerRequest {
-			request.Teams = append(request.Teams, TeamRequest{Team: name, ReleaseSeq: team.releaseSeq, Ceiling: team.allocated, Desired: desired})
+			request.Teams = append(request.Teams, TeamRequest{Team: name, ReleaseSeq: team.releaseSeq, Retained: team.allocated, Desired: desired})
 		}
 	}
 	h.nextRequest = now.Add(requestInterval)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -19,10 +19,10 @@
 type TeamRequest struct {
 	Team       ident.Team `msgpack:"t"`
 	ReleaseSeq uint64     `msgpack:"p"` // number of the holder's last release
-	// Ceiling is the most that the holder uses after that release. If the release is not stored yet, the leader lowers
+	// Retained is the most that the holder uses after that release. If the release is not stored yet, the leader lowers
 	// the holder's allocation to it.
-	Ceiling Quantity `msgpack:"c"`
-	Desired Quantity `msgpack:"w"` // in total
+	Retained Quantity `msgpack:"c"`
+	Desired  Quantity `msgpack:"w"` // in total
 }
 
 // AllocationResponse is the leader's response. The allocations that it reports are stored.
@@ -71,7 +71,7 @@
 		return false
 	}
 	for _, team := range r.Teams {
-		if !team.Ceiling.valid() || !team.Desired.valid() {
+		if !team.Retained.valid() || !team.Desired.valid() {
 			return false
 		}
 	}
--- a/internal/recovery/heartbeat_poll.go
+++ b/internal/recovery/heartbeat_poll.go
@@ -14,9 +14,9 @@
 	lastSentAt clock.Instant
 }
 
-// answerTimeout is how long a new leader waits for the answers of polled machines after the last request. The tasks of
-// a machine that did not answer count as running.
-const answerTimeout = time.Second
+// responseTimeout is how long a new leader waits for the responses of polled machines after the last request. The tasks
+// of a machine that did not respond count as running.
+const responseTimeout = time.Second
 
 // RecordSent records that heartbeat requests to the given number of machines are sent at now, and whether requests to
 // more machines will follow.
@@ -30,7 +30,7 @@
 // answered reports whether the polled machines have answered, once every request was sent:
 //
 //  1. If no polled or busy machine is silent, at least one machine must be up.
-//  2. If some are silent, at least as many machines must be up, and answerTimeout must have passed.
+//  2. If some are silent, at least as many machines must be up, and responseTimeout must have passed.
 //  3. If more machines are silent than up, this node itself may be isolated. The leader then waits as if it had not
 //     polled any machine.
 func (p *HeartbeatPoll) answered(now clock.Instant, machines []*fleet.Machine) bool {
@@ -49,5 +49,5 @@
 	if silent == 0 {
 		return up > 0
 	}
-	return up >= silent && now.Sub(p.lastSentAt) >= answerTimeout
+	return up >= silent && now.Sub(p.lastSentAt) >= responseTimeout
 }
--- a/internal/recovery/heartbeat_poll_test.go
+++ b/internal/recovery/heartbeat_poll_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestHeartbeatPoll checks that the poll is answered once all polled machines have answered, or once most have answered
-// and answerTimeout has passed. A leader that most machines don't answer waits as if it had not polled any.
+// and responseTimeout has passed. A leader that most machines don't answer waits as if it had not polled any.
 func TestHeartbeatPoll(t *testing.T) {
 	const polled = 20
 	for _, c := range []struct {
@@ -23,8 +23,8 @@
 		{"all have answered", 0, true, 0, true},
 		{"not all have been polled", 0, false, 0, false},
 		{"some have not answered yet", 5, true, 500 * time.Millisecond, false},
-		{"some do not answer", 5, true, answerTimeout, true},
-		{"most do not answer", 11, true, answerTimeout, false},
+		{"some do not answer", 5, true, responseTimeout, true},
+		{"most do not answer", 11, true, responseTimeout, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := fleet.New(fleet.Timing{}, epoch, acquiredAt, func(ident.JobID) *jobs.Job { return nil })
--- a/internal/recovery/scheduling_gate.go
+++ b/internal/recovery/scheduling_gate.go
@@ -40,7 +40,7 @@
 	switch {
 	case g.Pristine,
 		sinceAcquired >= g.Workers.MaxHeartbeatGap(),
-		g.nearlyAllReported(machines):
+		g.nearlyAllSentHeartbeat(machines):
 		return true
 	}
 	return g.Poll.answered(now, machines)
@@ -53,7 +53,7 @@
 	return g.Workers.LeaseTTL() + leasedelegation.GrantDuration(g.Workers) + margin
 }
 
-func (g *SchedulingGate) nearlyAllReported(machines []*fleet.Machine) bool {
+func (g *SchedulingGate) nearlyAllSentHeartbeat(machines []*fleet.Machine) bool {
 	busy, silent, up := 0, 0, 0
 	for _, m := range machines {
 		if m.Up {
