--- a/cmd/badgerbay/failover_test.go
+++ b/cmd/badgerbay/failover_test.go
@@ -265,7 +265,7 @@
 		}
 		leaderActive := false
 		c.history.inspect(func(h *fake.LeaderHistory) {
-			leaderActive = h.HasDone(fake.HeartbeatAnswered, fake.CommandSent, fake.RecordsWritten)
+			leaderActive = h.HasPerformed(fake.HeartbeatAnswered, fake.CommandSent, fake.RecordsWritten)
 		})
 		return leader != nil && ready == 2 && leaderActive
 	})
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -156,7 +156,7 @@
 func longest(all []failoverTimes) failoverTimes { return slices.MaxFunc(all, byTotal) }
 
 // TestLeaderSurvivesStoreOutage checks that the same leader continues in the same epoch after an outage of the state
-// service: while no node can write, no node can tell that the leader sends no heartbeats.
+// service: while no node can write, no node can detect that the leader sends no heartbeats.
 func TestLeaderSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
--- a/internal/controller/oversized_test.go
+++ b/internal/controller/oversized_test.go
@@ -40,7 +40,7 @@
 		s.t.Fatal(err)
 	}
 	s.store.MaxValueBytes, s.store.MaxTxnOps = maxValueBytes, maxTxnOps
-	s.jobs[id] = &simulatedJob{spec: spec, submitted: true, runTime: time.Minute, acceptedAt: s.now, startedAt: s.now, lastAnswerAt: s.now, reportedState: api.Queued}
+	s.jobs[id] = &simulatedJob{spec: spec, submitted: true, runTime: time.Minute, acceptedAt: s.now, startedAt: s.now, lastStatusAt: s.now, reportedState: api.Queued}
 }
 
 // readWholeRecord returns the record of a job, assembled from its head and chunks as a new leader would read it at
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -25,7 +25,7 @@
 	}
 	plan := scheduler.PlanRound(t.snapshot(now, no))
 	t.rounds.recordPlan(now, plan)
-	t.quotas.noteBlocked(now, plan.ReservationBlocked)
+	t.quotas.recordBlockedDemand(now, plan.ReservationBlocked)
 	t.drain(plan.Drain)
 	t.evict(now, plan.Evictions)
 	t.writeRound(now, plan)
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -237,9 +237,9 @@
 	return reserved, covered
 }
 
-// noteBlocked informs the allocator of the demand that did not fit into a team's limit because of reservations. The
-// allocator then recalls the allocations that holders do not use.
-func (q *quotaManager) noteBlocked(now clock.Instant, blocked map[ident.Team]jobs.Resources) {
+// recordBlockedDemand informs the allocator of the demand that did not fit into a team's limit because of reservations.
+// The allocator then recalls the allocations that holders do not use.
+func (q *quotaManager) recordBlockedDemand(now clock.Instant, blocked map[ident.Team]jobs.Resources) {
 	for team, r := range blocked {
 		if quantity, err := quota.DemandOf(&jobs.Spec{CPUs: r.CPUs, GPUs: r.GPUs}); err == nil {
 			q.allocator.RecordBlockedDemand(now, team, quantity)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -74,9 +74,9 @@
 	startableSince    clock.Instant // start of the time in which it waits though a task could start; 0: none
 	startsAtLastCheck int           // value of starts at the last check
 	starts            int           // task starts
-	cancelledAt       clock.Instant // when its user was first told that it is cancelled; 0: not yet
+	cancelledAt       clock.Instant // when its user first received the status cancelled; 0: not yet
 	reportedState     api.JobState
-	lastAnswerAt      clock.Instant // when its user last received its status
+	lastStatusAt      clock.Instant // when its user last received its status
 	acceptedAt        clock.Instant
 	startedAt         clock.Instant // 0: no task has started
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -219,7 +219,7 @@
 	if st.State == api.Done && st.DoneTasks != j.spec.Tasks {
 		s.t.Fatalf("%s is reported as done with %d of %d tasks", id, st.DoneTasks, j.spec.Tasks)
 	}
-	j.lastAnswerAt = s.now
+	j.lastStatusAt = s.now
 	if st.State == api.Cancelled && j.cancelledAt == 0 {
 		j.cancelledAt = s.now
 	}
@@ -300,7 +300,7 @@
 		if j.isFinished() || !j.submitted {
 			continue
 		}
-		if j.lastAnswerAt < start {
+		if j.lastStatusAt < start {
 			s.t.Errorf("no status query for %s was answered for 75 s", id)
 		}
 	}
--- a/internal/fake/leaderhistory.go
+++ b/internal/fake/leaderhistory.go
@@ -73,8 +73,8 @@
 // LastActionAt returns when the leader of the highest epoch last acted.
 func (h *LeaderHistory) LastActionAt() clock.Instant { return h.lastActionAt }
 
-// HasDone reports whether the leader of the highest epoch has performed actions of all the kinds.
-func (h *LeaderHistory) HasDone(kinds ...LeaderActionKind) bool {
+// HasPerformed reports whether the leader of the highest epoch has performed actions of all the kinds.
+func (h *LeaderHistory) HasPerformed(kinds ...LeaderActionKind) bool {
 	for _, k := range kinds {
 		if !h.kindsSeen[k] {
 			return false
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -7,17 +7,17 @@
 
 // backlog sums up the outstanding work of arrays and gangs, in resources times seconds.
 type backlog struct {
-	machines   *machinePool
-	byPriority [jobs.PriorityProd + 1]jobs.Resources
-	ahead      map[*jobs.Job]jobs.Resources      // see addQueued
-	usable     map[placementShape]jobs.Resources // see capacityUsableBy
+	machines          *machinePool
+	byPriority        [jobs.PriorityProd + 1]jobs.Resources
+	workUntilComplete map[*jobs.Job]jobs.Resources      // see addQueued
+	usable            map[placementShape]jobs.Resources // see capacityUsableBy
 }
 
 func newBacklog(machines *machinePool, placed []*jobs.Job) *backlog {
 	b := &backlog{
-		machines: machines,
-		ahead:    map[*jobs.Job]jobs.Resources{},
-		usable:   map[placementShape]jobs.Resources{},
+		machines:          machines,
+		workUntilComplete: map[*jobs.Job]jobs.Resources{},
+		usable:            map[placementShape]jobs.Resources{},
 	}
 	for _, job := range placed {
 		if !job.Spec.Service {
@@ -41,7 +41,7 @@
 // running work of its priority and above, the work queued before it, and its own work. Jobs must
 // be added in queue order.
 func (b *backlog) addQueued(job *jobs.Job) {
-	if _, counted := b.ahead[job]; job.Spec.Service || counted {
+	if _, counted := b.workUntilComplete[job]; job.Spec.Service || counted {
 		return
 	}
 	b.add(job.Spec.Priority, expectedWork(job, job.Queue.Len()))
@@ -49,7 +49,7 @@
 	for _, work := range b.byPriority[job.Spec.Priority:] {
 		sum = sum.Add(work)
 	}
-	b.ahead[job] = sum
+	b.workUntilComplete[job] = sum
 }
 
 // seconds returns how long the machines that are up or pending take to do the work that
@@ -59,7 +59,7 @@
 // resources count: by CPUs alone, machines whose GPUs are all in use seem to have free
 // capacity.
 func (b *backlog) seconds(job *jobs.Job) float64 {
-	return b.ahead[job].DominantShare(b.capacityUsableBy(job))
+	return b.workUntilComplete[job].DominantShare(b.capacityUsableBy(job))
 }
 
 // capacityUsableBy returns the capacity, on machines that are up or pending, that arrays of the
