--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		reply = unavailableReply
 	}
-	// While this node gets no response from the state service, it cannot read which node leads, so it uses the leader that
-	// its peers report, if any.
+	// While this node gets no response from the state service, it cannot read which node leads, so it uses the leader
+	// that its peers report, if any.
 	askLeader := reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && h.reach.peerReportedLeader() != ""
 	if reply.Final || !askLeader {
 		return reply
