--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -25,7 +25,7 @@
 	}
 	plan := scheduler.PlanRound(t.snapshot(now, no))
 	t.rounds.recordPlan(now, plan)
-	t.quotas.noteBlocked(now, plan.ReservationBlocked)
+	t.quotas.recordBlockedDemand(now, plan.ReservationBlocked)
 	t.drain(plan.Drain)
 	t.evict(now, plan.Evictions)
 	t.writeRound(now, plan)
@@ -240,7 +240,7 @@
 	for _, s := range r.Starts {
 		j := t.jobs.get(s.Job)
 		if j == nil || j.Stored.Round >= r.RoundNo {
-			t.rounds.jobFolded(s.Job, r.RoundNo)
+			t.rounds.jobCheckpointed(s.Job, r.RoundNo)
 			continue
 		}
 		t.restorePlacements(now, j, jobs.PlacementGroup{Machine: s.Machine, Session: s.Session, Attempt: s.AttemptInRound(r.RoundNo), Tasks: s.Tasks})
