--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -54,11 +54,11 @@
 
 // NewCore returns the core of the node that the settings describe.
 func NewCore(settings *config.Settings, pol *policy.Policy, clk clock.Clock, budget *kvstore.Budget,
-	rng *rand.Rand, log *slog.Logger, signals *metrics.Metrics) *Core {
+	rng *rand.Rand, log *slog.Logger, m *metrics.Metrics) *Core {
 	elector := election.New(settings.NodeName, electionTiming(settings, pol), rng)
 	elector.SetNodes(append(settings.PeerNames(), settings.NodeName))
 	return &Core{
-		environment: &environment{settings: settings, policy: pol, log: log, metrics: signals, budget: budget, clock: clk},
+		environment: &environment{settings: settings, policy: pol, log: log, metrics: m, budget: budget, clock: clk},
 		election:    elector,
 		delegate:    leasedelegation.NewDelegate(ident.Zone(settings.Zone), settings.Params.Workers, clk.Now()),
 		probeNode:   nodeOutsideZone(settings),
@@ -143,7 +143,7 @@
 	return false
 }
 
-// stepElection applies an input to the leader election, and begins, continues or ends the term by its result.
+// stepElection applies an input to the leader election, and begins, continues or ends the term according to the result.
 func (c *Core) stepElection(now clock.Instant, in election.Input) {
 	before := c.election.Epoch()
 	for _, e := range c.election.Step(now, in) {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// handleHeartbeat answers a worker. A node without a valid leader lease must not renew the worker's lease, or worker
-// leases would not expire: unless a delegation grant applies, it redirects the worker to the leader or refuses the
-// heartbeat.
+// handleHeartbeat answers a worker. A node without a valid leader lease must not renew the worker's lease: the lease of
+// a worker that has lost contact with the leader has to expire. Unless a delegation grant applies, such a node
+// redirects the worker to the leader or refuses the heartbeat.
 func (c *Core) handleHeartbeat(now clock.Instant, in HeartbeatReceived) {
 	if !c.election.LeaseValid(now) || c.term == nil {
 		if in.RelayedBy == "" && c.answerDelegated(now, in) {
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -19,9 +19,9 @@
 	removedRetention = 10 * time.Minute
 )
 
-// machinesPageListed adds a page to the machine list and applies the list once it is complete. A listed machine that is
-// missing from the list is removed only if it was first listed so long ago that even an outdated list would contain it.
-// A machine that was never listed and has no known session is removed after a longer time.
+// machinesPageListed adds a page to the machine list and applies the list once it is complete. A machine that an
+// earlier list contained and this one does not is removed only if it was first listed so long ago that even an outdated
+// list would contain it. A machine that was never listed and has no known session is removed after a longer time.
 func (t *term) machinesPageListed(now clock.Instant, in MachinesListed) {
 	list, complete := t.provisioner.addPage(now, in.Page)
 	if !complete {
--- a/internal/controller/machinemonitor.go
+++ b/internal/controller/machinemonitor.go
@@ -46,7 +46,7 @@
 }
 
 // silentMachines returns the machines that have exceeded the silence timeout while others still send heartbeats. The
-// caller deprovisions them, which proves that their tasks have ended sooner than the expiry of their leases would.
+// caller deprovisions them: that proves that their tasks have ended, and does so earlier than the expiry of the leases.
 //
 // If more than a tenth of the machines, and more than one, have missed a heartbeat, the cause may be a network
 // partition. The silent machines of a zone are then returned only if the following conditions rule that out:
@@ -102,8 +102,8 @@
 	return now.Sub(max(m.LastContact, acquiredAt))
 }
 
-// recordReconnect records that a machine makes contact after it had exceeded the silence timeout. It must be called
-// before the contact is applied to the machine.
+// recordReconnect records that a machine has made contact after exceeding the silence timeout, if that is the case. It
+// must be called before the contact is applied to the machine.
 func (mm *machineMonitor) recordReconnect(now, acquiredAt clock.Instant, m *fleet.Machine) {
 	if m.Up && silentFor(now, acquiredAt, m) > mm.silenceTimeout() {
 		mm.reconnectedAt = now
@@ -128,10 +128,10 @@
 	}
 }
 
-// silenceTimeout returns how long a worker may be silent before its machine is considered failed. It covers two
-// heartbeat intervals, since each heartbeat may be late by a quarter of the interval, and the probe between them. With
-// a fixed timeout of 6 s and an interval of 5 s, hundreds of healthy machines were deprovisioned together with their
-// tasks.
+// silenceTimeout returns how long a worker may be silent before its machine is considered failed. It is at least two
+// heartbeat intervals: a heartbeat may be late by a quarter of the interval, and a machine that misses one needs time
+// to answer the probe that is sent then. With a fixed timeout of 6 s and an interval of 5 s, hundreds of healthy
+// machines were deprovisioned together with their tasks.
 func (mm *machineMonitor) silenceTimeout() time.Duration {
 	return max(mm.policy.SilenceTimeout, 2*mm.settings.Params.Workers.HeartbeatInterval())
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -21,14 +21,14 @@
 // Responder receives the reply to one request. The core returns it as part of the reply and never calls it.
 type Responder[T any] interface {
 	// Respond receives the reply. It must not block.
-	Respond(answer T)
+	Respond(reply T)
 }
 
 // ResponderFunc adapts a function to the Responder interface.
 type ResponderFunc[T any] func(T)
 
 // Respond calls f with the reply.
-func (f ResponderFunc[T]) Respond(answer T) { f(answer) }
+func (f ResponderFunc[T]) Respond(reply T) { f(reply) }
 
 // Tick is the periodic input that makes the core run what is due by time.
 type Tick struct{}
--- a/internal/controller/schemaversion.go
+++ b/internal/controller/schemaversion.go
@@ -50,8 +50,8 @@
 // maxRoundValues returns how many values a round record may occupy.
 func (a *schemaAgreement) maxRoundValues() int { return a.maxValuesSince(schemaversion.ChunkedRounds) }
 
-// maxValuesSince returns how many values a record may occupy whose chunking was introduced in the given schema version:
-// as many as fit into one transaction if all nodes can read chunks, otherwise one.
+// maxValuesSince returns how many values a record may occupy if chunks of its kind were introduced in the given schema
+// version: as many as fit into one transaction if all nodes can read that version, otherwise one.
 func (a *schemaAgreement) maxValuesSince(version schemaversion.Version) int {
 	if a.version() < version {
 		return 1
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -13,11 +13,11 @@
 
 // Kinds of transactions.
 const (
-	RoundTransaction TransactionKind = iota
-	FoldTransaction
-	SchemaVersionTransaction
-	StagingTransaction
-	QuotaTransaction
+	RoundTransaction         TransactionKind = iota // stores the decisions of a scheduling round
+	FoldTransaction                                 // stores checkpoints of jobs
+	SchemaVersionTransaction                        // stores the schema version that all nodes can read
+	StagingTransaction                              // stores chunks of a checkpoint that needs several transactions
+	QuotaTransaction                                // changes quota allocations
 )
 
 // CommitTransaction is the effect that commits a transaction of the leader to the state service.
--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -155,8 +155,8 @@
 	return pending
 }
 
-// awaitHeartbeat waits for the core's reply to a relayed heartbeat. It returns status 503 if there is no reply in
-// time, or the reply is not an acceptance that is still valid.
+// awaitHeartbeat waits for the core's reply to a relayed heartbeat. It returns status 200 if the core accepts the
+// heartbeat before ctx ends and the acceptance is still valid, and status 503 otherwise.
 func (s *batchServer) awaitHeartbeat(ctx context.Context, machine ident.MachineID,
 	pending <-chan controller.HeartbeatReply) peer.HeartbeatReply {
 	out := peer.HeartbeatReply{Machine: machine, Code: http.StatusServiceUnavailable}
--- a/internal/node/batchserver_test.go
+++ b/internal/node/batchserver_test.go
@@ -18,9 +18,9 @@
 	"badgerbay/internal/wire"
 )
 
-// TestLeaderAnswersRelayedBatch checks that the leader writes the reply to a batch from the state service, that it
-// counts a malformed batch without answering it, and that the reply is conditional on the epoch: an earlier leader must
-// not answer.
+// TestLeaderAnswersRelayedBatch checks that the leader replies, through the state service, to a batch that is stored
+// there, that it counts a malformed batch without answering it, and that the reply is conditional on the epoch: a
+// former leader must not answer.
 func TestLeaderAnswersRelayedBatch(t *testing.T) {
 	f := newNodeFixture(t)
 	f.becomeLeader(t)
@@ -45,7 +45,7 @@
 	item, _ := f.node.store.client.Get(context.Background(), peer.ReplyKeyPrefix+"n1")
 	reply, err := peer.DecompressReply(item.Value)
 	if err != nil || reply.ID != "b-1" || len(reply.Heartbeats) != 1 || reply.Heartbeats[0].Code != 200 || reply.Heartbeats[0].Epoch != 77 {
-		t.Fatalf("reply %+v, error %v", reply, err)
+		t.Fatalf("reply %+v, error %v; want one accepted heartbeat in epoch 77, for batch b-1", reply, err)
 	}
 	if len(reply.Cancellations) != 1 || reply.Cancellations[0].State != "" {
 		t.Errorf("cancellations %+v, want one without a state for the unknown job", reply.Cancellations)
@@ -67,10 +67,11 @@
 	}
 }
 
-// TestAttestationCountsFromReplyTime checks that a node's attestation about its use of a delegation grant, when
-// relayed through the state service, counts from when the leader sent the reply that the node acknowledges, not from
-// when the batch arrives. A batch that does not acknowledge the last reply to that node, or has an invalid idle time,
-// is ignored.
+// TestAttestationCountsFromReplyTime checks which time the leader assumes for an attestation that is relayed through
+// the state service. The attestation says how long a node has not used its delegation grant. The batch may have been
+// delayed, so the leader assumes the time at which it sent the reply that the batch acknowledges, not the time at which
+// the batch arrived. An attestation is ignored if the batch does not acknowledge the last reply to that node, or if the
+// idle time is out of range.
 func TestAttestationCountsFromReplyTime(t *testing.T) {
 	f := newNodeFixture(t)
 	answered := relay.AnsweredBatches{}
@@ -93,6 +94,6 @@
 	}
 	f.node.batches.postAttestation(context.Background(), answered, &peer.Batch{Node: "n1", AckedBatchID: "x", IdleMs: 5000})
 	if in, ok := (<-f.node.core.inbox).(controller.PeerStatusReceived); !ok || in.Node != "n1" || in.SentAt != repliedAt || in.Status.IdleFor != 5*time.Second || in.Status.GrantDuration != 0 {
-		t.Errorf("attestation was posted as %+v", in)
+		t.Errorf("attestation was posted as %+v, want an idle time of 5s as of %v", in, repliedAt)
 	}
 }
--- a/internal/node/httpserver_test.go
+++ b/internal/node/httpserver_test.go
@@ -19,10 +19,10 @@
 	f := newNodeFixture(t)
 	body := &endlessReader{}
 	if w := f.call("POST", "/submissions", body); w.Code != 400 {
-		t.Errorf("status %d, want 400", w.Code)
+		t.Errorf("oversized submission: status %d, want 400", w.Code)
 	}
 	if body.read > 256<<10 {
-		t.Errorf("%d bytes were read of an endless body, whose limit is 64 KiB", body.read)
+		t.Errorf("%d bytes were read of a body over the limit of 64 KiB, want at most 256 KiB", body.read)
 	}
 	if w := f.call("POST", "/agent/beat", strings.NewReader("garbage")); w.Code != 400 {
 		t.Errorf("malformed heartbeat: status %d, want 400", w.Code)
--- a/internal/node/jobqueries.go
+++ b/internal/node/jobqueries.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// statusQueryTimeout bounds how long a status query waits for the leader, so that
-	// enough of the user's two seconds remains to read the job record instead.
+	// statusQueryTimeout bounds how long a status query waits for the leader, so that enough
+	// of the two seconds that a user waits for the response remains to read the job record instead.
 	statusQueryTimeout   = 500 * time.Millisecond
 	cancelRequestTimeout = 2 * time.Second
 )
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -27,8 +27,8 @@
 	standby *standbyActor // nil if this node keeps no replica
 }
 
-// load reads all records for the term that began with the epoch and posts them to the core. If that succeeds, it
-// watches for changed jobs and serves relayed batches until the term ends.
+// load reads all records for the term that began with the epoch and posts the result to the core. If the read succeeds,
+// it watches for changed jobs and serves relayed batches until the term ends.
 func (l *recordLoader) load(ctx context.Context, epoch ident.Epoch) {
 	stored, since, err := l.currentRecords(ctx, epoch)
 	if l.store.record(err) != nil {
@@ -82,7 +82,8 @@
 }
 
 // readRecords reads all records from the state service, and returns the revision from which to watch for changed jobs.
-// Its requests count as a single one in the counters of stateService: load records the result.
+// It calls the client directly, so that its requests count as a single one in the counters of stateService: load
+// records the overall result.
 func (l *recordLoader) readRecords(ctx context.Context) (s recovery.StoredRecords, since ident.Revision, err error) {
 	client := l.store.client
 	if s.Jobs, since, err = client.List(ctx, jobs.KeyPrefix); err != nil {
@@ -98,8 +99,8 @@
 	return s, since, err
 }
 
-// watchJobs watches the job records while this node leads in the term that began with the epoch, and posts each
-// changed job to the core. So the core also learns of a job if the notification from the node that stored it was lost.
+// watchJobs watches the job records while this node leads in the term that began with the epoch, and posts each changed
+// job to the core. The core thus learns of a job even if the notification from the node that stored it was lost.
 func (l *recordLoader) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	for l.core.leadsInTerm(epoch) {
 		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, longPollTimeout)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestFollowerForwardsJobRequestsToLeader checks that a follower forwards a status query to the leader, and that a
-// cancel request for an unknown job fails when it is relayed through the state service because the leader does not
-// answer.
+// TestFollowerForwardsJobRequestsToLeader checks that a follower forwards a status query to the leader. It also checks
+// that a cancel request for an unknown job fails if the leader does not answer the follower, so that the request is
+// relayed through the state service.
 func TestFollowerForwardsJobRequestsToLeader(t *testing.T) {
 	_, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -115,16 +115,16 @@
 
 // commitAndConfirm applies a transaction and determines its outcome even if responses are lost:
 //
-//  1. An attempt without an answer is repeated until one succeeds or conflicts. The conditions name the revisions
-//     that the transaction changes, so it is applied at most once.
+//  1. An attempt without an answer is repeated until one succeeds or conflicts. The conditions include the revisions
+//     of keys that the transaction changes, so it is applied at most once.
 //  2. A conflict on the first attempt, or on opts.fenceKey, is returned.
 //  3. Any other conflict may stem from an earlier attempt that was applied. It is resolved by reading back the first
 //     key that the transaction changes, so only the caller may write that key.
 //
 // The error is a *kvstore.ConflictError or another error of kvstore if the transaction was certainly not applied, and
-// errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. Two cases return a
-// *kvstore.ConflictError although an earlier, unanswered attempt may have been applied: a conflict on opts.fenceKey,
-// and a read-back that is abandoned.
+// errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. There are two exceptions:
+// a conflict on opts.fenceKey, and a read-back that is abandoned, return a *kvstore.ConflictError although an earlier,
+// unanswered attempt may have been applied.
 func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmOptions) (ident.Revision, error) {
 	outcomeUnknown := false
 	for {
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -24,25 +24,25 @@
 	rejected                             // the request is refused as malformed
 )
 
-// faultyTransport injects one fault each into the first transactions, and passes all other requests on.
+// faultyTransport injects one of the faults into each of the first transactions, and passes all other requests on.
 type faultyTransport struct {
 	next   http.RoundTripper
 	faults []transactionFault
 }
 
-func (l *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.URL.Path != "/multi" || len(l.faults) == 0 {
-		return l.next.RoundTrip(r)
+func (t *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.URL.Path != "/multi" || len(t.faults) == 0 {
+		return t.next.RoundTrip(r)
 	}
-	fault := l.faults[0]
-	l.faults = l.faults[1:]
+	fault := t.faults[0]
+	t.faults = t.faults[1:]
 	switch fault {
 	case throttled:
 		return emptyResponse(http.StatusTooManyRequests), nil
 	case rejected:
 		return emptyResponse(http.StatusBadRequest), nil
 	case responseLost:
-		if _, err := l.next.RoundTrip(r); err != nil {
+		if _, err := t.next.RoundTrip(r); err != nil {
 			return nil, err
 		}
 	}
@@ -53,7 +53,7 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-// injectFaults injects one fault each into the node's next transactions.
+// injectFaults has one of the faults injected into each of the node's next transactions.
 func (f *nodeFixture) injectFaults(faults ...transactionFault) {
 	f.node.store.client = kvstore.NewClient("10.2.0.1:1", &faultyTransport{next: f.kv, faults: faults})
 }
@@ -114,7 +114,7 @@
 			}, confirmOptions{fenceKey: c.fenceKey})
 			if c.wantErr != nil {
 				if !c.wantErr(err) {
-					t.Errorf("error %v, want another outcome", err)
+					t.Errorf("unexpected error %v", err)
 				}
 				return
 			}
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -157,8 +157,8 @@
 // order in which to ask them. The order starts with a different node each time, so that no node gets all submissions.
 //
 // While this node is overloaded, it returns only one node. Forwarding does not stop altogether, because all users may
-// be connected to this node: when the write budget of the others went unused, some users were still refused at the end
-// of the minute for which they retry.
+// be connected to this node: without forwarding, the write budgets of the other nodes went unused, and some users were
+// still refused when they stopped retrying after a minute.
 func (u *userAPI) forwardTargets() []string {
 	names := u.peers.Names()
 	if len(names) == 0 {
--- a/internal/node/userapi.go
+++ b/internal/node/userapi.go
@@ -24,7 +24,7 @@
 	// to a submission or a cancel request.
 	statusBudget = 1800 * time.Millisecond
 	submitBudget = 4 * time.Second
-	// minRetryAfter is the minimum Retry-After.
+	// minRetryAfter is the shortest delay after which a refused user is asked to retry.
 	minRetryAfter = time.Second
 )
 
@@ -86,7 +86,7 @@
 }
 
 // createJob stores a job if it does not exist. It records a rejection in retryPacer only if this node's write budget
-// is exhausted, not if the state service refuses the write: another node may then still store the job.
+// is exhausted. A refusal by the state service does not count, since another node may still store the job.
 func (u *userAPI) createJob(ctx context.Context, id ident.JobID, req *api.Request, record *jobs.Record) api.CreateResult {
 	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		delay := u.store.budget.WriteDelay(u.clock.Now(), kvstore.PurposeSubmission)
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -11,8 +11,8 @@
 	change     *pendingChange
 }
 
-// changeAllocations adds the changes that a holder's request makes to its allocations to the step's change, and
-// reports whether there are any.
+// changeAllocations applies a holder's request to the holder's allocations, adds the changed records to the step's
+// change, and reports whether there are any.
 func (a *Allocator) changeAllocations(step allocationStep, request AllocationRequest) bool {
 	changed := false
 	for _, team := range request.Teams {
@@ -36,8 +36,8 @@
 }
 
 // adjustAllocation applies a holder's request to its allocation in record. If the request reports a release that is not
-// stored yet, it lowers the allocation to what the holder has retained. It then raises the allocation towards the
-// desired quantity, as far as free quota allows. It reports whether the allocation changed.
+// stored yet, it lowers the allocation to the request's ceiling. It then raises the allocation towards the desired
+// quantity, as far as free quota allows. It reports whether the allocation changed.
 func adjustAllocation(step allocationStep, account *teamAccount, record *TeamRecord, holder HolderID, request TeamRequest) bool {
 	current := record.allocationOf(holder.Node)
 	if current != nil && current.Holder != holder {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -17,12 +17,12 @@
 	// between two changes to them.
 	readInterval      = time.Second
 	minChangeInterval = 500 * time.Millisecond
-	// blockedDemandTTL is how long blocked demand counts, which is demand that did not fit into the unallocated part
-	// of a team's limit. Until it expires, nothing more of that team's limit is allocated, and what holders do not
-	// use is recalled.
+	// blockedDemandTTL is how long blocked demand is taken into account: demand that did not fit into the unallocated
+	// part of a team's limit. During that time nothing more of the team's limit is allocated, and as much as was
+	// demanded is recalled from what holders do not use.
 	blockedDemandTTL = 3 * time.Second
-	// holderTimeout is how long a holder may send no request before it is revoked. Its key is deleted together with
-	// its allocations. Its writes are conditional on the key, so none can succeed afterwards.
+	// holderTimeout is how long a holder may go without sending a request before it is revoked. Its key is deleted
+	// together with its allocations. Its writes are conditional on the key, so none can succeed afterwards.
 	holderTimeout = 5 * time.Second
 )
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// Receive queues a holder's request. A later Step or CompleteChange returns the reply. A request that no holder can
-// have sent is dropped.
+// Receive queues a holder's request. A later Step or CompleteChange returns the reply. An invalid request is dropped
+// without a reply.
 func (a *Allocator) Receive(now clock.Instant, request AllocationRequest, responder Responder) {
 	if !request.valid() {
 		return
@@ -213,8 +213,8 @@
 }
 
 // transaction returns the transaction that stores a change, conditional on the epoch and on the revisions of the
-// records. Its first operation and its second condition refer to the same record: if the service does not answer, the
-// outcome is determined from the revision of that record.
+// records. Its first operation and its second condition refer to the same key: if the service does not answer, the
+// outcome is determined from the revision of that key.
 func (a *Allocator) transaction(change *pendingChange) *kvstore.Txn {
 	txn := &kvstore.Txn{Conditions: []kvstore.Condition{election.EpochCondition(a.epoch)}}
 	for _, team := range slices.Sorted(maps.Keys(change.records)) {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -44,13 +44,13 @@
 	}
 }
 
-// TestLoweredLimitStopsAllocation checks that nothing is allocated and that unused allocations are recalled while
-// more is in use than a limit that was lowered.
+// TestLoweredLimitStopsAllocation checks that, while a team uses more than its limit after the limit was lowered,
+// nothing more is allocated to holders and unused allocations are recalled.
 func TestLoweredLimitStopsAllocation(t *testing.T) {
 	c := newCluster(1, oneTeam)
 	node := c.nodes[0]
-	work := func(seconds int) {
-		for range seconds {
+	runSteps := func(steps int) {
+		for range steps {
 			c.now = c.now.Add(1100 * time.Millisecond)
 			for _, request := range c.stepHolder(node, c.now, Tick{}) {
 				c.allocator.Receive(c.now, request, nil)
@@ -61,7 +61,7 @@
 	}
 	for i := range 4 {
 		c.stepHolder(node, c.now, JobSubmitted{Job: ident.JobID(fmt.Sprintf("wk-%06d", i)), Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
-		work(2)
+		runSteps(2)
 	}
 	if got := c.allocator.Allocated("red"); got.MilliCPU < 3000 {
 		t.Fatalf("allocated %v of 4 CPUs, want at least 3", got)
@@ -69,11 +69,11 @@
 	c.teams = map[ident.Team]config.Team{"red": {Name: "red", CPULimit: 1}}
 	c.elect()
 	c.violation = nil // the stored allocations exceed the new limit
-	work(20)
+	runSteps(20)
 	before := c.allocator.Allocated("red")
 	c.stepHolder(node, c.now, JobSubmitted{Job: "wk-000077", Team: "red", Tasks: 1, TaskDemand: Quantity{MilliCPU: 1000}})
-	work(5)
+	runSteps(5)
 	if after := c.allocator.Allocated("red"); !after.Within(before) || before.MilliCPU > 3000 {
-		t.Errorf("allocated %v, then %v, with a limit of 1 CPU", before, after)
+		t.Errorf("allocated %v, and %v after another submission, with a limit of 1 CPU; want at most 3 CPUs and no increase", before, after)
 	}
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -16,8 +16,8 @@
 
 var oneTeam = map[ident.Team]config.Team{"red": {Name: "red", CPUGuarantee: 2, CPULimit: 4}}
 
-// cluster consists of holders and a leader around one state service. Its lock stands for that of the service. The
-// invariants are checked after every stored change.
+// cluster consists of holders and a leader that share one state service. Its lock makes each request to the service
+// atomic. The invariants are checked after every stored change.
 type cluster struct {
 	mu               sync.Mutex
 	store            *fake.KVStore
@@ -129,7 +129,7 @@
 	}
 }
 
-// stepLeader executes what is due for the leader, and passes its replies to deliver.
+// stepLeader reads the records if that is due, executes one step of the leader, and passes its replies to deliver.
 func (c *cluster) stepLeader(now clock.Instant, deliver func(Reply)) {
 	if c.allocator.BeginReadIfDue(now) {
 		if err := c.allocator.Load(now, c.allocator.epoch, c.list()); err != nil {
--- a/internal/quota/concurrent_test.go
+++ b/internal/quota/concurrent_test.go
@@ -62,7 +62,7 @@
 }
 
 // runConcurrently has each holder and the leader execute one step at every instant, concurrently, and advances the
-// time once all have finished. So a goroutine that gets little CPU time does not fall behind the clock of the others.
+// time once all have finished, so that a goroutine that gets little CPU time does not fall behind the others.
 // It returns how many jobs each holder has admitted.
 func (c *cluster) runConcurrently() []int {
 	requests := make(chan AllocationRequest, len(c.nodes))
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -79,7 +79,8 @@
 
 func decodeTeamRecord(data []byte) (any, error) { return quota.DecodeTeamRecord(data) }
 
-// decodeReservationRecord returns a decoder that also checks what the reservations unpack to.
+// decodeReservationRecord returns a decoder that also compares the unpacked reservations with want. If they differ, it
+// returns the difference instead of the record.
 func decodeReservationRecord(want []quota.Reservation) func([]byte) (any, error) {
 	return func(data []byte) (any, error) {
 		r, reservations, err := quota.DecodeReservationRecord(data)
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -133,8 +133,9 @@
 	h.modRevision = in.ModRevision
 }
 
-// discardState drops the registration, the allocations and the reservations. All writes are conditional on the holder
-// key, which is gone, so none of them can succeed later.
+// discardState drops the registration, the allocations and the reservations. It is called if the holder key is gone or
+// has changed, or if the reservations cannot be encoded. All writes are conditional on the revision of the holder key,
+// so none that is still in flight can succeed once the key is gone or has changed.
 func (h *Holder) discardState(now clock.Instant) {
 	h.modRevision, h.recordRevision = 0, 0
 	h.dirty, h.storeInFlight = false, false
--- a/internal/quota/holderrequest.go
+++ b/internal/quota/holderrequest.go
@@ -31,9 +31,9 @@
 	return team
 }
 
-// release lowers the allocation that the holder may use, and reports whether it has. The release takes effect before
-// the next request reports it to the leader, so a quantity that the leader knows to be released cannot be reserved
-// any more.
+// release lowers the allocation that the holder may use, and reports whether it was lowered. The release takes effect
+// before the next request reports it to the leader, so a quantity that the leader knows to be released cannot be
+// reserved any more.
 func (t *teamState) release(to Quantity) bool {
 	if !to.Within(t.allocated) || to == t.allocated {
 		return false
--- a/internal/quota/holderreservations.go
+++ b/internal/quota/holderreservations.go
@@ -36,7 +36,7 @@
 }
 
 // storeReservations writes the target reservations. A write that reduces a reservation is conditional on the epoch of
-// the leader that allowed the reduction: a later leader may already have read the stored reservations and places
+// the leader that allowed the reduction: a later leader may already have read the stored reservations and be placing
 // tasks according to them.
 func (h *Holder) storeReservations(now clock.Instant) []HolderEffect {
 	record, err := NewReservationRecord(h.modRevision, h.targetReservations())
@@ -91,7 +91,8 @@
 	}
 }
 
-// confirmStored marks the reservations as stored with the numbers of tasks that the write in flight contained.
+// confirmStored records that the write that was in flight has succeeded: each reservation is now stored with the number
+// of tasks that the write contained.
 func (h *Holder) confirmStored() {
 	for job, r := range h.reservations {
 		r.storedTasks = r.inFlightTasks
@@ -102,15 +103,15 @@
 	}
 }
 
-// cancelReductions keeps the tasks whose release is not stored yet: the leader that allowed the reduction does not
-// lead any more, or may not.
+// cancelReductions undoes the reductions that are not stored yet, because the leader that allowed them no longer leads,
+// or may no longer lead.
 func (h *Holder) cancelReductions() {
 	for _, r := range h.reservations {
 		r.targetTasks = max(r.targetTasks, r.storedTasks)
 	}
 }
 
-// capReservation frees the part of a reservation that need not cover tasks any more.
+// capReservation lowers the target of a reservation to the number of tasks that the leader says it may still cover.
 func (h *Holder) capReservation(in JobCap) {
 	r := h.reservations[in.Job]
 	if r == nil || in.MaxTasks >= r.targetTasks || in.MaxTasks < 0 {
--- a/internal/quota/load.go
+++ b/internal/quota/load.go
@@ -39,7 +39,7 @@
 	return false
 }
 
-// ReadFailed reports that a read of the records in the epoch has failed.
+// ReadFailed ends the read in flight after it has failed. A failure from an earlier term, by its epoch, is ignored.
 func (a *Allocator) ReadFailed(epoch ident.Epoch) {
 	if epoch >= a.firstEpoch {
 		a.readInFlight = false
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -22,7 +22,7 @@
 	// Ceiling is the most that the holder uses after that release. If the release is not stored yet, the leader lowers
 	// the holder's allocation to it.
 	Ceiling Quantity `msgpack:"c"`
-	Desired Quantity `msgpack:"w"` // in total
+	Desired Quantity `msgpack:"w"` // in total, including what the holder has
 }
 
 // AllocationResponse is the leader's response. The allocations that it reports are stored.
@@ -31,7 +31,7 @@
 	Epoch   ident.Epoch                      `msgpack:"e"`
 	Teams   wire.BoundedList[TeamAllocation] `msgpack:"t,omitempty"`
 	JobCaps wire.BoundedList[JobCap]         `msgpack:"j,omitempty"`
-	// Revoked means that the holder key is gone, and with it the allocations and reservations of the holder.
+	// Revoked means that the holder key is gone or has changed. The holder's allocations and reservations are void.
 	Revoked bool `msgpack:"r,omitempty"`
 }
 
@@ -62,7 +62,7 @@
 	maxJobsPerRequest  = 64
 )
 
-// valid reports whether a holder can have sent the request.
+// valid reports whether the request names its holder, is within the bounds, and contains only valid quantities.
 func (r *AllocationRequest) valid() bool {
 	if r.Holder.Node == "" || r.Holder.ModRevision == 0 {
 		return false
--- a/internal/quota/orders_test.go
+++ b/internal/quota/orders_test.go
@@ -10,11 +10,11 @@
 	"badgerbay/internal/ident"
 )
 
-var quotaSteps = flag.Int("quotasteps", 6, "number of steps of which TestLimitHoldsInEveryActionOrder runs every order")
+var quotaSteps = flag.Int("quotasteps", 6, "number of steps in the orders that TestLimitHoldsInEveryActionOrder runs with two holders")
 
-// TestLimitHoldsInEveryActionOrder has two and three holders and a leader act in every order of some steps. Responses
-// are lost, delayed and delivered twice, holders restart under the same names, and leaders change in between. The
-// test guards against allocations or reservations beyond the limit at any time.
+// TestLimitHoldsInEveryActionOrder runs a leader with two holders, then with three, through every sequence of a fixed
+// number of actions. Among the actions, responses are lost, delayed and delivered twice, a holder restarts under the
+// same name, and the leader changes. The test guards against allocations or reservations beyond the limit at any time.
 func TestLimitHoldsInEveryActionOrder(t *testing.T) {
 	for holders := 2; holders <= 3; holders++ {
 		steps := *quotaSteps + 2 - holders
--- a/internal/quota/quantity.go
+++ b/internal/quota/quantity.go
@@ -22,7 +22,7 @@
 	// maxMillis is the largest amount that a record or message may contain. Sums of many such amounts cannot
 	// overflow.
 	maxMillis = int64(1) << 50
-	// roundingTolerance is the rounding error of a sum of decimal amounts that is ignored, in thousandths.
+	// roundingTolerance is the floating-point error, in thousandths, that is ignored when an amount is rounded.
 	roundingTolerance = 1e-6
 )
 
@@ -44,7 +44,7 @@
 	return Quantity{cpu, gpu}, errors.Join(cpuErr, gpuErr)
 }
 
-// LimitOf returns the limit of a team, rounded down to thousandths. An amount without a limit is Unlimited. The error
+// LimitOf returns the limit of a team, rounded down to thousandths. A resource whose limit is 0 is Unlimited. The error
 // wraps ErrOutOfRange.
 func LimitOf(team config.Team) (Quantity, error) {
 	cpu, cpuErr := limitMillis(team.CPULimit)
--- a/internal/quota/quantity_test.go
+++ b/internal/quota/quantity_test.go
@@ -14,15 +14,15 @@
 func TestQuantityRounding(t *testing.T) {
 	demand, err := DemandOf(&jobs.Spec{CPUs: 0.25 + 1e-12, GPUs: 0.0001})
 	if err != nil || demand != (Quantity{250, 1}) {
-		t.Errorf("demand %v, %v", demand, err)
+		t.Errorf("demand %v, error %v, want 250 milli-CPU and 1 milli-GPU", demand, err)
 	}
 	limit, err := LimitOf(config.Team{CPULimit: 1.9999, GPULimit: 0})
 	if err != nil || limit.MilliCPU != 1999 || limit.MilliGPU != Unlimited {
-		t.Errorf("limit %v, %v", limit, err)
+		t.Errorf("limit %v, error %v, want 1999 milli-CPU and unlimited GPUs", limit, err)
 	}
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
 		if _, err := DemandOf(&jobs.Spec{CPUs: bad}); !errors.Is(err, ErrOutOfRange) {
-			t.Errorf("%v CPUs: %v", bad, err)
+			t.Errorf("demand of %v CPUs: error %v, want %v", bad, err, ErrOutOfRange)
 		}
 	}
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -52,9 +52,9 @@
 }
 
 var (
-	// ErrNewerSchema is returned when a record was written by a newer release.
+	// ErrNewerSchema is returned when a record has a newer schema version than this program can read.
 	ErrNewerSchema = errors.New("quota record has a newer schema version")
-	// ErrMalformedRecord is returned when no release can have written a record.
+	// ErrMalformedRecord is returned when a record cannot be decoded or contains values that are never stored.
 	ErrMalformedRecord = errors.New("malformed quota record")
 )
 
--- a/internal/quota/records_test.go
+++ b/internal/quota/records_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestMalformedRecordsAreRejected checks that a record that no version writes is rejected as a whole. If it counted
-// as empty, quota that is in use would be allocated again.
+// TestMalformedRecordsAreRejected checks that a malformed record is rejected as a whole. If it counted as empty, quota
+// that is in use would be allocated again.
 func TestMalformedRecordsAreRejected(t *testing.T) {
 	good := Allocation{Holder: HolderID{"n0", 3}, Quantity: Quantity{MilliCPU: 1000}}
 	for name, record := range map[string]TeamRecord{
@@ -27,7 +27,7 @@
 				want = ErrNewerSchema
 			}
 			if _, err := DecodeTeamRecord(encode(t, record)); !errors.Is(err, want) {
-				t.Errorf("%v, want %v", err, want)
+				t.Errorf("error %v, want %v", err, want)
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if _, _, err := DecodeReservationRecord(encode(t, record)); !errors.Is(err, ErrMalformedRecord) {
-				t.Errorf("%v, want %v", err, ErrMalformedRecord)
+				t.Errorf("error %v, want %v", err, ErrMalformedRecord)
 			}
 		})
 	}
--- a/internal/quota/reservationrecord.go
+++ b/internal/quota/reservationrecord.go
@@ -10,8 +10,8 @@
 	"badgerbay/internal/wire"
 )
 
-// Reservation is what a holder has admitted of a job: up to Tasks tasks may be in progress at a time on its
-// allocation.
+// Reservation is the part of a job that a holder has admitted: up to Tasks of the job's tasks may be in progress at a
+// time within the holder's allocation.
 type Reservation struct {
 	Job        ident.JobID
 	Team       ident.Team
@@ -28,9 +28,9 @@
 	Packed     wire.Packed             `msgpack:"pk,omitempty" json:"pk,omitempty"`
 }
 
-// NewReservationRecord returns the record with the reservations of the holder whose key has the revision.
-func NewReservationRecord(holder ident.Revision, reservations []Reservation) (*ReservationRecord, error) {
-	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holder, TeamTotals: teamTotals(reservations)}
+// NewReservationRecord returns the record with the reservations of the holder whose key has the given revision.
+func NewReservationRecord(holderRevision ident.Revision, reservations []Reservation) (*ReservationRecord, error) {
+	out := &ReservationRecord{SchemaVersion: recordSchemaVersion, HolderRevision: holderRevision, TeamTotals: teamTotals(reservations)}
 	if len(reservations) == 0 {
 		return out, nil
 	}
--- a/internal/quota/revocation.go
+++ b/internal/quota/revocation.go
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// revoke returns the transaction that removes a node's allocations and reservations if its holder key is gone, has been
-// written again since, or belongs to a holder that has timed out; that holder's key is removed too. It returns nil if
-// there is nothing to remove.
+// revoke returns the transaction that removes a node's allocations and reservations if its holder key is gone or has
+// been written again since, or if the holder has timed out. In the last case the holder key is removed too. It returns
+// nil if there is nothing to remove.
 func (a *Allocator) revoke(now clock.Instant, node string, maxRecords int) *kvstore.Txn {
 	revision := a.holderRevisions[node]
 	timedOut := revision != 0 && now.Sub(a.lastRequestAt[node]) > holderTimeout
