--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -122,9 +122,9 @@
 //     key that the transaction changes, so only the caller may write that key.
 //
 // The error is a *kvstore.ConflictError or another error of kvstore if the transaction was certainly not applied, and
-// errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. Two cases return a
-// *kvstore.ConflictError although an earlier, unanswered attempt may have been applied: a conflict on opts.fenceKey,
-// and a read-back that is abandoned.
+// errOutcomeAbandoned if ctx ended, or the outcome was no longer needed, before it was known. There are two exceptions:
+// a conflict on opts.fenceKey, and a read-back that is abandoned, return a *kvstore.ConflictError although an earlier,
+// unanswered attempt may have been applied.
 func (s *stateService) commitAndConfirm(ctx context.Context, txn kvstore.Txn, opts confirmOptions) (ident.Revision, error) {
 	outcomeUnknown := false
 	for {
