--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -45,26 +45,34 @@
 	t.Helper()
 	s := &sourceIndex{declared: map[string]bool{}, packages: map[string]bool{}, stringLiterals: map[string]bool{}, tests: map[string]bool{}}
 	for _, dir := range []string{"internal", "cmd"} {
-		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, _ fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") {
-				return err
-			}
-			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-			if err != nil {
-				return err
-			}
+		walkGoFiles(t, dir, func(path string, file *ast.File) {
 			if strings.HasSuffix(path, "_test.go") {
 				s.addTests(file)
 			} else {
 				s.addFile(file)
 			}
-			return nil
 		})
+	}
+	return s
+}
+
+// walkGoFiles parses the Go files below a directory of the repository and calls visit for each.
+func walkGoFiles(t *testing.T, dir string, visit func(path string, file *ast.File)) {
+	t.Helper()
+	err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, ".go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err != nil {
-			t.Fatal(err)
+			return err
 		}
+		visit(path, file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
-	return s
 }
 
 func (s *sourceIndex) addFile(file *ast.File) {
