--- a/docs/externalnames_test.go
+++ b/docs/externalnames_test.go
@@ -47,19 +47,11 @@
 		})
 	}
 	for _, pattern := range wordFiles {
-		paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
-		if err != nil || len(paths) == 0 {
-			t.Fatalf("%s: %d files, %v", pattern, len(paths), err)
-		}
-		for _, path := range paths {
-			data, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, word := range wordPattern.FindAllString(string(data), -1) {
+		readMatchingFiles(t, pattern, func(_, content string) {
+			for _, word := range wordPattern.FindAllString(content, -1) {
 				names[word] = true
 			}
-		}
+		})
 	}
 	return names
 }
--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -75,6 +75,22 @@
 	}
 }
 
+// readMatchingFiles calls visit for each file of the repository that matches a pattern. At least one file must match.
+func readMatchingFiles(t *testing.T, pattern string, visit func(path, content string)) {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%s: %d files, %v", pattern, len(paths), err)
+	}
+	for _, path := range paths {
+		data, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		visit(path, string(data))
+	}
+}
+
 func (s *sourceIndex) addFile(file *ast.File) {
 	pkg := file.Name.Name
 	s.packages[pkg] = true
@@ -196,21 +212,13 @@
 func TestPagesReferenceExistingTests(t *testing.T) {
 	s := indexSources(t)
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
-		pages, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
-		if err != nil || len(pages) == 0 {
-			t.Fatalf("%s: %d pages, %v", pattern, len(pages), err)
-		}
-		for _, page := range pages {
-			data, err := os.ReadFile(page)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, name := range testNamePattern.FindAllString(string(data), -1) {
+		readMatchingFiles(t, pattern, func(path, content string) {
+			for _, name := range testNamePattern.FindAllString(content, -1) {
 				if !s.tests[name] {
-					t.Errorf("%s: no test %s", page, name)
+					t.Errorf("%s: no test %s", path, name)
 				}
 			}
-		}
+		})
 	}
 }
 
