--- a/cmd/badgerbay/golden_test.go
+++ b/cmd/badgerbay/golden_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestGoldenClient: each verb of the client makes the request that it always made, and
-// prints the answer as it always did.
+// prints the response as it always did.
 func TestGoldenClient(t *testing.T) {
 	job := filepath.Join(t.TempDir(), "job.json")
 	if err := os.WriteFile(job, []byte(`{"id": "wk-000412", "entries": 16, "cpus": 2.5, "dueS": null, "frames": ["m", 1]}`), 0o600); err != nil {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -20,8 +20,8 @@
 	maxTasks        = 100_000
 	maxNameBytes    = 128
 	maxMachineTypes = 32
-	// maxAmount limits every amount, so that sums of amounts stay sufficiently exact
-	// in floating point.
+	// maxAmount is the maximum of every resource quantity and duration of a submission.
+	// It keeps the rounding errors of floating-point sums of them small.
 	maxAmount = 1e9
 )
 
@@ -35,8 +35,9 @@
 var ErrMalformed = errors.New("malformed submission")
 
 // DecodeSubmission decodes the MessagePack body of a submission. It is strict: every
-// required field must be present, and every known field must have a value of the right
-// type, sign, size and spelling. Unknown fields are skipped. Errors wrap ErrMalformed.
+// required field must be present, and the value of every known field must have the right
+// type and be within its bounds or, for an enumeration, one of its names. Unknown fields
+// are skipped. Errors wrap ErrMalformed.
 func DecodeSubmission(data []byte) (*Submission, error) {
 	submission := new(Submission)
 	if err := decodeFields(data, submissionFields(submission)); err != nil {
@@ -187,7 +188,7 @@
 	return stringField(func(v string) error { *to = T(v); return nil })
 }
 
-// amountField returns a decoder of a number between 0 and maxAmount.
+// amountField returns a decoder of a quantity or duration between 0 and maxAmount.
 func amountField(to *float64) fieldDecoder {
 	return func(d *msgpack.Decoder) error {
 		v, err := wire.DecodeAmount(d)
@@ -202,7 +203,7 @@
 	}
 }
 
-// positiveAmountField returns a decoder of a number above 0 and up to maxAmount.
+// positiveAmountField returns a decoder of a quantity above 0 and up to maxAmount.
 func positiveAmountField(to *float64) fieldDecoder {
 	decode := amountField(to)
 	return func(d *msgpack.Decoder) error {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -61,7 +61,8 @@
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport, Timeout: callTimeout}}
 }
 
-// MachineTypes returns the usable machine types and their current prices.
+// MachineTypes returns the machine types that the cloud offers, with their current prices. It omits types on which no
+// task can run, or whose names do not fit into records.
 func (c *Client) MachineTypes(ctx context.Context) ([]*fleet.MachineType, error) {
 	var response wireMachineTypes
 	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &response); err != nil {
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// TestGoldenRefusals checks that the recorded refusals of the cloud result in different errors.
+// TestGoldenRefusals checks that the client distinguishes the recorded error responses with status 503: a lack of
+// capacity and any other reason result in different errors.
 func TestGoldenRefusals(t *testing.T) {
 	messages := readGoldenMessages(t)
 	for _, c := range []struct {
--- a/internal/cloud/machine_lister.go
+++ b/internal/cloud/machine_lister.go
@@ -26,7 +26,7 @@
 	More     bool
 }
 
-// MachineList is a complete machine list.
+// MachineList is the list of all machines that the cloud reports, joined from its pages.
 type MachineList struct {
 	RequestedAt clock.Instant // when the first page was requested
 	Machines    []Machine
@@ -37,8 +37,8 @@
 	return !l.awaitingPage && (l.inProgress || !now.Before(l.nextListAt))
 }
 
-// RequestPage records that a page is being requested, and returns the machine that the page follows, or an empty ID for
-// the first page.
+// RequestPage records that the next page is being requested. It returns the ID of the last machine of the previous
+// page, after which the page begins, or an empty ID for the first page.
 func (l *MachineLister) RequestPage(now clock.Instant) ident.MachineID {
 	if !l.inProgress {
 		l.inProgress, l.startedAt, l.after, l.machines = true, now, "", nil
@@ -48,7 +48,7 @@
 }
 
 // AddPage adds a page, and returns the list and true once the list is complete. If the request for a page failed, the
-// list is discarded. In both cases the next list is due after the pause.
+// list is discarded. In both cases the next list is due after the given pause.
 func (l *MachineLister) AddPage(now clock.Instant, page Page, pause time.Duration) (list MachineList, complete bool) {
 	l.awaitingPage = false
 	if page.OK {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestMaxTxnValuesFitsInTransaction checks that the values of the largest size that go into
-// one transaction do not exceed the transaction's total size.
+// TestMaxTxnValuesFitsInTransaction checks that MaxTxnValues stays within the number of
+// operations and the total size that a transaction may have, if all values have the maximum
+// size.
 func TestMaxTxnValuesFitsInTransaction(t *testing.T) {
 	for _, c := range []struct {
 		kb   float64
--- a/internal/config/stateservice.go
+++ b/internal/config/stateservice.go
@@ -11,7 +11,8 @@
 	Next *StateLimits `json:"next"`
 }
 
-// StateLimits holds the limits of the state service that an announcement can change.
+// StateLimits holds announced limits of the state service; see State.Next. The request rate
+// is not among them.
 type StateLimits struct {
 	WriteRPS   float64 `json:"write_rps"`
 	MaxValueKB float64 `json:"value_kb"`
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -131,7 +131,7 @@
 	})
 }
 
-// TestUnreachableMachines checks scenarios in which the heartbeats of machines arrive, but no answer and no command
+// TestUnreachableMachines checks scenarios in which the heartbeats of machines arrive, but no reply and no command
 // reaches them, repeatedly and for longer than a lease. In addition, copies of heartbeats arrive up to several leases
 // late, nodes lose the state service and each other but not their workers, and crashed processes restart within a
 // fraction of a second.
@@ -314,7 +314,7 @@
 }
 
 // TestRestartBeforeEachElectionRequest crashes a process before each of its requests to the state service in turn,
-// while it is a candidate or leads, and restarts it at once. It checks that the new process does not use late answers
+// while it is a candidate or leads, and restarts it at once. It checks that the new process does not use late responses
 // to requests of the old one.
 func TestRestartBeforeEachElectionRequest(t *testing.T) {
 	t.Parallel()
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -157,12 +157,12 @@
 	return p.tracker.PendingProvisions()
 }
 
-// finishProvision applies the answer to a provision request, and reports whether the request needs no further attempts.
+// finishProvision applies the result of a provision request, and reports whether the request needs no further attempts.
 func (p *provisioner) finishProvision(now clock.Instant, in ProvisionCompleted) bool {
 	return p.tracker.FinishProvision(now, in.Name, in.Result, len(in.Machines))
 }
 
-// finishDeprovision applies the answer to a deprovision request.
+// finishDeprovision applies the result of a deprovision request.
 func (p *provisioner) finishDeprovision(now clock.Instant, in DeprovisionCompleted) {
 	p.tracker.FinishDeprovision(now, in.Machines, in.OK)
 }
@@ -174,7 +174,7 @@
 	return list, complete
 }
 
-// provisionCompleted applies the answer to a provision request, and adds the provisioned machines to the fleet.
+// provisionCompleted applies the result of a provision request, and adds the provisioned machines to the fleet.
 func (t *term) provisionCompleted(now clock.Instant, in ProvisionCompleted) {
 	if t.provisioner.finishProvision(now, in) {
 		t.rounds.provisionSettled(in.Name)
@@ -182,7 +182,7 @@
 	t.rounds.requestPlan()
 	for _, id := range in.Machines {
 		if t.fleet.WasRemoved(id) {
-			continue // the answer to a repeated request names the machines of the first one
+			continue // the response to a repeated request names the machines of the first one
 		}
 		known := t.fleet.Machine(id) != nil
 		m := t.fleet.Ensure(now, id)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Record fields that the release in production knows; previousSchemaVersion is the newest schema version that it
-// knows of each record. It drops all other fields when it rewrites a record.
+// Record fields that the previous version of the program knows; previousSchemaVersion is the newest schema version that
+// it knows of each record. It drops all other fields when it rewrites a record.
 var (
 	previousJobFields   = []string{"v", "spec", "at", "ph", "e", "r", "d", "l", "pk", "nx"}
 	previousRoundFields = []string{"v", "no", "e", "lo", "st", "pk", "hi", "re"}
@@ -65,8 +65,8 @@
 
 const previousSchemaVersion = 2
 
-// checkReadableByPreviousVersion checks that the release in production can read all stored job and round records, and
-// drops no field when it rewrites them.
+// checkReadableByPreviousVersion checks that the previous version of the program can read all stored job and round
+// records, and drops no field when it rewrites them.
 func (s *simulation) checkReadableByPreviousVersion() {
 	for prefix, fields := range map[string][]string{jobs.KeyPrefix: previousJobFields, roundlog.KeyPrefix: previousRoundFields} {
 		items, _, _ := s.store.List(prefix)
--- a/internal/fake/kvserver.go
+++ b/internal/fake/kvserver.go
@@ -25,7 +25,7 @@
 	Now   clock.Instant
 	// OnCommit, if set, is told of each transaction that was carried out.
 	OnCommit func(kvstore.Txn)
-	// Override, if set, takes the place of the service's own answers.
+	// Override, if set, returns the responses instead of the service.
 	Override func(*http.Request) (*http.Response, error)
 }
 
--- a/internal/fake/sandbox_cloud.go
+++ b/internal/fake/sandbox_cloud.go
@@ -13,7 +13,7 @@
 	"badgerbay/internal/wire"
 )
 
-// maxListPageSize is how many machines one answer lists at most.
+// maxListPageSize is the maximum number of machines that one response lists.
 const maxListPageSize = 500
 
 // serveCloud answers a request to the cloud.
--- a/internal/fake/sandbox_worker.go
+++ b/internal/fake/sandbox_worker.go
@@ -120,7 +120,7 @@
 	return data, r.Session
 }
 
-// commandMessage is the answer to a heartbeat, or a direct command.
+// commandMessage is the response to a heartbeat, or a direct command.
 type commandMessage struct {
 	FencingToken ident.Epoch   `msgpack:"seal"`
 	Session      ident.Session `msgpack:"shift"`
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -126,7 +126,7 @@
 	return r
 }
 
-// HandleHeartbeatReply takes in the answer to a heartbeat that was sent at sent in the session.
+// HandleHeartbeatReply handles the reply to a heartbeat that was sent at sent in the session.
 func (w *Worker) HandleHeartbeatReply(now, sent clock.Instant, session ident.Session, token ident.Epoch, orders []fleet.Command) bool {
 	if session != w.Session || token < w.FencingToken {
 		return false
@@ -137,7 +137,7 @@
 	return true
 }
 
-// HandleCommand takes a direct command, and returns the heartbeat that answers it.
+// HandleCommand handles a direct command, and returns the heartbeat with which the worker responds.
 func (w *Worker) HandleCommand(now clock.Instant, token ident.Epoch, session ident.Session, orders []fleet.Command) *fleet.Heartbeat {
 	if token >= w.FencingToken && session == w.Session {
 		w.FencingToken = token
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -69,9 +69,10 @@
 	}
 }
 
-// TestTaskNamedOnlyByOldHeartbeatIsEnded checks that a task is ended if only a delayed copy of a heartbeat from before
-// the failover names it. The next heartbeat with this leader's fencing token proves it gone. Guards against giving the
-// adopted placement the leader's own token: the task then had to wait until the epoch was advanced for another reason.
+// TestTaskNamedOnlyByOldHeartbeatIsEnded checks that an adopted placement ends if its task was reported only by a
+// delayed heartbeat from before the failover, as soon as a heartbeat with this leader's fencing token does not report
+// the task. Only a token higher than that of the placement ends it. The adopted placement used to get the leader's own
+// token, and its task was then not queued again before the epoch was advanced for another reason.
 func TestTaskNamedOnlyByOldHeartbeatIsEnded(t *testing.T) {
 	f := newFixture(1)
 	f.machine.HeartbeatSeq = 0 // as for a leader that knows no newer heartbeat
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -44,8 +44,8 @@
 // until the orphan has stopped.
 //
 // The placement gets the fencing token from the heartbeat, because the start command cannot have been sent under a
-// higher token. With this leader's own token, a task that only a delayed copy of an old heartbeat names could not be
-// proven gone by the next heartbeats.
+// higher token. If the placement had this leader's own token, and only a delayed copy of an old heartbeat reported the
+// task, the next heartbeats could not end the placement; see handleMissing.
 func (f *Fleet) adoptOrphan(now clock.Instant, m *Machine, status TaskStatus, token ident.Epoch) *jobs.Placement {
 	job := f.findJob(status.Task.Job)
 	if job == nil || !canAdopt(job, status) {
--- a/internal/kvstore/jsonsize.go
+++ b/internal/kvstore/jsonsize.go
@@ -21,10 +21,10 @@
 	return len(data) + len(".0")*countWholeFloats(reflect.ValueOf(v))
 }
 
-// countWholeFloats returns the number of floating-point values in v that are integers, including
-// those that the JSON omits. The service encodes such a value as 4.0, Go encodes it as 4. Without
-// this correction a record that was only a few bytes below the limit by Go's encoding was rejected
-// by the service on every retry.
+// countWholeFloats returns the number of floating-point values in v that are integers. The service
+// encodes such a value as 4.0, Go encodes it as 4. Fields that Go omits from the JSON are counted
+// too, which makes the result of JSONSize at most too large. Without this correction a record that
+// was only a few bytes below the limit by Go's encoding was rejected by the service on every retry.
 func countWholeFloats(v reflect.Value) int {
 	n := 0
 	switch v.Kind() {
--- a/internal/kvstore/tokenbucket.go
+++ b/internal/kvstore/tokenbucket.go
@@ -19,7 +19,8 @@
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// refill adds the tokens gained since the last refill. It does nothing if now is not after that.
+// refill adds the tokens gained since the last refill. It does nothing if now is not later than
+// the last refill.
 func (b *TokenBucket) refill(now clock.Instant) {
 	if b.lastRefill.Before(now) {
 		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.lastRefill).Seconds())
@@ -38,8 +39,8 @@
 	return true
 }
 
-// Delay returns how long it takes until the bucket holds n tokens in addition to reserve, and 0 if
-// it holds them already. If that exceeds the burst, Delay returns the time until the bucket is full.
+// Delay returns how long it takes until the bucket holds n+reserve tokens, and 0 if it holds them
+// already. If n+reserve exceeds the burst, Delay returns the time until the bucket is full.
 func (b *TokenBucket) Delay(now clock.Instant, n, reserve float64) time.Duration {
 	b.refill(now)
 	missing := min(n+reserve, b.burst) - b.tokens
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -6,7 +6,8 @@
 	"badgerbay/internal/kvstore"
 )
 
-// TestTxnLimits checks the largest value of a transaction and the limits on values and operations.
+// TestTxnLimits checks that LargestValue finds the largest value that a transaction sets, and that
+// Exceeds compares the value size and the number of operations with their limits.
 func TestTxnLimits(t *testing.T) {
 	txn := kvstore.Txn{Operations: []kvstore.Operation{
 		{SetKey: "small", Value: "1234"}, {SetKey: "large", Value: "12345678"}, {DeleteKey: "gone"},
--- a/internal/node/batchserver.go
+++ b/internal/node/batchserver.go
@@ -17,23 +17,23 @@
 	"badgerbay/internal/relay"
 )
 
-// relayServeTimeout bounds how long the leader waits for its core to answer a batch.
+// relayServeTimeout bounds how long the leader waits for its core's replies to a batch.
 const relayServeTimeout = 400 * time.Millisecond
 
 // unnamedNode replaces the node name in a batch that has none.
 const unnamedNode = "?"
 
-// batchServer passes the heartbeats and cancel requests that other nodes relay, over gRPC or through the state
-// service, to the core and returns its replies.
+// batchServer serves the batches of heartbeats and cancel requests that other nodes relay to the leader, over gRPC or
+// through the state service. It passes the requests to the core and sends back the core's replies.
 type batchServer struct {
 	*environment
 	core  *coreActor
 	store *stateService
 }
 
-// serveStoredBatches answers the batches that other nodes write to the state service after revision since, until the
-// term that began with the epoch ends. Of several batches of one node in the same response, only the latest is
-// answered.
+// serveStoredBatches serves the batches that other nodes write to the state service after revision since, until the
+// term that began with the epoch ends. Of several batches of one node in the same watch response, it serves only the
+// latest.
 func (s *batchServer) serveStoredBatches(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	answered := relay.AnsweredBatches{}
 	for s.core.leadsInTerm(epoch) && ctx.Err() == nil {
@@ -69,7 +69,8 @@
 	return events, revision, err
 }
 
-// serveStoredBatch answers one stored batch. Like every write of the leader, the reply is conditional on the epoch.
+// serveStoredBatch serves one stored batch and stores the reply. Like every write of the leader, the reply is
+// conditional on the epoch.
 func (s *batchServer) serveStoredBatch(ctx context.Context, node string, e kvstore.WatchEvent, answered relay.AnsweredBatches) {
 	if node == s.settings.NodeName {
 		return
@@ -101,8 +102,8 @@
 	}
 }
 
-// postAttestation posts to the core what a node that this one can't reach directly attests, in a relayed batch, about
-// its use of a lease delegation.
+// postAttestation posts to the core the attestation in a relayed batch, if there is one: for how long the sending node,
+// which this node can't reach directly, has renewed no lease under a delegation grant.
 func (s *batchServer) postAttestation(ctx context.Context, answered relay.AnsweredBatches, batch *peer.Batch) {
 	attestation, ok := answered.Attestation(batch)
 	if !ok {
@@ -172,8 +173,8 @@
 	return out
 }
 
-// startCancel starts to cancel a job and returns the channel for the reply, which is sent when the core has answered
-// or ctx ends.
+// startCancel passes a relayed cancel request to the core and returns the channel for the reply, which is sent when the
+// core has replied or ctx ends.
 func (s *batchServer) startCancel(ctx context.Context, id ident.JobID) <-chan peer.CancelReply {
 	pending := make(chan peer.CancelReply, 1)
 	go func() {
--- a/internal/node/cloudcalls.go
+++ b/internal/node/cloudcalls.go
@@ -86,7 +86,7 @@
 const machineTypesKey = "flavors"
 
 // storedMachineTypes returns the machine types that a leader has stored, or nil if there are none or they cannot be
-// read. It also returns nil if this node already knows the machine types: those that it knows stay in use.
+// read. It also returns nil if the core already has machine types, which it then keeps.
 func (c *cloudCalls) storedMachineTypes(ctx context.Context) []*fleet.MachineType {
 	if c.core.view().machineTypes != nil {
 		return nil
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -19,10 +19,10 @@
 // heartbeatPath is the HTTP path to which workers send their heartbeats.
 const heartbeatPath = "/agent/beat"
 
-// heartbeatTimeout bounds the time from the receipt of a heartbeat to its answer.
+// heartbeatTimeout bounds the time from the receipt of a heartbeat to the reply.
 const heartbeatTimeout = 3 * time.Second
 
-// heartbeatHandler answers the heartbeats of workers. If this node leads, the core answers; otherwise the worker is
+// heartbeatHandler handles the heartbeats of workers. If this node leads, its core replies; otherwise the worker is
 // redirected to the leader, or its heartbeat is relayed there.
 type heartbeatHandler struct {
 	*environment
@@ -33,7 +33,7 @@
 	router relay.Router
 }
 
-// handle answers a worker's heartbeat.
+// handle handles a worker's heartbeat.
 func (h *heartbeatHandler) handle(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := readBody(w, r, fleet.MaxMessageBytes)
 	if err != nil {
@@ -54,7 +54,7 @@
 	h.write(w, h.reply(ctx, heartbeat))
 }
 
-// reply returns the answer to a heartbeat: the core's answer, a redirect to the leader, or the leader's relayed answer.
+// reply returns the reply to a heartbeat: the core's reply, a redirect to the leader, or the leader's relayed reply.
 func (h *heartbeatHandler) reply(ctx context.Context, heartbeat *fleet.Heartbeat) controller.HeartbeatReply {
 	reply, err := request(ctx, h.core, func(to controller.Responder[controller.HeartbeatReply]) controller.Input {
 		return controller.HeartbeatReceived{Responder: to, Heartbeat: heartbeat}
@@ -62,8 +62,8 @@
 	if err != nil {
 		reply = unavailableReply
 	}
-	// A node that the state service does not answer cannot determine itself who leads, so it uses the leader that its
-	// peers report, if any.
+	// While this node gets no answer from the state service, it cannot read which node leads, so it uses the leader that
+	// its peers report, if any.
 	askLeader := reply.Outcome == controller.HeartbeatRedirected || reply.Outcome == controller.HeartbeatUnavailable && h.reach.peerReportedLeader() != ""
 	if reply.Final || !askLeader {
 		return reply
@@ -84,9 +84,9 @@
 		return reply
 	}
 	reply.Outcome = controller.HeartbeatRedirected
-	// If this node cannot reach the leader, the worker probably cannot reach it either. A refused connection is
-	// different: a packet filter that refuses connections between nodes lets workers through, and relaying all their
-	// heartbeats used up the writes that submissions need.
+	// If this node cannot reach the leader, the worker probably cannot reach it either, unless the connection is refused:
+	// a packet filter that refuses connections between nodes may let workers through. When all their heartbeats were
+	// relayed in that case, the write budget for submissions was exhausted.
 	reachable := func() bool { return h.peers.reachable(leader) || h.peers.ConnectionRefused(leader) }
 	if reachable() && h.router.ShouldRedirect(h.clock.Now(), heartbeat.Machine, leader, reachable) {
 		return reply
@@ -104,7 +104,8 @@
 	return h.uplink.relayHeartbeat(ctx, heartbeat)
 }
 
-// errIncompleteReply is returned when the leader's reply does not contain exactly one answer to the relayed heartbeat.
+// errIncompleteReply is returned when the leader's reply to a batch of one heartbeat does not contain exactly one
+// heartbeat reply.
 var errIncompleteReply = errors.New("peer reply lacks an answer to the heartbeat")
 
 // relayToPeer forwards a heartbeat to the leader over gRPC.
@@ -120,8 +121,8 @@
 	return reply.Heartbeats[0], nil
 }
 
-// relayedReply returns the leader's answer that came through another node or the state service. The leader has already
-// checked that it was still valid.
+// relayedReply converts the leader's reply, which was received over gRPC or through the state service. The leader has
+// already checked that it was still valid.
 func relayedReply(r peer.HeartbeatReply) controller.HeartbeatReply {
 	return controller.HeartbeatReply{Outcome: outcomeOfHTTPStatus(r.Code), Epoch: r.Epoch, Commands: r.UnpackCommands(), Relayed: true}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -48,9 +48,9 @@
 	<-served
 }
 
-// currentRecords returns all records as of the epoch, and the revision from which to watch for changes. It brings the
-// replica of a warm standby up to date, and reads all records from the state service if there is no replica or it is
-// unusable.
+// currentRecords returns all records, including every write of earlier leaders, and the revision from which to watch
+// for changes. A warm standby brings its replica up to date. If there is no replica, or it is unusable, all records are
+// read from the state service.
 func (l *recordLoader) currentRecords(ctx context.Context, epoch ident.Epoch) (recovery.StoredRecords, ident.Revision, error) {
 	if l.standby == nil {
 		return l.readRecords(ctx)
@@ -98,8 +98,8 @@
 	return s, since, err
 }
 
-// watchJobs watches for stored jobs while this node leads in the term that began with the epoch, and posts them to the
-// core. It finds the jobs whose notification was lost.
+// watchJobs watches the job records while this node leads in the term that began with the epoch, and posts each
+// changed job to the core. So the core also learns of a job if the notification from the node that stored it was lost.
 func (l *recordLoader) watchJobs(ctx context.Context, epoch ident.Epoch, since ident.Revision) {
 	for l.core.leadsInTerm(epoch) {
 		events, revision, err := l.store.client.Watch(ctx, jobs.KeyPrefix, since, longPollTimeout)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -16,7 +16,7 @@
 )
 
 // newLeaderAndFollower returns a leader n0 with a gRPC server for its peers, its follower n1, and a function that
-// stops that server. Both use the same state service, and the leader serves the batches that are relayed through it.
+// stops that server. Both use the same state service, and the leader serves the batches that are stored there.
 func newLeaderAndFollower(t *testing.T) (*nodeFixture, *nodeFixture, func()) {
 	t.Helper()
 	leader, follower := newNodeFixture(t), newNodeFixture(t)
@@ -60,9 +60,9 @@
 	return leader, follower, stop
 }
 
-// TestFollowerRedirectsThenRelaysHeartbeats checks that a follower redirects a worker to the leader, and relays the
-// heartbeat if the worker comes back, since it then could not reach the leader itself. The heartbeat is relayed
-// directly or, if the leader does not answer the follower either, through the state service.
+// TestFollowerRedirectsThenRelaysHeartbeats checks that a follower redirects a worker to the leader, and relays its
+// heartbeat if the worker returns, which shows that it could not reach the leader. The heartbeat is relayed over gRPC
+// or, if the leader does not answer the follower either, through the state service.
 func TestFollowerRedirectsThenRelaysHeartbeats(t *testing.T) {
 	leader, follower, stopPeerServer := newLeaderAndFollower(t)
 	defer stopPeerServer()
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -19,7 +19,7 @@
 // standbyTickInterval is the time between two Tick inputs to the follower.
 const standbyTickInterval = 100 * time.Millisecond
 
-// errRequestBudgetExhausted is returned when the node's share of the requests to the state service is used up.
+// errRequestBudgetExhausted is returned when the node's budget of requests to the state service is exhausted.
 var errRequestBudgetExhausted = errors.New("request budget exhausted")
 
 // standbyActor replicates the leader's records while this node does not lead. Only the goroutine of its run method
@@ -91,8 +91,8 @@
 	}
 }
 
-// read carries out an effect and returns its result; the result is an error if this node's share of the requests to the
-// state service is used up.
+// read carries out an effect and returns its result. The result's Err is errRequestBudgetExhausted if this node's budget
+// of requests to the state service is exhausted.
 func (a *standbyActor) read(ctx context.Context, e standby.Effect) standby.Input {
 	switch e := e.(type) {
 	case standby.List:
@@ -111,7 +111,7 @@
 	return standby.Tick{}
 }
 
-// takeRequest takes one request from the node's share. It returns errRequestBudgetExhausted if none is left.
+// takeRequest takes one request from the node's budget. It returns errRequestBudgetExhausted if none is left.
 func (a *standbyActor) takeRequest() error {
 	if !a.store.takeRequest() {
 		return errRequestBudgetExhausted
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -59,12 +59,12 @@
 	return s.clock.Now().Sub(clock.Instant(s.lastAnswer.Load())) < d
 }
 
-// takeWrite takes one write from the node's share of the write rate, and reports whether the share allowed it.
+// takeWrite takes one write from the node's write budget, and reports whether the budget allowed it.
 func (s *stateService) takeWrite(purpose kvstore.Purpose) bool {
 	return s.budget.TakeWrites(s.clock.Now(), purpose, 1)
 }
 
-// takeRequest takes one request from the node's share of the request rate, and reports whether the share allowed it.
+// takeRequest takes one request from the node's request budget, and reports whether the budget allowed it.
 func (s *stateService) takeRequest() bool { return s.budget.TakeRequest(s.clock.Now()) }
 
 func (s *stateService) get(ctx context.Context, key string) (kvstore.KeyValue, error) {
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -57,8 +57,8 @@
 }
 
 // submit stores a submission or refuses it. If this node can't store it promptly, because the state service does not
-// answer or the node's share of the write rate is used up, other nodes are asked to store it as well. That is safe: a
-// job is stored only if it does not exist, so the first node to write stores it and the others find it stored.
+// answer or the node's write budget is exhausted, other nodes are asked to store it as well. That is safe: a job is
+// stored only if it does not exist, so the first node to write stores it and the others find it stored.
 func (u *userAPI) submit(ctx context.Context, data []byte) (ident.JobID, api.Response) {
 	submission, err := u.decodeSubmission(data)
 	if err != nil {
--- a/internal/node/userapi.go
+++ b/internal/node/userapi.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// statusBudget bounds the time until a status query is answered, and submitBudget the time until a submission or a
-	// cancel request is answered.
+	// statusBudget bounds the time until the response to a status query, and submitBudget the time until the response
+	// to a submission or a cancel request.
 	statusBudget = 1800 * time.Millisecond
 	submitBudget = 4 * time.Second
 	// minRetryAfter is the minimum Retry-After.
@@ -59,8 +59,8 @@
 		defer cancel()
 		startedAt := u.clock.Now()
 		response := u.runRequest(ctx, id, api.NewJobRequest(kind))
-		// If this node stalled for longer than the budget, its answer may be older
-		// than one that another node has given since.
+		// If this node stalled for longer than the budget, its response may be older
+		// than one that another node has sent since.
 		if u.clock.Now().Sub(startedAt) > budget {
 			response = api.Response{Code: http.StatusServiceUnavailable, RetryAfter: minRetryAfter}
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// runRequest executes the actions that the state machine of a request asks for, until that returns a response.
+// runRequest executes the actions that the request's state machine returns, until it returns a response.
 func (u *userAPI) runRequest(ctx context.Context, id ident.JobID, req *api.Request) api.Response {
 	var in api.Input = api.Begin{}
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// createJob stores a job if it does not exist. Only rejections because this node's write budget is used up count for
-// retryPacer: if the state service refuses the write of this node, another node may still store the job.
+// createJob stores a job if it does not exist. It records a rejection in retryPacer only if this node's write budget
+// is exhausted, not if the state service refuses the write: another node may then still store the job.
 func (u *userAPI) createJob(ctx context.Context, id ident.JobID, req *api.Request, record *jobs.Record) api.CreateResult {
 	if !u.store.takeWrite(kvstore.PurposeSubmission) {
 		delay := u.store.budget.WriteDelay(u.clock.Now(), kvstore.PurposeSubmission)
@@ -130,7 +130,7 @@
 }
 
 // loadJob reads the record of a job. The result has no record if the job does not exist, and is not OK if the request
-// budget is used up or the record can't be read.
+// budget is exhausted or the record can't be read.
 func (u *userAPI) loadJob(ctx context.Context, id ident.JobID) api.RecordLoaded {
 	if !u.store.takeRequest() {
 		return api.RecordLoaded{}
--- a/internal/node/userapi_test.go
+++ b/internal/node/userapi_test.go
@@ -60,9 +60,8 @@
 	}
 }
 
-// TestSubmissionsAreForwarded checks that a node forwards a submission to another node, within the user's time limit,
-// if the state service does not answer it, and also before it refuses a submission because its write budget is used
-// up.
+// TestSubmissionsAreForwarded checks that a node forwards a submission to another node if the state service does not
+// answer, early enough for the user's time limit, or if its own write budget is exhausted.
 func TestSubmissionsAreForwarded(t *testing.T) {
 	f, other := newNodeFixture(t), newNodeFixture(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/peer/delegation.go
+++ b/internal/peer/delegation.go
@@ -17,11 +17,11 @@
 // package leasedelegation. Durations are in milliseconds.
 type DelegationStatus struct {
 	Epoch ident.Epoch `msgpack:"e" json:"e"`
-	// TTLMs is the duration of the grant, counted from the request for it; 0 means that
-	// no delegation is granted.
+	// TTLMs is the duration of the delegation grant, counted from the request for it; 0
+	// means that no grant is given.
 	TTLMs int64 `msgpack:"l" json:"l"`
-	// IdleMs is the time since the replying node last renewed a worker's lease under a
-	// delegation.
+	// IdleMs is the time since the replying node last renewed a worker's lease under its
+	// own grant.
 	IdleMs int64 `msgpack:"q" json:"q"`
 	// Excluded lists the machines whose leases must not be renewed under the grant.
 	Excluded      wire.BoundedList[ident.MachineID] `msgpack:"o,omitempty" json:"o,omitempty"`
@@ -60,8 +60,9 @@
 
 func validDurationMs(ms int64) bool { return ms >= 0 && ms <= maxDurationMs }
 
-// MachineIDsFit reports whether a list of excluded machines fits into one message. The list
-// may take up half of the maximum message size; the rest is for the other fields.
+// MachineIDsFit reports whether the IDs fit into one DelegationStatus as its list of
+// excluded machines. The list may take up half of the maximum message size; the rest is
+// for the other fields.
 func MachineIDsFit(ids []ident.MachineID) bool {
 	const headerBytes = 3 // header of a MessagePack string of less than 64 KiB
 	size := 0
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -56,8 +56,8 @@
 	BootTimeoutFactor float64       `star:"boot_factor" min:"1.5" max:"20"`
 	LateBootFactor    float64       `star:"boot_late" min:"1" max:"20"`
 	MinBootTimeout    time.Duration `star:"boot_floor_s" min:"1" max:"600"`
-	// SilenceTimeout is how long a worker may send no heartbeat before its machine is
-	// deprovisioned.
+	// SilenceTimeout is how long a worker may go without sending a heartbeat before its
+	// machine is deprovisioned.
 	SilenceTimeout time.Duration `star:"silent_release_s" min:"5" max:"600"`
 
 	// MinEpochAdvanceInterval is the minimum time between two advances of the epoch that only
@@ -146,8 +146,8 @@
 	return p.setFeatures(sections)
 }
 
-// setFeatures sets the features from the sections of a script. Without a section it keeps the
-// features that are set.
+// setFeatures sets the features from the sections of a script. If there are no sections, it
+// keeps the features that were set before.
 func (p *Policy) setFeatures(sections map[string]any) error {
 	if len(sections) == 0 {
 		return nil
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -1,8 +1,8 @@
 // Package relay relays heartbeats and cancel requests to a leader that their senders cannot
 // reach. A node that the senders can reach forwards them over gRPC or, in a network
-// partition, in batches through the key-value store. The package decides which workers are
-// relayed, which requests a batch contains, and which request a reply belongs to. It does
-// no I/O: package node sends the messages, which package peer defines.
+// partition, in batches through the state service. The package decides for which workers
+// heartbeats are relayed, which requests a batch contains, and which request a reply
+// belongs to. It does no I/O: package node sends the messages, which package peer defines.
 package relay
 
 import (
@@ -15,19 +15,20 @@
 
 const (
 	// redirectFailureWindow is the time after a redirect within which a worker that
-	// returns to this node is assumed to be unable to reach the leader, and is relayed.
+	// returns to this node is assumed to be unable to reach the leader. Its heartbeats
+	// are then relayed.
 	redirectFailureWindow = 20 * time.Second
-	// relayPeriod is the time for which a worker is relayed before it is redirected to
-	// the leader again.
+	// relayPeriod is the time for which a worker's heartbeats are relayed before the
+	// worker is redirected to the leader again.
 	relayPeriod = 45 * time.Second
 	// maxTrackedWorkers limits the workers that a Router tracks. When there are more, it
 	// discards the routes of all of them.
 	maxTrackedWorkers = 10_000
 )
 
-// Router decides which workers are redirected to the leader, and which are relayed
-// because they could not reach it. It is safe for concurrent use. Its zero value is
-// ready to use.
+// Router decides which workers are redirected to the leader, and for which the
+// heartbeats are relayed because the worker could not reach the leader. It is safe for
+// concurrent use. Its zero value is ready to use.
 type Router struct {
 	mu     sync.Mutex
 	routes map[ident.MachineID]*route
@@ -37,12 +38,13 @@
 type route struct {
 	leader       string
 	redirectedAt clock.Instant
-	relayedSince clock.Instant // 0 if the worker is not relayed
+	relayedSince clock.Instant // 0 if the heartbeats are not relayed
 	grpcFailed   bool          // whether this node failed to relay to the leader over gRPC
 }
 
-// ShouldRedirect reports whether a worker should be redirected to the leader instead of
-// being relayed. peerReachable reports whether this node reaches the leader over gRPC.
+// ShouldRedirect reports whether a worker should be redirected to the leader; otherwise
+// its heartbeat should be relayed. peerReachable reports whether this node reaches the
+// leader over gRPC.
 func (r *Router) ShouldRedirect(now clock.Instant, id ident.MachineID, leader string, peerReachable func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -8,8 +8,9 @@
 )
 
 // TestRouterRelaysReturningWorkers checks that a worker is first redirected to the leader,
-// that it is relayed for some time if it returns soon, because it could not reach the
-// leader, and that it is redirected again after that time or when the leader changes.
+// that its heartbeats are relayed for some time if it returns soon, because it could not
+// reach the leader, and that it is redirected again after that time or when the leader
+// changes.
 func TestRouterRelaysReturningWorkers(t *testing.T) {
 	router := &Router{}
 	now := clock.Instant(time.Hour)
--- a/internal/scheduler/plan_snapshot_test.go
+++ b/internal/scheduler/plan_snapshot_test.go
@@ -318,7 +318,7 @@
 	for j.Queue.Len() > 0 {
 		m := s.roomFor(j)
 		if s.percent(1) {
-			// A record names it; it has not reported, and its zone is not known.
+			// A record names the machine, but it has sent no heartbeat, so its zone is not known.
 			m = s.snapshot.Fleet.Ensure(snapshotNow, "host-unheard")
 		}
 		if m == nil || !j.Spec.Gang && !s.percent(chance) {
